--- a/bench/placement_strategies.py
+++ b/bench/placement_strategies.py
@@ -21,7 +21,7 @@
 from gypsumrouter.forwarding.slow_start import SlowStartBook
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
-from gypsumrouter.peers.const import NEWS_MS, NEWS_MS_PER_PEER
+from gypsumrouter.peers.const import UPDATE_INTERVAL_MS, UPDATE_INTERVAL_MS_PER_PEER
 from gypsumrouter.util.clock import ManualClock
 
 SERVICE: Final = "models"
@@ -133,7 +133,7 @@
         self._revision = 1
         self._directories: list[Directory] = []
         self._placers = [self._make_placer(load, number) for number in range(load.routers)]
-        self._period_ms = NEWS_MS + NEWS_MS_PER_PEER * (load.routers - 1)
+        self._period_ms = UPDATE_INTERVAL_MS + UPDATE_INTERVAL_MS_PER_PEER * (load.routers - 1)
         self._news: list[list[tuple[int, str]]] = [[] for _ in self._placers]
         self._told_ms = [number * self._period_ms // load.routers for number in range(load.routers)]
         self._sent: dict[int, Sent] = {}
--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -23,10 +23,10 @@
 from gypsumrouter.orders import Orders
 from gypsumrouter.placement import Placement, PlacementKind
 from gypsumrouter.prefixes import Prefixes
-from gypsumrouter.product import Product
-from gypsumrouter.running import RunningExchanges
+from gypsumrouter.running_exchanges import RunningExchanges
+from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import Link, LinkedSettings, RouterSettings, SideSettings, read_link_key
-from gypsumrouter.suspect_news import ListNames, SendTo, SuspectNewsSpread
+from gypsumrouter.suspect_gossip import ListNames, SendTo, SuspectGossip
 from gypsumrouter.suspicion import Suspicion
 from gypsumrouter.upstream import EngineClient, UpstreamClient, make_client
 from gypsumrouter.util.clock import Clock
@@ -53,7 +53,7 @@
     settings: LinkedSettings,
     clock: Clock | None = None,
     placement: PlacementKind = PlacementKind.RENDEZVOUS,
-) -> Product:
+) -> RunningProcess:
     """Start one process of the product and return it running.
 
     Raises SettingsInvalid, NotReady, or OSError when an address cannot be bound.
@@ -90,7 +90,7 @@
     app: Application,
     settings: RouterSettings,
     placement: PlacementKind = PlacementKind.RENDEZVOUS,
-) -> Product:
+) -> RunningProcess:
     """Wire and start a router."""
     parts = make_shared_parts(app=app, settings=settings)
     suspicion = Suspicion(app=app, notices=parts.notices)
@@ -111,7 +111,7 @@
         handler=None,
         answer_memory_bytes=settings.limits.answer_memory_bytes,
     )
-    spread_suspect_news(
+    start_suspect_gossip(
         parts=parts, suspicion=suspicion, list_concerned=tuple, send_to=server.send_to
     )
     operators = make_operators(app=app, settings=settings, is_ready=lambda: gateway.ready)
@@ -119,7 +119,7 @@
     addresses[ADDRESS_LINK] = await server.async_start()
     await async_start_shared_parts(parts)
     addresses[ADDRESS_CALLERS] = await gateway.async_start()
-    return Product(
+    return RunningProcess(
         app=app,
         store=parts.store,
         addresses=addresses,
@@ -128,7 +128,7 @@
     )
 
 
-async def async_setup_side(*, app: Application, settings: SideSettings) -> Product:
+async def async_setup_side(*, app: Application, settings: SideSettings) -> RunningProcess:
     """Wire and start a side."""
     parts = make_shared_parts(app=app, settings=settings)
     suspicion = Suspicion(
@@ -167,7 +167,7 @@
         handler=running.async_handle,
         answer_memory_bytes=settings.limits.answer_memory_bytes,
     )
-    spread_suspect_news(
+    start_suspect_gossip(
         parts=parts,
         suspicion=suspicion,
         list_concerned=running.list_routers,
@@ -193,7 +193,7 @@
     await async_start_shared_parts(parts)
     runner.on_status(lambda: server.publish_status(runner.make_status()))
     server.publish_status(runner.make_status())
-    return Product(
+    return RunningProcess(
         app=app,
         store=parts.store,
         addresses=addresses,
@@ -280,11 +280,11 @@
     links.on_status(take_status)
 
 
-def spread_suspect_news(
+def start_suspect_gossip(
     *, parts: SharedParts, suspicion: Suspicion, list_concerned: ListNames, send_to: SendTo
 ) -> None:
     """Tell other processes what this one learns of requests that crash their upstream."""
-    SuspectNewsSpread(
+    SuspectGossip(
         app=parts.app,
         fleet=parts.fleet,
         links=parts.links,
--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -34,9 +34,9 @@
     decode_configuration,
     read_request,
 )
-from gypsumrouter.product import Product
 from gypsumrouter.published import WatchState
 from gypsumrouter.routing import RoutingStore
+from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import ForwarderSettings, check_forwarder_settings
 from gypsumrouter.util.clock import Clock
 
@@ -47,7 +47,7 @@
 
 async def async_setup_forwarder(
     *, settings: ForwarderSettings, settings_path: Path | None = None, clock: Clock | None = None
-) -> Product:
+) -> RunningProcess:
     """Start a forwarder and return it running; raises OSError when an address is taken."""
     set_instance(settings.instance.name)
     settings = _bind_link(settings)
@@ -70,7 +70,7 @@
 
 async def _async_wire(
     app: Application, settings: ForwarderSettings, settings_path: Path | None
-) -> Product:
+) -> RunningProcess:
     journal = Journal(app=app)
     routing = RoutingStore(app=app, journal=journal)
     directory = Directory(app=app, journal=journal)
@@ -125,7 +125,7 @@
         apply = partial(_apply_settings, forwarder, mesh)
         watch = _watch_settings(app, journal, settings, settings_path, apply)
     _journal_start(app, journal, addresses)
-    return Product(
+    return RunningProcess(
         app=app,
         store=routing,
         addresses=addresses,
--- a/gypsumrouter/demo/local_fleet.py
+++ b/gypsumrouter/demo/local_fleet.py
@@ -13,7 +13,7 @@
 from gypsumrouter.exceptions import NotReady
 from gypsumrouter.fleet import Address
 from gypsumrouter.helpers.settings_file import check_linked_settings
-from gypsumrouter.product import Product
+from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.standins import StandinPlatform
 from gypsumrouter.util.clock import Clock
 
@@ -39,8 +39,8 @@
         self._clock = clock
         self._extra = extra or {}
         self.platform = platform
-        self.sides: dict[str, Product] = {}
-        self.routers: dict[str, Product] = {}
+        self.sides: dict[str, RunningProcess] = {}
+        self.routers: dict[str, RunningProcess] = {}
         os.environ.setdefault(ENV_LINK_KEY, secrets.token_hex(LINK_KEY_BYTES))
 
     async def async_start(self, *, routers: int) -> None:
@@ -57,7 +57,7 @@
             )
         await self.async_wait_ready()
 
-    async def async_start_side(self, name: str) -> Product:
+    async def async_start_side(self, name: str) -> RunningProcess:
         """Start the side beside one upstream and put it on the instance list."""
         settings = self.platform.make_side_settings(name, link={"key_env": ENV_LINK_KEY})
         product = await self._async_start(Role.SIDE, settings)
@@ -65,7 +65,9 @@
         self.platform.list_side(name, product.addresses[ADDRESS_LINK])
         return product
 
-    async def async_start_router(self, name: str, *, data_centre: str, region: str) -> Product:
+    async def async_start_router(
+        self, name: str, *, data_centre: str, region: str
+    ) -> RunningProcess:
         """Start a router and put it on the instance list."""
         settings = self.platform.make_router_settings(
             name, data_centre=data_centre, region=region, link={"key_env": ENV_LINK_KEY}
@@ -97,7 +99,7 @@
             await product.app.async_stop()
         await self.platform.async_stop()
 
-    async def _async_start(self, role: Role, settings: SettingsPart) -> Product:
+    async def _async_start(self, role: Role, settings: SettingsPart) -> RunningProcess:
         merged = {
             name: {**settings.get(name, {}), **self._extra.get(name, {})}
             for name in settings.keys() | self._extra.keys()
--- a/gypsumrouter/demo/measure.py
+++ b/gypsumrouter/demo/measure.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from gypsumrouter.demo.plan import SAMPLE_MS
-from gypsumrouter.product import Product
+from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.standins import Engine
 from gypsumrouter.util.clock import Clock
 
@@ -51,7 +51,7 @@
         return max(produced) / mean if mean else 0.0
 
 
-def sum_control_bytes(products: list[Product]) -> int:
+def sum_control_bytes(products: list[RunningProcess]) -> int:
     """Return the bytes that some processes have sent and received to control each other."""
     return sum(_get_control_bytes(product.app.dump()) for product in products)
 
--- a/gypsumrouter/peers/const.py
+++ b/gypsumrouter/peers/const.py
@@ -7,8 +7,8 @@
 # News between few routers every 100 ms: a router then places at most some four requests on an old
 # view at 40 requests a second. With 30 routers the period is 0.45 s and a router sends 64 news a
 # second.
-NEWS_MS: Final = 100
-NEWS_MS_PER_PEER: Final = 12
+UPDATE_INTERVAL_MS: Final = 100
+UPDATE_INTERVAL_MS_PER_PEER: Final = 12
 # A peer that was not heard of for this long does not count as running.
 ALIVE_MS: Final = 3_000
 # An address that is no seed is forgotten when nobody answered there for this long.
@@ -21,8 +21,8 @@
 WATCHED_CATCH_UP_MS: Final = 150
 # Parts that are kept for a peer that was away, 15 to 25 s of a router's placements, and parts in
 # one news of at most 5 KB: with many more, the smallest routers do little else after a restart.
-MAX_PLACED: Final = 1_000
-MAX_TOLD: Final = 200
+MAX_QUEUED_PARTS: Final = 1_000
+MAX_PARTS_PER_UPDATE: Final = 200
 # Strikes are few and go out with each news for a while, so that lost links cost none.
 MAX_STRIKES: Final = 50
 STRIKE_MS: Final = 3_000
--- a/gypsumrouter/peers/held.py
+++ b/gypsumrouter/peers/inventory.py
@@ -19,10 +19,10 @@
 ASK_AGAIN_MS: Final = 30
 # The next seed is asked when the one before it has not answered: an answer may take 40 KB.
 ASK_NEXT_MS: Final = 40
-SEED_PATIENCE_MS: Final = 100
+SEED_TIMEOUT_MS: Final = 100
 # A router that is no seed waits for the seeds to ask the engines: machines that get their power
 # back start within half a second of each other. Requests do not wait for it that long.
-OTHER_PATIENCE_MS: Final = 800
+NON_SEED_TIMEOUT_MS: Final = 800
 # Routers that wait for an answer; a fleet has at most some hundreds.
 MAX_WANTING: Final = 1_000
 
@@ -30,7 +30,7 @@
 ToldListener = Callable[[str], None]
 
 
-class HeldDesk:
+class InventoryCoordinator:
     """Asks the seeds what engines hold, tells them what this router found, and answers others.
 
     Each engine is asked by one seed, in turn through the list of engines; the others take over one
@@ -50,7 +50,7 @@
         "_own",
         "_send",
         "_told",
-        "_wanting",
+        "_waiting_peers",
     )
 
     def __init__(
@@ -75,7 +75,7 @@
         # Seeds that could not be reached, and names of routers that do not know all yet.
         self._knows_little: set[str] = set()
         self._none_knows_all = asyncio.Event()
-        self._wanting: list[Peer] = []
+        self._waiting_peers: list[Peer] = []
         # Engines of which all is known that they held.
         self._listed: set[str] = set()
         self._told: ToldListener = lambda upstream: None
@@ -107,7 +107,7 @@
             asyncio.ensure_future(event.wait()) for event in (self._complete, self._none_knows_all)
         ]
         await asyncio.wait(
-            ended, timeout=SEED_PATIENCE_MS / MS_PER_S, return_when=asyncio.FIRST_COMPLETED
+            ended, timeout=SEED_TIMEOUT_MS / MS_PER_S, return_when=asyncio.FIRST_COMPLETED
         )
         for task in (*asking, *ended):
             task.cancel()
@@ -125,7 +125,7 @@
             for turn, seed in enumerate(others)
         ]
         try:
-            async with asyncio.timeout(OTHER_PATIENCE_MS / MS_PER_S):
+            async with asyncio.timeout(NON_SEED_TIMEOUT_MS / MS_PER_S):
                 await self._complete.wait()
         except TimeoutError:
             return False
@@ -146,14 +146,14 @@
         """Tell the other seeds, and all that asked, what an engine holds."""
         self._listed.add(upstream)
         news = HeldNews(complete=False, engines=(HeldAt(upstream=upstream, parts=parts),))
-        for peer in self._wanting:
+        for peer in self._waiting_peers:
             peer.send(news)
         await asyncio.gather(*(self._send(seed, news) for seed in self._list_others()))
 
     def note_informed(self) -> None:
         """Note that this router knows of all engines, and tell those that wait for it."""
         self._informed = True
-        wanting, self._wanting = self._wanting, []
+        wanting, self._waiting_peers = self._waiting_peers, []
         for peer in wanting:
             peer.send(self._make_news())
 
@@ -171,8 +171,8 @@
             peer.send(self._make_news())
             return
         peer.send(self._make_news(only=self._listed))
-        if len(self._wanting) < MAX_WANTING:
-            self._wanting.append(peer)
+        if len(self._waiting_peers) < MAX_WANTING:
+            self._waiting_peers.append(peer)
 
     def _note_knows_little(self, router: str) -> None:
         self._knows_little.add(router)
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -31,12 +31,12 @@
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.peers.catch_up import CatchUpDesk
 from gypsumrouter.peers.const import (
-    NEWS_MS,
-    NEWS_MS_PER_PEER,
     ROUTERS_MS,
+    UPDATE_INTERVAL_MS,
+    UPDATE_INTERVAL_MS_PER_PEER,
 )
 from gypsumrouter.peers.evacuations import write_evacuations
-from gypsumrouter.peers.held import HeldDesk
+from gypsumrouter.peers.inventory import InventoryCoordinator
 from gypsumrouter.peers.loads import read_loads, write_loads
 from gypsumrouter.peers.outbox import Outbox
 from gypsumrouter.peers.relays import RelayDesk
@@ -145,7 +145,7 @@
             send=self._async_send,
             without=settings.without,
         )
-        self._held = HeldDesk(
+        self._held = InventoryCoordinator(
             app=app,
             journal=journal,
             notices=notices,
@@ -206,7 +206,7 @@
         """Return how often a router is told; all routers tell the seeds, few their neighbours."""
         neighbour = self._routers.is_neighbour(known)
         peers = len(self._routers.list_neighbours()) if neighbour else len(self._routers)
-        return NEWS_MS + NEWS_MS_PER_PEER * peers
+        return UPDATE_INTERVAL_MS + UPDATE_INTERVAL_MS_PER_PEER * peers
 
     def _list_seeds(self) -> tuple[str, ...]:
         """Return the seeds that are addresses, this router among them where it is one."""
--- a/gypsumrouter/peers/outbox.py
+++ b/gypsumrouter/peers/outbox.py
@@ -6,7 +6,7 @@
 from itertools import islice
 
 from gypsumrouter.link import PlacedPart, Strike
-from gypsumrouter.peers.const import MAX_PLACED, MAX_STRIKES, MAX_TOLD, STRIKE_MS
+from gypsumrouter.peers.const import MAX_PARTS_PER_UPDATE, MAX_QUEUED_PARTS, MAX_STRIKES, STRIKE_MS
 
 
 class Outbox:
@@ -16,12 +16,12 @@
 
     def __init__(self) -> None:
         self._first = 0
-        self._placed: deque[PlacedPart] = deque(maxlen=MAX_PLACED)
+        self._placed: deque[PlacedPart] = deque(maxlen=MAX_QUEUED_PARTS)
         self._strikes: deque[tuple[int, Strike]] = deque(maxlen=MAX_STRIKES)
 
     def add_part(self, part: PlacedPart) -> None:
         """Add a part; the oldest one falls out where there is no room."""
-        if len(self._placed) == MAX_PLACED:
+        if len(self._placed) == MAX_QUEUED_PARTS:
             self._first += 1
         self._placed.append(part)
 
@@ -32,7 +32,7 @@
     def since(self, number: int) -> tuple[tuple[PlacedPart, ...], int]:
         """Return the next parts from a number on, and the number after them."""
         skip = max(0, number - self._first)
-        parts = tuple(islice(self._placed, skip, skip + MAX_TOLD))
+        parts = tuple(islice(self._placed, skip, skip + MAX_PARTS_PER_UPDATE))
         return parts, self._first + skip + len(parts)
 
     def strikes(self, *, now_ms: int) -> tuple[Strike, ...]:
--- a/gypsumrouter/product.py
+++ b/gypsumrouter/running_process.py
@@ -21,7 +21,7 @@
         """Call `listener` for each version that comes into force."""
 
 
-class Product(Struct, kw_only=True):
+class RunningProcess(Struct, kw_only=True):
     """The application of one process and its bound addresses.
 
     `reload` is called where the settings file may have changed.
--- a/gypsumrouter/service.py
+++ b/gypsumrouter/service.py
@@ -16,7 +16,7 @@
 from gypsumrouter.const import EXIT_FAILED, EXIT_OK
 from gypsumrouter.exceptions import ErrorCode, GypsumError
 from gypsumrouter.helpers.heap import settle_heap
-from gypsumrouter.product import Product
+from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import ForwarderSettings, Settings
 
 _LOGGER = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
 # this time.
 STOP_MARGIN_MS: Final = 500
 
-Setup = Callable[[], Awaitable[Product]]
+Setup = Callable[[], Awaitable[RunningProcess]]
 
 
 class DaemonService(aiomisc.Service):
@@ -38,7 +38,7 @@
         self._setup = setup
         self._settings = settings
         self._announce = announce
-        self._product: Product | None = None
+        self._product: RunningProcess | None = None
         self._stop_asked = asyncio.Event()
         self._stop_forced = asyncio.Event()
         self._exit_code = EXIT_OK
@@ -78,14 +78,14 @@
             await self._product.app.async_stop()
             _LOGGER.info("Stopped with exit code %d", self._exit_code)
 
-    async def _wait_for_stop(self, product: Product) -> None:
+    async def _wait_for_stop(self, product: RunningProcess) -> None:
         waits = (
             asyncio.ensure_future(self._stop_asked.wait()),
             asyncio.ensure_future(product.app.stopping.wait()),
         )
         await _wait_for_first(*waits)
 
-    async def _drain(self, product: Product) -> None:
+    async def _drain(self, product: RunningProcess) -> None:
         _LOGGER.info("Stopping: finishing %d requests", len(product.list_running()))
         limit_ms = get_stop_ms(self._settings)
         drained = asyncio.ensure_future(product.app.async_drain())
@@ -112,7 +112,7 @@
         if self._product is not None and self._product.reload is not None:
             self._product.reload()
 
-    def _report_addresses(self, product: Product) -> None:
+    def _report_addresses(self, product: RunningProcess) -> None:
         addresses = {name: str(address) for name, address in product.addresses.items()}
         _LOGGER.info("Started as %s on %s", product.app.role.value, addresses)
         if not self._announce:
@@ -148,7 +148,7 @@
     await asyncio.gather(*waits, return_exceptions=True)
 
 
-def settle_process(product: Product) -> None:
+def settle_process(product: RunningProcess) -> None:
     """Settle the heap of a process now and once more with its first configuration.
 
     No work is taken before that. Later versions share with the first what did not change.
--- a/gypsumrouter/suspect_news.py
+++ b/gypsumrouter/suspect_gossip.py
@@ -16,7 +16,7 @@
 SendTo = Callable[[Collection[str], SuspectNews], None]
 
 
-class SuspectNewsSpread:
+class SuspectGossip:
     """Hand news that was not known before to a few neighbours, who do the same.
 
     `list_concerned` names the routers whose requests run here. They decide next, and are told by
--- a/tests/forwarding/forwarding_world.py
+++ b/tests/forwarding/forwarding_world.py
@@ -9,7 +9,7 @@
 
 from gypsumrouter.bootstrap_forwarder import async_setup_forwarder
 from gypsumrouter.instances import Address
-from gypsumrouter.product import Product
+from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import Bounds, ForwarderSettings, Identity, Link
 from gypsumrouter.standins import PlatformRunner, PublishedStoreStandin
 from gypsumrouter.util.clock import SystemClock
@@ -71,10 +71,10 @@
         self.records = [PlatformRunner(name="i-records-1"), PlatformRunner(name="i-records-2")]
         self.models = [PlatformRunner(name="i-models-1"), PlatformRunner(name="i-models-2")]
         self.addresses: dict[str, Address] = {}
-        self.products: list[Product] = []
+        self.products: list[RunningProcess] = []
 
     @property
-    def product(self) -> Product:
+    def product(self) -> RunningProcess:
         """Return the first forwarder."""
         return self.products[0]
 
@@ -95,7 +95,7 @@
                 await store.async_put_runner(runner.name, service=service, address=address)
         await store.async_put_configuration(make_configuration())
 
-    async def async_start_forwarder(self, name: str, **more: Any) -> Product:
+    async def async_start_forwarder(self, name: str, **more: Any) -> RunningProcess:
         """Start one more forwarder."""
         settings = ForwarderSettings(
             **{
@@ -124,7 +124,7 @@
             while not condition():
                 await asyncio.get_running_loop().run_in_executor(None, lambda: None)
 
-    def url(self, path: str, product: Product | None = None) -> str:
+    def url(self, path: str, product: RunningProcess | None = None) -> str:
         """Return the address of a path at a forwarder."""
         return f"http://{(product or self.product).addresses['callers']}{path}"
 
@@ -144,7 +144,7 @@
         path: str,
         request_id: str,
         *,
-        product: Product | None = None,
+        product: RunningProcess | None = None,
         body: bytes | None = None,
         extra: dict[str, str] | None = None,
     ) -> tuple[int, bytes, dict[str, str]]:
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -21,8 +21,8 @@
 from gypsumrouter.journal import Journal
 from gypsumrouter.link import HeldAt, HeldNews, Notice, NoticeHub, Peer
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
-from gypsumrouter.peers import held
-from gypsumrouter.peers.held import HeldDesk
+from gypsumrouter.peers import inventory as peer_inventory
+from gypsumrouter.peers.inventory import InventoryCoordinator
 
 SEEDS = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 ENGINES = 23
@@ -36,16 +36,16 @@
 
     def __init__(self) -> None:
         self.hubs: dict[str, NoticeHub] = {}
-        self.desks: dict[str, HeldDesk] = {}
+        self.desks: dict[str, InventoryCoordinator] = {}
         self.holdings: dict[str, Holdings] = {}
         self.refused: set[tuple[str, str]] = set()
 
-    def add(self, address: str) -> HeldDesk:
+    def add(self, address: str) -> InventoryCoordinator:
         """Start a router."""
         app = Application(name=address, role=Role.FORWARDER, data_centre="a", region="r")
         hub = self.hubs[address] = NoticeHub()
         own_holdings = self.holdings[address] = Holdings()
-        desk = self.desks[address] = HeldDesk(
+        desk = self.desks[address] = InventoryCoordinator(
             app=app,
             journal=Journal(app=app),
             notices=hub,
@@ -99,7 +99,7 @@
     """All routers were lost: no answer is worth waiting for the whole patience."""
     net = Net()
     desks = [net.add(seed) for seed in SEEDS[:2]]
-    monkeypatch.setattr(held, "SEED_PATIENCE_MS", FOREVER_MS)
+    monkeypatch.setattr(peer_inventory, "SEED_TIMEOUT_MS", FOREVER_MS)
     async with asyncio.timeout(HANG_S):
         assert await asyncio.gather(*(desk.async_ask() for desk in desks)) == [False, False]
 
@@ -107,12 +107,12 @@
 async def test_a_router_that_is_no_seed_waits_until_a_seed_knows(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
+    monkeypatch.setattr(peer_inventory, "NON_SEED_TIMEOUT_MS", FOREVER_MS)
     net = Net()
     seed = net.add(SEEDS[0])
     asking = asyncio.ensure_future(net.add("10.0.0.9:7").async_ask())
     async with asyncio.timeout(HANG_S):
-        while not seed._wanting:
+        while not seed._waiting_peers:
             await asyncio.get_running_loop().run_in_executor(None, lambda: None)
     assert not asking.done()
     now_ms = seed._app.clock.now_ms()
@@ -203,7 +203,7 @@
     caplog: pytest.LogCaptureFixture,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
+    monkeypatch.setattr(peer_inventory, "NON_SEED_TIMEOUT_MS", FOREVER_MS)
     monkeypatch.setattr(handler, "START_WAIT_MS", FOREVER_MS)
     monkeypatch.setattr(holdings, "READABLE_MS", 0)
     caplog.set_level(logging.INFO)
--- a/tests/forwarding/test_forwarding_settings.py
+++ b/tests/forwarding/test_forwarding_settings.py
@@ -13,7 +13,7 @@
 
 from gypsumrouter.bootstrap_forwarder import async_setup_forwarder
 from gypsumrouter.helpers.settings_file import read_settings_file
-from gypsumrouter.product import Product
+from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import check_forwarder_settings
 from gypsumrouter.util.clock import SystemClock
 
@@ -30,7 +30,7 @@
     path.write_text(json.dumps(document))
 
 
-async def async_start(world: ForwardingWorld, path: Path) -> Product:
+async def async_start(world: ForwardingWorld, path: Path) -> RunningProcess:
     product = await async_setup_forwarder(
         settings=check_forwarder_settings(read_settings_file(path)),
         settings_path=path,
@@ -40,7 +40,7 @@
     return product
 
 
-def list_routers(product: Product) -> dict[str, Any]:
+def list_routers(product: RunningProcess) -> dict[str, Any]:
     section = product.app.dump()["peers"]
     assert isinstance(section, dict)
     return dict(section["routers"])
--- a/tests/peers/test_peers_outbox.py
+++ b/tests/peers/test_peers_outbox.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gypsumrouter.link import PlacedPart
-from gypsumrouter.peers.const import MAX_PLACED, MAX_TOLD
+from gypsumrouter.peers.const import MAX_PARTS_PER_UPDATE, MAX_QUEUED_PARTS
 from gypsumrouter.peers.outbox import Outbox
 
 
@@ -25,7 +25,7 @@
 
 def test_a_peer_that_was_away_gets_what_is_kept_in_steps() -> None:
     outbox = Outbox()
-    for number in range(MAX_PLACED + 50):
+    for number in range(MAX_QUEUED_PARTS + 50):
         outbox.add_part(make_part(number))
     told: list[int] = []
     end = 0
@@ -33,6 +33,6 @@
         parts, end = outbox.since(end)
         if not parts:
             break
-        assert len(parts) <= MAX_TOLD
+        assert len(parts) <= MAX_PARTS_PER_UPDATE
         told += [part.part for part in parts]
-    assert told == list(range(50, MAX_PLACED + 50))
+    assert told == list(range(50, MAX_QUEUED_PARTS + 50))
