--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -173,7 +173,7 @@
 ) -> tuple[str, ...]:
     """Put in force what a running process can change."""
     forwarder.take_bounds(settings.bounds)
-    mesh.take_seeds(settings.seeds)
+    mesh.set_seeds(settings.seeds)
     return ("bounds", "seeds")
 
 
--- a/gypsumrouter/peers/catch_up.py
+++ b/gypsumrouter/peers/catch_up.py
@@ -21,33 +21,37 @@
     RoutingDocument,
     StoreWatched,
 )
-from gypsumrouter.peers.const import BEHIND_MS, CATCH_UP_MS, WATCHED_CATCH_UP_MS
-from gypsumrouter.peers.evacuations import take_evacuations, write_evacuations
+from gypsumrouter.peers.const import (
+    CATCH_UP_DELAY_MS,
+    CATCH_UP_INTERVAL_MS,
+    WATCHER_CATCH_UP_INTERVAL_MS,
+)
+from gypsumrouter.peers.evacuations import encode_evacuations, merge_evacuations
 from gypsumrouter.published import WatchState
 from gypsumrouter.routing import RoutingConfiguration, RoutingStore
 
 _LOGGER = logging.getLogger(__name__)
 
-NEVER: Final = -(1 << 62)
+NEVER_MS: Final = -(1 << 62)
 
 
-class CatchUpDesk:
+class CatchUpCoordinator:
     """Asks peers for what they know and this router does not, and answers them alike."""
 
     __slots__ = (
         "_app",
-        "_asked_ms",
         "_behind_list_ms",
         "_behind_routing_ms",
         "_decode",
         "_directory",
         "_evacuations",
         "_journal",
-        "_list",
+        "_last_request_ms",
+        "_last_watched",
+        "_last_watched_ms",
+        "_list_state",
         "_routing",
         "_routing_state",
-        "_watched",
-        "_watched_ms",
     )
 
     def __init__(
@@ -70,91 +74,91 @@
         self._evacuations = evacuations
         self._decode = decode
         self._routing_state = routing_state
-        self._list = upstreams
+        self._list_state = upstreams
         self._behind_routing_ms: int | None = None
         self._behind_list_ms: int | None = None
-        self._asked_ms = NEVER
+        self._last_request_ms = NEVER_MS
         # What the last question to a watcher was for, and when it was asked.
-        self._watched = (0, 0)
-        self._watched_ms = NEVER
-        notices.subscribe(CatchUp, self._answer)
-        notices.subscribe(RoutingDocument, self._take_routing)
-        notices.subscribe(ListedUpstreams, self._take_upstreams)
+        self._last_watched = (0, 0)
+        self._last_watched_ms = NEVER_MS
+        notices.subscribe(CatchUp, self._handle_request)
+        notices.subscribe(RoutingDocument, self._handle_routing)
+        notices.subscribe(ListedUpstreams, self._handle_upstreams)
 
-    def compare(self, peer: Peer, *, routing_version: int, list_revision: int) -> None:
+    def check_versions(self, peer: Peer, *, routing_version: int, list_revision: int) -> None:
         """Ask a peer that has been ahead for longer than the platform's own news take."""
         now_ms = self._app.clock.now_ms()
         routing = routing_version > self._routing.version
         upstreams = list_revision > self._directory.newest
-        self._behind_routing_ms = _since(self._behind_routing_ms, routing, now_ms)
-        self._behind_list_ms = _since(self._behind_list_ms, upstreams, now_ms)
-        if now_ms - self._asked_ms < CATCH_UP_MS:
+        self._behind_routing_ms = _get_behind_since(self._behind_routing_ms, routing, now_ms)
+        self._behind_list_ms = _get_behind_since(self._behind_list_ms, upstreams, now_ms)
+        if now_ms - self._last_request_ms < CATCH_UP_INTERVAL_MS:
             return
-        ask = CatchUp(
-            routing=routing and self._is_due(self._behind_routing_ms, now_ms),
-            upstreams=upstreams and self._is_due(self._behind_list_ms, now_ms),
+        request = CatchUp(
+            routing=routing and self._is_overdue(self._behind_routing_ms, now_ms),
+            upstreams=upstreams and self._is_overdue(self._behind_list_ms, now_ms),
             since=self._get_list_as_of(),
         )
-        if (ask.routing or ask.upstreams) and peer.send(ask):
-            self._asked_ms = now_ms
+        if (request.routing or request.upstreams) and peer.send(request):
+            self._last_request_ms = now_ms
 
-    def take_watched(self, peer: Peer, watched: StoreWatched) -> None:
+    def handle_announcement(self, peer: Peer, watched: StoreWatched) -> None:
         """Ask a router that watches for what it knows and this one does not."""
-        self.take_evacuations(peer, watched.evacuations)
+        self.merge_evacuations(peer, watched.evacuations)
         routing = watched.routing_version > self._routing.version
         upstreams = watched.list_newest > self._get_list_as_of()
         if not routing:
             self._routing_state.advance(watched.routing_as_of)
         if not upstreams:
-            self._list.advance(watched.list_as_of)
-        if not (routing or upstreams) or not self._is_news(watched):
+            self._list_state.advance(watched.list_as_of)
+        if not (routing or upstreams) or not self._should_request(watched):
             return
         since = self._get_list_as_of()
         peer.send(CatchUp(routing=routing, upstreams=upstreams, since=since))
 
-    def take_evacuations(self, peer: Peer, told: tuple[EvacuationTold, ...]) -> None:
+    def merge_evacuations(self, peer: Peer, told: tuple[EvacuationTold, ...]) -> None:
         """Take what a peer knows of evacuations, which all news bring whole."""
-        take_evacuations(self._evacuations, told, source=peer.hello.name)
+        merge_evacuations(self._evacuations, told, source=peer.hello.name)
 
-    def _is_news(self, watched: StoreWatched) -> bool:
-        """Return whether to ask: two watchers tell the same, and only one is asked."""
+    def _should_request(self, watched: StoreWatched) -> bool:
+        """Return whether to request: two watchers tell the same, and only one is asked."""
         now_ms = self._app.clock.now_ms()
         told = (watched.routing_version, watched.list_newest)
-        newer = any(new > asked for new, asked in zip(told, self._watched, strict=True))
-        if not newer and now_ms - self._watched_ms < WATCHED_CATCH_UP_MS:
+        newer = any(new > asked for new, asked in zip(told, self._last_watched, strict=True))
+        if not newer and now_ms - self._last_watched_ms < WATCHER_CATCH_UP_INTERVAL_MS:
             return False
-        self._watched = told
-        self._watched_ms = now_ms
+        self._last_watched = told
+        self._last_watched_ms = now_ms
         return True
 
     def _get_list_as_of(self) -> int:
-        return self._directory.limit_to_acted_on(self._list.as_of or 0)
+        return self._directory.limit_to_acted_on(self._list_state.as_of or 0)
 
-    def _is_due(self, since_ms: int | None, now_ms: int) -> bool:
-        """Return whether to ask now; a process that knows nothing yet asks at once."""
+    def _is_overdue(self, since_ms: int | None, now_ms: int) -> bool:
+        """Return whether to request now; a process that knows nothing yet asks at once."""
         if self._routing.table is None or not self._directory.loaded.is_set():
             return True
-        return since_ms is not None and now_ms - since_ms >= BEHIND_MS
+        return since_ms is not None and now_ms - since_ms >= CATCH_UP_DELAY_MS
 
-    def _answer(self, peer: Peer, ask: CatchUp) -> None:
+    def _handle_request(self, peer: Peer, request: CatchUp) -> None:
         table = self._routing.table
-        if ask.routing and table is not None:
+        if request.routing and table is not None:
             configuration = table.configuration
             peer.send(
                 RoutingDocument(
                     version=configuration.version,
                     document=configuration.document,
-                    evacuations=write_evacuations(self._evacuations),
+                    evacuations=encode_evacuations(self._evacuations),
                 )
             )
-        if ask.upstreams and self._directory.loaded.is_set():
-            records = self._directory.records(since=ask.since)
-            entries = tuple(_write_record(record) for record in records)
+        if request.upstreams and self._directory.loaded.is_set():
+            records = self._directory.records(since=request.since)
+            entries = tuple(_encode_record(record) for record in records)
             peer.send(ListedUpstreams(entries=entries, as_of=self._get_list_as_of()))
 
-    def _take_routing(self, peer: Peer, told: RoutingDocument) -> None:
+    def _handle_routing(self, peer: Peer, told: RoutingDocument) -> None:
         # Before the configuration, with which a router that starts may begin to send.
-        self.take_evacuations(peer, told.evacuations)
+        self.merge_evacuations(peer, told.evacuations)
         try:
             configuration = self._decode(told.document)
         except DocumentInvalid as error:
@@ -173,17 +177,17 @@
             )
         )
 
-    def _take_upstreams(self, peer: Peer, told: ListedUpstreams) -> None:
+    def _handle_upstreams(self, peer: Peer, told: ListedUpstreams) -> None:
         known = self._get_list_as_of()
         taken = 0
         for entry in told.entries:
             try:
-                record = _read_record(entry)
+                record = _decode_record(entry)
             except ValueError as error:
                 _LOGGER.error("%s sent an unreadable entry: %s", peer.hello.name, error)
                 continue
             taken += self._directory.merge(record, source=peer.hello.name, settled=True)
-        self._list.advance(told.as_of)
+        self._list_state.advance(told.as_of)
         self._directory.note_told()
         if told.entries:
             self._journal.record(
@@ -198,14 +202,14 @@
             )
 
 
-def _since(since_ms: int | None, behind: bool, now_ms: int) -> int | None:
+def _get_behind_since(since_ms: int | None, behind: bool, now_ms: int) -> int | None:
     """Return since when this router is behind; news of a peer that is not ahead say nothing."""
     if not behind:
         return since_ms
     return now_ms if since_ms is None else since_ms
 
 
-def _write_record(record: Record) -> ListedUpstream:
+def _encode_record(record: Record) -> ListedUpstream:
     entry = record.entry
     return ListedUpstream(
         revision=record.revision,
@@ -220,7 +224,7 @@
     )
 
 
-def _read_record(entry: ListedUpstream) -> Record:
+def _decode_record(entry: ListedUpstream) -> Record:
     return Record(
         revision=entry.revision,
         entry=Entry(
--- a/gypsumrouter/peers/evacuations.py
+++ b/gypsumrouter/peers/evacuations.py
@@ -8,7 +8,7 @@
 from gypsumrouter.link import EvacuationTold
 
 
-def write_evacuations(evacuations: Evacuations) -> tuple[EvacuationTold, ...]:
+def encode_evacuations(evacuations: Evacuations) -> tuple[EvacuationTold, ...]:
     """Return all that a router knows of evacuations: little, and any news may be the last."""
     return tuple(
         EvacuationTold(data_centre=e.data_centre, revision=e.revision, active=e.active)
@@ -16,10 +16,10 @@
     )
 
 
-def take_evacuations(
-    evacuations: Evacuations, told: Iterable[EvacuationTold], *, source: str
+def merge_evacuations(
+    evacuations: Evacuations, received: Iterable[EvacuationTold], *, source: str
 ) -> None:
-    """Take what a peer told; older news than what is known change nothing."""
-    for e in told:
+    """Take what a peer received; older news than what is known change nothing."""
+    for e in received:
         evacuation = Evacuation(data_centre=e.data_centre, revision=e.revision, active=e.active)
         evacuations.merge(evacuation, source=source)
--- a/gypsumrouter/peers/inventory.py
+++ b/gypsumrouter/peers/inventory.py
@@ -16,18 +16,18 @@
 
 # A peer that lives answers within a few milliseconds. Peers that start at the same moment listen
 # up to 60 ms later than this one; routers that are no seeds ask them again at this distance.
-ASK_AGAIN_MS: Final = 30
+RETRY_INTERVAL_MS: Final = 30
 # The next seed is asked when the one before it has not answered: an answer may take 40 KB.
-ASK_NEXT_MS: Final = 40
+NEXT_SEED_DELAY_MS: Final = 40
 SEED_TIMEOUT_MS: Final = 100
 # A router that is no seed waits for the seeds to ask the engines: machines that get their power
 # back start within half a second of each other. Requests do not wait for it that long.
 NON_SEED_TIMEOUT_MS: Final = 800
 # Routers that wait for an answer; a fleet has at most some hundreds.
-MAX_WANTING: Final = 1_000
+MAX_WAITING_PEERS: Final = 1_000
 
 SendTo = Callable[[str, Notice], Awaitable[bool]]
-ToldListener = Callable[[str], None]
+InventoryListener = Callable[[str], None]
 
 
 class InventoryCoordinator:
@@ -38,18 +38,18 @@
     """
 
     __slots__ = (
+        "_all_incomplete",
         "_app",
         "_complete",
         "_holdings",
-        "_informed",
+        "_incomplete_seeds",
+        "_inventory_known",
         "_journal",
-        "_knows_little",
+        "_known_engines",
         "_list_seeds",
-        "_listed",
-        "_none_knows_all",
+        "_listener",
         "_own",
         "_send",
-        "_told",
         "_waiting_peers",
     )
 
@@ -70,21 +70,21 @@
         self._own = own
         self._list_seeds = list_seeds
         self._send = send
-        self._informed = False
+        self._inventory_known = False
         self._complete = asyncio.Event()
         # Seeds that could not be reached, and names of routers that do not know all yet.
-        self._knows_little: set[str] = set()
-        self._none_knows_all = asyncio.Event()
+        self._incomplete_seeds: set[str] = set()
+        self._all_incomplete = asyncio.Event()
         self._waiting_peers: list[Peer] = []
         # Engines of which all is known that they held.
-        self._listed: set[str] = set()
-        self._told: ToldListener = lambda upstream: None
-        notices.subscribe(HeldWanted, self._answer)
-        notices.subscribe(HeldNews, self._take)
+        self._known_engines: set[str] = set()
+        self._listener: InventoryListener = lambda upstream: None
+        notices.subscribe(HeldWanted, self._handle_request)
+        notices.subscribe(HeldNews, self._handle_inventory)
 
-    def on_told(self, listener: ToldListener) -> None:
+    def on_told(self, listener: InventoryListener) -> None:
         """Call `listener` with each engine of which a peer told what it holds."""
-        self._told = listener
+        self._listener = listener
 
     @property
     def complete(self) -> asyncio.Event:
@@ -98,13 +98,13 @@
             return False
         if len(others) < len(self._list_seeds()):
             return await self._async_ask_as_seed(others)
-        return await self._async_ask_as_other(others)
+        return await self._async_ask_as_non_seed(others)
 
     async def _async_ask_as_seed(self, others: list[str]) -> bool:
         """Ask all at once, and no longer than until all have said that they do not know all."""
         asking = [self._app.async_create_task(self._async_ask_seed(s), "ask held") for s in others]
         ended = [
-            asyncio.ensure_future(event.wait()) for event in (self._complete, self._none_knows_all)
+            asyncio.ensure_future(event.wait()) for event in (self._complete, self._all_incomplete)
         ]
         await asyncio.wait(
             ended, timeout=SEED_TIMEOUT_MS / MS_PER_S, return_when=asyncio.FIRST_COMPLETED
@@ -115,13 +115,15 @@
 
     async def _async_ask_seed(self, seed: str) -> None:
         if not await self._send(seed, HeldWanted()):
-            self._note_knows_little(seed)
+            self._note_incomplete(seed)
 
-    async def _async_ask_as_other(self, others: list[str]) -> bool:
+    async def _async_ask_as_non_seed(self, others: list[str]) -> bool:
         """Ask one after the other, and wait until the seeds know."""
         others.sort(key=lambda seed: _hash(self._own(), seed))
         asking = [
-            self._app.async_create_task(self._async_ask(seed, turn * ASK_NEXT_MS), "ask held")
+            self._app.async_create_task(
+                self._async_ask_until_sent(seed, turn * NEXT_SEED_DELAY_MS), "ask held"
+            )
             for turn, seed in enumerate(others)
         ]
         try:
@@ -144,42 +146,42 @@
 
     async def async_share(self, upstream: str, parts: tuple[int, ...]) -> None:
         """Tell the other seeds, and all that asked, what an engine holds."""
-        self._listed.add(upstream)
-        news = HeldNews(complete=False, engines=(HeldAt(upstream=upstream, parts=parts),))
+        self._known_engines.add(upstream)
+        inventory = HeldNews(complete=False, engines=(HeldAt(upstream=upstream, parts=parts),))
         for peer in self._waiting_peers:
-            peer.send(news)
-        await asyncio.gather(*(self._send(seed, news) for seed in self._list_others()))
+            peer.send(inventory)
+        await asyncio.gather(*(self._send(seed, inventory) for seed in self._list_others()))
 
     def note_informed(self) -> None:
         """Note that this router knows of all engines, and tell those that wait for it."""
-        self._informed = True
+        self._inventory_known = True
         wanting, self._waiting_peers = self._waiting_peers, []
         for peer in wanting:
-            peer.send(self._make_news())
+            peer.send(self._make_inventory())
 
     def _list_others(self) -> list[str]:
         own = self._own()
         return [seed for seed in self._list_seeds() if seed != own]
 
-    async def _async_ask(self, seed: str, delay_ms: int) -> None:
+    async def _async_ask_until_sent(self, seed: str, delay_ms: int) -> None:
         await self._app.clock.async_sleep(delay_ms)
         while not await self._send(seed, HeldWanted()):
-            await self._app.clock.async_sleep(ASK_AGAIN_MS)
+            await self._app.clock.async_sleep(RETRY_INTERVAL_MS)
 
-    def _answer(self, peer: Peer, wanted: HeldWanted) -> None:
-        if self._informed:
-            peer.send(self._make_news())
+    def _handle_request(self, peer: Peer, request: HeldWanted) -> None:
+        if self._inventory_known:
+            peer.send(self._make_inventory())
             return
-        peer.send(self._make_news(only=self._listed))
-        if len(self._waiting_peers) < MAX_WANTING:
+        peer.send(self._make_inventory(only=self._known_engines))
+        if len(self._waiting_peers) < MAX_WAITING_PEERS:
             self._waiting_peers.append(peer)
 
-    def _note_knows_little(self, router: str) -> None:
-        self._knows_little.add(router)
-        if len(self._knows_little) >= len(self._list_others()):
-            self._none_knows_all.set()
+    def _note_incomplete(self, router: str) -> None:
+        self._incomplete_seeds.add(router)
+        if len(self._incomplete_seeds) >= len(self._list_others()):
+            self._all_incomplete.set()
 
-    def _make_news(self, *, only: set[str] | None = None) -> HeldNews:
+    def _make_inventory(self, *, only: set[str] | None = None) -> HeldNews:
         """Return what all engines hold, or what `only` those hold of which all is known."""
         held = self._holdings.list_held(now_ms=self._app.clock.now_ms())
         engines = tuple(
@@ -189,25 +191,25 @@
         )
         return HeldNews(complete=only is None, engines=engines)
 
-    def _take(self, peer: Peer, news: HeldNews) -> None:
+    def _handle_inventory(self, peer: Peer, inventory: HeldNews) -> None:
         now_ms = self._app.clock.now_ms()
-        for engine in news.engines:
+        for engine in inventory.engines:
             for part in engine.parts:
                 self._holdings.note_held(part=part, upstream=engine.upstream, now_ms=now_ms)
-            self._listed.add(engine.upstream)
-            self._told(engine.upstream)
+            self._known_engines.add(engine.upstream)
+            self._listener(engine.upstream)
         self._journal.record(
             HeldPartsTold(
                 peer=peer.hello.name,
-                engines=len(news.engines),
-                parts=sum(len(engine.parts) for engine in news.engines),
-                complete=news.complete,
+                engines=len(inventory.engines),
+                parts=sum(len(engine.parts) for engine in inventory.engines),
+                complete=inventory.complete,
             )
         )
-        if news.complete:
+        if inventory.complete:
             self._complete.set()
         else:
-            self._note_knows_little(peer.hello.name)
+            self._note_incomplete(peer.hello.name)
 
 
 def _hash(upstream: str, seed: str) -> int:
--- a/gypsumrouter/peers/loads.py
+++ b/gypsumrouter/peers/loads.py
@@ -1,4 +1,4 @@
-"""Loads between the book of a router and the news to its peers."""
+"""Loads between the book of a router and the update to its peers."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 from gypsumrouter.link import DataCentreLoads, RouterLoad, RouterNews
 
 
-def write_loads(book: LoadBook) -> tuple[RouterLoad, ...]:
-    """Return a router's own counts for its news."""
-    return _write(book.own())
+def encode_loads(book: LoadBook) -> tuple[RouterLoad, ...]:
+    """Return a router's own counts for its update."""
+    return _encode(book.own())
 
 
-def write_sums(book: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
+def encode_load_sums(book: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
     """Return the counts of a router and of some of its peers together."""
-    return _write(book.add_up_peers(peers))
+    return _encode(book.add_up_peers(peers))
 
 
-def read_loads(news: RouterNews, *, now_ms: int) -> PeerLoads:
+def decode_loads(update: RouterNews, *, now_ms: int) -> PeerLoads:
     """Return what a peer told of its counts."""
-    return _read(news.loads, now_ms)
+    return _decode(update.loads, now_ms)
 
 
-def read_sums(news: DataCentreLoads, *, now_ms: int) -> PeerLoads:
+def decode_load_sums(update: DataCentreLoads, *, now_ms: int) -> PeerLoads:
     """Return what was told of the counts of a data centre."""
-    return _read(news.loads, now_ms)
+    return _decode(update.loads, now_ms)
 
 
-def _write(loads: dict[str, UpstreamLoad]) -> tuple[RouterLoad, ...]:
+def _encode(loads: dict[str, UpstreamLoad]) -> tuple[RouterLoad, ...]:
     return tuple(
         RouterLoad(upstream=upstream, running=load.running, pending_tokens=load.pending_tokens)
         for upstream, load in loads.items()
     )
 
 
-def _read(loads: tuple[RouterLoad, ...], now_ms: int) -> PeerLoads:
+def _decode(loads: tuple[RouterLoad, ...], now_ms: int) -> PeerLoads:
     return PeerLoads(
         heard_ms=now_ms,
         loads={
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -29,19 +29,19 @@
     Strike,
 )
 from gypsumrouter.mechanisms import Mechanism
-from gypsumrouter.peers.catch_up import CatchUpDesk
+from gypsumrouter.peers.catch_up import CatchUpCoordinator
 from gypsumrouter.peers.const import (
-    ROUTERS_MS,
+    ROUTER_LIST_INTERVAL_MS,
     UPDATE_INTERVAL_MS,
     UPDATE_INTERVAL_MS_PER_PEER,
 )
-from gypsumrouter.peers.evacuations import write_evacuations
+from gypsumrouter.peers.evacuations import encode_evacuations
 from gypsumrouter.peers.inventory import InventoryCoordinator
-from gypsumrouter.peers.loads import read_loads, write_loads
+from gypsumrouter.peers.loads import decode_loads, encode_loads
 from gypsumrouter.peers.outbox import Outbox
-from gypsumrouter.peers.relays import RelayDesk
-from gypsumrouter.peers.routers import KnownRouter, RouterBook
-from gypsumrouter.peers.watchers import WatchDesk
+from gypsumrouter.peers.relays import DataCentreRelay
+from gypsumrouter.peers.routers import PeerRouter, RouterRegistry
+from gypsumrouter.peers.watchers import WatchCoordinator
 from gypsumrouter.published import WatchState
 from gypsumrouter.routing import RoutingConfiguration, RoutingStore
 from gypsumrouter.settings import ForwarderSettings, read_link_key
@@ -50,7 +50,7 @@
 
 
 class Mesh:
-    """Sends this router's news to its neighbours and the seeds, and takes theirs."""
+    """Sends this router's update to its neighbours and the seeds, and takes theirs."""
 
     __slots__ = (
         "_app",
@@ -58,7 +58,7 @@
         "_directory",
         "_evacuations",
         "_forwarder",
-        "_held",
+        "_inventory",
         "_journal",
         "_outbox",
         "_pool",
@@ -66,8 +66,8 @@
         "_routers",
         "_routing",
         "_seeds",
+        "_sending_to",
         "_server",
-        "_tasks",
         "_watch",
         "_without",
     )
@@ -92,12 +92,12 @@
         self._directory = directory
         self._evacuations = evacuations
         self._forwarder = forwarder
-        self._routers = RouterBook(
+        self._routers = RouterRegistry(
             clock=app.clock, own=settings.link_address, data_centre=app.data_centre
         )
         self._seeds = settings.seeds
         # The routers that a task of this one tells.
-        self._tasks: set[str] = set()
+        self._sending_to: set[str] = set()
         self._outbox = Outbox()
         notices = NoticeHub(app=app)
         key = read_link_key(settings.link)
@@ -110,7 +110,7 @@
             answer_memory_bytes=settings.limits.answer_memory_bytes,
         )
         self._pool = LinkPool(app=app, settings=settings.link, key=key, notices=notices)
-        self._catch_up = CatchUpDesk(
+        self._catch_up = CatchUpCoordinator(
             app=app,
             journal=journal,
             routing=routing,
@@ -121,7 +121,7 @@
             routing_state=routing_state,
             upstreams=upstreams,
         )
-        self._watch = WatchDesk(
+        self._watch = WatchCoordinator(
             app=app,
             routers=self._routers,
             routing_store=routing,
@@ -132,7 +132,7 @@
             routing=routing_state,
             upstreams=upstreams,
         )
-        self._relays = RelayDesk(
+        self._relays = DataCentreRelay(
             app=app,
             routers=self._routers,
             routing=routing,
@@ -145,7 +145,7 @@
             send=self._async_send,
             without=settings.without,
         )
-        self._held = InventoryCoordinator(
+        self._inventory = InventoryCoordinator(
             app=app,
             journal=journal,
             notices=notices,
@@ -156,9 +156,9 @@
         )
         self._without = settings.without
         if Mechanism.TOLD_INVENTORY not in settings.without:
-            forwarder.inventory.take_peers(self._held)
+            forwarder.inventory.take_peers(self._inventory)
         forwarder.placer.slow_start.take_fleet(self._routers)
-        notices.subscribe(RouterNews, self._take_news)
+        notices.subscribe(RouterNews, self._handle_update)
         forwarder.placer.on_placed(self._note_placed)
         forwarder.suspects.on_strike(self._note_strike)
         app.add_dump_section("peers", self._dump)
@@ -168,41 +168,45 @@
         address = await self._server.async_start()
         self._routers.own = str(address)
         for seed in self._seeds:
-            self._learn(seed, seed=True)
-        self._count_routers()
+            self._add_router(seed, seed=True)
+        self._update_retry_budget()
         self._watch.async_start()
         self._relays.async_start()
         return address
 
-    def take_seeds(self, seeds: tuple[str, ...]) -> None:
+    def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Tell other seeds from now on; one that is no seed any more stays while it answers."""
         self._seeds = seeds
         for text, known in self._routers.items():
             known.seed = text in seeds
         for seed in seeds:
-            self._learn(seed, seed=True)
-        self._count_routers()
+            self._add_router(seed, seed=True)
+        self._update_retry_budget()
 
-    def _learn(self, text: str, *, data_centre: str = "", seed: bool = False) -> None:
-        known = self._routers.learn(text, data_centre=data_centre, seed=seed)
-        if known is not None and self._routers.is_told(text) and text not in self._tasks:
-            self._tasks.add(text)
-            self._app.async_create_task(self._async_tell(text, known), f"peer {text}")
+    def _add_router(self, text: str, *, data_centre: str = "", seed: bool = False) -> None:
+        known = self._routers.add(text, data_centre=data_centre, seed=seed)
+        if (
+            known is not None
+            and self._routers.receives_updates(text)
+            and text not in self._sending_to
+        ):
+            self._sending_to.add(text)
+            self._app.async_create_task(self._async_send_updates(text, known), f"peer {text}")
 
-    async def _async_tell(self, text: str, known: KnownRouter) -> None:
-        """Send news to one peer for as long as it is a neighbour that is heard of, or a seed."""
-        while self._routers.is_told(text):
-            placed, end = self._outbox.since(known.told)
-            news = self._make_news(known, placed)
-            sent = await self._async_send(text, news)
-            if sent and not known.renewed:
-                known.told = end
-            known.renewed = False
-            self._note_reached(text, known, sent)
+    async def _async_send_updates(self, text: str, known: PeerRouter) -> None:
+        """Send update to one peer for as long as it is a neighbour that is heard of, or a seed."""
+        while self._routers.receives_updates(text):
+            placed, end = self._outbox.read_from(known.sent_position)
+            update = self._make_update(known, placed)
+            sent = await self._async_send(text, update)
+            if sent and not known.restarted:
+                known.sent_position = end
+            known.restarted = False
+            self._record_reachability(text, known, sent)
             await self._app.clock.async_sleep(self._get_period_ms(known))
-        self._tasks.discard(text)
+        self._sending_to.discard(text)
 
-    def _get_period_ms(self, known: KnownRouter) -> int:
+    def _get_period_ms(self, known: PeerRouter) -> int:
         """Return how often a router is told; all routers tell the seeds, few their neighbours."""
         neighbour = self._routers.is_neighbour(known)
         peers = len(self._routers.list_neighbours()) if neighbour else len(self._routers)
@@ -225,89 +229,89 @@
         )
         return await self._pool.async_send(instance=instance, notice=notice)
 
-    def _make_news(self, known: KnownRouter, placed: tuple[PlacedPart, ...]) -> RouterNews:
-        news = RouterNews(
+    def _make_update(self, known: PeerRouter, placed: tuple[PlacedPart, ...]) -> RouterNews:
+        update = RouterNews(
             address=self._routers.own,
             routers=self._list_routers(known),
             routing_version=self._routing.version,
             list_revision=self._directory.newest,
-            evacuations=write_evacuations(self._evacuations),
+            evacuations=encode_evacuations(self._evacuations),
             data_centre=self._app.data_centre,
         )
         if not self._routers.is_neighbour(known):
-            return news
+            return update
         placer = self._forwarder.placer
         return replace(
-            news,
-            loads=write_loads(placer.loads),
+            update,
+            loads=encode_loads(placer.loads),
             placed=placed,
-            strikes=self._outbox.strikes(now_ms=self._app.clock.now_ms()),
+            strikes=self._outbox.list_strikes(now_ms=self._app.clock.now_ms()),
             refused=placer.health.list_refused(),
         )
 
-    def _list_routers(self, known: KnownRouter) -> tuple[RouterAt, ...]:
+    def _list_routers(self, known: PeerRouter) -> tuple[RouterAt, ...]:
         """Return the other routers, or nothing where a peer was told the same a moment ago."""
         now_ms = self._app.clock.now_ms()
-        same = known.routers_told == len(self._routers)
-        if same and now_ms - known.routers_told_ms < ROUTERS_MS:
+        same = known.sent_router_count == len(self._routers)
+        if same and now_ms - known.sent_routers_ms < ROUTER_LIST_INTERVAL_MS:
             return ()
-        known.routers_told = len(self._routers)
-        known.routers_told_ms = now_ms
-        return self._routers.list_living()
+        known.sent_router_count = len(self._routers)
+        known.sent_routers_ms = now_ms
+        return self._routers.list_live_routers()
 
-    def _note_reached(self, text: str, known: KnownRouter, sent: bool) -> None:
+    def _record_reachability(self, text: str, known: PeerRouter, sent: bool) -> None:
         now_ms = self._app.clock.now_ms()
-        if sent and known.reached is False:
-            lost_ms = now_ms - known.reached_ms
+        if sent and known.reachable is False:
+            lost_ms = now_ms - known.last_reached_ms
             self._journal.record(DependencyRegained(dependency=f"peer {text}", lost_ms=lost_ms))
-        if not sent and known.reached is True:
+        if not sent and known.reachable is True:
             self._journal.record(DependencyLost(dependency=f"peer {text}", reason="no link"))
         if sent:
-            known.reached_ms = now_ms
-        known.reached = sent
+            known.last_reached_ms = now_ms
+        known.reachable = sent
 
-    def _take_news(self, peer: Peer, news: RouterNews) -> None:
+    def _handle_update(self, peer: Peer, update: RouterNews) -> None:
         now_ms = self._app.clock.now_ms()
-        self._learn(news.address, data_centre=news.data_centre)
-        known = self._routers.get(news.address)
+        self._add_router(update.address, data_centre=update.data_centre)
+        known = self._routers.get(update.address)
         if known is not None:
-            known.note_heard(peer, data_centre=news.data_centre, now_ms=now_ms)
-        self._catch_up.take_evacuations(peer, news.evacuations)
-        for router in news.routers:
-            self._learn(router.address, data_centre=router.data_centre)
-        if news.data_centre == self._app.data_centre:
-            self._take_loads(peer, news, now_ms)
+            known.note_update(peer, data_centre=update.data_centre, now_ms=now_ms)
+        self._catch_up.merge_evacuations(peer, update.evacuations)
+        for router in update.routers:
+            self._add_router(router.address, data_centre=router.data_centre)
+        if update.data_centre == self._app.data_centre:
+            self._apply_update(peer, update, now_ms)
         elif known is not None and not known.seed:
-            self._answer(peer, known)
-        self._catch_up.compare(
-            peer, routing_version=news.routing_version, list_revision=news.list_revision
+            self._send_router_list(peer, known)
+        self._catch_up.check_versions(
+            peer, routing_version=update.routing_version, list_revision=update.list_revision
         )
-        self._count_routers()
+        self._update_retry_budget()
 
-    def _answer(self, peer: Peer, known: KnownRouter) -> None:
+    def _send_router_list(self, peer: Peer, known: PeerRouter) -> None:
         """Tell a router that takes this one for a seed where the others are."""
-        news = self._make_news(known, ())
-        if news.routers:
-            peer.send(news)
+        update = self._make_update(known, ())
+        if update.routers:
+            peer.send(update)
 
-    def _take_loads(self, peer: Peer, news: RouterNews, now_ms: int) -> None:
+    def _apply_update(self, peer: Peer, update: RouterNews, now_ms: int) -> None:
         placer = self._forwarder.placer
         if Mechanism.PEER_LOADS not in self._without:
-            placer.loads.take_peer(peer.hello.name, read_loads(news, now_ms=now_ms))
-        placed = self._list_placed(news)
+            placer.loads.take_peer(peer.hello.name, decode_loads(update, now_ms=now_ms))
+        placed = self._list_placed(update)
         for part in placed:
             placer.holdings.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
-        placer.take_refused(news.refused)
-        self._relays.note_refused(news.refused)
+        placer.take_refused(update.refused)
+        self._relays.note_refused(update.refused)
         self._relays.note_placed(placed)
-        for strike in news.strikes:
+        for strike in update.strikes:
             if self._forwarder.suspects.take(
                 strike.digest, strike.upstream, source=peer.hello.name
             ):
                 self._relays.note_strike(strike)
 
-    def _list_placed(self, news: RouterNews) -> tuple[PlacedPart, ...]:
-        return () if Mechanism.PEER_PLACEMENTS in self._without else news.placed
+    def _list_placed(self, update: RouterNews) -> tuple[PlacedPart, ...]:
+        return () if Mechanism.PEER_PLACEMENTS in self._without else update.placed
 
     def _note_placed(self, part: int, upstream: str) -> None:
         placed = PlacedPart(part=part, upstream=upstream)
@@ -332,7 +336,7 @@
         self._outbox.add_strike(strike, now_ms=now_ms)
         self._relays.note_strike(strike)
 
-    def _count_routers(self) -> None:
+    def _update_retry_budget(self) -> None:
         """Tell the retry budget among how many routers it is shared."""
         alive = self._routers.count_alive()
         self._forwarder.budget.routers = 1 + max(alive, self._routers.count_seeds())
@@ -342,8 +346,8 @@
         routers = {
             text: {
                 "data_centre": known.data_centre,
-                "reached": known.reached,
-                "heard_ms_ago": None if known.peer is None else now_ms - known.heard_ms,
+                "reached": known.reachable,
+                "heard_ms_ago": None if known.peer is None else now_ms - known.last_update_ms,
             }
             for text, known in self._routers.items()
         }
@@ -351,7 +355,7 @@
             name: {
                 "alive": other.alive,
                 "relay": other.relay,
-                "heard_ms_ago": now_ms - other.heard_ms,
+                "heard_ms_ago": now_ms - other.last_update_ms,
             }
             for name, other in self._routers.data_centres.items()
             if other.relay or other.alive
--- a/gypsumrouter/peers/routers.py
+++ b/gypsumrouter/peers/routers.py
@@ -10,37 +10,37 @@
 
 from gypsumrouter.instances import Address, parse_address
 from gypsumrouter.link import Peer, RouterAt
-from gypsumrouter.peers.const import ALIVE_MS, FORGET_MS, MAX_ROUTERS
+from gypsumrouter.peers.const import ALIVE_TIMEOUT_MS, MAX_KNOWN_ROUTERS, ROUTER_EXPIRY_MS
 from gypsumrouter.util.clock import Clock
 
 _LOGGER = logging.getLogger(__name__)
 
 # Nothing was ever heard.
-NEVER: Final = -(1 << 62)
+NEVER_MS: Final = -(1 << 62)
 
 
-class KnownRouter:
+class PeerRouter:
     """One other router, by the address of its link.
 
-    `peer` is the link over which it last told its news. `seen_ms` is when it or a router of its
+    `peer` is the link over which it last told its news. `last_seen_ms` is when it or a router of its
     data centre last said that it lives.
     """
 
     __slots__ = (
         "address",
         "data_centre",
-        "heard_ms",
         "incarnation",
+        "last_reached_ms",
+        "last_seen_ms",
+        "last_update_ms",
         "peer",
-        "reached",
-        "reached_ms",
-        "relayed",
-        "renewed",
-        "routers_told",
-        "routers_told_ms",
+        "reachable",
+        "relayed_position",
+        "restarted",
         "seed",
-        "seen_ms",
-        "told",
+        "sent_position",
+        "sent_router_count",
+        "sent_routers_ms",
     )
 
     def __init__(self, *, address: Address, data_centre: str, seed: bool, now_ms: int) -> None:
@@ -49,59 +49,59 @@
         self.seed = seed
         # Up to where it was told what was placed here, and what other data centres placed; a new
         # incarnation knows nothing of it.
-        self.told = 0
-        self.relayed = 0
+        self.sent_position = 0
+        self.relayed_position = 0
         self.incarnation: int | None = None
-        self.renewed = False
-        self.routers_told = 0
-        self.routers_told_ms = now_ms
-        self.reached: bool | None = None
-        self.reached_ms = now_ms
-        self.seen_ms = now_ms
-        self.heard_ms = NEVER
+        self.restarted = False
+        self.sent_router_count = 0
+        self.sent_routers_ms = now_ms
+        self.reachable: bool | None = None
+        self.last_reached_ms = now_ms
+        self.last_seen_ms = now_ms
+        self.last_update_ms = NEVER_MS
         self.peer: Peer | None = None
 
-    def note_heard(self, peer: Peer, *, data_centre: str, now_ms: int) -> None:
+    def note_update(self, peer: Peer, *, data_centre: str, now_ms: int) -> None:
         """Take note of news; a new incarnation is told everything again."""
         self.peer = peer
         self.data_centre = data_centre
-        self.heard_ms = now_ms
-        self.seen_ms = now_ms
+        self.last_update_ms = now_ms
+        self.last_seen_ms = now_ms
         if self.incarnation == peer.hello.incarnation:
             return
-        self.renewed = self.incarnation is not None
-        self.routers_told = 0
+        self.restarted = self.incarnation is not None
+        self.sent_router_count = 0
         self.incarnation = peer.hello.incarnation
-        self.told = 0
-        self.relayed = 0
+        self.sent_position = 0
+        self.relayed_position = 0
 
 
-class DataCentre(Struct, kw_only=True):
+class RemoteDataCentre(Struct, kw_only=True):
     """Another data centre: how many of its routers live, and which of them told so.
 
     `told` is up to where it was told what was placed here, `tried` counts routers that were tried
     since it was last heard.
     """
 
-    heard_ms: int = NEVER
+    last_update_ms: int = NEVER_MS
     alive: int = 0
     relay: str = ""
-    told: int = 0
-    tried: int = 0
+    sent_position: int = 0
+    attempts: int = 0
 
 
-class RouterBook:
+class RouterRegistry:
     """All routers that are known, by the address of their link; this router is not among them."""
 
-    __slots__ = ("_clock", "_grown_ms", "_routers", "data_centre", "data_centres", "own")
+    __slots__ = ("_clock", "_last_added_ms", "_routers", "data_centre", "data_centres", "own")
 
     def __init__(self, *, clock: Clock, own: str, data_centre: str) -> None:
         self._clock = clock
-        self._routers: dict[str, KnownRouter] = {}
-        self._grown_ms = clock.now_ms()
+        self._routers: dict[str, PeerRouter] = {}
+        self._last_added_ms = clock.now_ms()
         self.own = own
         self.data_centre = data_centre
-        self.data_centres: dict[str, DataCentre] = {}
+        self.data_centres: dict[str, RemoteDataCentre] = {}
 
     def __len__(self) -> int:
         return len(self._routers)
@@ -112,21 +112,21 @@
     def __contains__(self, text: str) -> bool:
         return text in self._routers
 
-    def get(self, text: str) -> KnownRouter | None:
+    def get(self, text: str) -> PeerRouter | None:
         """Return a router by its address."""
         return self._routers.get(text)
 
-    def items(self) -> tuple[tuple[str, KnownRouter], ...]:
+    def items(self) -> tuple[tuple[str, PeerRouter], ...]:
         """Return all routers with their addresses."""
         return tuple(self._routers.items())
 
-    def learn(self, text: str, *, data_centre: str = "", seed: bool = False) -> KnownRouter | None:
+    def add(self, text: str, *, data_centre: str = "", seed: bool = False) -> PeerRouter | None:
         """Take an address, and where it is; return the router, or None for what is none."""
         known = self._routers.get(text)
         if known is not None:
             known.data_centre = known.data_centre or data_centre
             return known
-        if text == self.own or not text or len(self._routers) >= MAX_ROUTERS:
+        if text == self.own or not text or len(self._routers) >= MAX_KNOWN_ROUTERS:
             return None
         try:
             address = parse_address(text)
@@ -134,17 +134,17 @@
             _LOGGER.warning("A peer named %r, which is no address", text)
             return None
         now_ms = self._clock.now_ms()
-        known = KnownRouter(address=address, data_centre=data_centre, seed=seed, now_ms=now_ms)
+        known = PeerRouter(address=address, data_centre=data_centre, seed=seed, now_ms=now_ms)
         self._routers[text] = known
-        self._grown_ms = now_ms
+        self._last_added_ms = now_ms
         return known
 
-    def is_told(self, text: str) -> bool:
+    def receives_updates(self, text: str) -> bool:
         """Return whether a router is told news directly: a neighbour that is known, or a seed."""
         known = self._routers.get(text)
         return known is not None and (known.seed or self.is_neighbour(known))
 
-    def is_neighbour(self, known: KnownRouter) -> bool:
+    def is_neighbour(self, known: PeerRouter) -> bool:
         """Return whether a router is in this data centre."""
         return known.data_centre == self.data_centre
 
@@ -153,22 +153,22 @@
     ) -> None:
         """Take what was heard of another data centre; `relay` is its router that said so itself."""
         now_ms = self._clock.now_ms()
-        data_centre = self.data_centres.setdefault(name, DataCentre())
-        data_centre.heard_ms = now_ms
+        data_centre = self.data_centres.setdefault(name, RemoteDataCentre())
+        data_centre.last_update_ms = now_ms
         data_centre.alive = alive
         if relay:
             data_centre.relay = relay
-            data_centre.tried = 0
+            data_centre.attempts = 0
         for text in routers:
-            known = self.learn(text, data_centre=name)
+            known = self.add(text, data_centre=name)
             if known is not None:
-                known.seen_ms = now_ms
+                known.last_seen_ms = now_ms
 
-    def sweep(self) -> None:
+    def expire(self) -> None:
         """Forget routers that nobody heard of for long, but for seeds."""
-        since_ms = self._clock.now_ms() - FORGET_MS
+        since_ms = self._clock.now_ms() - ROUTER_EXPIRY_MS
         for text, known in self.items():
-            if not known.seed and known.seen_ms < since_ms:
+            if not known.seed and known.last_seen_ms < since_ms:
                 del self._routers[text]
 
     def count_alive(self) -> int:
@@ -179,43 +179,45 @@
         """Return the number of seeds among them."""
         return sum(1 for known in self._routers.values() if known.seed)
 
-    def list_neighbours(self, *, within_ms: int = ALIVE_MS) -> dict[str, KnownRouter]:
+    def list_neighbours(self, *, within_ms: int = ALIVE_TIMEOUT_MS) -> dict[str, PeerRouter]:
         """Return the routers of this data centre that were heard within a time."""
         since_ms = self._clock.now_ms() - within_ms
         return {
             text: known
             for text, known in self._routers.items()
-            if self.is_neighbour(known) and known.heard_ms > since_ms
+            if self.is_neighbour(known) and known.last_update_ms > since_ms
         }
 
-    def list_elsewhere(self, name: str) -> list[str]:
+    def list_in_data_centre(self, name: str) -> list[str]:
         """Return the known routers of another data centre, in the order of their addresses."""
         return sorted(t for t, known in self._routers.items() if known.data_centre == name)
 
     def list_addresses(self) -> tuple[str, ...]:
         """Return the routers that may live: those that somebody heard of lately, and all seeds."""
-        since_ms = self._clock.now_ms() - FORGET_MS // 2
+        since_ms = self._clock.now_ms() - ROUTER_EXPIRY_MS // 2
         return tuple(
-            text for text, known in self._routers.items() if known.seed or known.seen_ms >= since_ms
+            text
+            for text, known in self._routers.items()
+            if known.seed or known.last_seen_ms >= since_ms
         )
 
     def get_grown_ms(self) -> int:
         """Return when a router was last heard of for the first time."""
-        return self._grown_ms
+        return self._last_added_ms
 
     def has_heard(self) -> bool:
         """Return whether any other router was ever heard, where there are others."""
         if not self._routers:
             return True
-        return any(known.heard_ms != NEVER for known in self._routers.values())
+        return any(known.last_update_ms != NEVER_MS for known in self._routers.values())
 
-    def list_living(self) -> tuple[RouterAt, ...]:
+    def list_live_routers(self) -> tuple[RouterAt, ...]:
         """Return the routers that somebody heard of lately, for others."""
-        since_ms = self._clock.now_ms() - FORGET_MS // 2
+        since_ms = self._clock.now_ms() - ROUTER_EXPIRY_MS // 2
         return tuple(
             RouterAt(address=text, data_centre=known.data_centre)
             for text, known in self._routers.items()
-            if known.seen_ms >= since_ms
+            if known.last_seen_ms >= since_ms
         )
 
     def list_data_centres(self) -> set[str]:
@@ -225,12 +227,12 @@
 
     def count_by_data_centre(self) -> dict[str, int]:
         """Return the number of living routers in each data centre, this one counted."""
-        since_ms = self._clock.now_ms() - ALIVE_MS
+        since_ms = self._clock.now_ms() - ALIVE_TIMEOUT_MS
         counts = {self.data_centre: 1}
         for known in self._routers.values():
-            if known.heard_ms > since_ms:
+            if known.last_update_ms > since_ms:
                 counts[known.data_centre] = counts.get(known.data_centre, 0) + 1
         for name, data_centre in self.data_centres.items():
-            if data_centre.heard_ms > since_ms:
+            if data_centre.last_update_ms > since_ms:
                 counts[name] = max(data_centre.alive, counts.get(name, 0))
         return counts
--- a/gypsumrouter/peers/watchers.py
+++ b/gypsumrouter/peers/watchers.py
@@ -17,9 +17,9 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
 from gypsumrouter.link import NoticeHub, Peer, StoreWatched
-from gypsumrouter.peers.catch_up import CatchUpDesk
-from gypsumrouter.peers.evacuations import write_evacuations
-from gypsumrouter.peers.routers import RouterBook
+from gypsumrouter.peers.catch_up import CatchUpCoordinator
+from gypsumrouter.peers.evacuations import encode_evacuations
+from gypsumrouter.peers.routers import RouterRegistry
 from gypsumrouter.published import WatchState
 from gypsumrouter.routing import RoutingStore
 
@@ -28,20 +28,20 @@
 MIN_WATCHERS: Final = 5
 # A watcher says this often that it watches, and at once what changed. A third of the time for which
 # its word counts, so that two lost or late words do no harm.
-VOUCH_MS: Final = 300
+ANNOUNCE_INTERVAL_MS: Final = 300
 
 
-def get_share(data_centres: int) -> int:
+def get_watchers_per_data_centre(data_centres: int) -> int:
     """Return how many routers of each data centre watch, where a fleet has so many of them."""
     return math.ceil(MIN_WATCHERS / data_centres)
 
 
-def is_watcher(own: str, neighbours: Collection[str], *, share: int) -> bool:
-    """Return whether a router is among the first `share` of its data centre, by address."""
-    return sum(1 for other in neighbours if other < own) < share
+def is_watcher(own: str, neighbours: Collection[str], *, per_data_centre: int) -> bool:
+    """Return whether a router is among the first `per_data_centre` of its data centre, by address."""
+    return sum(1 for other in neighbours if other < own) < per_data_centre
 
 
-class WatchDesk:
+class WatchCoordinator:
     """Tells the other routers of the data centre what this one watches, and takes their word."""
 
     __slots__ = (
@@ -53,18 +53,18 @@
         "_routers",
         "_routing",
         "_routing_store",
-        "_telling",
+        "_send_scheduled",
     )
 
     def __init__(
         self,
         *,
         app: Application,
-        routers: RouterBook,
+        routers: RouterRegistry,
         routing_store: RoutingStore,
         directory: Directory,
         evacuations: Evacuations,
-        catch_up: CatchUpDesk,
+        catch_up: CatchUpCoordinator,
         notices: NoticeHub,
         routing: WatchState,
         upstreams: WatchState,
@@ -77,75 +77,75 @@
         self._catch_up = catch_up
         self._routing = routing
         self._list = upstreams
-        self._telling = False
-        notices.subscribe(StoreWatched, self._take)
-        directory.on_change(lambda entry: self._tell_soon())
-        routing_store.on_change(lambda table: self._tell_soon())
-        evacuations.on_change(lambda evacuation: self._tell_soon())
+        self._send_scheduled = False
+        notices.subscribe(StoreWatched, self._handle_announcement)
+        directory.on_change(lambda entry: self._schedule_announcement())
+        routing_store.on_change(lambda table: self._schedule_announcement())
+        evacuations.on_change(lambda evacuation: self._schedule_announcement())
 
     def async_start(self) -> None:
         """Begin to tell; where others are known, wait for their word before watching."""
         if len(self._routers):
             self._routing.wait_for_peers()
             self._list.wait_for_peers()
-        self._app.async_create_task(self._async_vouch(), "vouch for the store")
+        self._app.async_create_task(self._async_announce(), "vouch for the store")
 
     def count_watchers(self) -> int:
         """Return how many other routers watch the store."""
         counts = self._routers.count_by_data_centre()
-        share = get_share(len(counts))
-        return sum(min(share, count) for count in counts.values()) - 1
+        per_data_centre = get_watchers_per_data_centre(len(counts))
+        return sum(min(per_data_centre, count) for count in counts.values()) - 1
 
     def is_watcher(self) -> bool:
         """Return whether this router watches for its data centre."""
         return self._is_watcher(self._routers.list_neighbours())
 
-    async def _async_vouch(self) -> None:
+    async def _async_announce(self) -> None:
         while True:
-            self._tell()
-            await self._app.clock.async_sleep(VOUCH_MS)
+            self._announce()
+            await self._app.clock.async_sleep(ANNOUNCE_INTERVAL_MS)
 
-    def _tell_soon(self) -> None:
+    def _schedule_announcement(self) -> None:
         """Tell what changed once all of it was taken."""
-        if not self._telling:
-            self._telling = True
-            asyncio.get_running_loop().call_soon(self._tell)
+        if not self._send_scheduled:
+            self._send_scheduled = True
+            asyncio.get_running_loop().call_soon(self._announce)
 
-    def _tell(self) -> None:
-        self._telling = False
+    def _announce(self) -> None:
+        self._send_scheduled = False
         neighbours = self._routers.list_neighbours()
         if not self._is_watcher(neighbours):
             return
         if not (self._routing.current or self._list.current):
             return
-        watched = self._make_news()
+        watched = self._make_announcement()
         for known in neighbours.values():
             if known.peer is not None:
                 known.peer.send(watched)
 
-    def _make_news(self) -> StoreWatched:
+    def _make_announcement(self) -> StoreWatched:
         return StoreWatched(
             routing_version=self._routing_store.version,
-            routing_as_of=_tell_as_of(self._routing),
+            routing_as_of=_get_current_revision(self._routing),
             list_newest=self._directory.newest,
-            list_as_of=self._directory.limit_to_acted_on(_tell_as_of(self._list)),
-            evacuations=write_evacuations(self._evacuations),
+            list_as_of=self._directory.limit_to_acted_on(_get_current_revision(self._list)),
+            evacuations=encode_evacuations(self._evacuations),
         )
 
     def _is_watcher(self, neighbours: Collection[str]) -> bool:
-        share = get_share(len(self._routers.count_by_data_centre()))
-        return is_watcher(self._routers.own, neighbours, share=share)
+        per_data_centre = get_watchers_per_data_centre(len(self._routers.count_by_data_centre()))
+        return is_watcher(self._routers.own, neighbours, per_data_centre=per_data_centre)
 
-    def _take(self, peer: Peer, watched: StoreWatched) -> None:
+    def _handle_announcement(self, peer: Peer, watched: StoreWatched) -> None:
         if self.is_watcher():
             return
         if watched.routing_as_of:
             self._routing.note_vouched()
         if watched.list_as_of:
             self._list.note_vouched()
-        self._catch_up.take_watched(peer, watched)
+        self._catch_up.handle_announcement(peer, watched)
 
 
-def _tell_as_of(state: WatchState) -> int:
+def _get_current_revision(state: WatchState) -> int:
     """Return up to which revision a list is known, 0 where the store cannot be read."""
     return state.as_of if state.current and state.as_of is not None else 0
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -23,11 +23,11 @@
 from gypsumrouter.link import Hello, Notice, NoticeHub, Peer, PlacedPart
 from gypsumrouter.link.const import Kind
 from gypsumrouter.link.notice_codec import decode_notice
-from gypsumrouter.peers.catch_up import CatchUpDesk
-from gypsumrouter.peers.evacuations import write_evacuations
-from gypsumrouter.peers.relays import RelayDesk
-from gypsumrouter.peers.routers import RouterBook
-from gypsumrouter.peers.watchers import WatchDesk
+from gypsumrouter.peers.catch_up import CatchUpCoordinator
+from gypsumrouter.peers.evacuations import encode_evacuations
+from gypsumrouter.peers.relays import DataCentreRelay
+from gypsumrouter.peers.routers import RouterRegistry
+from gypsumrouter.peers.watchers import WatchCoordinator
 from gypsumrouter.published import Follower, HistoryLost, Listed, StoreUnavailable, WatchState
 from gypsumrouter.published.follower import WATCH_MS
 from gypsumrouter.routing import RoutingConfiguration, RoutingStore
@@ -113,7 +113,7 @@
         )
         journal = Journal(app=self.app)
         self.notices = NoticeHub()
-        self.routers = RouterBook(clock=clock, own=self.address, data_centre=zone)
+        self.routers = RouterRegistry(clock=clock, own=self.address, data_centre=zone)
         self.directory = Directory(app=self.app, journal=journal)
         self.evacuations = Evacuations(app=self.app, journal=journal)
         routing = RoutingStore(app=self.app, journal=journal)
@@ -132,7 +132,7 @@
         self.placed: list[PlacedPart] = []
         self.state = WatchState(clock=clock)
         routing_state = WatchState(clock=clock)
-        self.catch_up = CatchUpDesk(
+        self.catch_up = CatchUpCoordinator(
             app=self.app,
             journal=journal,
             routing=routing,
@@ -143,7 +143,7 @@
             routing_state=routing_state,
             upstreams=self.state,
         )
-        self.desk = WatchDesk(
+        self.desk = WatchCoordinator(
             app=self.app,
             routers=self.routers,
             routing_store=routing,
@@ -169,7 +169,7 @@
             is_watcher=self.desk.is_watcher,
         )
 
-        self.relays = RelayDesk(
+        self.relays = DataCentreRelay(
             app=self.app,
             routers=self.routers,
             routing=routing,
@@ -246,7 +246,7 @@
         for router in self.routers:
             router.fleet = by_address
             for other in self.routers:
-                router.routers.learn(other.address, data_centre=other.app.data_centre)
+                router.routers.add(other.address, data_centre=other.app.data_centre)
 
     async def async_start(self) -> None:
         """Start all routers at the same moment, and let the first watches of all of them end."""
@@ -291,7 +291,7 @@
         known = router.routers.get(other.address)
         assert known is not None
         peer = MemoryPeer(sender=router, target=other)
-        known.note_heard(peer, data_centre=other.app.data_centre, now_ms=self._heard_ms)
+        known.note_update(peer, data_centre=other.app.data_centre, now_ms=self._heard_ms)
         loads = PeerLoads(heard_ms=self._heard_ms, loads=other.loads.own())
         router.loads.take_peer(other.name, loads)
         for part in placed:
@@ -300,9 +300,11 @@
         router.placer.take_refused(refused)
         router.relays.note_refused(refused)
         router.relays.note_placed(placed)
-        told = write_evacuations(other.evacuations)
-        router.catch_up.take_evacuations(peer, told)
-        router.catch_up.compare(peer, routing_version=0, list_revision=other.directory.newest)
+        told = encode_evacuations(other.evacuations)
+        router.catch_up.merge_evacuations(peer, told)
+        router.catch_up.check_versions(
+            peer, routing_version=0, list_revision=other.directory.newest
+        )
 
 
 async def async_turn() -> None:
--- a/tests/peers/test_peers_outbox.py
+++ b/tests/peers/test_peers_outbox.py
@@ -15,12 +15,12 @@
     outbox = Outbox()
     for number in range(3):
         outbox.add_part(make_part(number))
-    parts, end = outbox.since(0)
+    parts, end = outbox.read_from(0)
     assert [part.part for part in parts] == [0, 1, 2]
     outbox.add_part(make_part(3))
-    parts, end = outbox.since(end)
+    parts, end = outbox.read_from(end)
     assert [part.part for part in parts] == [3]
-    assert outbox.since(end) == ((), end)
+    assert outbox.read_from(end) == ((), end)
 
 
 def test_a_peer_that_was_away_gets_what_is_kept_in_steps() -> None:
@@ -30,7 +30,7 @@
     told: list[int] = []
     end = 0
     while True:
-        parts, end = outbox.since(end)
+        parts, end = outbox.read_from(end)
         if not parts:
             break
         assert len(parts) <= MAX_PARTS_PER_UPDATE
--- a/tests/peers/test_peers_watchers.py
+++ b/tests/peers/test_peers_watchers.py
@@ -6,7 +6,7 @@
 from peer_fleet import PeerFleet
 
 from gypsumrouter.directory import EntryState, Evacuation
-from gypsumrouter.peers.watchers import MIN_WATCHERS, get_share, is_watcher
+from gypsumrouter.peers.watchers import MIN_WATCHERS, get_watchers_per_data_centre, is_watcher
 from gypsumrouter.util.revisions import get_number
 
 # Changes are in force within two seconds at the tightest. A router whose watchers were lost or cut
@@ -16,19 +16,21 @@
 
 def test_the_first_addresses_of_a_data_centre_watch() -> None:
     addresses = [f"10.0.0.{number}:80" for number in range(1, 6)]
-    watching = [own for own in addresses if is_watcher(own, set(addresses) - {own}, share=2)]
+    watching = [
+        own for own in addresses if is_watcher(own, set(addresses) - {own}, per_data_centre=2)
+    ]
     assert watching == addresses[:2]
 
 
 @pytest.mark.parametrize(
-    ("data_centres", "share"), [(1, MIN_WATCHERS), (2, 3), (3, 2), (5, 1), (9, 1)]
+    ("data_centres", "per_data_centre"), [(1, MIN_WATCHERS), (2, 3), (3, 2), (5, 1), (9, 1)]
 )
-def test_few_data_centres_have_more_watchers_each(data_centres: int, share: int) -> None:
-    assert get_share(data_centres) == share
+def test_few_data_centres_have_more_watchers_each(data_centres: int, per_data_centre: int) -> None:
+    assert get_watchers_per_data_centre(data_centres) == per_data_centre
 
 
 def test_a_router_that_hears_of_nobody_watches() -> None:
-    assert is_watcher("10.0.0.9:80", (), share=1)
+    assert is_watcher("10.0.0.9:80", (), per_data_centre=1)
 
 
 @pytest.mark.parametrize("sizes", [(4, 2), (14, 14, 14, 14, 12), (37,) * 8 + (34,)])
@@ -42,8 +44,8 @@
         fleet.store.put(state)
         await fleet.async_pass(1_000)
         assert {router.known for router in fleet.routers} == {state}
-    share = get_share(len(sizes))
-    watchers = sum(min(share, size) for size in sizes)
+    per_data_centre = get_watchers_per_data_centre(len(sizes))
+    watchers = sum(min(per_data_centre, size) for size in sizes)
     assert fleet.store.calls - calls <= watchers * (changes + 8)
     await fleet.async_stop()
 
@@ -51,7 +53,7 @@
 async def test_all_watchers_of_a_data_centre_are_lost_at_once_before_a_removal() -> None:
     fleet = PeerFleet(6, 6, 6)
     await fleet.async_start()
-    for router in fleet.routers[: get_share(3)]:
+    for router in fleet.routers[: get_watchers_per_data_centre(3)]:
         router.runs = False
     fleet.store.put(EntryState.GONE)
     await fleet.async_pass(BOUND_MS)
@@ -86,7 +88,7 @@
 async def test_watchers_that_are_cut_off_unnoticed_are_made_up_for_by_another_data_centre() -> None:
     fleet = PeerFleet(5, 5, 5)
     await fleet.async_start()
-    for router in fleet.routers[: get_share(3)]:
+    for router in fleet.routers[: get_watchers_per_data_centre(3)]:
         router.cut = True
     fleet.store.put(EntryState.GONE)
     await fleet.async_pass(BOUND_MS)
