--- a/gypsumrouter/peers/__init__.py
+++ b/gypsumrouter/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Peers: what routers without sides tell each other over their links."""
+"""State exchange between the forwarders of a fleet, over their links."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/peers/catch_up.py
+++ b/gypsumrouter/peers/catch_up.py
@@ -1,4 +1,4 @@
-"""Catching up from a peer, where this router does not read the platform's store itself."""
+"""Fetches missing configuration and upstream list entries from peers, and serves them to peers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,11 @@
 
 
 class CatchUpCoordinator:
-    """Asks peers for what they know and this router does not, and answers them alike."""
+    """Requests state from peers that are ahead of this router, and answers their requests.
+
+    The state is the configuration, the list of upstreams and the evacuations, all of which come
+    from the platform's store. A router that does not watch the store gets them only this way.
+    """
 
     __slots__ = (
         "_app",
@@ -47,8 +51,8 @@
         "_evacuations",
         "_journal",
         "_last_request_ms",
-        "_last_watched",
-        "_last_watched_ms",
+        "_last_announced",
+        "_last_watcher_request_ms",
         "_list_state",
         "_routing",
         "_routing_state",
@@ -78,15 +82,19 @@
         self._behind_routing_ms: int | None = None
         self._behind_list_ms: int | None = None
         self._last_request_ms = NEVER_MS
-        # What the last question to a watcher was for, and when it was asked.
-        self._last_watched = (0, 0)
-        self._last_watched_ms = NEVER_MS
+        # Versions that were last requested from a watcher, and the time of that request.
+        self._last_announced = (0, 0)
+        self._last_watcher_request_ms = NEVER_MS
         notices.subscribe(CatchUp, self._handle_request)
         notices.subscribe(RoutingDocument, self._handle_routing)
         notices.subscribe(ListedUpstreams, self._handle_upstreams)
 
     def check_versions(self, peer: Peer, *, routing_version: int, list_revision: int) -> None:
-        """Ask a peer that has been ahead for longer than the platform's own news take."""
+        """Send a catch-up request to a peer that is ahead of this router.
+
+        A request is sent only once this router has been behind for `CATCH_UP_DELAY_MS`, in which a
+        change normally arrives from the store, and at most every `CATCH_UP_INTERVAL_MS`.
+        """
         now_ms = self._app.clock.now_ms()
         routing = routing_version > self._routing.version
         upstreams = list_revision > self._directory.newest
@@ -103,7 +111,7 @@
             self._last_request_ms = now_ms
 
     def handle_announcement(self, peer: Peer, watched: StoreWatched) -> None:
-        """Ask a router that watches for what it knows and this one does not."""
+        """Process a watcher's announcement; requests the changes that this router lacks."""
         self.merge_evacuations(peer, watched.evacuations)
         routing = watched.routing_version > self._routing.version
         upstreams = watched.list_newest > self._get_list_as_of()
@@ -116,26 +124,30 @@
         since = self._get_list_as_of()
         peer.send(CatchUp(routing=routing, upstreams=upstreams, since=since))
 
-    def merge_evacuations(self, peer: Peer, told: tuple[EvacuationTold, ...]) -> None:
-        """Take what a peer knows of evacuations, which all news bring whole."""
-        merge_evacuations(self._evacuations, told, source=peer.hello.name)
+    def merge_evacuations(self, peer: Peer, received: tuple[EvacuationTold, ...]) -> None:
+        """Merge the evacuations in a message of a peer, which always lists all of them."""
+        merge_evacuations(self._evacuations, received, source=peer.hello.name)
 
     def _should_request(self, watched: StoreWatched) -> bool:
-        """Return whether to request: two watchers tell the same, and only one is asked."""
+        """Return whether to request an announced change from this watcher.
+
+        Every watcher announces the same change; another one is asked only if the first has not
+        answered within `WATCHER_CATCH_UP_INTERVAL_MS`.
+        """
         now_ms = self._app.clock.now_ms()
-        told = (watched.routing_version, watched.list_newest)
-        newer = any(new > asked for new, asked in zip(told, self._last_watched, strict=True))
-        if not newer and now_ms - self._last_watched_ms < WATCHER_CATCH_UP_INTERVAL_MS:
+        announced = (watched.routing_version, watched.list_newest)
+        newer = any(new > old for new, old in zip(announced, self._last_announced, strict=True))
+        if not newer and now_ms - self._last_watcher_request_ms < WATCHER_CATCH_UP_INTERVAL_MS:
             return False
-        self._last_watched = told
-        self._last_watched_ms = now_ms
+        self._last_announced = announced
+        self._last_watcher_request_ms = now_ms
         return True
 
     def _get_list_as_of(self) -> int:
         return self._directory.limit_to_acted_on(self._list_state.as_of or 0)
 
     def _is_overdue(self, since_ms: int | None, now_ms: int) -> bool:
-        """Return whether to request now; a process that knows nothing yet asks at once."""
+        """Return whether to request now; without any configuration or list there is no delay."""
         if self._routing.table is None or not self._directory.loaded.is_set():
             return True
         return since_ms is not None and now_ms - since_ms >= CATCH_UP_DELAY_MS
@@ -156,54 +168,60 @@
             entries = tuple(_encode_record(record) for record in records)
             peer.send(ListedUpstreams(entries=entries, as_of=self._get_list_as_of()))
 
-    def _handle_routing(self, peer: Peer, told: RoutingDocument) -> None:
-        # Before the configuration, with which a router that starts may begin to send.
-        self.merge_evacuations(peer, told.evacuations)
+    def _handle_routing(self, peer: Peer, message: RoutingDocument) -> None:
+        # Evacuations come first: with its first configuration, a router may start to send requests.
+        self.merge_evacuations(peer, message.evacuations)
         try:
-            configuration = self._decode(told.document)
+            configuration = self._decode(message.document)
         except DocumentInvalid as error:
-            _LOGGER.error("%s sent an unreadable configuration: %s", peer.hello.name, error)
+            _LOGGER.error(
+                "Ignoring an invalid configuration document from peer %s: %s",
+                peer.hello.name,
+                error,
+            )
             return
-        known = self._routing.version
-        taken = self._routing.offer(configuration, source=peer.hello.name)
+        previous = self._routing.version
+        accepted = self._routing.offer(configuration, source=peer.hello.name)
         self._journal.record(
             PeerNews(
                 peer=peer.hello.name,
                 subject="configuration",
                 version=self._routing.version,
-                known=known,
+                known=previous,
                 told=1,
-                taken=int(taken),
+                taken=int(accepted),
             )
         )
 
-    def _handle_upstreams(self, peer: Peer, told: ListedUpstreams) -> None:
-        known = self._get_list_as_of()
-        taken = 0
-        for entry in told.entries:
+    def _handle_upstreams(self, peer: Peer, message: ListedUpstreams) -> None:
+        previous = self._get_list_as_of()
+        merged = 0
+        for entry in message.entries:
             try:
                 record = _decode_record(entry)
             except ValueError as error:
-                _LOGGER.error("%s sent an unreadable entry: %s", peer.hello.name, error)
+                _LOGGER.error(
+                    "Ignoring an invalid upstream entry from peer %s: %s", peer.hello.name, error
+                )
                 continue
-            taken += self._directory.merge(record, source=peer.hello.name, settled=True)
-        self._list_state.advance(told.as_of)
+            merged += self._directory.merge(record, source=peer.hello.name, settled=True)
+        self._list_state.advance(message.as_of)
         self._directory.note_told()
-        if told.entries:
+        if message.entries:
             self._journal.record(
                 PeerNews(
                     peer=peer.hello.name,
                     subject="upstreams",
                     version=self._get_list_as_of(),
-                    known=known,
-                    told=len(told.entries),
-                    taken=taken,
+                    known=previous,
+                    told=len(message.entries),
+                    taken=merged,
                 )
             )
 
 
 def _get_behind_since(since_ms: int | None, behind: bool, now_ms: int) -> int | None:
-    """Return since when this router is behind; news of a peer that is not ahead say nothing."""
+    """Return when this router fell behind; a peer that is not ahead leaves the time unchanged."""
     if not behind:
         return since_ms
     return now_ms if since_ms is None else since_ms
--- a/gypsumrouter/peers/const.py
+++ b/gypsumrouter/peers/const.py
@@ -1,31 +1,31 @@
-"""Rates and times of the exchange between routers."""
+"""Intervals, timeouts and limits of the state exchange between routers."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# News between few routers every 100 ms: a router then places at most some four requests on an old
-# view at 40 requests a second. With 30 routers the period is 0.45 s and a router sends 64 news a
-# second.
+# A router sends an update to each peer every `UPDATE_INTERVAL_MS`, and less often the more peers
+# it has, which bounds the updates that it sends per second.
 UPDATE_INTERVAL_MS: Final = 100
 UPDATE_INTERVAL_MS_PER_PEER: Final = 12
-# A peer that was not heard of for this long does not count as running.
+# A peer without an update for this long does not count as running.
 ALIVE_TIMEOUT_MS: Final = 3_000
-# An address that is no seed is forgotten when nobody answered there for this long.
+# A router that is not a seed is removed from the registry when nothing was received from it or
+# reported about it for this long.
 ROUTER_EXPIRY_MS: Final = 30_000
-# The platform's own news come within milliseconds; who has not got them after this asks a peer.
+# Time that a change may take to arrive from the platform's store before a peer is asked for it.
 CATCH_UP_DELAY_MS: Final = 250
-# And not more often than this.
+# Minimum time between two catch-up requests.
 CATCH_UP_INTERVAL_MS: Final = 500
-# A watcher answers within a few milliseconds; the next one is asked where this one did not.
+# Time that a watcher has to answer a catch-up request before another watcher is asked.
 WATCHER_CATCH_UP_INTERVAL_MS: Final = 150
-# Parts that are kept for a peer that was away, 15 to 25 s of a router's placements, and parts in
-# one news of at most 5 KB: with many more, the smallest routers do little else after a restart.
+# Placed prompt parts that are queued for peers that cannot be reached, and the most of them that
+# one update carries, which bounds the work of a router that restarts.
 MAX_QUEUED_PARTS: Final = 1_000
 MAX_PARTS_PER_UPDATE: Final = 200
-# Strikes are few and go out with each news for a while, so that lost links cost none.
+# Strikes are repeated in every update for `STRIKE_RESEND_MS`, so that a lost update loses none.
 MAX_QUEUED_STRIKES: Final = 50
 STRIKE_RESEND_MS: Final = 3_000
-# The other routers' addresses take more room than all else in a news.
+# Minimum time between two updates with an unchanged router list, their largest field.
 ROUTER_LIST_INTERVAL_MS: Final = 5_000
 MAX_KNOWN_ROUTERS: Final = 1_000
--- a/gypsumrouter/peers/evacuations.py
+++ b/gypsumrouter/peers/evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations between the book of a router and the news to its peers."""
+"""Conversion of evacuations between a router's records and the messages to its peers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def encode_evacuations(evacuations: Evacuations) -> tuple[EvacuationTold, ...]:
-    """Return all that a router knows of evacuations: little, and any news may be the last."""
+    """Return all known evacuations as message entries; every message carries the full set."""
     return tuple(
         EvacuationTold(data_centre=e.data_centre, revision=e.revision, active=e.active)
         for e in evacuations.list_all()
@@ -19,7 +19,7 @@
 def merge_evacuations(
     evacuations: Evacuations, received: Iterable[EvacuationTold], *, source: str
 ) -> None:
-    """Take what a peer received; older news than what is known change nothing."""
+    """Merge evacuations received from a peer; entries of older revisions are ignored."""
     for e in received:
         evacuation = Evacuation(data_centre=e.data_centre, revision=e.revision, active=e.active)
         evacuations.merge(evacuation, source=source)
--- a/gypsumrouter/peers/inventory.py
+++ b/gypsumrouter/peers/inventory.py
@@ -1,4 +1,4 @@
-"""What engines hold, handed on to routers that start."""
+"""Exchange of cache inventories between routers: which prompt parts each engine has cached."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from gypsumrouter.journal import HeldPartsTold, Journal
 from gypsumrouter.link import HeldAt, HeldNews, HeldWanted, Notice, NoticeHub, Peer
 
-# A peer that lives answers within a few milliseconds. Peers that start at the same moment listen
-# up to 60 ms later than this one; routers that are no seeds ask them again at this distance.
+# Interval at which a router that is not a seed retries a seed that is not listening yet.
 RETRY_INTERVAL_MS: Final = 30
-# The next seed is asked when the one before it has not answered: an answer may take 40 KB.
+# Delay before the next seed is asked as well, so that normally only one seed sends its inventory.
 NEXT_SEED_DELAY_MS: Final = 40
+# Time that a seed waits for the other seeds before it queries engines itself.
 SEED_TIMEOUT_MS: Final = 100
-# A router that is no seed waits for the seeds to ask the engines: machines that get their power
-# back start within half a second of each other. Requests do not wait for it that long.
+# Time that any other router waits for the seeds, which may start at the same time and have to query
+# the engines first.
 NON_SEED_TIMEOUT_MS: Final = 800
-# Routers that wait for an answer; a fleet has at most some hundreds.
+# Maximum number of peers that wait for a complete inventory.
 MAX_WAITING_PEERS: Final = 1_000
 
 SendTo = Callable[[str, Notice], Awaitable[bool]]
@@ -31,10 +31,11 @@
 
 
 class InventoryCoordinator:
-    """Asks the seeds what engines hold, tells them what this router found, and answers others.
+    """Requests cache inventories from the seeds, shares this router's, and answers requests.
 
-    Each engine is asked by one seed, in turn through the list of engines; the others take over one
-    after the other where that one is away. All other routers ask the seeds.
+    When no router has an inventory, the seeds divide the engines among themselves: each engine is
+    queried by one seed, and by the next ones in order if that seed does not report a result. All
+    other routers request the inventory from the seeds.
     """
 
     __slots__ = (
@@ -72,27 +73,27 @@
         self._send = send
         self._inventory_known = False
         self._complete = asyncio.Event()
-        # Seeds that could not be reached, and names of routers that do not know all yet.
+        # Addresses of unreachable seeds, and names of routers whose inventory is incomplete.
         self._incomplete_seeds: set[str] = set()
         self._all_incomplete = asyncio.Event()
         self._waiting_peers: list[Peer] = []
-        # Engines of which all is known that they held.
+        # Engines whose full inventory is known.
         self._known_engines: set[str] = set()
         self._listener: InventoryListener = lambda upstream: None
         notices.subscribe(HeldWanted, self._handle_request)
         notices.subscribe(HeldNews, self._handle_inventory)
 
     def on_told(self, listener: InventoryListener) -> None:
-        """Call `listener` with each engine of which a peer told what it holds."""
+        """Call `listener` with each engine whose inventory was received from a peer."""
         self._listener = listener
 
     @property
     def complete(self) -> asyncio.Event:
-        """Return the event that is set once a peer told of all engines."""
+        """Return the event that is set once a peer has sent a complete inventory."""
         return self._complete
 
     async def async_ask(self) -> bool:
-        """Return whether a peer told of all engines within the time that one may wait for it."""
+        """Request the inventory; return whether a complete one arrived before the timeout."""
         others = self._list_others()
         if not others:
             return False
@@ -101,8 +102,11 @@
         return await self._async_ask_as_non_seed(others)
 
     async def _async_ask_as_seed(self, others: list[str]) -> bool:
-        """Ask all at once, and no longer than until all have said that they do not know all."""
-        asking = [self._app.async_create_task(self._async_ask_seed(s), "ask held") for s in others]
+        """Ask all seeds at once; wait until one is complete, all are incomplete, or the timeout."""
+        asking = [
+            self._app.async_create_task(self._async_ask_seed(s), "request inventory")
+            for s in others
+        ]
         ended = [
             asyncio.ensure_future(event.wait()) for event in (self._complete, self._all_incomplete)
         ]
@@ -118,11 +122,11 @@
             self._note_incomplete(seed)
 
     async def _async_ask_as_non_seed(self, others: list[str]) -> bool:
-        """Ask one after the other, and wait until the seeds know."""
+        """Ask the seeds one after the other; wait for a complete inventory or the timeout."""
         others.sort(key=lambda seed: _hash(self._own(), seed))
         asking = [
             self._app.async_create_task(
-                self._async_ask_until_sent(seed, turn * NEXT_SEED_DELAY_MS), "ask held"
+                self._async_ask_until_sent(seed, turn * NEXT_SEED_DELAY_MS), "request inventory"
             )
             for turn, seed in enumerate(others)
         ]
@@ -137,7 +141,7 @@
         return True
 
     def rank(self, position: int) -> int:
-        """Return how many routers ask the engine at a position of the list before this one."""
+        """Return how many seeds query the engine at a position of the list before this router."""
         own = self._own()
         seeds = sorted(self._list_seeds())
         if own not in seeds:
@@ -145,7 +149,7 @@
         return (position + seeds.index(own)) % len(seeds)
 
     async def async_share(self, upstream: str, parts: tuple[int, ...]) -> None:
-        """Tell the other seeds, and all that asked, what an engine holds."""
+        """Send an engine's inventory to the other seeds and to all waiting peers."""
         self._known_engines.add(upstream)
         inventory = HeldNews(complete=False, engines=(HeldAt(upstream=upstream, parts=parts),))
         for peer in self._waiting_peers:
@@ -153,10 +157,10 @@
         await asyncio.gather(*(self._send(seed, inventory) for seed in self._list_others()))
 
     def note_informed(self) -> None:
-        """Note that this router knows of all engines, and tell those that wait for it."""
+        """Mark this router's inventory as complete and send it to all waiting peers."""
         self._inventory_known = True
-        wanting, self._waiting_peers = self._waiting_peers, []
-        for peer in wanting:
+        waiting, self._waiting_peers = self._waiting_peers, []
+        for peer in waiting:
             peer.send(self._make_inventory())
 
     def _list_others(self) -> list[str]:
@@ -182,7 +186,7 @@
             self._all_incomplete.set()
 
     def _make_inventory(self, *, only: set[str] | None = None) -> HeldNews:
-        """Return what all engines hold, or what `only` those hold of which all is known."""
+        """Return the inventory of all engines, marked complete, or of the engines in `only`."""
         held = self._holdings.list_held(now_ms=self._app.clock.now_ms())
         engines = tuple(
             HeldAt(upstream=name, parts=parts)
--- a/gypsumrouter/peers/loads.py
+++ b/gypsumrouter/peers/loads.py
@@ -1,4 +1,4 @@
-"""Loads between the book of a router and the update to its peers."""
+"""Conversion of load counts between a router's records and the messages to its peers."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 def encode_loads(book: LoadBook) -> tuple[RouterLoad, ...]:
-    """Return a router's own counts for its update."""
+    """Return the router's own load counts as message entries."""
     return _encode(book.own())
 
 
 def encode_load_sums(book: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
-    """Return the counts of a router and of some of its peers together."""
+    """Return the load counts of the router and the given peers, summed for each upstream."""
     return _encode(book.add_up_peers(peers))
 
 
 def decode_loads(update: RouterNews, *, now_ms: int) -> PeerLoads:
-    """Return what a peer told of its counts."""
+    """Return the load counts in a peer's update."""
     return _decode(update.loads, now_ms)
 
 
 def decode_load_sums(update: DataCentreLoads, *, now_ms: int) -> PeerLoads:
-    """Return what was told of the counts of a data centre."""
+    """Return the summed load counts in a data centre's update."""
     return _decode(update.loads, now_ms)
 
 
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -1,7 +1,8 @@
-"""The exchange between routers: found through seeds, one task a peer, never in a request's path.
+"""State exchange between routers, which runs in background tasks and never delays a request.
 
-Each router tells its neighbours, those of its own data centre, all that it has; what other data
-centres have comes through relays. Seeds are told where it is, and tell it where the others are.
+Routers discover each other through the seeds. A router sends its full state to its neighbours, the
+routers of its own data centre, and its address to the seeds, which reply with the addresses of
+the other routers. State of other data centres is relayed; see `relays.py`.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
 
 
 class Mesh:
-    """Sends this router's update to its neighbours and the seeds, and takes theirs."""
+    """Sends updates to the neighbours and the seeds, and processes updates received from peers."""
 
     __slots__ = (
         "_app",
@@ -96,7 +97,7 @@
             clock=app.clock, own=settings.link_address, data_centre=app.data_centre
         )
         self._seeds = settings.seeds
-        # The routers that a task of this one tells.
+        # Addresses of the routers that have a running update task.
         self._sending_to: set[str] = set()
         self._outbox = Outbox()
         notices = NoticeHub(app=app)
@@ -164,7 +165,7 @@
         app.add_dump_section("peers", self._dump)
 
     async def async_start(self) -> Address:
-        """Listen for links, begin to tell the seeds, and return the address."""
+        """Bind the link listener, start the update tasks and return the bound address."""
         address = await self._server.async_start()
         self._routers.own = str(address)
         for seed in self._seeds:
@@ -175,55 +176,55 @@
         return address
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Tell other seeds from now on; one that is no seed any more stays while it answers."""
+        """Replace the seeds; a former seed is kept as a regular router until it expires."""
         self._seeds = seeds
-        for text, known in self._routers.items():
-            known.seed = text in seeds
+        for address, known in self._routers.items():
+            known.seed = address in seeds
         for seed in seeds:
             self._add_router(seed, seed=True)
         self._update_retry_budget()
 
-    def _add_router(self, text: str, *, data_centre: str = "", seed: bool = False) -> None:
-        known = self._routers.add(text, data_centre=data_centre, seed=seed)
+    def _add_router(self, address: str, *, data_centre: str = "", seed: bool = False) -> None:
+        known = self._routers.add(address, data_centre=data_centre, seed=seed)
         if (
             known is not None
-            and self._routers.receives_updates(text)
-            and text not in self._sending_to
+            and self._routers.receives_updates(address)
+            and address not in self._sending_to
         ):
-            self._sending_to.add(text)
-            self._app.async_create_task(self._async_send_updates(text, known), f"peer {text}")
+            self._sending_to.add(address)
+            self._app.async_create_task(self._async_send_updates(address, known), f"peer {address}")
 
-    async def _async_send_updates(self, text: str, known: PeerRouter) -> None:
-        """Send update to one peer for as long as it is a neighbour that is heard of, or a seed."""
-        while self._routers.receives_updates(text):
+    async def _async_send_updates(self, address: str, known: PeerRouter) -> None:
+        """Send updates to one peer for as long as it is a known neighbour or a seed."""
+        while self._routers.receives_updates(address):
             placed, end = self._outbox.read_from(known.sent_position)
             update = self._make_update(known, placed)
-            sent = await self._async_send(text, update)
+            sent = await self._async_send(address, update)
             if sent and not known.restarted:
                 known.sent_position = end
             known.restarted = False
-            self._record_reachability(text, known, sent)
+            self._record_reachability(address, known, sent)
             await self._app.clock.async_sleep(self._get_period_ms(known))
-        self._sending_to.discard(text)
+        self._sending_to.discard(address)
 
     def _get_period_ms(self, known: PeerRouter) -> int:
-        """Return how often a router is told; all routers tell the seeds, few their neighbours."""
+        """Return the update interval; a seed receives updates from all routers of the fleet."""
         neighbour = self._routers.is_neighbour(known)
         peers = len(self._routers.list_neighbours()) if neighbour else len(self._routers)
         return UPDATE_INTERVAL_MS + UPDATE_INTERVAL_MS_PER_PEER * peers
 
     def _list_seeds(self) -> tuple[str, ...]:
-        """Return the seeds that are addresses, this router among them where it is one."""
+        """Return the seeds with a valid address, including this router if it is a seed."""
         return tuple(
             seed for seed in self._seeds if seed == self._routers.own or seed in self._routers
         )
 
-    async def _async_send(self, text: str, notice: Notice) -> bool:
-        """Send a notice to the router whose link listens at an address."""
+    async def _async_send(self, address: str, notice: Notice) -> bool:
+        """Send a notice to the router at an address; return whether it was sent."""
         instance = Instance(
             name="",
             role=Role.FORWARDER,
-            address=parse_address(text),
+            address=parse_address(address),
             data_centre="",
             region="",
         )
@@ -250,7 +251,7 @@
         )
 
     def _list_routers(self, known: PeerRouter) -> tuple[RouterAt, ...]:
-        """Return the other routers, or nothing where a peer was told the same a moment ago."""
+        """Return the live routers, or nothing if the list was sent recently and has not grown."""
         now_ms = self._app.clock.now_ms()
         same = known.sent_router_count == len(self._routers)
         if same and now_ms - known.sent_routers_ms < ROUTER_LIST_INTERVAL_MS:
@@ -259,13 +260,13 @@
         known.sent_routers_ms = now_ms
         return self._routers.list_live_routers()
 
-    def _record_reachability(self, text: str, known: PeerRouter, sent: bool) -> None:
+    def _record_reachability(self, address: str, known: PeerRouter, sent: bool) -> None:
         now_ms = self._app.clock.now_ms()
         if sent and known.reachable is False:
             lost_ms = now_ms - known.last_reached_ms
-            self._journal.record(DependencyRegained(dependency=f"peer {text}", lost_ms=lost_ms))
+            self._journal.record(DependencyRegained(dependency=f"peer {address}", lost_ms=lost_ms))
         if not sent and known.reachable is True:
-            self._journal.record(DependencyLost(dependency=f"peer {text}", reason="no link"))
+            self._journal.record(DependencyLost(dependency=f"peer {address}", reason="no link"))
         if sent:
             known.last_reached_ms = now_ms
         known.reachable = sent
@@ -289,7 +290,7 @@
         self._update_retry_budget()
 
     def _send_router_list(self, peer: Peer, known: PeerRouter) -> None:
-        """Tell a router that takes this one for a seed where the others are."""
+        """Send the router list to a router elsewhere that uses this one as a seed."""
         update = self._make_update(known, ())
         if update.routers:
             peer.send(update)
@@ -319,7 +320,7 @@
         self._relays.note_placed((placed,))
 
     def count_alive(self) -> int:
-        """Return the number of peers that were heard a moment ago."""
+        """Return the number of live routers of the fleet, without this one."""
         return self._routers.count_alive()
 
     def is_watcher(self) -> bool:
@@ -337,19 +338,19 @@
         self._relays.note_strike(strike)
 
     def _update_retry_budget(self) -> None:
-        """Tell the retry budget among how many routers it is shared."""
+        """Set the number of routers that share the retry budget."""
         alive = self._routers.count_alive()
         self._forwarder.budget.routers = 1 + max(alive, self._routers.count_seeds())
 
     def _dump(self) -> object:
         now_ms = self._app.clock.now_ms()
         routers = {
-            text: {
+            address: {
                 "data_centre": known.data_centre,
                 "reached": known.reachable,
                 "heard_ms_ago": None if known.peer is None else now_ms - known.last_update_ms,
             }
-            for text, known in self._routers.items()
+            for address, known in self._routers.items()
         }
         data_centres = {
             name: {
--- a/gypsumrouter/peers/outbox.py
+++ b/gypsumrouter/peers/outbox.py
@@ -1,4 +1,4 @@
-"""What is new for each peer since the last news that went to it."""
+"""Bounded log of placed prompt parts and strikes, read by each peer from its own position."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 class Outbox:
-    """Numbers what was placed and struck, so that each peer gets it once."""
+    """Queues placed parts and strikes for peers.
+
+    Parts are numbered, so that each peer receives them once and in order. Strikes are repeated in
+    every update for `STRIKE_RESEND_MS`.
+    """
 
     __slots__ = ("_first_position", "_placed", "_strikes")
 
@@ -25,23 +29,23 @@
         self._strikes: deque[tuple[int, Strike]] = deque(maxlen=MAX_QUEUED_STRIKES)
 
     def add_part(self, part: PlacedPart) -> None:
-        """Add a part; the oldest one falls out where there is no room."""
+        """Append a part; drops the oldest one if the queue is full."""
         if len(self._placed) == MAX_QUEUED_PARTS:
             self._first_position += 1
         self._placed.append(part)
 
     def add_strike(self, strike: Strike, *, now_ms: int) -> None:
-        """Add a strike; it is told to everyone for `STRIKE_RESEND_MS`."""
+        """Append a strike, to be sent to every peer for `STRIKE_RESEND_MS`."""
         self._strikes.append((now_ms, strike))
 
     def read_from(self, position: int) -> tuple[tuple[PlacedPart, ...], int]:
-        """Return the next parts from a position on, and the position after them."""
+        """Return the parts from a position on, limited to one update, and the next position."""
         skip = max(0, position - self._first_position)
         parts = tuple(islice(self._placed, skip, skip + MAX_PARTS_PER_UPDATE))
         return parts, self._first_position + skip + len(parts)
 
     def list_strikes(self, *, now_ms: int) -> tuple[Strike, ...]:
-        """Return the strikes that are still told."""
+        """Return the strikes that are still to be sent; removes expired ones."""
         while self._strikes and now_ms - self._strikes[0][0] > STRIKE_RESEND_MS:
             self._strikes.popleft()
         return tuple(strike for _, strike in self._strikes)
--- a/gypsumrouter/peers/relays.py
+++ b/gypsumrouter/peers/relays.py
@@ -1,11 +1,11 @@
-"""News between data centres: added up by one router of each, and handed on by one of the others.
-
-Answers this load: with 68 routers that tell each other everything, 5,000 update a second cross
-between data centres and each router hears of another one every 0.9 s; with 330 it would be every
-4 s, too old for the cap on load. Within a data centre every router tells every other one. The
-first of them by address also adds up what all of them have, and tells one router of each other
-data centre, which hands it on. Nobody has to agree who that is: who takes itself for the first
-tells, and who is told hands it on.
+"""Relay of router state between data centres.
+
+If every router sent updates to every other one, their number would grow with the square of the
+fleet. Therefore routers exchange updates directly only within a data centre. One of them, the
+relay, which is the first live router in address order, sends the summed state of its data centre
+to one router of each other data centre, and that router forwards it to its neighbours. There is
+no election: a router that considers itself the relay sends, and a router that receives such an
+update forwards it.
 """
 
 from __future__ import annotations
@@ -38,19 +38,17 @@
 from gypsumrouter.peers.routers import PeerRouter, RemoteDataCentre, RouterRegistry
 from gypsumrouter.routing import RoutingStore
 
-# News go out this often, and with each router that is told a little later: a message takes some
-# 0.15 ms of a core. With 14 routers in each of five data centres that is every 0.2 s.
+# Interval of relayed updates, which grows with the number of receivers to bound the CPU load.
 RELAY_INTERVAL_MS: Final = 100
 RELAY_INTERVAL_MS_PER_PEER: Final = 6
-# A router that was not heard for this long does not tell for its data centre any more: three times
-# what 37 routers of one data centre take between two update.
+# A router without an update for this long is not considered the relay of its data centre.
 RELAY_TIMEOUT_MS: Final = 1_500
 
 SendTo = Callable[[str, Notice], Awaitable[bool]]
 
 
 class DataCentreRelay:
-    """Tells other data centres of this one, and this one of the others."""
+    """Sends this data centre's state to the others, and forwards theirs to the neighbours."""
 
     __slots__ = (
         "_app",
@@ -101,37 +99,37 @@
         self._catch_up = catch_up
         self._send = send
         self._without = without
-        # What was placed in this data centre, for the others; and in the others, for this one.
+        # Parts and strikes of this data centre for the others, and of the others for neighbours.
         self._outbound = Outbox()
         self._inbound = Outbox()
-        # Upstreams that refused a connection: of this data centre, and when that was heard, for the
-        # others; and in the others, for this one.
+        # Upstreams that refused a connection to a router of this data centre, with the time of the
+        # last report; and those that refused one to a router of another data centre.
         self._outbound_refused: dict[str, int] = {}
         self._inbound_refused: set[str] = set()
-        # Loads of other data centres that were heard here and not handed on yet.
+        # Loads of other data centres that were received here and not forwarded yet.
         self._inbound_loads: dict[str, DataCentreLoads] = {}
-        # Data centres that a task of this router tells.
+        # Data centres that have a running update task.
         self._sending_to: set[str] = set()
         self._routers_sent_ms: dict[str, int] = {}
         notices.subscribe(DataCentreNews, self._handle_update)
         notices.subscribe(RelayedNews, self._handle_relayed)
 
     def async_start(self) -> None:
-        """Begin to tell and to hand on."""
-        self._app.async_create_task(self._async_run(), "relay news")
+        """Start sending and forwarding updates."""
+        self._app.async_create_task(self._async_run(), "relay updates")
 
     def note_placed(self, parts: Iterable[PlacedPart]) -> None:
-        """Note parts that were placed in this data centre."""
+        """Queue parts that were placed in this data centre."""
         for part in parts:
             self._outbound.add_part(part)
 
     def note_refused(self, upstreams: Iterable[str]) -> None:
-        """Note what refused a connection of a router of this data centre."""
+        """Record upstreams that refused a connection to a router of this data centre."""
         now_ms = self._app.clock.now_ms()
         self._outbound_refused.update(dict.fromkeys(upstreams, now_ms))
 
     def note_strike(self, strike: Strike) -> None:
-        """Note a strike that was seen in this data centre."""
+        """Queue a strike that was recorded in this data centre."""
         self._outbound.add_strike(strike, now_ms=self._app.clock.now_ms())
 
     async def _async_run(self) -> None:
@@ -140,12 +138,14 @@
             self._routers.expire()
             for name in self._routers.list_data_centres() - self._sending_to:
                 self._sending_to.add(name)
-                self._app.async_create_task(self._async_send_updates(name), f"tell {name}")
+                self._app.async_create_task(
+                    self._async_send_updates(name), f"update data centre {name}"
+                )
             self._forward_to_neighbours()
             self._expire_refused()
 
     def _expire_refused(self) -> None:
-        """Forget what all data centres were told; who still meets it says so again."""
+        """Remove refused upstreams that were sent to all data centres."""
         since_ms = self._app.clock.now_ms() - 2 * self._get_period_ms()
         for upstream, reported_ms in tuple(self._outbound_refused.items()):
             if reported_ms < since_ms:
@@ -156,7 +156,7 @@
         return RELAY_INTERVAL_MS + RELAY_INTERVAL_MS_PER_PEER * peers
 
     async def _async_send_updates(self, name: str) -> None:
-        """Tell one data centre of this one for as long as any router of it is known."""
+        """Send updates to one data centre for as long as any of its routers is known."""
         data_centre = self._routers.data_centres.setdefault(name, RemoteDataCentre())
         while name in self._routers.list_data_centres():
             if self._is_relay():
@@ -164,7 +164,7 @@
             await self._app.clock.async_sleep(self._get_period_ms())
 
     def _is_relay(self) -> bool:
-        """Return whether this router tells for its data centre."""
+        """Return whether this router is the relay of its data centre."""
         neighbours = self._routers.list_neighbours(within_ms=RELAY_TIMEOUT_MS)
         return all(self._routers.own < other for other in neighbours)
 
@@ -177,7 +177,7 @@
             data_centre.sent_position = end
 
     def _choose_target(self, name: str, data_centre: RemoteDataCentre) -> str | None:
-        """Return the router that tells for the other data centre, or one after the other."""
+        """Return the other data centre's relay, or its known routers in turn if there is none."""
         now_ms = self._app.clock.now_ms()
         if data_centre.relay and now_ms - data_centre.last_update_ms < RELAY_TIMEOUT_MS:
             return data_centre.relay
@@ -204,7 +204,7 @@
         )
 
     def _list_routers(self, name: str, neighbours: dict[str, PeerRouter]) -> tuple[str, ...]:
-        """Return the routers that live here, or nothing where they were told a moment ago."""
+        """Return the live routers of this data centre, or nothing if they were sent recently."""
         now_ms = self._app.clock.now_ms()
         sent_ms = self._routers_sent_ms.get(name)
         if sent_ms is not None and now_ms - sent_ms < ROUTER_LIST_INTERVAL_MS:
@@ -213,7 +213,7 @@
         return (self._routers.own, *neighbours)
 
     def _handle_update(self, peer: Peer, update: DataCentreNews) -> None:
-        """Take update of another data centre, to be handed on in this one."""
+        """Process an update from another data centre and queue it for the neighbours."""
         loads = update.loads
         if loads.data_centre in ("", self._app.data_centre):
             return
@@ -234,7 +234,7 @@
         )
 
     def _handle_relayed(self, peer: Peer, update: RelayedNews) -> None:
-        """Take update of other data centres that a neighbour hands on."""
+        """Process updates of other data centres that a neighbour forwards."""
         for loads in update.loads:
             if loads.data_centre != self._app.data_centre:
                 self._store_loads(loads)
@@ -260,12 +260,12 @@
         return placed
 
     def _apply_strikes(self, peer: Peer, strikes: tuple[Strike, ...]) -> list[Strike]:
-        """Return the strikes that are update here."""
+        """Record strikes; return those that were not known before."""
         name = peer.hello.name
         return [s for s in strikes if self._suspects.take(s.digest, s.upstream, source=name)]
 
     def _forward_to_neighbours(self) -> None:
-        """Tell the neighbours what was heard of other data centres since the last time."""
+        """Send the neighbours the state of other data centres that arrived since the last call."""
         loads, self._inbound_loads = tuple(self._inbound_loads.values()), {}
         refused, self._inbound_refused = tuple(self._inbound_refused), set()
         strikes = self._inbound.list_strikes(now_ms=self._app.clock.now_ms())
@@ -273,7 +273,7 @@
         for known in self._routers.list_neighbours().values():
             if known.peer is not None and known.peer.takes:
                 groups[known.relayed_position].append(known)
-        # Most neighbours were told the same, so that the update are put together once.
+        # Neighbours at the same position share one update, which is encoded once.
         for position, group in groups.items():
             placed, end = self._inbound.read_from(position)
             if not (loads or placed or strikes or refused):
@@ -290,5 +290,5 @@
 
 
 def _get_sums_key(data_centre: str) -> str:
-    """Return the name under which a data centre's loads are kept beside those of routers."""
+    """Return the key of a data centre's summed loads among the loads of peers."""
     return f"all of {data_centre}"
--- a/gypsumrouter/peers/routers.py
+++ b/gypsumrouter/peers/routers.py
@@ -1,4 +1,4 @@
-"""The other routers and data centres, as far as this router has heard of them."""
+"""Registry of the other routers and data centres that this router knows."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# Nothing was ever heard.
+# Time of an event that has not happened.
 NEVER_MS: Final = -(1 << 62)
 
 
 class PeerRouter:
-    """One other router, by the address of its link.
+    """State of one other router, which is identified by the address of its link.
 
-    `peer` is the link over which it last told its news. `last_seen_ms` is when it or a router of its
-    data centre last said that it lives.
+    `peer` is the link on which its last update arrived, at `last_update_ms`. `last_seen_ms` is
+    when it, or the relay of its data centre, last reported that it is running.
     """
 
     __slots__ = (
@@ -47,8 +47,8 @@
         self.address = address
         self.data_centre = data_centre
         self.seed = seed
-        # Up to where it was told what was placed here, and what other data centres placed; a new
-        # incarnation knows nothing of it.
+        # Positions up to which it has received the parts placed in this data centre and in others;
+        # reset when it restarts.
         self.sent_position = 0
         self.relayed_position = 0
         self.incarnation: int | None = None
@@ -62,7 +62,7 @@
         self.peer: Peer | None = None
 
     def note_update(self, peer: Peer, *, data_centre: str, now_ms: int) -> None:
-        """Take note of news; a new incarnation is told everything again."""
+        """Record an update from this router; after a restart, all state is sent to it again."""
         self.peer = peer
         self.data_centre = data_centre
         self.last_update_ms = now_ms
@@ -77,10 +77,11 @@
 
 
 class RemoteDataCentre(Struct, kw_only=True):
-    """Another data centre: how many of its routers live, and which of them told so.
+    """State of another data centre.
 
-    `told` is up to where it was told what was placed here, `tried` counts routers that were tried
-    since it was last heard.
+    `alive` is the number of its live routers as last reported by `relay`. `sent_position` is the
+    position up to which it has received the parts placed here. `attempts` counts the routers that
+    were tried since the last update from its relay.
     """
 
     last_update_ms: int = NEVER_MS
@@ -91,7 +92,7 @@
 
 
 class RouterRegistry:
-    """All routers that are known, by the address of their link; this router is not among them."""
+    """The known routers by the address of their link, without this router."""
 
     __slots__ = ("_clock", "_last_added_ms", "_routers", "data_centre", "data_centres", "own")
 
@@ -109,39 +110,42 @@
     def __iter__(self) -> Iterator[str]:
         return iter(self._routers)
 
-    def __contains__(self, text: str) -> bool:
-        return text in self._routers
+    def __contains__(self, address: str) -> bool:
+        return address in self._routers
 
-    def get(self, text: str) -> PeerRouter | None:
+    def get(self, address: str) -> PeerRouter | None:
         """Return a router by its address."""
-        return self._routers.get(text)
+        return self._routers.get(address)
 
     def items(self) -> tuple[tuple[str, PeerRouter], ...]:
         """Return all routers with their addresses."""
         return tuple(self._routers.items())
 
-    def add(self, text: str, *, data_centre: str = "", seed: bool = False) -> PeerRouter | None:
-        """Take an address, and where it is; return the router, or None for what is none."""
-        known = self._routers.get(text)
+    def add(self, address: str, *, data_centre: str = "", seed: bool = False) -> PeerRouter | None:
+        """Add a router unless it is known; return it.
+
+        Returns None for this router's own address, an invalid address or a full registry.
+        """
+        known = self._routers.get(address)
         if known is not None:
             known.data_centre = known.data_centre or data_centre
             return known
-        if text == self.own or not text or len(self._routers) >= MAX_KNOWN_ROUTERS:
+        if address == self.own or not address or len(self._routers) >= MAX_KNOWN_ROUTERS:
             return None
         try:
-            address = parse_address(text)
+            parsed = parse_address(address)
         except ValueError:
-            _LOGGER.warning("A peer named %r, which is no address", text)
+            _LOGGER.warning("Ignoring a router with invalid address %r; expected IP:PORT", address)
             return None
         now_ms = self._clock.now_ms()
-        known = PeerRouter(address=address, data_centre=data_centre, seed=seed, now_ms=now_ms)
-        self._routers[text] = known
+        known = PeerRouter(address=parsed, data_centre=data_centre, seed=seed, now_ms=now_ms)
+        self._routers[address] = known
         self._last_added_ms = now_ms
         return known
 
-    def receives_updates(self, text: str) -> bool:
-        """Return whether a router is told news directly: a neighbour that is known, or a seed."""
-        known = self._routers.get(text)
+    def receives_updates(self, address: str) -> bool:
+        """Return whether a router receives updates directly, as a neighbour or a seed."""
+        known = self._routers.get(address)
         return known is not None and (known.seed or self.is_neighbour(known))
 
     def is_neighbour(self, known: PeerRouter) -> bool:
@@ -151,7 +155,7 @@
     def note_data_centre(
         self, name: str, *, alive: int, routers: Iterable[str], relay: str = ""
     ) -> None:
-        """Take what was heard of another data centre; `relay` is its router that said so itself."""
+        """Record an update about another data centre; `relay` is its sender if that is the relay."""
         now_ms = self._clock.now_ms()
         data_centre = self.data_centres.setdefault(name, RemoteDataCentre())
         data_centre.last_update_ms = now_ms
@@ -159,64 +163,66 @@
         if relay:
             data_centre.relay = relay
             data_centre.attempts = 0
-        for text in routers:
-            known = self.add(text, data_centre=name)
+        for address in routers:
+            known = self.add(address, data_centre=name)
             if known is not None:
                 known.last_seen_ms = now_ms
 
     def expire(self) -> None:
-        """Forget routers that nobody heard of for long, but for seeds."""
+        """Remove routers, except seeds, that were not seen within `ROUTER_EXPIRY_MS`."""
         since_ms = self._clock.now_ms() - ROUTER_EXPIRY_MS
-        for text, known in self.items():
+        for address, known in self.items():
             if not known.seed and known.last_seen_ms < since_ms:
-                del self._routers[text]
+                del self._routers[address]
 
     def count_alive(self) -> int:
-        """Return the number of living routers of the fleet, without this one."""
+        """Return the number of live routers of the fleet, without this one."""
         return sum(self.count_by_data_centre().values()) - 1
 
     def count_seeds(self) -> int:
-        """Return the number of seeds among them."""
+        """Return the number of known seeds."""
         return sum(1 for known in self._routers.values() if known.seed)
 
     def list_neighbours(self, *, within_ms: int = ALIVE_TIMEOUT_MS) -> dict[str, PeerRouter]:
-        """Return the routers of this data centre that were heard within a time."""
+        """Return the routers of this data centre that sent an update within `within_ms`."""
         since_ms = self._clock.now_ms() - within_ms
         return {
-            text: known
-            for text, known in self._routers.items()
+            address: known
+            for address, known in self._routers.items()
             if self.is_neighbour(known) and known.last_update_ms > since_ms
         }
 
     def list_in_data_centre(self, name: str) -> list[str]:
-        """Return the known routers of another data centre, in the order of their addresses."""
-        return sorted(t for t, known in self._routers.items() if known.data_centre == name)
+        """Return the addresses of the known routers of another data centre, sorted."""
+        return sorted(
+            address for address, known in self._routers.items() if known.data_centre == name
+        )
 
     def list_addresses(self) -> tuple[str, ...]:
-        """Return the routers that may live: those that somebody heard of lately, and all seeds."""
+        """Return the addresses of all seeds and of the routers that were seen recently."""
         since_ms = self._clock.now_ms() - ROUTER_EXPIRY_MS // 2
         return tuple(
-            text
-            for text, known in self._routers.items()
+            address
+            for address, known in self._routers.items()
             if known.seed or known.last_seen_ms >= since_ms
         )
 
     def get_grown_ms(self) -> int:
-        """Return when a router was last heard of for the first time."""
+        """Return when the last router was added."""
         return self._last_added_ms
 
     def has_heard(self) -> bool:
-        """Return whether any other router was ever heard, where there are others."""
+        """Return whether any update was received, or no other router is known."""
         if not self._routers:
             return True
         return any(known.last_update_ms != NEVER_MS for known in self._routers.values())
 
     def list_live_routers(self) -> tuple[RouterAt, ...]:
-        """Return the routers that somebody heard of lately, for others."""
+        """Return the routers that were seen recently, as message entries."""
         since_ms = self._clock.now_ms() - ROUTER_EXPIRY_MS // 2
         return tuple(
-            RouterAt(address=text, data_centre=known.data_centre)
-            for text, known in self._routers.items()
+            RouterAt(address=address, data_centre=known.data_centre)
+            for address, known in self._routers.items()
             if known.last_seen_ms >= since_ms
         )
 
@@ -226,7 +232,7 @@
         return (names | self.data_centres.keys()) - {"", self.data_centre}
 
     def count_by_data_centre(self) -> dict[str, int]:
-        """Return the number of living routers in each data centre, this one counted."""
+        """Return the number of live routers in each data centre, including this one."""
         since_ms = self._clock.now_ms() - ALIVE_TIMEOUT_MS
         counts = {self.data_centre: 1}
         for known in self._routers.values():
--- a/gypsumrouter/peers/watchers.py
+++ b/gypsumrouter/peers/watchers.py
@@ -1,10 +1,10 @@
-"""Which routers watch the platform's store, and how they tell their data centre of it.
+"""Selection of the routers that watch the platform's store, and their announcements.
 
-Answers this load: each change of the store ends every waiting watch, and each router that watches
-asks again. With 68 routers that is 70 to 100 calls a second, and it grows with the fleet. A few
-routers of each data centre watch; the others ask them for what changed, and turn to the store
-themselves as soon as nobody vouches for it. Nobody has to agree with anybody: a router that takes
-itself for a watcher watches, and one that hears of none does too.
+Each change of the store ends all pending watches, and every watcher issues a new one, so the load
+on the store grows with the number of watchers. Therefore only a few routers of each data centre
+watch it; they announce changes to their neighbours, which request them from the watchers. There
+is no election: each router decides by address order whether it is a watcher, and a router that
+receives no announcements also watches the store.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 from gypsumrouter.published import WatchState
 from gypsumrouter.routing import RoutingStore
 
-# One in each data centre, since news within it cost nothing, and five in all: a fleet of few data
-# centres hears of a change though some of its watchers are lost or cut off unnoticed.
+# Minimum number of watchers in the fleet, so that changes arrive although some watchers fail or are
+# partitioned from the store. Every data centre has at least one.
 MIN_WATCHERS: Final = 5
-# A watcher says this often that it watches, and at once what changed. A third of the time for which
-# its word counts, so that two lost or late words do no harm.
+# Interval of announcements; changes are also announced immediately. Receivers rely on a watcher for
+# three intervals, so that two lost announcements have no effect.
 ANNOUNCE_INTERVAL_MS: Final = 300
 
 
 def get_watchers_per_data_centre(data_centres: int) -> int:
-    """Return how many routers of each data centre watch, where a fleet has so many of them."""
+    """Return how many routers of each data centre watch the store."""
     return math.ceil(MIN_WATCHERS / data_centres)
 
 
 def is_watcher(own: str, neighbours: Collection[str], *, per_data_centre: int) -> bool:
-    """Return whether a router is among the first `per_data_centre` of its data centre, by address."""
+    """Return whether a router is among the first of its data centre in address order."""
     return sum(1 for other in neighbours if other < own) < per_data_centre
 
 
 class WatchCoordinator:
-    """Tells the other routers of the data centre what this one watches, and takes their word."""
+    """Announces store changes to the neighbours if this router watches, and handles theirs."""
 
     __slots__ = (
         "_app",
@@ -84,11 +84,11 @@
         evacuations.on_change(lambda evacuation: self._schedule_announcement())
 
     def async_start(self) -> None:
-        """Begin to tell; where others are known, wait for their word before watching."""
+        """Start announcing; if other routers are known, wait for announcements before watching."""
         if len(self._routers):
             self._routing.wait_for_peers()
             self._list.wait_for_peers()
-        self._app.async_create_task(self._async_announce(), "vouch for the store")
+        self._app.async_create_task(self._async_announce(), "announce store changes")
 
     def count_watchers(self) -> int:
         """Return how many other routers watch the store."""
@@ -97,7 +97,7 @@
         return sum(min(per_data_centre, count) for count in counts.values()) - 1
 
     def is_watcher(self) -> bool:
-        """Return whether this router watches for its data centre."""
+        """Return whether this router watches the store for its data centre."""
         return self._is_watcher(self._routers.list_neighbours())
 
     async def _async_announce(self) -> None:
@@ -106,7 +106,7 @@
             await self._app.clock.async_sleep(ANNOUNCE_INTERVAL_MS)
 
     def _schedule_announcement(self) -> None:
-        """Tell what changed once all of it was taken."""
+        """Announce once the current event loop iteration has applied all changes."""
         if not self._send_scheduled:
             self._send_scheduled = True
             asyncio.get_running_loop().call_soon(self._announce)
@@ -147,5 +147,5 @@
 
 
 def _get_current_revision(state: WatchState) -> int:
-    """Return up to which revision a list is known, 0 where the store cannot be read."""
+    """Return the revision up to which a list is known, or 0 while the store is unavailable."""
     return state.as_of if state.current and state.as_of is not None else 0
