--- a/bench/compare.py
+++ b/bench/compare.py
@@ -56,14 +56,14 @@
     "plain": Decision(
         ways=(
             Way(name="spread, hopeless refused"),
-            Way(name="spread", without=frozenset({Mechanism.HOPELESS_REFUSED})),
+            Way(name="spread", without=frozenset({Mechanism.DEADLINE_ADMISSION})),
             Way(
                 name="least loaded",
-                without=frozenset({Mechanism.HOPELESS_REFUSED, Mechanism.PLAIN_SPREAD}),
+                without=frozenset({Mechanism.DEADLINE_ADMISSION, Mechanism.PLAIN_OWN_LOAD}),
             ),
             Way(
                 name="least loaded, hopeless refused",
-                without=frozenset({Mechanism.PLAIN_SPREAD}),
+                without=frozenset({Mechanism.PLAIN_OWN_LOAD}),
             ),
         ),
         loads=tuple(
--- a/gypsumrouter/forwarding/eligibility.py
+++ b/gypsumrouter/forwarding/eligibility.py
@@ -68,7 +68,7 @@
         self._health = health
         self._rests = rests
         self._slow_start = slow_start
-        self._rest_when_down = Mechanism.REST_WHEN_DOWN not in without
+        self._rest_when_down = Mechanism.EXCLUDE_DOWN not in without
         self._warm_first = Mechanism.WARM_FIRST not in without
 
     def is_evacuated(self, entry: Entry) -> bool:
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -95,7 +95,7 @@
             evacuation_ms=bounds.evacuation_ms,
             without=settings.without,
         )
-        kept = Mechanism.KEPT_CONNECTIONS not in settings.without
+        kept = Mechanism.KEEP_ALIVE not in settings.without
         self._connections = UpstreamConnections(app=app, kept_for_all=kept)
         self.budget = RetryBudget(
             clock=app.clock,
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -178,7 +178,7 @@
             _LOGGER.debug("Request %s met a router that is not ready", read.request_id)
 
     def _admits(self, duration_ms: int) -> bool:
-        if Mechanism.LEAVING_ADMISSION in self._parts.without:
+        if Mechanism.SHUTDOWN_ADMISSION in self._parts.without:
             return True
         return self._leaving.admits(duration_ms=duration_ms)
 
--- a/gypsumrouter/forwarding/placer.py
+++ b/gypsumrouter/forwarding/placer.py
@@ -80,9 +80,9 @@
         self._app = app
         self._directory = directory
         self._cap = cap
-        self._copies = Mechanism.COPIES not in without
-        self._stable_order = Mechanism.STABLE_ORDER not in without
-        self._near_first = Mechanism.NEAR_FIRST not in without
+        self._copies = Mechanism.CACHE_TRANSFER not in without
+        self._stable_order = Mechanism.HASH_ORDER not in without
+        self._near_first = Mechanism.LOCALITY not in without
         self._eligibility = Eligibility(
             evacuations=evacuations,
             health=health,
@@ -92,7 +92,7 @@
             without=without,
         )
         self._weigh_health = Mechanism.HEALTH not in without
-        self._believe_lapsed = Mechanism.LAPSED_BELIEFS not in without
+        self._believe_lapsed = Mechanism.CACHE_RETENTION not in without
         self._by_service: dict[str, dict[str, Entry]] = {}
         # Incarnations that ended, and when.
         self._ended_ms: dict[str, int] = {}
@@ -102,9 +102,11 @@
         self.holdings = Holdings()
         self.reading = ReadingSpeed()
         self.plain = PlainAdmission(count_routers=slow_start.count_routers)
-        self._spreads_plain = Mechanism.PLAIN_SPREAD not in without
-        self._refuses_hopeless = Mechanism.HOPELESS_REFUSED not in without
-        self.loads = LoadBook(reading=self.reading, reads_on=Mechanism.READING_ON not in without)
+        self._spreads_plain = Mechanism.PLAIN_OWN_LOAD not in without
+        self._refuses_hopeless = Mechanism.DEADLINE_ADMISSION not in without
+        self.loads = LoadBook(
+            reading=self.reading, reads_on=Mechanism.PREFILL_PROGRESS not in without
+        )
         self._placed_listeners: list[PlacedListener] = []
         self._started_ms = app.clock.now_ms()
         directory.on_change(self._take_entry)
--- a/gypsumrouter/forwarding/run.py
+++ b/gypsumrouter/forwarding/run.py
@@ -292,7 +292,7 @@
     def _get_allowance(self) -> Allowance:
         route = self._routed.route
         return Allowance(
-            repeatable=route.repeatable and Mechanism.SECOND_TRIES not in self._parts.without,
+            repeatable=route.repeatable and Mechanism.RETRIES not in self._parts.without,
             max_attempts=route.max_attempts,
             left_ms=self._left_ms(),
             take_retry=lambda: self._parts.budget.take(self._service),
@@ -364,7 +364,7 @@
         route = self._routed.route
         if not route.repeatable or len(self.progress.ran_on) + 1 >= route.max_attempts:
             return None
-        if Mechanism.SILENCE in self._parts.without:
+        if Mechanism.RESPONSE_TIMEOUT in self._parts.without:
             return None
         patience = max(MIN_SILENCE_MS, int(route.target_ms * SILENCE_FACTOR))
         return max(1, min(patience, self._left_ms() // 2))
--- a/gypsumrouter/mechanisms.py
+++ b/gypsumrouter/mechanisms.py
@@ -1,7 +1,7 @@
-"""The forwarder's mechanisms that a measurement can switch off one by one.
+"""Mechanisms of the forwarder that can be disabled one by one for an ablation measurement.
 
-All are on unless the settings name them under `without`. Switching one off never breaks a promise
-to callers; it shows what the mechanism is worth on the load at hand.
+All are enabled unless the setting `without` names them. Disabling one may cost performance but
+never changes the guarantees to callers.
 """
 
 from __future__ import annotations
@@ -10,30 +10,48 @@
 
 
 class Mechanism(StrEnum):
-    """One mechanism, by the name that settings and the state dump show."""
+    """One mechanism; its value is the name in the settings and in the state dump."""
 
     # Placement.
-    COPIES = "copies"
+    # An engine copies cached prompt parts from another engine.
+    CACHE_TRANSFER = "copies"
+    # Loads include the counts that peers report.
     PEER_LOADS = "peer_loads"
+    # Prompt parts placed by peers count as cached at their upstreams.
     PEER_PLACEMENTS = "peer_placements"
-    READING_ON = "reading_on"
-    STABLE_ORDER = "stable_order"
-    NEAR_FIRST = "near_first"
+    # Prompt tokens that peers report as pending are reduced by what was prefilled since.
+    PREFILL_PROGRESS = "reading_on"
+    # A prompt that no engine has cached goes to the first upstream of its hash order.
+    HASH_ORDER = "stable_order"
+    # Upstreams in the router's own data centre are preferred.
+    LOCALITY = "near_first"
+    # Upstreams whose responses fail or are slow are penalised.
     HEALTH = "health"
-    REST_WHEN_DOWN = "rest_when_down"
-    PLAIN_SPREAD = "plain_spread"
-    LAPSED_BELIEFS = "lapsed_beliefs"
-    # Upstreams that warm up get nothing while a warm one can take it.
+    # Unreachable upstreams are excluded while another one is available.
+    EXCLUDE_DOWN = "rest_when_down"
+    # Requests without a prompt are spread by the router's own request counts.
+    PLAIN_OWN_LOAD = "plain_spread"
+    # The cache contents of an upstream are kept for a while after its entry is removed.
+    CACHE_RETENTION = "lapsed_beliefs"
+    # Upstreams in slow start receive no requests while a warm one is available.
     WARM_FIRST = "warm_first"
-    # What a router that starts learns.
+    # State at start.
+    # A router that starts fetches the cache contents of the engines.
     INVENTORY = "inventory"
-    TOLD_INVENTORY = "told_inventory"
-    # The way of one request.
-    # Plain requests that cannot be answered in time are refused at once.
-    HOPELESS_REFUSED = "hopeless_refused"
-    KEPT_CONNECTIONS = "kept_connections"
-    SECOND_TRIES = "second_tries"
-    SILENCE = "silence"
+    # It fetches them from peers before it queries engines.
+    PEER_INVENTORY = "told_inventory"
+    # Request handling.
+    # Requests without a prompt that would miss their deadline are rejected at once.
+    DEADLINE_ADMISSION = "hopeless_refused"
+    # Connections to upstreams are reused.
+    KEEP_ALIVE = "kept_connections"
+    # Failed attempts of idempotent requests are retried on another upstream.
+    RETRIES = "second_tries"
+    # An upstream that does not respond in time is replaced by another one.
+    RESPONSE_TIMEOUT = "silence"
+    # Requests that crash several upstreams are not sent to a further one.
     SUSPECTS = "suspects"
+    # Requests carry their priority to engines.
     PRIORITIES = "priorities"
-    LEAVING_ADMISSION = "leaving_admission"
+    # During a shutdown, only requests that end before the running ones are accepted.
+    SHUTDOWN_ADMISSION = "leaving_admission"
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -156,7 +156,7 @@
             send=self._async_send,
         )
         self._without = settings.without
-        if Mechanism.TOLD_INVENTORY not in settings.without:
+        if Mechanism.PEER_INVENTORY not in settings.without:
             forwarder.inventory.take_peers(self._inventory)
         forwarder.placer.slow_start.take_fleet(self._routers)
         notices.subscribe(RouterNews, self._handle_update)
--- a/tests/forwarding/test_forwarding_service_time.py
+++ b/tests/forwarding/test_forwarding_service_time.py
@@ -73,7 +73,7 @@
         pressure=0.85,
         upstreams=upstreams,
         work_ms=work_ms,
-        without=(Mechanism.PLAIN_SPREAD, Mechanism.HOPELESS_REFUSED),
+        without=(Mechanism.PLAIN_OWN_LOAD, Mechanism.DEADLINE_ADMISSION),
     )
     assert before.in_time < 0.95 * before.asked
 
@@ -88,7 +88,7 @@
         pressure=1.15,
         upstreams=upstreams,
         work_ms=work_ms,
-        without=(Mechanism.HOPELESS_REFUSED,),
+        without=(Mechanism.DEADLINE_ADMISSION,),
     )
     assert tally.in_time > before.in_time
     assert tally.credit > before.credit + 0.1
