--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -64,14 +64,14 @@
     try:
         match settings:
             case RouterSettings():
-                product = await async_setup_router(app=app, settings=settings, placement=placement)
+                process = await async_setup_router(app=app, settings=settings, placement=placement)
             case SideSettings():
-                product = await async_setup_side(app=app, settings=settings)
+                process = await async_setup_side(app=app, settings=settings)
     except BaseException:
         await app.async_stop()
         raise
     app.async_started()
-    return product
+    return process
 
 
 def make_application(*, settings: LinkedSettings, clock: Clock | None = None) -> Application:
--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -61,12 +61,12 @@
     )
     app.async_start()
     try:
-        product = await _async_build(app, settings, settings_path)
+        process = await _async_build(app, settings, settings_path)
     except BaseException:
         await app.async_stop()
         raise
     app.async_started()
-    return product
+    return process
 
 
 async def _async_build(
--- a/gypsumrouter/journal/events.py
+++ b/gypsumrouter/journal/events.py
@@ -145,7 +145,7 @@
 
 
 class UpstreamHealth(Event, frozen=True, kw_only=True):
-    """The passive health check of an upstream changed; `failing` is its share of failures."""
+    """The health of an upstream, judged by its responses, changed; `failing` is its error rate."""
 
     name: ClassVar[str] = "upstream_health"
     upstream: str
--- a/gypsumrouter/peers/inventory.py
+++ b/gypsumrouter/peers/inventory.py
@@ -42,6 +42,7 @@
         "_all_incomplete",
         "_app",
         "_complete",
+        "_get_own_address",
         "_holdings",
         "_incomplete_seeds",
         "_inventory_known",
@@ -49,7 +50,6 @@
         "_known_engines",
         "_list_seeds",
         "_listener",
-        "_own",
         "_send",
         "_waiting_peers",
     )
@@ -61,14 +61,14 @@
         journal: Journal,
         notices: NoticeHub,
         holdings: Holdings,
-        own: Callable[[], str],
+        get_own_address: Callable[[], str],
         list_seeds: Callable[[], tuple[str, ...]],
         send: SendTo,
     ) -> None:
         self._app = app
         self._journal = journal
         self._holdings = holdings
-        self._own = own
+        self._get_own_address = get_own_address
         self._list_seeds = list_seeds
         self._send = send
         self._inventory_known = False
@@ -123,12 +123,12 @@
 
     async def _async_ask_as_non_seed(self, others: list[str]) -> bool:
         """Ask the seeds one after the other; wait for a complete inventory or the timeout."""
-        others.sort(key=lambda seed: _hash(self._own(), seed))
+        others.sort(key=lambda seed: _hash(self._get_own_address(), seed))
         asking = [
             self._app.async_create_task(
-                self._async_ask_until_sent(seed, turn * NEXT_SEED_DELAY_MS), "request inventory"
+                self._async_ask_until_sent(seed, index * NEXT_SEED_DELAY_MS), "request inventory"
             )
-            for turn, seed in enumerate(others)
+            for index, seed in enumerate(others)
         ]
         try:
             async with asyncio.timeout(NON_SEED_TIMEOUT_MS / MS_PER_S):
@@ -142,7 +142,7 @@
 
     def rank(self, position: int) -> int:
         """Return how many seeds query the engine at a position of the list before this router."""
-        own = self._own()
+        own = self._get_own_address()
         seeds = sorted(self._list_seeds())
         if own not in seeds:
             return len(seeds)
@@ -164,7 +164,7 @@
             peer.send(self._make_inventory())
 
     def _list_others(self) -> list[str]:
-        own = self._own()
+        own = self._get_own_address()
         return [seed for seed in self._list_seeds() if seed != own]
 
     async def _async_ask_until_sent(self, seed: str, delay_ms: int) -> None:
--- a/gypsumrouter/peers/loads.py
+++ b/gypsumrouter/peers/loads.py
@@ -8,14 +8,14 @@
 from gypsumrouter.link import DataCentreLoads, RouterLoad, RouterNews
 
 
-def encode_loads(book: LoadBook) -> tuple[RouterLoad, ...]:
+def encode_loads(records: LoadBook) -> tuple[RouterLoad, ...]:
     """Return the router's own load counts as message entries."""
-    return _encode(book.own())
+    return _encode(records.own())
 
 
-def encode_load_sums(book: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
+def encode_load_sums(records: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
     """Return the load counts of the router and the given peers, summed for each upstream."""
-    return _encode(book.add_up_peers(peers))
+    return _encode(records.add_up_peers(peers))
 
 
 def decode_loads(update: RouterNews, *, now_ms: int) -> PeerLoads:
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -151,7 +151,7 @@
             journal=journal,
             notices=notices,
             holdings=forwarder.placer.holdings,
-            own=lambda: self._routers.own,
+            get_own_address=lambda: self._routers.own,
             list_seeds=self._list_seeds,
             send=self._async_send,
         )
--- a/gypsumrouter/running_process.py
+++ b/gypsumrouter/running_process.py
@@ -12,7 +12,7 @@
 from gypsumrouter.instances import Address
 
 
-class Versions(Protocol):
+class ObservableStore(Protocol):
     """Store of the current configuration; `ready` is set once there is one."""
 
     ready: asyncio.Event
@@ -29,7 +29,7 @@
     """
 
     app: Application
-    store: Versions
+    store: ObservableStore
     addresses: dict[str, Address]
     is_ready: Callable[[], bool]
     list_running: Callable[[], list[str]]
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -50,7 +50,7 @@
             journal=Journal(app=app),
             notices=hub,
             holdings=own_holdings,
-            own=lambda: address,
+            get_own_address=lambda: address,
             list_seeds=lambda: SEEDS,
             send=lambda target, notice: self._async_send(address, target, notice),
         )
--- a/tests/peers/test_peers_restored_store.py
+++ b/tests/peers/test_peers_restored_store.py
@@ -40,11 +40,11 @@
 ) -> None:
     fleet = PeerFleet(*sizes)
     await fleet.async_start()
-    copied = fleet.store.revision
+    backup_revision = fleet.store.revision
     for _ in range(LOST_CHANGES):
         fleet.store.put(EntryState.READY, key="i-2")
         await fleet.async_advance(500)
-    await async_restore(fleet, copied)
+    await async_restore(fleet, backup_revision)
     await fleet.async_advance(2 * BOUND_MS)
     fleet.store.put(EntryState.LEAVING)
     await fleet.async_advance(BOUND_MS)
@@ -55,11 +55,11 @@
 async def test_leaving_state_below_the_previous_entry_revision_is_applied() -> None:
     fleet = PeerFleet(MIN_WATCHERS + 4)
     await fleet.async_start()
-    copied = fleet.store.revision
+    backup_revision = fleet.store.revision
     for _ in range(LOST_CHANGES):
         fleet.store.put(EntryState.READY)
         await fleet.async_advance(500)
-    await async_restore(fleet, copied)
+    await async_restore(fleet, backup_revision)
     await fleet.async_advance(2 * BOUND_MS)
     fleet.store.put(EntryState.LEAVING)
     await fleet.async_advance(BOUND_MS)
@@ -71,13 +71,13 @@
     """A watch that resumes at the old revision would miss the changes written below it."""
     fleet = PeerFleet(MIN_WATCHERS + 4)
     await fleet.async_start()
-    copied = fleet.store.revision
+    backup_revision = fleet.store.revision
     for _ in range(LOST_CHANGES):
         fleet.store.put(EntryState.READY, key="i-2")
     await fleet.async_advance(500)
     set_partitioned(fleet.routers, partitioned=True)
     await fleet.async_advance(OUTAGE_MS)
-    fleet.store.restore(copied)
+    fleet.store.restore(backup_revision)
     fleet.store.put(EntryState.LEAVING)
     for _ in range(2 * LOST_CHANGES):
         fleet.store.put(EntryState.READY, key="i-2")
@@ -90,10 +90,10 @@
 async def test_leaving_upstream_stays_excluded_after_a_restore_to_ready() -> None:
     fleet = PeerFleet(MIN_WATCHERS + 4)
     await fleet.async_start()
-    copied = fleet.store.revision
+    backup_revision = fleet.store.revision
     fleet.store.put(EntryState.LEAVING)
     await fleet.async_advance(BOUND_MS)
-    await async_restore(fleet, copied, written=LOST_CHANGES)
+    await async_restore(fleet, backup_revision, written=LOST_CHANGES)
     for _ in range(10):
         await fleet.async_advance(500)
         assert {router.upstream_state for router in fleet.routers} == {EntryState.LEAVING}
--- a/tests/peers/test_peers_watchers.py
+++ b/tests/peers/test_peers_watchers.py
@@ -131,7 +131,7 @@
 
 
 async def test_announced_revision_allows_a_router_to_start_watching() -> None:
-    """It knows the newest revision, so its first watch lies within the store's history."""
+    """The router knows the newest revision, so its first watch lies within the store's history."""
     fleet = PeerFleet(8)
     await fleet.async_start()
     fleet.store.put(EntryState.LEAVING)
