--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -251,7 +251,7 @@
         )
 
     def _list_routers(self, known: PeerRouter) -> tuple[RouterAt, ...]:
-        """Return the live routers, or nothing if the list was sent recently and has not grown."""
+        """Return the live routers, or nothing if a list of the same size was sent recently."""
         now_ms = self._app.clock.now_ms()
         same = known.sent_router_count == len(self._routers)
         if same and now_ms - known.sent_routers_ms < ROUTER_LIST_INTERVAL_MS:
