--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -13,14 +13,14 @@
 from gypsumrouter.const import EXIT_OK, Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
-from gypsumrouter.forwarding.eligibility import NoPlace
-from gypsumrouter.forwarding.health import HealthBook
+from gypsumrouter.forwarding.eligibility import PlacementRefusal
+from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads, UpstreamLoad
 from gypsumrouter.forwarding.models import Prompt, PromptPart
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
+from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
@@ -43,10 +43,10 @@
         app=app,
         directory=directory,
         cap=Cap(factor=2.0, slack=2.0),
-        health=HealthBook(clock=clock, journal=journal),
-        rests=RestBook(clock=clock, journal=journal),
+        health=HealthTracker(clock=clock, journal=journal),
+        backoffs=BackoffTracker(clock=clock, journal=journal),
         evacuations=Evacuations(app=app, journal=journal),
-        slow_start=SlowStartBook(clock=clock, journal=journal),
+        slow_start=SlowStartLimiter(clock=clock, journal=journal),
     )
     names = [f"i-{number}" for number in range(upstreams)]
     for number, name in enumerate(names):
@@ -61,7 +61,7 @@
         directory.merge(Record(revision=number + 1, entry=entry), source="bench")
     for peer in range(peers):
         loads = {name: UpstreamLoad(running=1 + peer % 3, pending_tokens=0) for name in names}
-        placer.loads.take_peer(f"p{peer}", PeerLoads(heard_ms=clock.now_ms(), loads=loads))
+        placer.loads.set_peer_loads(f"p{peer}", PeerLoads(received_ms=clock.now_ms(), loads=loads))
     return placer
 
 
@@ -82,11 +82,11 @@
         prompt = None if case == PLAIN else make_prompt(number)
         if case == HELD:
             for part in (1, 1_000 + number):
-                placer.note_held(part=part, upstream="i-7")
+                placer.note_cached(part=part, upstream="i-7")
         begin_s = time.process_time()
-        placed = placer.place(service=SERVICE, prompt=prompt, passed_over=(), limit_ms=400)
+        placed = placer.place(service=SERVICE, prompt=prompt, excluded=(), limit_ms=400)
         spent_s += time.process_time() - begin_s
-        assert not isinstance(placed, NoPlace)
+        assert not isinstance(placed, PlacementRefusal)
     return spent_s / rounds * US_PER_S
 
 
--- a/bench/placement_strategies.py
+++ b/bench/placement_strategies.py
@@ -12,13 +12,13 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
-from gypsumrouter.forwarding.health import HealthBook
+from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads
-from gypsumrouter.forwarding.placed import Placed, Sent
+from gypsumrouter.forwarding.placed import Placement, SentRequest
 from gypsumrouter.forwarding.placement import Cap, order_by_affinity
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
+from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
 from gypsumrouter.peers.const import NEWS_MS, NEWS_MS_PER_PEER
@@ -136,15 +136,15 @@
         self._period_ms = NEWS_MS + NEWS_MS_PER_PEER * (load.routers - 1)
         self._news: list[list[tuple[int, str]]] = [[] for _ in self._placers]
         self._told_ms = [number * self._period_ms // load.routers for number in range(load.routers)]
-        self._sent: dict[int, Sent] = {}
+        self._sent: dict[int, SentRequest] = {}
         for number, placer in enumerate(self._placers):
             placer.on_placed(self._make_listener(number))
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
         """Return what the router's placer says."""
         placer = self._placers[arrival.router]
-        placed = placer.place(service=SERVICE, prompt=arrival.prompt, passed_over=())
-        assert isinstance(placed, Placed)
+        placed = placer.place(service=SERVICE, prompt=arrival.prompt, excluded=())
+        assert isinstance(placed, Placement)
         self._sent[number] = placer.note_sent(placed, arrival.prompt)
         source = placed.fetch_from
         return Choice(
@@ -154,7 +154,7 @@
     def first(self, arrival: Arrival, number: int) -> None:
         """Tell the placer that the prompt was read."""
         sent = self._sent[number]
-        self._placers[arrival.router].note_ended(sent)
+        self._placers[arrival.router].note_prefilled(sent)
         self._placers[arrival.router].note_first_event(sent)
 
     def end(self, arrival: Arrival, number: int) -> None:
@@ -179,13 +179,13 @@
 
     def _tell(self, number: int, now_ms: int) -> None:
         news, self._news[number] = self._news[number], []
-        loads = PeerLoads(heard_ms=now_ms, loads=self._placers[number].loads.own())
+        loads = PeerLoads(received_ms=now_ms, loads=self._placers[number].loads.get_own_loads())
         for other, placer in enumerate(self._placers):
             if other == number:
                 continue
-            placer.loads.take_peer(f"router-{number}", loads)
+            placer.loads.set_peer_loads(f"router-{number}", loads)
             for part, upstream in news:
-                placer.holdings.note(part=part, upstream=upstream, now_ms=now_ms)
+                placer.cache_index.note(part=part, upstream=upstream, now_ms=now_ms)
 
     def _make_listener(self, number: int) -> Callable[[int, str], None]:
         def note(part: int, upstream: str) -> None:
@@ -203,15 +203,15 @@
         )
         journal = Journal(app=app)
         directory = Directory(app=app, journal=journal)
-        health = HealthBook(clock=self._clock, journal=journal)
+        health = HealthTracker(clock=self._clock, journal=journal)
         placer = Placer(
             app=app,
             directory=directory,
             cap=CAP,
             health=health,
-            rests=RestBook(clock=self._clock, journal=journal),
+            backoffs=BackoffTracker(clock=self._clock, journal=journal),
             evacuations=Evacuations(app=app, journal=journal),
-            slow_start=SlowStartBook(clock=self._clock, journal=journal),
+            slow_start=SlowStartLimiter(clock=self._clock, journal=journal),
         )
         self._directories.append(directory)
         for name in list_engines(load):
--- a/bench/plain_replay.py
+++ b/bench/plain_replay.py
@@ -15,13 +15,13 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
-from gypsumrouter.forwarding.eligibility import NoPlace
-from gypsumrouter.forwarding.health import HealthBook
+from gypsumrouter.forwarding.eligibility import PlacementRefusal
+from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads, UpstreamLoad
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
+from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
@@ -152,13 +152,13 @@
             case Ended(router=router, upstream=upstream):
                 self._placers[router].loads.end(upstream)
             case NewsDue(router=router):
-                loads = self._placers[router].loads.own()
+                loads = self._placers[router].loads.get_own_loads()
                 self._add(at_ms + self._news_ms / 2, NewsHeard(router=router, loads=loads))
             case NewsHeard(router=router, loads=loads):
-                told = PeerLoads(heard_ms=self._clock.now_ms(), loads=loads)
+                told = PeerLoads(received_ms=self._clock.now_ms(), loads=loads)
                 for number, placer in enumerate(self._placers):
                     if number != router:
-                        placer.loads.take_peer(f"r{router}", told)
+                        placer.loads.set_peer_loads(f"r{router}", told)
 
     def _add(self, at_ms: float, event: Happening) -> None:
         self._number += 1
@@ -168,12 +168,12 @@
         self.tally.asked += arrival.tries == 0
         placer = self._placers[arrival.router]
         placed = placer.place(
-            service=SERVICE, prompt=None, passed_over=(), limit_ms=int(self._target_ms)
+            service=SERVICE, prompt=None, excluded=(), limit_ms=int(self._target_ms)
         )
         end_ms = None
-        if not isinstance(placed, NoPlace):
+        if not isinstance(placed, PlacementRefusal):
             end_ms = self._upstreams[placed.entry.upstream].serve(at_ms)
-        if isinstance(placed, NoPlace) or end_ms is None:
+        if isinstance(placed, PlacementRefusal) or end_ms is None:
             self._refuse(at_ms, arrival)
             return
         placer.note_sent(placed, None)
@@ -202,14 +202,14 @@
         )
         journal = Journal(app=app)
         directory = Directory(app=app, journal=journal)
-        slow_start = SlowStartBook(clock=self._clock, journal=journal)
-        slow_start.take_fleet(Others())
+        slow_start = SlowStartLimiter(clock=self._clock, journal=journal)
+        slow_start.set_fleet(Others())
         placer = Placer(
             app=app,
             directory=directory,
             cap=Cap(factor=2.0, slack=3.0),
-            health=HealthBook(clock=self._clock, journal=journal),
-            rests=RestBook(clock=self._clock, journal=journal),
+            health=HealthTracker(clock=self._clock, journal=journal),
+            backoffs=BackoffTracker(clock=self._clock, journal=journal),
             evacuations=Evacuations(app=app, journal=journal),
             slow_start=slow_start,
             without=without,
--- a/gypsumrouter/forwarding/budget.py
+++ b/gypsumrouter/forwarding/budget.py
@@ -8,10 +8,10 @@
 from gypsumrouter.util.clock import Clock
 
 # Each router stays this far below its share, since views of the fleet's size differ for seconds.
-CAUTION: Final = 0.85
+SAFETY_FACTOR: Final = 0.85
 
 
-class _Window:
+class _SlidingWindow:
     """Times of the last `window_ms`."""
 
     __slots__ = ("_times",)
@@ -42,11 +42,11 @@
         self._ratio = ratio
         self._slack = slack
         self._window_ms = window_ms
-        self._requests: dict[str, _Window] = {}
-        self._repeats: dict[str, _Window] = {}
+        self._requests: dict[str, _SlidingWindow] = {}
+        self._repeats: dict[str, _SlidingWindow] = {}
         self.routers = 1
 
-    def take_bounds(self, *, ratio: float, slack: float, window_ms: int) -> None:
+    def set_bounds(self, *, ratio: float, slack: float, window_ms: int) -> None:
         """Keep other bounds from now on; what was spent stays spent."""
         self._ratio = ratio
         self._slack = slack
@@ -54,15 +54,15 @@
 
     def note_request(self, service: str) -> None:
         """Count a caller's request for a service."""
-        self._requests.setdefault(service, _Window()).add(self._clock.now_ms())
+        self._requests.setdefault(service, _SlidingWindow()).add(self._clock.now_ms())
 
-    def take(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Take one repeat out of the budget; return whether there was one."""
         now_ms = self._clock.now_ms()
         since_ms = now_ms - self._window_ms
-        requests = self._requests.setdefault(service, _Window()).count(since_ms)
-        repeats = self._repeats.setdefault(service, _Window())
-        allowed = CAUTION * (self._ratio * requests + self._slack / max(1, self.routers))
+        requests = self._requests.setdefault(service, _SlidingWindow()).count(since_ms)
+        repeats = self._repeats.setdefault(service, _SlidingWindow())
+        allowed = SAFETY_FACTOR * (self._ratio * requests + self._slack / max(1, self.routers))
         if repeats.count(since_ms) + 1 > allowed:
             return False
         repeats.add(now_ms)
--- a/gypsumrouter/forwarding/eligibility.py
+++ b/gypsumrouter/forwarding/eligibility.py
@@ -8,18 +8,18 @@
 from msgspec import Struct
 
 from gypsumrouter.directory import Entry, Evacuations
-from gypsumrouter.forwarding.health import HealthBook
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
+from gypsumrouter.forwarding.health import HealthTracker
+from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
 
 # The part of the bound on evacuations within which an evacuated engine may be copied from: news of
 # the evacuation may be late by the other half.
-COPY_SHARE: Final = 0.5
+COPY_WINDOW_SHARE: Final = 0.5
 
 
-class NoPlace(Struct, frozen=True, kw_only=True):
+class PlacementRefusal(Struct, frozen=True, kw_only=True):
     """No upstream may get a request now; another try is of no use before `not_before_ms`."""
 
     reason: Reason
@@ -27,13 +27,17 @@
     not_before_ms: int = 0
 
 
-NOTHING_LEFT = NoPlace(reason=Reason.NO_INSTANCE, message="No upstream can take the request")
-ALL_EVACUATED = NoPlace(reason=Reason.EVACUATED, message="All upstreams left are evacuated")
+NO_UPSTREAM = PlacementRefusal(
+    reason=Reason.NO_INSTANCE, message="No upstream can take the request"
+)
+ALL_EVACUATED = PlacementRefusal(
+    reason=Reason.EVACUATED, message="All upstreams left are evacuated"
+)
 
 
-def make_hopeless(late_ms: float) -> NoPlace:
+def make_late_refusal(late_ms: float) -> PlacementRefusal:
     """Return the refusal of a request whose answer would come so much too late."""
-    return NoPlace(
+    return PlacementRefusal(
         reason=Reason.TARGET_HOPELESS,
         message="The upstreams have more waiting than they serve in time",
         not_before_ms=int(late_ms),
@@ -44,11 +48,11 @@
     """Tells upstreams that take new work from those that rest, are evacuated, lost or warm up."""
 
     __slots__ = (
+        "_backoffs",
         "_copy_ms",
         "_evacuations",
         "_health",
         "_rest_when_down",
-        "_rests",
         "_slow_start",
         "_warm_first",
     )
@@ -57,16 +61,16 @@
         self,
         *,
         evacuations: Evacuations,
-        health: HealthBook,
-        rests: RestBook,
-        slow_start: SlowStartBook,
+        health: HealthTracker,
+        backoffs: BackoffTracker,
+        slow_start: SlowStartLimiter,
         evacuation_ms: int,
         without: frozenset[Mechanism],
     ) -> None:
-        self._copy_ms = evacuation_ms * COPY_SHARE
+        self._copy_ms = evacuation_ms * COPY_WINDOW_SHARE
         self._evacuations = evacuations
         self._health = health
-        self._rests = rests
+        self._backoffs = backoffs
         self._slow_start = slow_start
         self._rest_when_down = Mechanism.REST_WHEN_DOWN not in without
         self._warm_first = Mechanism.WARM_FIRST not in without
@@ -75,9 +79,9 @@
         """Return whether an upstream gets nothing new by the operator's word."""
         return self._evacuations.is_active(entry.data_centre)
 
-    def take_evacuation_bound(self, evacuation_ms: int) -> None:
+    def set_evacuation_bound(self, evacuation_ms: int) -> None:
         """Keep another bound on evacuations from now on."""
-        self._copy_ms = evacuation_ms * COPY_SHARE
+        self._copy_ms = evacuation_ms * COPY_WINDOW_SHARE
 
     def may_copy_from(self, entry: Entry) -> bool:
         """Return whether other engines may copy what an upstream holds.
@@ -91,16 +95,18 @@
         return age_ms is not None and age_ms < self._copy_ms
 
     def select(
-        self, entries: Iterable[Entry], *, passed_over: Collection[str]
-    ) -> tuple[Entry, ...] | NoPlace:
+        self, entries: Iterable[Entry], *, excluded: Collection[str]
+    ) -> tuple[Entry, ...] | PlacementRefusal:
         """Return those of a service's upstreams that may get a request, at least one of them."""
-        left = tuple(entry for entry in entries if entry.incarnation not in passed_over)
+        left = tuple(entry for entry in entries if entry.incarnation not in excluded)
         if not left:
-            return NOTHING_LEFT
+            return NO_UPSTREAM
         settled = tuple(entry for entry in left if not self.is_evacuated(entry))
         if not settled:
             return ALL_EVACUATED
-        awake = tuple(entry for entry in settled if not self._rests.is_resting(entry.incarnation))
+        awake = tuple(
+            entry for entry in settled if not self._backoffs.is_backing_off(entry.incarnation)
+        )
         if not awake:
             return self._make_resting(settled)
         reachable = awake
@@ -110,7 +116,7 @@
 
     def _select_warm(
         self, reachable: tuple[Entry, ...], awake: tuple[Entry, ...]
-    ) -> tuple[Entry, ...] | NoPlace:
+    ) -> tuple[Entry, ...] | PlacementRefusal:
         """Return the upstreams that are warm, or those that warm up at which it is our turn."""
         warm = tuple(e for e in reachable if not self._slow_start.is_warming(e.incarnation))
         if warm and self._warm_first:
@@ -119,7 +125,7 @@
             e
             for e in reachable
             if self._slow_start.is_warming(e.incarnation)
-            and self._slow_start.has_turn(e.incarnation)
+            and self._slow_start.may_send(e.incarnation)
         )
         if warm or warming:
             return warm + warming
@@ -127,17 +133,17 @@
         down = tuple(e for e in awake if not self._slow_start.is_warming(e.incarnation))
         return down or self._make_refusal(awake)
 
-    def _make_resting(self, settled: tuple[Entry, ...]) -> NoPlace:
-        waits_ms = (self._rests.get_left_ms(entry.incarnation) for entry in settled)
-        return NoPlace(
+    def _make_resting(self, settled: tuple[Entry, ...]) -> PlacementRefusal:
+        waits_ms = (self._backoffs.get_remaining_ms(entry.incarnation) for entry in settled)
+        return PlacementRefusal(
             reason=Reason.UPSTREAMS_REST,
             message="All upstreams are full and want a rest",
             not_before_ms=min(waits_ms),
         )
 
-    def _make_refusal(self, awake: tuple[Entry, ...]) -> NoPlace:
+    def _make_refusal(self, awake: tuple[Entry, ...]) -> PlacementRefusal:
         waits_ms = (self._slow_start.get_wait_ms(entry.incarnation) for entry in awake)
-        return NoPlace(
+        return PlacementRefusal(
             reason=Reason.WARMING_UP,
             message="All upstreams warm up and have as much as they bear",
             not_before_ms=min(waits_ms),
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -14,17 +14,17 @@
 from gypsumrouter.forwarding.connections import UpstreamConnections
 from gypsumrouter.forwarding.const import CALLER_SPARE_MS, LEAVING_MS
 from gypsumrouter.forwarding.handler import ReadRequest, RequestHandler
-from gypsumrouter.forwarding.health import HealthBook
-from gypsumrouter.forwarding.inventory import AskHeld, Inventory
+from gypsumrouter.forwarding.health import HealthTracker
+from gypsumrouter.forwarding.inventory import CacheInventory, FetchCacheListing
 from gypsumrouter.forwarding.leaving import Leaving
 from gypsumrouter.forwarding.metrics import ForwardingMetrics
 from gypsumrouter.forwarding.models import Dialect
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
+from gypsumrouter.forwarding.rests import BackoffTracker
 from gypsumrouter.forwarding.run import RunParts
-from gypsumrouter.forwarding.slow_start import SlowStartBook
-from gypsumrouter.forwarding.suspects import Suspects
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
+from gypsumrouter.forwarding.suspects import SuspectTracker
 from gypsumrouter.instances import Address, parse_address
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
@@ -70,26 +70,26 @@
         evacuations: Evacuations,
         dialect: Dialect,
         read_request: ReadRequest,
-        ask_held: AskHeld,
+        ask_held: FetchCacheListing,
     ) -> None:
         self._app = app
         self._routing = routing
         self._directory = directory
         bounds = settings.bounds
-        health = HealthBook(clock=app.clock, journal=journal)
-        slow_start = SlowStartBook(
+        health = HealthTracker(clock=app.clock, journal=journal)
+        slow_start = SlowStartLimiter(
             clock=app.clock,
             journal=journal,
             factor=bounds.warm_up_factor,
             slack=bounds.warm_up_slack,
         )
-        routing.on_change(slow_start.take_table)
+        routing.on_change(slow_start.set_table)
         self.placer = Placer(
             app=app,
             directory=directory,
             cap=Cap(factor=bounds.cap_factor, slack=bounds.cap_slack),
             health=health,
-            rests=RestBook(clock=app.clock, journal=journal),
+            backoffs=BackoffTracker(clock=app.clock, journal=journal),
             evacuations=evacuations,
             slow_start=slow_start,
             evacuation_ms=bounds.evacuation_ms,
@@ -104,7 +104,7 @@
             window_ms=bounds.retry_window_ms,
         )
         self._leaving = Leaving(clock=app.clock, limit_ms=bounds.stop_ms - LEAVING_MARGIN_MS)
-        self.suspects = Suspects(app=app, journal=journal)
+        self.suspects = SuspectTracker(app=app, journal=journal)
         parts = RunParts(
             app=app,
             journal=journal,
@@ -115,7 +115,7 @@
             suspects=self.suspects,
             without=settings.without,
         )
-        self.inventory = Inventory(
+        self.inventory = CacheInventory(
             app=app,
             directory=directory,
             evacuations=evacuations,
@@ -135,7 +135,7 @@
         )
         self._first_start = settings.first_start
         self._without = settings.without
-        app.add_dump_section("reading", lambda: round(self.placer.reading.tokens_per_ms, 1))
+        app.add_dump_section("reading", lambda: round(self.placer.prefill_speed.tokens_per_ms, 1))
         app.add_dump_section("without", lambda: sorted(settings.without))
         self._server: CallerServer | None = None
         self._listener: CallerListener | None = None
@@ -152,14 +152,14 @@
 
     def take_bounds(self, bounds: Bounds) -> None:
         """Keep other bounds from now on."""
-        self.placer.take_bounds(
+        self.placer.set_bounds(
             Cap(factor=bounds.cap_factor, slack=bounds.cap_slack),
             evacuation_ms=bounds.evacuation_ms,
         )
-        self.budget.take_bounds(
+        self.budget.set_bounds(
             ratio=bounds.retry_ratio, slack=bounds.retry_slack, window_ms=bounds.retry_window_ms
         )
-        self.placer.slow_start.take_bound(factor=bounds.warm_up_factor, slack=bounds.warm_up_slack)
+        self.placer.slow_start.set_bound(factor=bounds.warm_up_factor, slack=bounds.warm_up_slack)
         self._leaving.take_limit(bounds.stop_ms - LEAVING_MARGIN_MS)
 
     async def async_start(self) -> Address:
@@ -170,7 +170,7 @@
         self._app.on_stop(self._listener.async_close)
         self._app.async_create_task(self._async_sweep(), "forwarder sweep")
         if self._first_start or Mechanism.INVENTORY in self._without:
-            self.inventory.note_known()
+            self.inventory.mark_complete()
         else:
             self.inventory.async_start()
         return address
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -184,7 +184,7 @@
 
     def _knows_prompt(self, read: CallerRequest) -> bool:
         """Return whether a request needs nothing that the inventory may bring."""
-        return read.prompt is None or self._parts.placer.knows(read.prompt)
+        return read.prompt is None or self._parts.placer.is_cached(read.prompt)
 
     async def _async_run(
         self, request: web.BaseRequest, read: CallerRequest, routed: Routed, arrived_ms: int
--- a/gypsumrouter/forwarding/holdings.py
+++ b/gypsumrouter/forwarding/holdings.py
@@ -10,14 +10,14 @@
 
 # A part that nobody asked for within this time counts as evicted: an engine of 655,000 tokens that
 # reads 15,000 new tokens a second turns its cache over in about 40 s.
-HELD_MS: Final = 40_000
+CACHE_TTL_MS: Final = 40_000
 MAX_PARTS: Final = 20_000
 # A part can be copied from an engine once it was read there: 0.12 s for ten thousand tokens, and as
 # much again for what was read before it.
-READABLE_MS: Final = 400
+COPY_READY_MS: Final = 400
 
 
-class Holdings:
+class CacheIndex:
     """Remembers where parts were read, from this router's own placements and its peers' news."""
 
     __slots__ = ("_parts",)
@@ -36,20 +36,20 @@
         else:
             self._parts.move_to_end(part)
         noted = holders.get(upstream)
-        new = noted is None or now_ms - noted[1] >= HELD_MS
+        new = noted is None or now_ms - noted[1] >= CACHE_TTL_MS
         holders[upstream] = (now_ms if noted is None or new else noted[0], now_ms)
         return new
 
-    def note_held(self, *, part: int, upstream: str, now_ms: int) -> None:
+    def note_cached(self, *, part: int, upstream: str, now_ms: int) -> None:
         """Note a part that was read before; it can be copied at once."""
         self.note(part=part, upstream=upstream, now_ms=now_ms)
-        self._parts[part][upstream] = (now_ms - READABLE_MS, now_ms)
+        self._parts[part][upstream] = (now_ms - COPY_READY_MS, now_ms)
 
-    def list_held(self, *, now_ms: int) -> dict[str, tuple[int, ...]]:
+    def list_cached(self, *, now_ms: int) -> dict[str, tuple[int, ...]]:
         """Return the parts that each upstream has read, for a router that knows nothing."""
         held: dict[str, list[int]] = {}
         for part in self._parts:
-            for upstream in self.readers(part, now_ms=now_ms):
+            for upstream in self.list_copy_sources(part, now_ms=now_ms):
                 held.setdefault(upstream, []).append(part)
         return {upstream: tuple(parts) for upstream, parts in held.items()}
 
@@ -57,13 +57,13 @@
         """Forget that an upstream has a part: it was turned away there."""
         self._parts.get(part, {}).pop(upstream, None)
 
-    def readers(self, part: int, *, now_ms: int) -> tuple[str, ...]:
+    def list_copy_sources(self, part: int, *, now_ms: int) -> tuple[str, ...]:
         """Return the upstreams that have read a part, so that it can be copied from them."""
         holders = self._parts.get(part, {})
         return tuple(
             upstream
             for upstream, (first_ms, last_ms) in holders.items()
-            if now_ms - first_ms >= READABLE_MS and now_ms - last_ms < HELD_MS
+            if now_ms - first_ms >= COPY_READY_MS and now_ms - last_ms < CACHE_TTL_MS
         )
 
     def forget_upstream(self, upstream: str) -> None:
@@ -86,4 +86,4 @@
         if holders is None:
             return False
         noted = holders.get(upstream)
-        return noted is not None and now_ms - noted[1] < HELD_MS
+        return noted is not None and now_ms - noted[1] < CACHE_TTL_MS
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -30,43 +30,43 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-LIST_MS: Final = 1_000
+LIST_TIMEOUT_MS: Final = 1_000
 # One call holds its engine up for as long as reading 600 tokens, and a list of 500 parts takes a
 # router 1 ms of a core. One that has to ask more engines than this by itself asks none: their lists
 # would keep a small router busy for longer than requests wait for them.
-MAX_ASKED: Final = 64
+MAX_ENGINES: Final = 64
 # How long a router waits for the one before it in an engine's order: a list, and its way here.
-TURN_MS: Final = 100
+FALLBACK_DELAY_MS: Final = 100
 # Parts of fewer tokens are read faster than they are told.
-MIN_TOKENS: Final = 100
+MIN_PART_TOKENS: Final = 100
 
 
-class HeldPart(Struct, frozen=True, kw_only=True):
+class CachedPart(Struct, frozen=True, kw_only=True):
     """A part of a prompt in an engine's cache."""
 
     part: int
     tokens: int
 
 
-class HeldList(Struct, frozen=True, kw_only=True):
+class CacheListing(Struct, frozen=True, kw_only=True):
     """All parts in an engine's cache, and when the engine was started (Unix time; 0: not told).
 
     `leaving` is its word that it leaves.
     """
 
-    parts: tuple[HeldPart, ...]
-    born_ms: int = 0
+    parts: tuple[CachedPart, ...]
+    started_ms: int = 0
     leaving: bool = False
 
 
-class AskHeld(Protocol):
+class FetchCacheListing(Protocol):
     """Asks an engine what it holds."""
 
-    async def __call__(self, connection: HttpConnection) -> HeldList:
+    async def __call__(self, connection: HttpConnection) -> CacheListing:
         """Return the list; raises ConnectionBroken for anything that is no list."""
 
 
-class HeldPeers(Protocol):
+class InventoryPeers(Protocol):
     """The other routers, as far as they tell each other what engines hold."""
 
     @property
@@ -89,7 +89,7 @@
         """Note that this router knows of all engines."""
 
 
-class Inventory:
+class CacheInventory:
     """Learns what engines hold; `done` is set when all is known that will be.
 
     A peer that lives tells it in one message. Where all routers start together they divide the
@@ -104,8 +104,8 @@
         "_evacuations",
         "_peers",
         "_placer",
+        "_reported",
         "_routing",
-        "_told",
         "done",
     )
 
@@ -118,7 +118,7 @@
         routing: RoutingStore,
         placer: Placer,
         connections: UpstreamConnections,
-        ask: AskHeld,
+        ask: FetchCacheListing,
     ) -> None:
         self._app = app
         self._directory = directory
@@ -127,20 +127,20 @@
         self._placer = placer
         self._connections = connections
         self._ask = ask
-        self._peers: HeldPeers | None = None
-        self._told: dict[str, asyncio.Event] = {}
+        self._peers: InventoryPeers | None = None
+        self._reported: dict[str, asyncio.Event] = {}
         self.done = asyncio.Event()
 
-    def take_peers(self, peers: HeldPeers) -> None:
+    def set_peers(self, peers: InventoryPeers) -> None:
         """Ask these routers first from now on, and tell them."""
         self._peers = peers
-        peers.on_told(self._note_told)
+        peers.on_told(self._note_reported)
 
     def async_start(self) -> None:
         """Learn it as soon as the list and the configuration are there."""
         self._app.async_create_task(self._async_run(), "inventory")
 
-    def note_known(self) -> None:
+    def mark_complete(self) -> None:
         """Note that all is known that can be, or that all engines are as new as this router."""
         self.done.set()
         if self._peers is not None:
@@ -151,17 +151,17 @@
         await self._routing.ready.wait()
         await self._directory.loaded.wait()
         if self._peers is None:
-            await self._async_ask_all()
+            await self._async_load_all()
         elif not await told:
-            await self._async_divide(self._peers)
-        self.note_known()
+            await self._async_load_share(self._peers)
+        self.mark_complete()
 
     async def _async_ask_peers(self) -> bool:
         return self._peers is not None and await self._peers.async_ask()
 
-    async def _async_divide(self, peers: HeldPeers) -> None:
+    async def _async_load_share(self, peers: InventoryPeers) -> None:
         """Ask the engines whose turn is this router's, until all are asked or told."""
-        asking = asyncio.ensure_future(self._async_ask_all())
+        asking = asyncio.ensure_future(self._async_load_all())
         complete = asyncio.ensure_future(peers.complete.wait())
         try:
             await asyncio.wait((asking, complete), return_when=asyncio.FIRST_COMPLETED)
@@ -169,31 +169,31 @@
             complete.cancel()
             asking.cancel()
 
-    async def _async_ask_all(self) -> None:
+    async def _async_load_all(self) -> None:
         ranked = [(self._rank(position), e) for position, e in enumerate(self._list_engines())]
         first = [entry for rank, entry in ranked if rank == 0]
         others = [(rank, entry) for rank, entry in ranked if rank > 0]
-        if len(first) > MAX_ASKED or (not first and len(others) > MAX_ASKED):
+        if len(first) > MAX_ENGINES or (not first and len(others) > MAX_ENGINES):
             return
         await asyncio.gather(
-            *(self._async_take(entry) for entry in first),
-            *(self._async_take_in_turn(entry, rank) for rank, entry in others),
+            *(self._async_load(entry) for entry in first),
+            *(self._async_load_as_fallback(entry, rank) for rank, entry in others),
         )
 
-    async def _async_take_in_turn(self, entry: Entry, rank: int) -> None:
+    async def _async_load_as_fallback(self, entry: Entry, rank: int) -> None:
         """Ask an engine if nobody before this router told of it."""
-        told = self._told.setdefault(entry.incarnation, asyncio.Event())
+        told = self._reported.setdefault(entry.incarnation, asyncio.Event())
         try:
-            async with asyncio.timeout(rank * TURN_MS / MS_PER_S):
+            async with asyncio.timeout(rank * FALLBACK_DELAY_MS / MS_PER_S):
                 await told.wait()
         except TimeoutError:
-            await self._async_take(entry)
+            await self._async_load(entry)
 
     def _rank(self, position: int) -> int:
         return 0 if self._peers is None else self._peers.rank(position)
 
-    def _note_told(self, incarnation: str) -> None:
-        self._told.setdefault(incarnation, asyncio.Event()).set()
+    def _note_reported(self, incarnation: str) -> None:
+        self._reported.setdefault(incarnation, asyncio.Event()).set()
 
     def _list_engines(self) -> list[Entry]:
         table = self._routing.table
@@ -205,33 +205,35 @@
             for record in self._directory.records()
             if record.entry.service in engines
             and record.entry.state is EntryState.READY
-            and not self._placer.rests.is_resting(record.entry.incarnation)
+            and not self._placer.backoffs.is_backing_off(record.entry.incarnation)
             and not self._evacuations.is_active(record.entry.data_centre)
         ]
         return sorted(entries, key=lambda entry: entry.incarnation)
 
-    async def _async_take(self, entry: Entry) -> None:
+    async def _async_load(self, entry: Entry) -> None:
         try:
-            async with asyncio.timeout(LIST_MS / MS_PER_S):
-                held = await self._async_ask(entry)
+            async with asyncio.timeout(LIST_TIMEOUT_MS / MS_PER_S):
+                held = await self._async_fetch(entry)
         except (ConnectFailed, ConnectionBroken, TimeoutError) as error:
             # It is a hint: what is not known is read again.
             _LOGGER.warning("Upstream %s does not list what it holds: %r", entry.incarnation, error)
             return
         # A later start may answer before the list tells of it; what it holds is its own.
-        born_ms = held.born_ms or entry.born_ms
-        incarnation = name_incarnation(upstream=entry.upstream, born_ms=born_ms)
-        parts = tuple(part.part for part in held.parts if part.tokens >= MIN_TOKENS)
+        started_ms = held.started_ms or entry.born_ms
+        incarnation = name_incarnation(upstream=entry.upstream, born_ms=started_ms)
+        parts = tuple(part.part for part in held.parts if part.tokens >= MIN_PART_TOKENS)
         for part in parts:
-            self._placer.note_held(part=part, upstream=incarnation)
+            self._placer.note_cached(part=part, upstream=incarnation)
         if held.leaving:
             self._directory.note_leaving(incarnation, source=SOURCE_ANSWER)
         _LOGGER.info("Upstream %s holds %d parts", incarnation, len(held.parts))
         if self._peers is not None:
             await self._peers.async_share(incarnation, parts)
 
-    async def _async_ask(self, entry: Entry) -> HeldList:
-        leased = await self._connections.async_lease(entry, repeatable=True, timeout_ms=LIST_MS)
+    async def _async_fetch(self, entry: Entry) -> CacheListing:
+        leased = await self._connections.async_lease(
+            entry, repeatable=True, timeout_ms=LIST_TIMEOUT_MS
+        )
         try:
             held = await self._ask(leased.connection)
         except BaseException:
--- a/gypsumrouter/forwarding/placed.py
+++ b/gypsumrouter/forwarding/placed.py
@@ -7,10 +7,10 @@
 from gypsumrouter.directory import Entry
 
 
-class Placed(Struct, frozen=True, kw_only=True):
+class Placement(Struct, frozen=True, kw_only=True):
     """The chosen upstream and the inputs that decided it.
 
-    `probably_held` is a prompt of which this router knows nothing at the first of its order, where
+    `probably_cached` is a prompt of which this router knows nothing at the first of its order, where
     routers that know it send it: right after a start that is nearly always where it is cached.
     """
 
@@ -21,24 +21,24 @@
     candidates: int
     pending_tokens: int = 0
     fetch_from: Entry | None = None
-    probably_held: bool = False
+    probably_cached: bool = False
 
 
-class Source(Struct, frozen=True, kw_only=True):
+class CopySource(Struct, frozen=True, kw_only=True):
     """An upstream from which cached parts can be copied, and what it lacks itself."""
 
     entry: Entry
     missing_tokens: int
 
 
-class Sent(Struct, frozen=True, kw_only=True):
+class SentRequest(Struct, frozen=True, kw_only=True):
     """What was noted of a request: prompt tokens to read, and parts new to its upstream.
 
-    `alone` says that its prompt is the only one that is to be read there, and nothing is copied.
+    `uncontended` says that its prompt is the only one that is to be read there, and nothing is copied.
     """
 
     upstream: str
     tokens: int
     new_parts: tuple[int, ...]
     sent_ms: int = 0
-    alone: bool = False
+    uncontended: bool = False
--- a/gypsumrouter/forwarding/placement.py
+++ b/gypsumrouter/forwarding/placement.py
@@ -23,21 +23,21 @@
 FETCH_TOKENS_PER_MS: Final = 40.0
 # Reading what another engine holds takes the engine five times as long as the copy and is twice as
 # dear here: more, and requests would stay at an engine that fails three of four.
-READ_AGAIN_TOKENS_PER_MS: Final = FETCH_TOKENS_PER_MS / 2
+REDUNDANT_PREFILL_TOKENS_PER_MS: Final = FETCH_TOKENS_PER_MS / 2
 # Below this a prompt is read faster than a copy is set up.
 MIN_FETCH_TOKENS: Final = 256
 # What one more running request costs the others, in each step to a first event. Reading a prompt
 # again is paid for each time, so that load counts a quarter of its time; the cap bounds the rest.
-LOAD_MS: Final = 0.5
+LOAD_COST_MS: Final = 0.5
 # What a request that waits for a slot of a plain service costs, in units of its mean service time.
-WAIT_MS: Final = 20.0
-# A prompt that nobody is known to hold goes to the first of its own stable order, where another
+QUEUED_COST_MS: Final = 20.0
+# A prompt that nobody is cached to hold goes to the first of its own stable order, where another
 # router would send it too; the others count as if they had to read it twice.
-STRANGER_SHARE: Final = 1.0
-# Where a holder is known the order only decides between equals, so that routers agree.
-KNOWN_STRANGER_SHARE: Final = 0.1
+OFF_AFFINITY_SHARE: Final = 1.0
+# Where a holder is cached the order only decides between equals, so that routers agree.
+CACHED_OFF_AFFINITY_SHARE: Final = 0.1
 # Requests and answers between data centres cost bytes; a nearer upstream wins among equals.
-FAR_MS: Final = 4.0
+REMOTE_COST_MS: Final = 4.0
 
 
 class Candidate(Struct, kw_only=True):
@@ -46,19 +46,19 @@
     `load` counts the requests that all routers have there, `own_load` those of this one.
     `pending_tokens` are the prompt tokens that wait to be read there, `missing_tokens` those of
     this prompt that it has to read, of which `fetchable_tokens` can be copied from another engine.
-    `stranger` is one that does not come first in the stable order of a prompt that nobody holds.
+    `off_affinity` is one that does not come first in the stable order of a prompt that nobody holds.
     `penalty_ms` is what its recent failures are expected to cost.
     """
 
     upstream: str
     load: int
     slots: int
-    near: bool
+    same_data_centre: bool
     own_load: int = 0
     pending_tokens: int = 0
     missing_tokens: int = 0
     fetchable_tokens: int = 0
-    stranger: bool = False
+    off_affinity: bool = False
     penalty_ms: float = 0.0
 
 
@@ -73,15 +73,15 @@
         return load + 1 <= self.factor * mean + self.slack
 
 
-class Costs(Struct, frozen=True, kw_only=True):
+class CostModel(Struct, frozen=True, kw_only=True):
     """What all candidates of one request have in common.
 
-    `stranger_ms` is added where a prompt would be a stranger, `known` says that some engine has it.
+    `off_affinity_ms` is added where a prompt would be a off_affinity, `cached` says that some engine has it.
     """
 
-    read_tokens_per_ms: float
-    stranger_ms: float
-    known: bool
+    prefill_tokens_per_ms: float
+    off_affinity_ms: float
+    cached: bool
 
 
 def choose(
@@ -90,43 +90,45 @@
     cap: Cap,
     mean: float,
     shared_tokens: int,
-    known: bool,
-    read_tokens_per_ms: float = PRIOR_TOKENS_PER_MS,
+    cached: bool,
+    prefill_tokens_per_ms: float = PRIOR_TOKENS_PER_MS,
 ) -> Candidate | None:
     """Return the cheapest candidate under the cap, or the least loaded one if none is under it.
 
-    `known` says that some upstream is known to hold the shared part of the prompt,
-    `read_tokens_per_ms` how fast engines read.
+    `cached` says that some upstream is cached to hold the shared part of the prompt,
+    `prefill_tokens_per_ms` how fast engines read.
     """
     if not candidates:
         return None
     allowed = [c for c in candidates if cap.allows(load=c.load, mean=mean)]
     if not allowed:
-        return min(candidates, key=lambda c: (c.penalty_ms + c.load * LOAD_MS, c.upstream))
-    share = KNOWN_STRANGER_SHARE if known else STRANGER_SHARE
-    costs = Costs(
-        read_tokens_per_ms=read_tokens_per_ms,
-        stranger_ms=share * shared_tokens / read_tokens_per_ms,
-        known=known,
+        return min(candidates, key=lambda c: (c.penalty_ms + c.load * LOAD_COST_MS, c.upstream))
+    share = CACHED_OFF_AFFINITY_SHARE if cached else OFF_AFFINITY_SHARE
+    costs = CostModel(
+        prefill_tokens_per_ms=prefill_tokens_per_ms,
+        off_affinity_ms=share * shared_tokens / prefill_tokens_per_ms,
+        cached=cached,
     )
-    return min(allowed, key=lambda c: (estimate_ms(c, costs), c.upstream))
+    return min(allowed, key=lambda c: (estimate_cost_ms(c, costs), c.upstream))
 
 
-def estimate_ms(candidate: Candidate, costs: Costs) -> float:
+def estimate_cost_ms(candidate: Candidate, costs: CostModel) -> float:
     """Return what a request costs at a candidate, in milliseconds of an engine's time."""
     read = candidate.missing_tokens - candidate.fetchable_tokens
-    cost = candidate.pending_tokens / costs.read_tokens_per_ms
-    cost += read / (READ_AGAIN_TOKENS_PER_MS if costs.known else costs.read_tokens_per_ms)
+    cost = candidate.pending_tokens / costs.prefill_tokens_per_ms
+    cost += read / (
+        REDUNDANT_PREFILL_TOKENS_PER_MS if costs.cached else costs.prefill_tokens_per_ms
+    )
     if candidate.fetchable_tokens:
         cost += FETCH_SETUP_MS + candidate.fetchable_tokens / FETCH_TOKENS_PER_MS
-    if candidate.stranger:
-        cost += costs.stranger_ms
-    cost += candidate.load * LOAD_MS
+    if candidate.off_affinity:
+        cost += costs.off_affinity_ms
+    cost += candidate.load * LOAD_COST_MS
     waiting = candidate.load + 1 - candidate.slots
     if waiting > 0:
-        cost += waiting * WAIT_MS
-    if not candidate.near:
-        cost += FAR_MS
+        cost += waiting * QUEUED_COST_MS
+    if not candidate.same_data_centre:
+        cost += REMOTE_COST_MS
     return cost + candidate.penalty_ms
 
 
@@ -148,7 +150,7 @@
 
 def _count_own(candidate: Candidate) -> int:
     """Return this router's requests there; what failed there counts as some more of them."""
-    return candidate.own_load + int(candidate.penalty_ms / WAIT_MS)
+    return candidate.own_load + int(candidate.penalty_ms / QUEUED_COST_MS)
 
 
 def choose_by_affinity(upstreams: Iterable[str], *, affinity: int) -> str:
--- a/gypsumrouter/forwarding/plain_admission.py
+++ b/gypsumrouter/forwarding/plain_admission.py
@@ -5,10 +5,15 @@
 from collections.abc import Callable, Collection
 
 from gypsumrouter.directory import Entry
-from gypsumrouter.forwarding.eligibility import NoPlace, make_hopeless
-from gypsumrouter.forwarding.placed import Placed
+from gypsumrouter.forwarding.eligibility import PlacementRefusal, make_late_refusal
+from gypsumrouter.forwarding.placed import Placement
 from gypsumrouter.forwarding.placement import Candidate
-from gypsumrouter.forwarding.service_time import EXPECTED_SHARE, FairShare, ServiceTimes, expect_ms
+from gypsumrouter.forwarding.service_time import (
+    MAX_TIME_SHARE,
+    AdmissionPermits,
+    ServiceTimes,
+    estimate_response_ms,
+)
 
 
 class PlainAdmission:
@@ -18,12 +23,12 @@
     serve, whatever it believes of their queues. `count_routers` is how many routers share it.
     """
 
-    __slots__ = ("_count_routers", "_fair_share", "_times")
+    __slots__ = ("_count_routers", "_permits", "_times")
 
     def __init__(self, *, count_routers: Callable[[], int]) -> None:
         self._count_routers = count_routers
         self._times = ServiceTimes()
-        self._fair_share = FairShare()
+        self._permits = AdmissionPermits()
 
     def admit(
         self,
@@ -33,18 +38,18 @@
         chosen: Candidate,
         limit_ms: int,
         now_ms: int,
-    ) -> NoPlace | None:
+    ) -> PlacementRefusal | None:
         """Count a request that is taken on; return the refusal of one that is not.
 
         `entries` are the upstreams that may get it, `limit_ms` is how much time it has.
         """
-        late_ms = self._expect_late_ms(service, chosen, limit_ms)
-        if not self._has_part(service, entries, now_ms) and late_ms > 0:
-            return make_hopeless(late_ms)
-        self._fair_share.spend(service)
+        lateness_ms = self._estimate_lateness_ms(service, chosen, limit_ms)
+        if not self._has_permit(service, entries, now_ms) and lateness_ms > 0:
+            return make_late_refusal(lateness_ms)
+        self._permits.spend(service)
         return None
 
-    def note_answered(self, placed: Placed, *, elapsed_ms: int) -> None:
+    def note_answered(self, placed: Placement, *, elapsed_ms: int) -> None:
         """Note a whole answer."""
         entry = placed.entry
         self._times.note(
@@ -59,7 +64,7 @@
         """Forget an upstream that ended."""
         self._times.forget(upstream)
 
-    def _has_part(self, service: str, entries: Collection[Entry], now_ms: int) -> bool:
+    def _has_permit(self, service: str, entries: Collection[Entry], now_ms: int) -> bool:
         """Return whether this router has a part left of what a service's upstreams serve."""
         served_per_ms = 0.0
         for entry in entries:
@@ -67,12 +72,14 @@
             if service_ms:
                 served_per_ms += entry.slots / service_ms
         per_ms = served_per_ms / self._count_routers()
-        return self._fair_share.has_left(service, per_ms=per_ms, now_ms=now_ms)
+        return self._permits.has_permit(service, per_ms=per_ms, now_ms=now_ms)
 
-    def _expect_late_ms(self, service: str, chosen: Candidate, limit_ms: int) -> float:
+    def _estimate_lateness_ms(self, service: str, chosen: Candidate, limit_ms: int) -> float:
         """Return by how much the answer is expected later than it is worth waiting for."""
         service_ms = self._times.get(service=service, upstream=chosen.upstream)
         if service_ms is None or chosen.load < chosen.slots:
             return 0.0
-        expected_ms = expect_ms(load=chosen.load, slots=chosen.slots, service_ms=service_ms)
-        return expected_ms - limit_ms * EXPECTED_SHARE
+        expected_ms = estimate_response_ms(
+            load=chosen.load, slots=chosen.slots, service_ms=service_ms
+        )
+        return expected_ms - limit_ms * MAX_TIME_SHARE
--- a/gypsumrouter/forwarding/reading.py
+++ b/gypsumrouter/forwarding/reading.py
@@ -26,7 +26,7 @@
 OUTLIER_FACTOR: Final = 2.0
 
 
-class ReadingSpeed:
+class PrefillSpeed:
     """The estimate of one router; `tokens_per_ms` is what its decisions use."""
 
     __slots__ = ("_base_ms", "_ms_per_token")
--- a/gypsumrouter/forwarding/rests.py
+++ b/gypsumrouter/forwarding/rests.py
@@ -15,7 +15,7 @@
 MAX_REST_MS: Final = 600_000
 
 
-class RestBook:
+class BackoffTracker:
     """Until when each upstream is to be left alone by this router; other routers have their own."""
 
     __slots__ = ("_clock", "_journal", "_until_ms")
@@ -25,23 +25,23 @@
         self._journal = journal
         self._until_ms: dict[str, int] = {}
 
-    def note(self, upstream: str, *, rest_ms: int) -> None:
+    def note(self, upstream: str, *, backoff_ms: int) -> None:
         """Note that an upstream wants nothing for so long; a shorter word shortens no earlier one.
 
         Answers of requests that were under way together come in any order.
         """
-        rest_ms = min(rest_ms, MAX_REST_MS)
-        until_ms = self._clock.now_ms() + rest_ms
+        backoff_ms = min(backoff_ms, MAX_REST_MS)
+        until_ms = self._clock.now_ms() + backoff_ms
         if until_ms <= self._until_ms.get(upstream, 0):
             return
         self._until_ms[upstream] = until_ms
-        self._journal.record(UpstreamResting(upstream=upstream, rest_ms=rest_ms))
+        self._journal.record(UpstreamResting(upstream=upstream, rest_ms=backoff_ms))
 
-    def is_resting(self, upstream: str) -> bool:
+    def is_backing_off(self, upstream: str) -> bool:
         """Return whether an upstream is to be left alone now."""
-        return self.get_left_ms(upstream) > 0
+        return self.get_remaining_ms(upstream) > 0
 
-    def get_left_ms(self, upstream: str) -> int:
+    def get_remaining_ms(self, upstream: str) -> int:
         """Return for how much longer an upstream is to be left alone."""
         until_ms = self._until_ms.get(upstream)
         return 0 if until_ms is None else max(0, until_ms - self._clock.now_ms())
--- a/gypsumrouter/forwarding/run.py
+++ b/gypsumrouter/forwarding/run.py
@@ -20,7 +20,7 @@
     RETURN_MS,
     SILENCE_FACTOR,
 )
-from gypsumrouter.forwarding.eligibility import NoPlace
+from gypsumrouter.forwarding.eligibility import PlacementRefusal
 from gypsumrouter.forwarding.models import (
     Begun,
     CallerRequest,
@@ -40,12 +40,12 @@
     decide,
     decide_after_run,
 )
-from gypsumrouter.forwarding.placed import Placed
+from gypsumrouter.forwarding.placed import Placement
 from gypsumrouter.forwarding.placer import Placer
 from gypsumrouter.forwarding.progress import Progress
 from gypsumrouter.forwarding.relay import Relay, RelayEnd
 from gypsumrouter.forwarding.story import RequestStory
-from gypsumrouter.forwarding.suspects import Suspects, make_digest
+from gypsumrouter.forwarding.suspects import SuspectTracker, make_digest
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
@@ -61,7 +61,7 @@
     placer: Placer
     connections: UpstreamConnections
     budget: RetryBudget
-    suspects: Suspects
+    suspects: SuspectTracker
     without: frozenset[Mechanism] = frozenset()
 
 
@@ -127,22 +127,22 @@
             placed = self._parts.placer.place(
                 service=self._service,
                 prompt=self._request.prompt,
-                passed_over=self.progress.passed_over,
+                excluded=self.progress.passed_over,
                 limit_ms=self._get_limit_ms(),
             )
-            if isinstance(placed, NoPlace):
+            if isinstance(placed, PlacementRefusal):
                 return self._give_up(placed.reason, placed.message, placed.not_before_ms)
             response = await self._async_attempt(placed)
             if response is not None:
                 return response
 
-    async def _async_attempt(self, placed: Placed) -> web.StreamResponse | None:
+    async def _async_attempt(self, placed: Placement) -> web.StreamResponse | None:
         """Try one upstream; None asks for another one."""
         progress = self.progress
         progress.attempts += 1
         progress.upstream = placed.entry.incarnation
         loads = self._parts.placer.loads
-        peers_age_ms = loads.oldest_news_ms(now_ms=self._now_ms())
+        peers_age_ms = loads.get_oldest_peer_age_ms(now_ms=self._now_ms())
         self._story.note_placed(placed, attempt=progress.attempts, peers_age_ms=peers_age_ms)
         attempt = Attempt(
             connections=self._parts.connections,
@@ -150,7 +150,7 @@
             request=self._request,
             sending=self._make_sending(placed),
             entry=placed.entry,
-            take_words=self._parts.placer.take_words,
+            take_words=self._parts.placer.apply_answer_facts,
         )
         started_ms = self._now_ms()
         outcome: Outcome | None = None
@@ -158,7 +158,7 @@
         sent = self._parts.placer.note_sent(placed, self._request.prompt)
         try:
             outcome = await self._async_send(attempt)
-            self._parts.placer.note_ended(sent)
+            self._parts.placer.note_prefilled(sent)
             self._note_time(placed, outcome, self._now_ms() - started_ms)
             if isinstance(outcome, Begun):
                 self._parts.placer.note_first_event(sent)
@@ -178,7 +178,7 @@
         progress.in_doubt = False
         return response
 
-    def _note_time(self, placed: Placed, outcome: Outcome, elapsed_ms: int) -> None:
+    def _note_time(self, placed: Placement, outcome: Outcome, elapsed_ms: int) -> None:
         """Learn how long a plain upstream takes."""
         if self._request.prompt is not None or not isinstance(outcome, Whole):
             return
@@ -225,7 +225,7 @@
             case Whole(status=status) if status < STATUS_SERVER_ERROR:
                 self._note_good(upstream)
             case Whole(status=status):
-                self._parts.placer.health.note_failed(upstream, reason=f"status {status}")
+                self._parts.placer.health.note_failure(upstream, reason=f"status {status}")
                 self.progress.kept_answer = outcome
                 self._note_ran(upstream)
         return outcome
@@ -234,19 +234,19 @@
         if outcome.stranger:
             self._parts.placer.health.note_unreachable(upstream, reason="another upstream is there")
         else:
-            self._parts.placer.health.note_failed(upstream, reason="turned away")
+            self._parts.placer.health.note_failure(upstream, reason="turned away")
         self.progress.turned_away += 1
         self.progress.passed_over.add(upstream)
 
     def _note_lost(self, upstream: str, outcome: Lost) -> None:
-        self._parts.placer.health.note_failed(upstream, reason=outcome.reason)
+        self._parts.placer.health.note_failure(upstream, reason=outcome.reason)
         if outcome.broken:
-            self._parts.suspects.note_broken(self._digest, upstream)
+            self._parts.suspects.note_crash(self._digest, upstream)
         self._note_ran(upstream)
 
     def _note_good(self, upstream: str) -> None:
-        self._parts.placer.health.note_good(upstream)
-        self._parts.suspects.note_good(self._digest)
+        self._parts.placer.health.note_success(upstream)
+        self._parts.suspects.note_success(self._digest)
 
     def _note_ran(self, upstream: str) -> None:
         self.progress.ran_on.append(upstream)
@@ -295,7 +295,7 @@
             repeatable=route.repeatable and Mechanism.SECOND_TRIES not in self._parts.without,
             max_attempts=route.max_attempts,
             left_ms=self._left_ms(),
-            take_retry=lambda: self._parts.budget.take(self._service),
+            take_retry=lambda: self._parts.budget.try_acquire(self._service),
         )
 
     def _is_suspect(self) -> bool:
@@ -369,7 +369,7 @@
         patience = max(MIN_SILENCE_MS, int(route.target_ms * SILENCE_FACTOR))
         return max(1, min(patience, self._left_ms() // 2))
 
-    def _make_sending(self, placed: Placed) -> Sending:
+    def _make_sending(self, placed: Placement) -> Sending:
         return Sending(
             upstream=placed.entry.upstream,
             workspace=self._routed.workspace,
--- a/gypsumrouter/forwarding/service_time.py
+++ b/gypsumrouter/forwarding/service_time.py
@@ -10,14 +10,14 @@
 from typing import Final
 
 # The weight of a new answer in what is expected of the next ones.
-WEIGHT: Final = 0.2
+EWMA_WEIGHT: Final = 0.2
 # One answer that took longer than this many times the usual is an outlier.
-MAX_STRETCH: Final = 3.0
+OUTLIER_FACTOR: Final = 3.0
 # The part of a request's time that its expected answer may take: service times spread, and callers
 # that were refused before have less left than the target.
-EXPECTED_SHARE: Final = 0.6
+MAX_TIME_SHARE: Final = 0.6
 # Requests that a router may save up of its part.
-MAX_SAVED: Final = 2.0
+MAX_SAVED_PERMITS: Final = 2.0
 
 
 class ServiceTimes:
@@ -31,27 +31,27 @@
 
     def note(self, *, service: str, upstream: str, load: int, slots: int, elapsed_ms: int) -> None:
         """Note an answer; `load` is what its upstream was believed to have before it."""
-        taken_ms = elapsed_ms / (1 + get_wait_share(load=load, slots=slots))
-        known_ms = self.get(service=service, upstream=upstream)
-        if known_ms is None:
-            self._by_service[service] = self._by_upstream[upstream] = taken_ms
+        service_ms = elapsed_ms / (1 + get_queue_factor(load=load, slots=slots))
+        current_ms = self.get(service=service, upstream=upstream)
+        if current_ms is None:
+            self._by_service[service] = self._by_upstream[upstream] = service_ms
             return
-        taken_ms = min(taken_ms, MAX_STRETCH * known_ms)
-        self._by_upstream[upstream] = known_ms + WEIGHT * (taken_ms - known_ms)
+        service_ms = min(service_ms, OUTLIER_FACTOR * current_ms)
+        self._by_upstream[upstream] = current_ms + EWMA_WEIGHT * (service_ms - current_ms)
         mean_ms = self._by_service[service]
-        self._by_service[service] = mean_ms + WEIGHT * (taken_ms - mean_ms)
+        self._by_service[service] = mean_ms + EWMA_WEIGHT * (service_ms - mean_ms)
 
     def get(self, *, service: str, upstream: str) -> float | None:
         """Return the time of an upstream, of its service where it has not answered yet."""
-        known_ms = self._by_upstream.get(upstream)
-        return self._by_service.get(service) if known_ms is None else known_ms
+        current_ms = self._by_upstream.get(upstream)
+        return self._by_service.get(service) if current_ms is None else current_ms
 
     def forget(self, upstream: str) -> None:
         """Forget an upstream that ended."""
         self._by_upstream.pop(upstream, None)
 
 
-class FairShare:
+class AdmissionPermits:
     """This router's part of what the upstreams of each service can take on.
 
     Loads that peers tell are old: where they alone decide, all routers refuse for as long as the
@@ -59,30 +59,30 @@
     part of what they serve.
     """
 
-    __slots__ = ("_filled_ms", "_left")
+    __slots__ = ("_filled_ms", "_permits")
 
     def __init__(self) -> None:
-        self._left: dict[str, float] = {}
+        self._permits: dict[str, float] = {}
         self._filled_ms: dict[str, int] = {}
 
-    def has_left(self, service: str, *, per_ms: float, now_ms: int) -> bool:
+    def has_permit(self, service: str, *, per_ms: float, now_ms: int) -> bool:
         """Return whether a request is left of the part, which grows by `per_ms`."""
         grown = (now_ms - self._filled_ms.get(service, now_ms)) * per_ms
         self._filled_ms[service] = now_ms
-        left = min(MAX_SAVED, self._left.get(service, MAX_SAVED) + grown)
-        self._left[service] = left
+        left = min(MAX_SAVED_PERMITS, self._permits.get(service, MAX_SAVED_PERMITS) + grown)
+        self._permits[service] = left
         return left >= 1
 
     def spend(self, service: str) -> None:
         """Count a request that is taken on, whether or not one was left."""
-        self._left[service] = max(0.0, self._left.get(service, MAX_SAVED) - 1)
+        self._permits[service] = max(0.0, self._permits.get(service, MAX_SAVED_PERMITS) - 1)
 
 
-def get_wait_share(*, load: int, slots: int) -> float:
+def get_queue_factor(*, load: int, slots: int) -> float:
     """Return how long a request waits for a slot, in units of the service time."""
     return max(0, load + 1 - slots) / slots
 
 
-def expect_ms(*, load: int, slots: int, service_ms: float) -> float:
+def estimate_response_ms(*, load: int, slots: int, service_ms: float) -> float:
     """Return when the answer of an upstream is expected that has `load` requests already."""
-    return service_ms * (1 + get_wait_share(load=load, slots=slots))
+    return service_ms * (1 + get_queue_factor(load=load, slots=slots))
--- a/gypsumrouter/forwarding/story.py
+++ b/gypsumrouter/forwarding/story.py
@@ -13,7 +13,7 @@
     TurnedAway,
     Whole,
 )
-from gypsumrouter.forwarding.placed import Placed
+from gypsumrouter.forwarding.placed import Placement
 from gypsumrouter.journal import (
     AttemptEnded,
     AttemptSent,
@@ -47,7 +47,7 @@
         self._configuration = configuration
         self._list_revision = list_revision
 
-    def note_placed(self, placed: Placed, *, attempt: int, peers_age_ms: int) -> None:
+    def note_placed(self, placed: Placement, *, attempt: int, peers_age_ms: int) -> None:
         """Tell which upstream was chosen, and by what."""
         self._journal.record(
             RequestPlaced(
--- a/gypsumrouter/forwarding/suspects.py
+++ b/gypsumrouter/forwarding/suspects.py
@@ -20,13 +20,13 @@
 # A content that broke this many upstreams, and never succeeded, is not sent to another.
 MAX_STRIKES: Final = 3
 # How long strikes and successes are remembered: callers repeat within seconds.
-REMEMBERED_MS: Final = 120_000
+STRIKE_TTL_MS: Final = 120_000
 MAX_DIGESTS: Final = 5_000
 
 StrikeListener = Callable[[int, str], None]
 
 
-class Suspects:
+class SuspectTracker:
     """Counts, for each content, the different upstreams that broke off while they ran it."""
 
     __slots__ = ("_app", "_cleared", "_journal", "_listeners", "_strikes")
@@ -44,27 +44,27 @@
 
     def is_suspect(self, digest: int) -> bool:
         """Return whether a content must not be sent to a further upstream."""
-        since_ms = self._app.clock.now_ms() - REMEMBERED_MS
+        since_ms = self._app.clock.now_ms() - STRIKE_TTL_MS
         struck = self._strikes.get(digest, {})
         return sum(noted_ms >= since_ms for noted_ms in struck.values()) >= MAX_STRIKES
 
-    def note_broken(self, digest: int, upstream: str) -> None:
+    def note_crash(self, digest: int, upstream: str) -> None:
         """Note that an upstream broke off while it ran this content."""
-        if self.take(digest, upstream, source="own"):
+        if self.add_strike(digest, upstream, source="own"):
             for listener in self._listeners:
                 listener(digest, upstream)
 
-    def note_good(self, digest: int) -> None:
+    def note_success(self, digest: int) -> None:
         """Note that this content was answered: it breaks nothing."""
         self._strikes.pop(digest, None)
         self._cleared[digest] = self._app.clock.now_ms()
         if len(self._cleared) > MAX_DIGESTS:
             self._cleared.popitem(last=False)
 
-    def take(self, digest: int, upstream: str, *, source: str) -> bool:
+    def add_strike(self, digest: int, upstream: str, *, source: str) -> bool:
         """Take a strike, also from a peer; return whether it is news."""
         now_ms = self._app.clock.now_ms()
-        if now_ms - self._cleared.get(digest, -REMEMBERED_MS) < REMEMBERED_MS:
+        if now_ms - self._cleared.get(digest, -STRIKE_TTL_MS) < STRIKE_TTL_MS:
             return False
         struck = self._strikes.setdefault(digest, {})
         if upstream in struck:
--- a/gypsumrouter/peers/held.py
+++ b/gypsumrouter/peers/held.py
@@ -10,7 +10,7 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.core import Application
-from gypsumrouter.forwarding.holdings import Holdings
+from gypsumrouter.forwarding.holdings import CacheIndex
 from gypsumrouter.journal import HeldPartsTold, Journal
 from gypsumrouter.link import HeldAt, HeldNews, HeldWanted, Notice, NoticeHub, Peer
 
@@ -59,7 +59,7 @@
         app: Application,
         journal: Journal,
         notices: NoticeHub,
-        holdings: Holdings,
+        holdings: CacheIndex,
         own: Callable[[], str],
         list_seeds: Callable[[], tuple[str, ...]],
         send: SendTo,
@@ -181,7 +181,7 @@
 
     def _make_news(self, *, only: set[str] | None = None) -> HeldNews:
         """Return what all engines hold, or what `only` those hold of which all is known."""
-        held = self._holdings.list_held(now_ms=self._app.clock.now_ms())
+        held = self._holdings.list_cached(now_ms=self._app.clock.now_ms())
         engines = tuple(
             HeldAt(upstream=name, parts=parts)
             for name, parts in held.items()
@@ -193,7 +193,7 @@
         now_ms = self._app.clock.now_ms()
         for engine in news.engines:
             for part in engine.parts:
-                self._holdings.note_held(part=part, upstream=engine.upstream, now_ms=now_ms)
+                self._holdings.note_cached(part=part, upstream=engine.upstream, now_ms=now_ms)
             self._listed.add(engine.upstream)
             self._told(engine.upstream)
         self._journal.record(
--- a/gypsumrouter/peers/loads.py
+++ b/gypsumrouter/peers/loads.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Iterable
 
-from gypsumrouter.forwarding.loads import LoadBook, PeerLoads, UpstreamLoad
+from gypsumrouter.forwarding.loads import LoadTracker, PeerLoads, UpstreamLoad
 from gypsumrouter.link import DataCentreLoads, RouterLoad, RouterNews
 
 
-def write_loads(book: LoadBook) -> tuple[RouterLoad, ...]:
+def write_loads(book: LoadTracker) -> tuple[RouterLoad, ...]:
     """Return a router's own counts for its news."""
-    return _write(book.own())
+    return _write(book.get_own_loads())
 
 
-def write_sums(book: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
+def write_sums(book: LoadTracker, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
     """Return the counts of a router and of some of its peers together."""
-    return _write(book.add_up_peers(peers))
+    return _write(book.sum_with_peers(peers))
 
 
 def read_loads(news: RouterNews, *, now_ms: int) -> PeerLoads:
@@ -37,7 +37,7 @@
 
 def _read(loads: tuple[RouterLoad, ...], now_ms: int) -> PeerLoads:
     return PeerLoads(
-        heard_ms=now_ms,
+        received_ms=now_ms,
         loads={
             load.upstream: UpstreamLoad(running=load.running, pending_tokens=load.pending_tokens)
             for load in loads
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -149,15 +149,15 @@
             app=app,
             journal=journal,
             notices=notices,
-            holdings=forwarder.placer.holdings,
+            holdings=forwarder.placer.cache_index,
             own=lambda: self._routers.own,
             list_seeds=self._list_seeds,
             send=self._async_send,
         )
         self._without = settings.without
         if Mechanism.TOLD_INVENTORY not in settings.without:
-            forwarder.inventory.take_peers(self._held)
-        forwarder.placer.slow_start.take_fleet(self._routers)
+            forwarder.inventory.set_peers(self._held)
+        forwarder.placer.slow_start.set_fleet(self._routers)
         notices.subscribe(RouterNews, self._take_news)
         forwarder.placer.on_placed(self._note_placed)
         forwarder.suspects.on_strike(self._note_strike)
@@ -242,7 +242,7 @@
             loads=write_loads(placer.loads),
             placed=placed,
             strikes=self._outbox.strikes(now_ms=self._app.clock.now_ms()),
-            refused=placer.health.list_refused(),
+            refused=placer.health.list_refusals(),
         )
 
     def _list_routers(self, known: KnownRouter) -> tuple[RouterAt, ...]:
@@ -293,15 +293,15 @@
     def _take_loads(self, peer: Peer, news: RouterNews, now_ms: int) -> None:
         placer = self._forwarder.placer
         if Mechanism.PEER_LOADS not in self._without:
-            placer.loads.take_peer(peer.hello.name, read_loads(news, now_ms=now_ms))
+            placer.loads.set_peer_loads(peer.hello.name, read_loads(news, now_ms=now_ms))
         placed = self._list_placed(news)
         for part in placed:
-            placer.holdings.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
-        placer.take_refused(news.refused)
+            placer.cache_index.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
+        placer.apply_peer_refusals(news.refused)
         self._relays.note_refused(news.refused)
         self._relays.note_placed(placed)
         for strike in news.strikes:
-            if self._forwarder.suspects.take(
+            if self._forwarder.suspects.add_strike(
                 strike.digest, strike.upstream, source=peer.hello.name
             ):
                 self._relays.note_strike(strike)
--- a/gypsumrouter/peers/relays.py
+++ b/gypsumrouter/peers/relays.py
@@ -17,7 +17,7 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.suspects import Suspects
+from gypsumrouter.forwarding.suspects import SuspectTracker
 from gypsumrouter.link import (
     DataCentreLoads,
     DataCentreNews,
@@ -83,7 +83,7 @@
         directory: Directory,
         evacuations: Evacuations,
         placer: Placer,
-        suspects: Suspects,
+        suspects: SuspectTracker,
         catch_up: CatchUpDesk,
         notices: NoticeHub,
         send: SendTo,
@@ -96,7 +96,7 @@
         self._evacuations = evacuations
         self._placer = placer
         self._loads = placer.loads
-        self._holdings = placer.holdings
+        self._holdings = placer.cache_index
         self._suspects = suspects
         self._catch_up = catch_up
         self._send = send
@@ -200,7 +200,7 @@
             placed=placed,
             strikes=self._far.strikes(now_ms=self._app.clock.now_ms()),
             evacuations=write_evacuations(self._evacuations),
-            refused=tuple(self._far_refused.keys() | self._placer.health.list_refused()),
+            refused=tuple(self._far_refused.keys() | self._placer.health.list_refusals()),
         )
 
     def _list_routers(self, name: str, neighbours: dict[str, KnownRouter]) -> tuple[str, ...]:
@@ -220,7 +220,7 @@
         self._take_loads(loads, relay=news.address)
         self._heard[loads.data_centre] = loads
         self._catch_up.take_evacuations(peer, news.evacuations)
-        self._placer.take_refused(news.refused)
+        self._placer.apply_peer_refusals(news.refused)
         self._near_refused.update(news.refused)
         for part in self._take_placed(news.placed):
             self._near.add_part(part)
@@ -239,7 +239,7 @@
             if loads.data_centre != self._app.data_centre:
                 self._take_loads(loads)
         self._take_placed(news.placed)
-        self._placer.take_refused(news.refused)
+        self._placer.apply_peer_refusals(news.refused)
         self._take_strikes(peer, news.strikes)
 
     def _take_loads(self, loads: DataCentreLoads, *, relay: str = "") -> None:
@@ -249,7 +249,7 @@
         if Mechanism.PEER_LOADS in self._without:
             return
         told = read_sums(loads, now_ms=self._app.clock.now_ms())
-        self._loads.take_peer(_name_sums(loads.data_centre), told)
+        self._loads.set_peer_loads(_name_sums(loads.data_centre), told)
 
     def _take_placed(self, placed: tuple[PlacedPart, ...]) -> tuple[PlacedPart, ...]:
         if Mechanism.PEER_PLACEMENTS in self._without:
@@ -262,7 +262,7 @@
     def _take_strikes(self, peer: Peer, strikes: tuple[Strike, ...]) -> list[Strike]:
         """Return the strikes that are news here."""
         name = peer.hello.name
-        return [s for s in strikes if self._suspects.take(s.digest, s.upstream, source=name)]
+        return [s for s in strikes if self._suspects.add_strike(s.digest, s.upstream, source=name)]
 
     def _hand_on(self) -> None:
         """Tell the neighbours what was heard of other data centres since the last time."""
--- a/gypsumrouter/platform/engines.py
+++ b/gypsumrouter/platform/engines.py
@@ -4,12 +4,12 @@
 
 import json
 
-from gypsumrouter.forwarding.inventory import HeldList, HeldPart
+from gypsumrouter.forwarding.inventory import CachedPart, CacheListing
 from gypsumrouter.helpers.http_connection import ConnectionBroken, HttpConnection
 from gypsumrouter.platform import names
 
 
-async def async_list_held(connection: HttpConnection) -> HeldList:
+async def async_list_held(connection: HttpConnection) -> CacheListing:
     """Return what an engine's cache holds; raises ConnectionBroken for anything that is no list."""
     head = f"GET {names.CALL_HELD} HTTP/1.1\r\nHost: {connection.address}\r\n\r\n"
     connection.begin(method="GET", data=head.encode())
@@ -21,12 +21,12 @@
         document = json.loads(body)
         # Each entry is a list: an empty text, the part's id, its tokens, its model.
         parts = tuple(
-            HeldPart(part=int(part, 16) & names.MASK_64, tokens=int(tokens))
+            CachedPart(part=int(part, 16) & names.MASK_64, tokens=int(tokens))
             for _, part, tokens, _ in document["held"]
         )
-        return HeldList(
+        return CacheListing(
             parts=parts,
-            born_ms=int(document.get("born", 0)),
+            started_ms=int(document.get("born", 0)),
             leaving=names.says_leaving(answer.get(names.SERVER_LEAVING)),
         )
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
--- a/tests/forwarding/test_forwarding_eligibility.py
+++ b/tests/forwarding/test_forwarding_eligibility.py
@@ -7,13 +7,13 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations, Record
-from gypsumrouter.forwarding.eligibility import NoPlace
-from gypsumrouter.forwarding.health import HealthBook
+from gypsumrouter.forwarding.eligibility import PlacementRefusal
+from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.models import Prompt, PromptPart
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SETTLE_MS, WINDOW_MS, SlowStartBook
+from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.slow_start import SETTLE_MS, WINDOW_MS, SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
@@ -51,15 +51,15 @@
         journal = Journal(app=app)
         self.directory = Directory(app=app, journal=journal)
         self.evacuations = Evacuations(app=app, journal=journal)
-        self.health = HealthBook(clock=self.clock, journal=journal)
-        slow_start = SlowStartBook(clock=self.clock, journal=journal, factor=FACTOR, slack=SLACK)
-        slow_start.take_table(make_table())
+        self.health = HealthTracker(clock=self.clock, journal=journal)
+        slow_start = SlowStartLimiter(clock=self.clock, journal=journal, factor=FACTOR, slack=SLACK)
+        slow_start.set_table(make_table())
         self.placer = Placer(
             app=app,
             directory=self.directory,
             cap=Cap(factor=2.0, slack=1_000.0),
             health=self.health,
-            rests=RestBook(clock=self.clock, journal=journal),
+            backoffs=BackoffTracker(clock=self.clock, journal=journal),
             evacuations=self.evacuations,
             slow_start=slow_start,
             without=without,
@@ -94,8 +94,8 @@
         """Place and send requests; return where they went, refused ones by their reason."""
         places = []
         for _ in range(count):
-            placed = self.placer.place(service=SERVICE, prompt=prompt, passed_over=())
-            if isinstance(placed, NoPlace):
+            placed = self.placer.place(service=SERVICE, prompt=prompt, excluded=())
+            if isinstance(placed, PlacementRefusal):
                 places.append(placed.reason.value)
                 continue
             self.placer.note_sent(placed, prompt)
@@ -134,8 +134,8 @@
     places = router.send(60, prompt=None)
     assert all(places.count(name) == SHARE for name in router.names)
     assert places.count(Reason.WARMING_UP.value) == 60 - 6 * SHARE
-    refused = router.placer.place(service=SERVICE, prompt=None, passed_over=())
-    assert isinstance(refused, NoPlace)
+    refused = router.placer.place(service=SERVICE, prompt=None, excluded=())
+    assert isinstance(refused, PlacementRefusal)
     assert refused.not_before_ms == WINDOW_MS
     router.clock.advance(WINDOW_MS)
     assert Reason.WARMING_UP.value not in router.send(6 * SHARE, prompt=None)
@@ -178,7 +178,7 @@
 
 def test_an_engine_that_refused_a_peer_is_left_alone_and_taken_for_one_that_starts() -> None:
     router = Router()
-    router.placer.take_refused(["i-0", "i-9"])
+    router.placer.apply_peer_refusals(["i-0", "i-9"])
     assert "i-0" not in router.send(60, prompt=None)
     router.clock.advance(1_000)
     assert not router.health.is_down("i-0")
@@ -187,7 +187,7 @@
 
 def test_an_upstream_that_wants_a_rest_gets_nothing_until_it_is_over() -> None:
     router = Router()
-    router.placer.rests.note("i-0", rest_ms=2_000)
+    router.placer.backoffs.note("i-0", backoff_ms=2_000)
     assert "i-0" not in router.send(60)
     router.clock.advance(1_999)
     assert "i-0" not in router.send(60)
@@ -197,27 +197,27 @@
 
 def test_a_shorter_word_on_a_rest_does_not_end_an_earlier_one() -> None:
     router = Router()
-    router.placer.rests.note("i-0", rest_ms=2_000)
-    router.placer.rests.note("i-0", rest_ms=500)
+    router.placer.backoffs.note("i-0", backoff_ms=2_000)
+    router.placer.backoffs.note("i-0", backoff_ms=500)
     router.clock.advance(1_999)
     assert "i-0" not in router.send(60)
-    router.placer.rests.note("i-0", rest_ms=500)
-    assert router.placer.rests.get_left_ms("i-0") == 500
+    router.placer.backoffs.note("i-0", backoff_ms=500)
+    assert router.placer.backoffs.get_remaining_ms("i-0") == 500
 
 
 def test_where_all_left_want_a_rest_the_first_end_is_when_to_come_back() -> None:
     router = Router()
     for number, name in enumerate(router.names):
-        router.placer.rests.note(name, rest_ms=1_000 + number * 100)
-    placed = router.placer.place(service=SERVICE, prompt=PROMPT, passed_over=("i-0",))
-    assert isinstance(placed, NoPlace)
+        router.placer.backoffs.note(name, backoff_ms=1_000 + number * 100)
+    placed = router.placer.place(service=SERVICE, prompt=PROMPT, excluded=("i-0",))
+    assert isinstance(placed, PlacementRefusal)
     assert placed.reason is Reason.UPSTREAMS_REST
     assert placed.not_before_ms == 1_100
 
 
 def test_an_upstream_that_rests_is_not_asked_even_where_all_others_are_down() -> None:
     router = Router()
-    router.placer.rests.note("i-0", rest_ms=1_000)
+    router.placer.backoffs.note("i-0", backoff_ms=1_000)
     for name in router.names[1:]:
         router.health.note_unreachable(name, reason="test", refused=True)
     assert "i-0" not in router.send(60)
@@ -225,7 +225,7 @@
 
 def test_a_rest_outlives_a_lapse_of_the_entry_and_ends_with_a_new_start() -> None:
     router = Router()
-    router.placer.rests.note("i-0", rest_ms=60_000)
+    router.placer.backoffs.note("i-0", backoff_ms=60_000)
     gone = Record(revision=50, entry=Entry(upstream="i-0", state=EntryState.GONE))
     router.directory.merge(gone, source="test")
     router.placer.sweep()
@@ -247,9 +247,9 @@
 
 def test_rests_that_are_over_are_forgotten() -> None:
     router = Router()
-    router.placer.rests.note("i-0", rest_ms=1_000)
-    router.placer.rests.note("i-1", rest_ms=3_000)
+    router.placer.backoffs.note("i-0", backoff_ms=1_000)
+    router.placer.backoffs.note("i-1", backoff_ms=3_000)
     router.clock.advance(2_000)
     router.placer.sweep()
-    assert not router.placer.rests.is_resting("i-0")
-    assert router.placer.rests.get_left_ms("i-1") == 1_000
+    assert not router.placer.backoffs.is_backing_off("i-0")
+    assert router.placer.backoffs.get_remaining_ms("i-1") == 1_000
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -16,8 +16,8 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Entry
 from gypsumrouter.forwarding import handler, holdings
-from gypsumrouter.forwarding.holdings import Holdings
-from gypsumrouter.forwarding.inventory import HeldList, Inventory
+from gypsumrouter.forwarding.holdings import CacheIndex
+from gypsumrouter.forwarding.inventory import CacheInventory, CacheListing
 from gypsumrouter.journal import Journal
 from gypsumrouter.link import HeldAt, HeldNews, Notice, NoticeHub, Peer
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
@@ -37,14 +37,14 @@
     def __init__(self) -> None:
         self.hubs: dict[str, NoticeHub] = {}
         self.desks: dict[str, HeldDesk] = {}
-        self.holdings: dict[str, Holdings] = {}
+        self.holdings: dict[str, CacheIndex] = {}
         self.refused: set[tuple[str, str]] = set()
 
     def add(self, address: str) -> HeldDesk:
         """Start a router."""
         app = Application(name=address, role=Role.FORWARDER, data_centre="a", region="r")
         hub = self.hubs[address] = NoticeHub()
-        own_holdings = self.holdings[address] = Holdings()
+        own_holdings = self.holdings[address] = CacheIndex()
         desk = self.desks[address] = HeldDesk(
             app=app,
             journal=Journal(app=app),
@@ -86,11 +86,11 @@
 async def test_a_router_that_starts_is_told_all_by_a_peer_that_lives() -> None:
     net = Net()
     living = net.add(SEEDS[0])
-    net.holdings[SEEDS[0]].note_held(part=7, upstream="i-1", now_ms=living._app.clock.now_ms())
+    net.holdings[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=living._app.clock.now_ms())
     living.note_informed()
     for address in (SEEDS[1], "10.0.0.9:7"):
         assert await net.add(address).async_ask()
-        assert net.holdings[address].list_held(now_ms=living._app.clock.now_ms()) == {"i-1": (7,)}
+        assert net.holdings[address].list_cached(now_ms=living._app.clock.now_ms()) == {"i-1": (7,)}
 
 
 async def test_seeds_that_start_together_do_not_wait_for_each_other(
@@ -116,7 +116,7 @@
             await asyncio.get_running_loop().run_in_executor(None, lambda: None)
     assert not asking.done()
     now_ms = seed._app.clock.now_ms()
-    net.holdings[SEEDS[0]].note_held(part=7, upstream="i-1", now_ms=now_ms)
+    net.holdings[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
     seed.note_informed()
     assert await asking
 
@@ -126,8 +126,8 @@
     net = Net()
     first = net.add(SEEDS[0])
     now_ms = first._app.clock.now_ms()
-    net.holdings[SEEDS[0]].note_held(part=7, upstream="i-1", now_ms=now_ms)
-    net.holdings[SEEDS[0]].note_held(part=8, upstream="i-2", now_ms=now_ms)
+    net.holdings[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
+    net.holdings[SEEDS[0]].note_cached(part=8, upstream="i-2", now_ms=now_ms)
     await first.async_share("i-1", (7,))
     late = net.add(SEEDS[1])
     told: list[str] = []
@@ -155,7 +155,7 @@
     net.add(SEEDS[1]).on_told(told.append)
     await first.async_share("i-1", (7, 8))
     assert told == ["i-1"]
-    listed = net.holdings[SEEDS[1]].list_held(now_ms=first._app.clock.now_ms())
+    listed = net.holdings[SEEDS[1]].list_cached(now_ms=first._app.clock.now_ms())
     assert listed == {"i-1": (7, 8)}
 
 
@@ -183,11 +183,11 @@
     """As many as a seed has to ask where three of them divide the engines of 120 among them."""
     asked: list[str] = []
 
-    async def async_ask(self: Inventory, entry: Entry) -> HeldList:
+    async def async_ask(self: CacheInventory, entry: Entry) -> CacheListing:
         asked.append(entry.upstream)
-        return HeldList(parts=())
+        return CacheListing(parts=())
 
-    monkeypatch.setattr(Inventory, "_async_ask", async_ask)
+    monkeypatch.setattr(CacheInventory, "_async_fetch", async_ask)
     names = [f"i-more-{number}" for number in range(37)]
     for name in names:
         address = world.addresses["i-models-1"]
@@ -205,7 +205,7 @@
 ) -> None:
     monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
     monkeypatch.setattr(handler, "START_WAIT_MS", FOREVER_MS)
-    monkeypatch.setattr(holdings, "READABLE_MS", 0)
+    monkeypatch.setattr(holdings, "COPY_READY_MS", 0)
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
     seed = str(world.product.addresses["link"])
--- a/tests/forwarding/test_forwarding_limits.py
+++ b/tests/forwarding/test_forwarding_limits.py
@@ -6,9 +6,9 @@
 
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
-from gypsumrouter.forwarding.budget import CAUTION, RetryBudget
+from gypsumrouter.forwarding.budget import SAFETY_FACTOR, RetryBudget
 from gypsumrouter.forwarding.const import LEAVING_MS
-from gypsumrouter.forwarding.health import DOWN_FIRST_MS, FAILURE_MS, HealthBook
+from gypsumrouter.forwarding.health import DOWN_FIRST_MS, FAILURE_COST_MS, HealthTracker
 from gypsumrouter.forwarding.leaving import Leaving
 from gypsumrouter.forwarding.placement import FETCH_SETUP_MS, FETCH_TOKENS_PER_MS
 from gypsumrouter.journal import Journal
@@ -23,16 +23,16 @@
     return budget
 
 
-def make_health(clock: ManualClock) -> HealthBook:
+def make_health(clock: ManualClock) -> HealthTracker:
     app = Application(
         name="entry-1", role=Role.FORWARDER, data_centre="dc-a", region="r", clock=clock
     )
-    return HealthBook(clock=clock, journal=Journal(app=app))
+    return HealthTracker(clock=clock, journal=Journal(app=app))
 
 
 def count_taken(budget: RetryBudget) -> int:
     taken = 0
-    while budget.take("records"):
+    while budget.try_acquire("records"):
         taken += 1
     return taken
 
@@ -45,8 +45,8 @@
         for _ in range(100):
             budget.note_request("records")
     taken = sum(count_taken(budget) for budget in budgets)
-    assert taken <= CAUTION * (0.2 * 300 + 50)
-    assert taken >= 0.8 * CAUTION * (0.2 * 300 + 50)
+    assert taken <= SAFETY_FACTOR * (0.2 * 300 + 50)
+    assert taken >= 0.8 * SAFETY_FACTOR * (0.2 * 300 + 50)
 
 
 def test_the_budget_comes_back_when_its_window_has_passed() -> None:
@@ -63,16 +63,16 @@
 def test_services_do_not_share_a_budget() -> None:
     budget = make_budget(ManualClock())
     count_taken(budget)
-    assert budget.take("models")
+    assert budget.try_acquire("models")
 
 
 def test_an_upstream_that_fails_half_of_its_requests_is_found_within_a_few() -> None:
     health = make_health(ManualClock())
     for _ in range(2):
-        health.note_good("a")
-        health.note_failed("a", reason="status 500")
-        health.note_good("b")
-    assert health.penalty_ms("a") == pytest.approx(FAILURE_MS / 3)
+        health.note_success("a")
+        health.note_failure("a", reason="status 500")
+        health.note_success("b")
+    assert health.penalty_ms("a") == pytest.approx(FAILURE_COST_MS / 3)
     assert health.penalty_ms("a") > FETCH_SETUP_MS + 10_000 / FETCH_TOKENS_PER_MS
     assert health.penalty_ms("b") == 0
 
@@ -80,8 +80,8 @@
 def test_an_upstream_that_failed_is_tried_again_when_its_failures_are_old() -> None:
     clock = ManualClock()
     health = make_health(clock)
-    health.note_failed("a", reason="silent")
-    health.note_failed("a", reason="silent")
+    health.note_failure("a", reason="silent")
+    health.note_failure("a", reason="silent")
     before = health.penalty_ms("a")
     clock.advance(10_000)
     assert health.penalty_ms("a") < before / 4
@@ -97,7 +97,7 @@
     health.note_unreachable("a", reason="refused")
     clock.advance(DOWN_FIRST_MS)
     assert health.is_down("a")
-    health.note_good("a")
+    health.note_success("a")
     assert not health.is_down("a")
 
 
--- a/tests/forwarding/test_forwarding_placement.py
+++ b/tests/forwarding/test_forwarding_placement.py
@@ -6,8 +6,14 @@
 
 import pytest
 
-from gypsumrouter.forwarding.holdings import HELD_MS, READABLE_MS, Holdings
-from gypsumrouter.forwarding.loads import PEER_LOADS_MS, LoadBook, PeerLoads, UpstreamLoad, get_mean
+from gypsumrouter.forwarding.holdings import CACHE_TTL_MS, COPY_READY_MS, CacheIndex
+from gypsumrouter.forwarding.loads import (
+    PEER_LOADS_TTL_MS,
+    LoadTracker,
+    PeerLoads,
+    UpstreamLoad,
+    get_mean,
+)
 from gypsumrouter.forwarding.models import PromptPart
 from gypsumrouter.forwarding.placement import (
     Candidate,
@@ -23,19 +29,19 @@
 
 
 def make_candidate(upstream: str, **more: object) -> Candidate:
-    values: dict[str, object] = {"load": 5, "slots": 64, "near": True, **more}
+    values: dict[str, object] = {"load": 5, "slots": 64, "same_data_centre": True, **more}
     return Candidate(upstream=upstream, **values)  # type: ignore[arg-type]
 
 
-def place(candidates: list[Candidate], *, mean: float = 5.0, known: bool = True) -> str:
-    chosen = choose(candidates, cap=CAP, mean=mean, shared_tokens=PROMPT_TOKENS, known=known)
+def place(candidates: list[Candidate], *, mean: float = 5.0, cached: bool = True) -> str:
+    chosen = choose(candidates, cap=CAP, mean=mean, shared_tokens=PROMPT_TOKENS, cached=cached)
     assert chosen is not None
     return chosen.upstream
 
 
 def test_a_prompt_stays_where_it_is_cached_through_small_differences_of_load() -> None:
     holder = make_candidate("holder", load=9)
-    idle = make_candidate("idle", load=2, missing_tokens=PROMPT_TOKENS, stranger=True)
+    idle = make_candidate("idle", load=2, missing_tokens=PROMPT_TOKENS, off_affinity=True)
     assert place([holder, idle]) == "holder"
 
 
@@ -104,11 +110,11 @@
                 name,
                 load=rng.randint(3, 8),
                 missing_tokens=PROMPT_TOKENS,
-                stranger=name != first,
+                off_affinity=name != first,
             )
             for name in ENGINES
         ]
-        chosen.add(place(candidates, known=False))
+        chosen.add(place(candidates, cached=False))
     assert chosen == {first}
 
 
@@ -121,49 +127,49 @@
     assert moved < 700 / len(ENGINES)
 
 
-@pytest.mark.parametrize(("age_ms", "missing"), [(HELD_MS - 1, 200), (HELD_MS, 1_200)])
+@pytest.mark.parametrize(("age_ms", "missing"), [(CACHE_TTL_MS - 1, 200), (CACHE_TTL_MS, 1_200)])
 def test_what_was_not_asked_for_in_long_counts_as_evicted(age_ms: int, missing: int) -> None:
-    holdings = Holdings()
+    holdings = CacheIndex()
     parts = (PromptPart(part=1, tokens=1_000), PromptPart(part=2, tokens=200))
     holdings.note(part=1, upstream="a", now_ms=0)
     assert holdings.missing_tokens(parts=parts, upstream="a", now_ms=age_ms) == missing
 
 
 def test_a_part_counts_only_if_all_parts_before_it_are_held() -> None:
-    holdings = Holdings()
+    holdings = CacheIndex()
     parts = (PromptPart(part=1, tokens=1_000), PromptPart(part=2, tokens=200))
     holdings.note(part=2, upstream="a", now_ms=0)
     assert holdings.missing_tokens(parts=parts, upstream="a", now_ms=1) == 1_200
 
 
 def test_a_part_can_be_copied_only_after_it_was_read() -> None:
-    holdings = Holdings()
+    holdings = CacheIndex()
     holdings.note(part=1, upstream="a", now_ms=0)
-    assert holdings.readers(1, now_ms=READABLE_MS - 1) == ()
-    assert holdings.readers(1, now_ms=READABLE_MS) == ("a",)
-    holdings.note_held(part=2, upstream="b", now_ms=0)
-    assert holdings.readers(2, now_ms=0) == ("b",)
+    assert holdings.list_copy_sources(1, now_ms=COPY_READY_MS - 1) == ()
+    assert holdings.list_copy_sources(1, now_ms=COPY_READY_MS) == ("a",)
+    holdings.note_cached(part=2, upstream="b", now_ms=0)
+    assert holdings.list_copy_sources(2, now_ms=0) == ("b",)
 
 
 def test_loads_of_all_routers_are_added_and_a_vanished_router_counts_no_more() -> None:
-    book = LoadBook()
+    book = LoadTracker()
     book.begin("a", tokens=500)
     told = {"a": UpstreamLoad(running=4, pending_tokens=100)}
-    book.take_peer("entry-2", PeerLoads(heard_ms=10, loads=told))
+    book.set_peer_loads("entry-2", PeerLoads(received_ms=10, loads=told))
     assert book.get("a", now_ms=10) == UpstreamLoad(running=5, pending_tokens=600)
     assert get_mean(book.get_all(["a", "b"], now_ms=10)) == 2.5
-    late_ms = 10 + PEER_LOADS_MS + 1
+    late_ms = 10 + PEER_LOADS_TTL_MS + 1
     assert book.get("a", now_ms=late_ms) == UpstreamLoad(running=1, pending_tokens=500)
-    book.note_read("a", tokens=500)
+    book.note_prefilled("a", tokens=500)
     book.end("a")
     assert book.get("a", now_ms=late_ms) == UpstreamLoad(running=0, pending_tokens=0)
 
 
 def test_prompts_that_a_peer_told_of_are_read_on_while_its_news_grow_old() -> None:
     """Thirty routers tell each other twice a second; an engine reads a long prompt in 0.125 s."""
-    book = LoadBook()
+    book = LoadTracker()
     told = UpstreamLoad(running=3, pending_tokens=10_000)
-    book.take_peer("entry-2", PeerLoads(heard_ms=0, loads={"i-1": told}))
+    book.set_peer_loads("entry-2", PeerLoads(received_ms=0, loads={"i-1": told}))
     assert book.get("i-1", now_ms=0).pending_tokens == 10_000
     read = 50 * PRIOR_TOKENS_PER_MS
     assert book.get("i-1", now_ms=50).pending_tokens == 10_000 - read
@@ -173,7 +179,7 @@
 def test_kept_sums_are_what_adding_up_every_peer_anew_gives() -> None:
     """Peers tell, fall silent and come back in any order."""
     rng = random.Random(11)
-    book = LoadBook()
+    book = LoadTracker()
     told: dict[str, PeerLoads] = {}
     for now_ms in range(0, 20_000, 50):
         peer = f"entry-{rng.randrange(6)}"
@@ -182,9 +188,9 @@
                 name: UpstreamLoad(running=rng.randrange(4), pending_tokens=rng.randrange(9_000))
                 for name in rng.sample(ENGINES, rng.randrange(len(ENGINES)))
             }
-            told[peer] = PeerLoads(heard_ms=now_ms, loads=loads)
-            book.take_peer(peer, told[peer])
-        heard = [news for news in told.values() if now_ms - news.heard_ms <= PEER_LOADS_MS]
+            told[peer] = PeerLoads(received_ms=now_ms, loads=loads)
+            book.set_peer_loads(peer, told[peer])
+        heard = [news for news in told.values() if now_ms - news.received_ms <= PEER_LOADS_TTL_MS]
         for name in ENGINES:
             running = sum(news.loads[name].running for news in heard if name in news.loads)
             assert book.get(name, now_ms=now_ms).running == running
@@ -192,10 +198,10 @@
 
 def test_nothing_is_kept_of_upstreams_that_ended() -> None:
     """Ids of upstreams are never used again; thousands of them pass in a process's life."""
-    book = LoadBook()
+    book = LoadTracker()
     for number in range(100):
         load = UpstreamLoad(running=1, pending_tokens=50)
-        book.take_peer("entry-2", PeerLoads(heard_ms=number, loads={f"i-{number}": load}))
-    book.take_peer("entry-2", PeerLoads(heard_ms=100, loads={}))
-    assert book._told_running == {}
-    assert book._told_pending == {}
+        book.set_peer_loads("entry-2", PeerLoads(received_ms=number, loads={f"i-{number}": load}))
+    book.set_peer_loads("entry-2", PeerLoads(received_ms=100, loads={}))
+    assert book._peer_running == {}
+    assert book._peer_pending == {}
--- a/tests/forwarding/test_forwarding_placer.py
+++ b/tests/forwarding/test_forwarding_placer.py
@@ -9,13 +9,13 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations, Record
 from gypsumrouter.directory.evacuations import YOUNG_MS
-from gypsumrouter.forwarding.eligibility import NoPlace
-from gypsumrouter.forwarding.health import HealthBook
+from gypsumrouter.forwarding.eligibility import PlacementRefusal
+from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.models import Prompt, PromptPart
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
+from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
@@ -49,10 +49,10 @@
             app=app,
             directory=directory,
             cap=Cap(factor=2.0, slack=3.0),
-            health=HealthBook(clock=clock, journal=journal),
-            rests=RestBook(clock=clock, journal=journal),
+            health=HealthTracker(clock=clock, journal=journal),
+            backoffs=BackoffTracker(clock=clock, journal=journal),
             evacuations=self.evacuations,
-            slow_start=SlowStartBook(clock=clock, journal=journal),
+            slow_start=SlowStartLimiter(clock=clock, journal=journal),
             evacuation_ms=EVACUATION_MS,
         )
         address = Address(host="10.0.0.1", port=80)
@@ -71,16 +71,16 @@
 
     def place(self, number: int, down: Collection[str] = ()) -> str:
         """Return where a prompt goes; those that are down are found so one after the other."""
-        passed_over: set[str] = set()
+        excluded: set[str] = set()
         while True:
             placed = self.placer.place(
-                service=SERVICE, prompt=make_prompt(number), passed_over=passed_over
+                service=SERVICE, prompt=make_prompt(number), excluded=excluded
             )
-            assert not isinstance(placed, NoPlace)
+            assert not isinstance(placed, PlacementRefusal)
             if placed.entry.upstream not in down:
                 return placed.entry.upstream
             self.placer.health.note_unreachable(placed.entry.incarnation, reason="refused")
-            passed_over.add(placed.entry.incarnation)
+            excluded.add(placed.entry.incarnation)
 
 
 def count_readings(routers: list[Router], down: Collection[str] = ()) -> float:
@@ -113,14 +113,14 @@
     clock.advance(YOUNG_MS)
     prompt = make_prompt(1)
     holder = router.place(1)
-    router.placer.note_held(part=1, upstream=holder)
+    router.placer.note_cached(part=1, upstream=holder)
     number = ENGINES.index(holder)
     evacuation = Evacuation(data_centre=f"dc-{number % 3}", revision=99, active=True)
     router.evacuations.merge(evacuation, source="test")
     for passed_ms, source in ((0, holder), (EVACUATION_MS // 2, None), (EVACUATION_MS, None)):
         clock.advance(passed_ms)
-        placed = router.placer.place(service=SERVICE, prompt=prompt, passed_over=())
-        assert not isinstance(placed, NoPlace)
+        placed = router.placer.place(service=SERVICE, prompt=prompt, excluded=())
+        assert not isinstance(placed, PlacementRefusal)
         assert placed.entry.upstream != holder
         copied_from = placed.fetch_from
         assert (None if copied_from is None else copied_from.upstream) == source
--- a/tests/forwarding/test_forwarding_reading.py
+++ b/tests/forwarding/test_forwarding_reading.py
@@ -10,7 +10,7 @@
     MAX_TOKENS_PER_MS,
     MIN_TOKENS_PER_MS,
     PRIOR_TOKENS_PER_MS,
-    ReadingSpeed,
+    PrefillSpeed,
 )
 
 
@@ -18,7 +18,7 @@
 def test_the_speed_of_unknown_engines_is_found_within_two_hundred_requests(speed: float) -> None:
     """Sizes as recorded: a tenth long prompts, some of them behind work that nobody told of."""
     rng = random.Random(3)
-    reading = ReadingSpeed()
+    reading = PrefillSpeed()
     for _ in range(200):
         tokens = rng.choice((80, 150, 900, 5_000, 10_000, 14_000))
         waited_ms = rng.choice((0, 0, 0, 0, 30))
@@ -28,13 +28,13 @@
 
 
 def test_one_stalled_request_changes_little() -> None:
-    reading = ReadingSpeed()
+    reading = PrefillSpeed()
     reading.note(tokens=10_000, first_event_ms=20_000)
     assert reading.tokens_per_ms > PRIOR_TOKENS_PER_MS * 0.9
 
 
 def test_the_estimate_keeps_its_bounds() -> None:
-    slow, fast = ReadingSpeed(), ReadingSpeed()
+    slow, fast = PrefillSpeed(), PrefillSpeed()
     for _ in range(1_000):
         slow.note(tokens=10_000, first_event_ms=60_000)
         fast.note(tokens=10_000, first_event_ms=0)
@@ -43,6 +43,6 @@
 
 
 def test_prompts_of_middle_size_say_nothing() -> None:
-    reading = ReadingSpeed()
+    reading = PrefillSpeed()
     reading.note(tokens=1_000, first_event_ms=5_000)
     assert reading.tokens_per_ms == PRIOR_TOKENS_PER_MS
--- a/tests/forwarding/test_forwarding_service_time.py
+++ b/tests/forwarding/test_forwarding_service_time.py
@@ -8,19 +8,19 @@
 
 from bench.plain_replay import SERVICE, SLOTS, PlainReplay, Tally
 from gypsumrouter.forwarding.service_time import (
-    MAX_SAVED,
-    FairShare,
+    MAX_SAVED_PERMITS,
+    AdmissionPermits,
     ServiceTimes,
-    expect_ms,
-    get_wait_share,
+    estimate_response_ms,
+    get_queue_factor,
 )
 from gypsumrouter.mechanisms import Mechanism
 
 
 def test_waiting_grows_with_what_is_ahead() -> None:
-    assert get_wait_share(load=SLOTS - 1, slots=SLOTS) == 0
-    assert get_wait_share(load=2 * SLOTS - 1, slots=SLOTS) == 1
-    assert expect_ms(load=3 * SLOTS - 1, slots=SLOTS, service_ms=90) == 270
+    assert get_queue_factor(load=SLOTS - 1, slots=SLOTS) == 0
+    assert get_queue_factor(load=2 * SLOTS - 1, slots=SLOTS) == 1
+    assert estimate_response_ms(load=3 * SLOTS - 1, slots=SLOTS, service_ms=90) == 270
 
 
 def test_the_time_of_an_upstream_is_learned_with_and_without_a_queue() -> None:
@@ -38,9 +38,9 @@
     times = ServiceTimes()
     for elapsed_ms in (90, 90, 90, 5_000):
         times.note(service=SERVICE, upstream="i-1", load=0, slots=SLOTS, elapsed_ms=elapsed_ms)
-    known_ms = times.get(service=SERVICE, upstream="i-1")
-    assert known_ms is not None
-    assert known_ms < 130
+    current_ms = times.get(service=SERVICE, upstream="i-1")
+    assert current_ms is not None
+    assert current_ms < 130
 
 
 def play(
@@ -97,10 +97,10 @@
 
 
 def test_a_part_that_is_saved_up_is_bounded_and_grows_again() -> None:
-    share = FairShare()
-    for _ in range(int(MAX_SAVED)):
-        assert share.has_left("s", per_ms=0.01, now_ms=1_000)
+    share = AdmissionPermits()
+    for _ in range(int(MAX_SAVED_PERMITS)):
+        assert share.has_permit("s", per_ms=0.01, now_ms=1_000)
         share.spend("s")
-    assert not share.has_left("s", per_ms=0.01, now_ms=1_050)
-    assert share.has_left("s", per_ms=0.01, now_ms=1_100)
-    assert share.has_left("other", per_ms=0.01, now_ms=1_100)
+    assert not share.has_permit("s", per_ms=0.01, now_ms=1_050)
+    assert share.has_permit("s", per_ms=0.01, now_ms=1_100)
+    assert share.has_permit("other", per_ms=0.01, now_ms=1_100)
--- a/tests/forwarding/test_forwarding_slow_start.py
+++ b/tests/forwarding/test_forwarding_slow_start.py
@@ -13,12 +13,12 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Entry, EntryState
 from gypsumrouter.forwarding.slow_start import (
-    ALONE_MS,
+    NO_PEERS_MS,
     SETTLE_MS,
-    UNTOLD_MS,
+    UNLISTED_RESTART_MS,
     WINDOW_MS,
-    SlowStartBook,
-    share_out,
+    SlowStartLimiter,
+    split_bound,
 )
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
@@ -73,12 +73,12 @@
     return RoutingTable(configuration=configuration)
 
 
-def make_book(clock: ManualClock, fleet: Routers | None = None) -> SlowStartBook:
+def make_book(clock: ManualClock, fleet: Routers | None = None) -> SlowStartLimiter:
     app = Application(name="entry-1", role=Role.FORWARDER, data_centre="a", region="r", clock=clock)
-    book = SlowStartBook(clock=clock, journal=Journal(app=app), factor=FACTOR, slack=SLACK)
-    book.take_table(make_table())
+    book = SlowStartLimiter(clock=clock, journal=Journal(app=app), factor=FACTOR, slack=SLACK)
+    book.set_table(make_table())
     if fleet is not None:
-        book.take_fleet(fleet)
+        book.set_fleet(fleet)
     return book
 
 
@@ -96,13 +96,13 @@
 def test_an_upstream_is_warm_once_the_time_that_it_told_is_over() -> None:
     clock = ManualClock()
     book = make_book(clock)
-    book.take_entry(make_entry(cold_ms=2_000))
+    book.update_entry(make_entry(cold_ms=2_000))
     assert book.is_warming("i-1")
     clock.advance(1_999)
     assert book.is_warming("i-1")
     clock.advance(1)
     assert not book.is_warming("i-1")
-    assert book.has_turn("i-1")
+    assert book.may_send("i-1")
 
 
 def test_a_start_that_is_not_told_yet_is_known_by_refusals_and_by_the_end_of_an_evacuation() -> (
@@ -111,21 +111,21 @@
     clock = ManualClock()
     book = make_book(clock)
     book.note_refused(make_entry("i-1"))
-    book.note_reopened(make_entry("i-2"))
+    book.note_evacuation_ended(make_entry("i-2"))
     assert book.is_warming("i-1")
     assert book.is_warming("i-2")
     clock.advance(TRAITS.duration_ms)
     assert book.is_warming("i-1")
     assert not book.is_warming("i-2")
-    clock.advance(UNTOLD_MS)
+    clock.advance(UNLISTED_RESTART_MS)
     assert not book.is_warming("i-1")
 
 
 def test_upstreams_of_a_service_that_needs_no_time_are_never_warming() -> None:
     book = make_book(ManualClock())
-    book.take_table(make_table(None))
+    book.set_table(make_table(None))
     book.note_refused(make_entry("i-1"))
-    book.note_reopened(make_entry("i-1"))
+    book.note_evacuation_ended(make_entry("i-1"))
     assert not book.is_warming("i-1")
 
 
@@ -133,46 +133,46 @@
     clock = ManualClock(now_ms=1_000)
     fleet = Routers("r0", ("r1", "r2"))
     book = make_book(clock, fleet)
-    book.take_entry(make_entry(cold_ms=60_000))
+    book.update_entry(make_entry(cold_ms=60_000))
     clock.advance(SETTLE_MS - 1)
-    assert not book.has_turn("i-1")
+    assert not book.may_send("i-1")
     fleet.grown_ms = clock.now_ms()
     clock.advance(SETTLE_MS - 1)
-    assert not book.has_turn("i-1")
+    assert not book.may_send("i-1")
     clock.advance(1)
-    assert book.has_turn("i-1")
+    assert book.may_send("i-1")
 
 
 def test_a_router_that_hears_of_nobody_waits_longer() -> None:
     clock = ManualClock(now_ms=1_000)
     book = make_book(clock, Routers("r0", ("r1",), heard=False))
-    book.take_entry(make_entry(cold_ms=60_000))
-    clock.advance(ALONE_MS - 1)
-    assert not book.has_turn("i-1")
+    book.update_entry(make_entry(cold_ms=60_000))
+    clock.advance(NO_PEERS_MS - 1)
+    assert not book.may_send("i-1")
     assert book.get_wait_ms("i-1") == 1
     clock.advance(1)
-    assert book.has_turn("i-1")
+    assert book.may_send("i-1")
 
 
 def test_the_wait_says_when_the_next_turn_is() -> None:
     clock = ManualClock()
     book = make_book(clock)
-    book.take_entry(make_entry(cold_ms=60_000))
+    book.update_entry(make_entry(cold_ms=60_000))
     clock.advance(SETTLE_MS)
     sent = 0
-    while book.has_turn("i-1"):
+    while book.may_send("i-1"):
         book.note_sent("i-1")
         sent += 1
     assert sent == int(BOUND / 2)
     clock.advance(200)
     assert book.get_wait_ms("i-1") == WINDOW_MS - 200
     clock.advance(WINDOW_MS - 200)
-    assert book.has_turn("i-1")
+    assert book.may_send("i-1")
 
 
 @pytest.mark.parametrize("routers", [1, 2, 5, 11, 26, 68, 330, 1_000])
 def test_what_is_shared_out_is_half_of_the_bound_at_most_and_never_nothing(routers: int) -> None:
-    pace = share_out(bound=BOUND, routers=routers)
+    pace = split_bound(bound=BOUND, routers=routers)
     assert 1 <= pace.routers <= routers
     assert 1 <= pace.routers * pace.requests <= BOUND / 2
 
@@ -200,25 +200,25 @@
             self._random.sample(range(len(self._names)), len(self._names) // 3)
         )
         for book in self._books:
-            book.take_entry(make_entry(cold_ms=COLD_MS))
+            book.update_entry(make_entry(cold_ms=COLD_MS))
         for now_ms in range(0, COLD_MS, STEP_MS):
             for number, book in enumerate(self._books):
                 if number in restarts and now_ms == COLD_MS // 2:
                     self._books[number] = book = self._make_book(self._names[number])
-                    book.take_entry(make_entry(cold_ms=COLD_MS))
+                    book.update_entry(make_entry(cold_ms=COLD_MS))
                 self._send(book)
             self._clock.advance(STEP_MS)
         return self._count_densest()
 
-    def _send(self, book: SlowStartBook) -> None:
-        while self._naive or book.has_turn("i-1"):
+    def _send(self, book: SlowStartLimiter) -> None:
+        while self._naive or book.may_send("i-1"):
             book.note_sent("i-1")
             # A connection takes up to 200 ms, and a request may leave on a kept one at once.
             self._sent_ms.append(self._clock.now_ms() + self._random.randint(0, 200))
             if self._naive:
                 return
 
-    def _make_book(self, own: str) -> SlowStartBook:
+    def _make_book(self, own: str) -> SlowStartLimiter:
         unknown = set(self._random.sample(self._names, self._unknown))
         others = [name for name in self._names if name != own and name not in unknown]
         fleet = Routers(own, (*others, "10.9.9.9:80"))
--- a/tests/forwarding/test_forwarding_suspects.py
+++ b/tests/forwarding/test_forwarding_suspects.py
@@ -4,7 +4,7 @@
 
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
-from gypsumrouter.forwarding.suspects import MAX_STRIKES, REMEMBERED_MS, Suspects
+from gypsumrouter.forwarding.suspects import MAX_STRIKES, STRIKE_TTL_MS, SuspectTracker
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
 
@@ -12,7 +12,7 @@
 NEIGHBOUR = 2
 
 
-def make_suspects(clock: ManualClock | None = None) -> Suspects:
+def make_suspects(clock: ManualClock | None = None) -> SuspectTracker:
     app = Application(
         name="entry-1",
         role=Role.FORWARDER,
@@ -20,30 +20,30 @@
         region="r",
         clock=clock or ManualClock(),
     )
-    return Suspects(app=app, journal=Journal(app=app))
+    return SuspectTracker(app=app, journal=Journal(app=app))
 
 
 def test_a_content_that_broke_three_upstreams_goes_to_no_fourth() -> None:
     suspects = make_suspects()
     for number in range(MAX_STRIKES):
         assert not suspects.is_suspect(CRASHER)
-        suspects.note_broken(CRASHER, f"i-{number}")
+        suspects.note_crash(CRASHER, f"i-{number}")
     assert suspects.is_suspect(CRASHER)
 
 
 def test_strikes_at_one_upstream_count_once() -> None:
     suspects = make_suspects()
     for _ in range(10):
-        suspects.note_broken(CRASHER, "i-1")
+        suspects.note_crash(CRASHER, "i-1")
     assert not suspects.is_suspect(CRASHER)
 
 
 def test_a_neighbour_that_is_answered_is_never_suspect() -> None:
     suspects = make_suspects()
-    suspects.note_broken(NEIGHBOUR, "i-1")
-    suspects.note_good(NEIGHBOUR)
+    suspects.note_crash(NEIGHBOUR, "i-1")
+    suspects.note_success(NEIGHBOUR)
     for number in range(MAX_STRIKES):
-        suspects.note_broken(NEIGHBOUR, f"i-{number}")
+        suspects.note_crash(NEIGHBOUR, f"i-{number}")
     assert not suspects.is_suspect(NEIGHBOUR)
 
 
@@ -51,9 +51,9 @@
     suspects = make_suspects()
     told: list[tuple[int, str]] = []
     suspects.on_strike(lambda digest, upstream: told.append((digest, upstream)))
-    suspects.take(CRASHER, "i-1", source="entry-2")
-    suspects.take(CRASHER, "i-2", source="entry-3")
-    suspects.note_broken(CRASHER, "i-3")
+    suspects.add_strike(CRASHER, "i-1", source="entry-2")
+    suspects.add_strike(CRASHER, "i-2", source="entry-3")
+    suspects.note_crash(CRASHER, "i-3")
     assert suspects.is_suspect(CRASHER)
     assert told == [(CRASHER, "i-3")]
 
@@ -62,6 +62,6 @@
     clock = ManualClock()
     suspects = make_suspects(clock)
     for number in range(MAX_STRIKES):
-        suspects.note_broken(CRASHER, f"i-{number}")
-    clock.advance(REMEMBERED_MS + 1)
+        suspects.note_crash(CRASHER, f"i-{number}")
+    clock.advance(STRIKE_TTL_MS + 1)
     assert not suspects.is_suspect(CRASHER)
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -11,13 +11,13 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
 from gypsumrouter.exceptions import DocumentInvalid
-from gypsumrouter.forwarding.health import HealthBook
+from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
-from gypsumrouter.forwarding.suspects import Suspects
+from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
+from gypsumrouter.forwarding.suspects import SuspectTracker
 from gypsumrouter.instances import parse_address
 from gypsumrouter.journal import Journal
 from gypsumrouter.link import Hello, Notice, NoticeHub, Peer, PlacedPart
@@ -121,13 +121,13 @@
             app=self.app,
             directory=self.directory,
             cap=Cap(factor=2.0, slack=3.0),
-            health=HealthBook(clock=clock, journal=journal),
-            rests=RestBook(clock=clock, journal=journal),
+            health=HealthTracker(clock=clock, journal=journal),
+            backoffs=BackoffTracker(clock=clock, journal=journal),
             evacuations=self.evacuations,
-            slow_start=SlowStartBook(clock=clock, journal=journal),
+            slow_start=SlowStartLimiter(clock=clock, journal=journal),
         )
         self.loads = self.placer.loads
-        self.holdings = self.placer.holdings
+        self.holdings = self.placer.cache_index
         # What this router placed since its last news to its neighbours.
         self.placed: list[PlacedPart] = []
         self.state = WatchState(clock=clock)
@@ -176,7 +176,7 @@
             directory=self.directory,
             evacuations=self.evacuations,
             placer=self.placer,
-            suspects=Suspects(app=self.app, journal=journal),
+            suspects=SuspectTracker(app=self.app, journal=journal),
             catch_up=self.catch_up,
             notices=self.notices,
             send=self._async_send,
@@ -292,12 +292,12 @@
         assert known is not None
         peer = MemoryPeer(sender=router, target=other)
         known.note_heard(peer, data_centre=other.app.data_centre, now_ms=self._heard_ms)
-        loads = PeerLoads(heard_ms=self._heard_ms, loads=other.loads.own())
-        router.loads.take_peer(other.name, loads)
+        loads = PeerLoads(received_ms=self._heard_ms, loads=other.loads.get_own_loads())
+        router.loads.set_peer_loads(other.name, loads)
         for part in placed:
             router.holdings.note(part=part.part, upstream=part.upstream, now_ms=self._heard_ms)
-        refused = other.placer.health.list_refused()
-        router.placer.take_refused(refused)
+        refused = other.placer.health.list_refusals()
+        router.placer.apply_peer_refusals(refused)
         router.relays.note_refused(refused)
         router.relays.note_placed(placed)
         told = write_evacuations(other.evacuations)
--- a/tests/peers/test_peers_relays.py
+++ b/tests/peers/test_peers_relays.py
@@ -13,7 +13,7 @@
 
 
 def knows(router: FleetRouter, part: int, upstream: str) -> bool:
-    held = router.holdings.list_held(now_ms=router.app.clock.now_ms())
+    held = router.holdings.list_cached(now_ms=router.app.clock.now_ms())
     return part in held.get(upstream, ())
 
 
