--- a/gypsumrouter/forwarding/eligibility.py
+++ b/gypsumrouter/forwarding/eligibility.py
@@ -1,4 +1,4 @@
-"""Which upstreams may get a new request now; first tries, second tries and resumes all ask here."""
+"""Selects the upstreams that may receive a request: first attempts, retries and resumed streams."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
 
-# The part of the bound on evacuations within which an evacuated engine may be copied from: news of
-# the evacuation may be late by the other half.
+# Share of the evacuation bound during which cached prompts may still be copied from an evacuated
+# engine. The rest allows for the delay until a router learns of the evacuation.
 COPY_WINDOW_SHARE: Final = 0.5
 
 
 class PlacementRefusal(Struct, frozen=True, kw_only=True):
-    """No upstream may get a request now; another try is of no use before `not_before_ms`."""
+    """No upstream may receive the request now; retrying within `not_before_ms` is pointless."""
 
     reason: Reason
     message: str
@@ -28,33 +28,33 @@
 
 
 NO_UPSTREAM = PlacementRefusal(
-    reason=Reason.NO_INSTANCE, message="No upstream can take the request"
+    reason=Reason.NO_INSTANCE, message="No upstream is available for this request"
 )
 ALL_EVACUATED = PlacementRefusal(
-    reason=Reason.EVACUATED, message="All upstreams left are evacuated"
+    reason=Reason.EVACUATED, message="All remaining upstreams are in evacuated data centres"
 )
 
 
 def make_late_refusal(late_ms: float) -> PlacementRefusal:
-    """Return the refusal of a request whose answer would come so much too late."""
+    """Return the refusal of a request whose response is expected to be late by `late_ms`."""
     return PlacementRefusal(
         reason=Reason.TARGET_HOPELESS,
-        message="The upstreams have more waiting than they serve in time",
+        message="The upstreams' queues are too long to answer this request in time",
         not_before_ms=int(late_ms),
     )
 
 
 class Eligibility:
-    """Tells upstreams that take new work from those that rest, are evacuated, lost or warm up."""
+    """Filters out upstreams that are evacuated, back off, are unreachable or are warming up."""
 
     __slots__ = (
         "_backoffs",
-        "_copy_ms",
+        "_copy_window_ms",
         "_evacuations",
         "_health",
-        "_rest_when_down",
+        "_prefers_warm",
+        "_skips_unreachable",
         "_slow_start",
-        "_warm_first",
     )
 
     def __init__(
@@ -67,59 +67,59 @@
         evacuation_ms: int,
         without: frozenset[Mechanism],
     ) -> None:
-        self._copy_ms = evacuation_ms * COPY_WINDOW_SHARE
+        self._copy_window_ms = evacuation_ms * COPY_WINDOW_SHARE
         self._evacuations = evacuations
         self._health = health
         self._backoffs = backoffs
         self._slow_start = slow_start
-        self._rest_when_down = Mechanism.REST_WHEN_DOWN not in without
-        self._warm_first = Mechanism.WARM_FIRST not in without
+        self._skips_unreachable = Mechanism.REST_WHEN_DOWN not in without
+        self._prefers_warm = Mechanism.WARM_FIRST not in without
 
     def is_evacuated(self, entry: Entry) -> bool:
-        """Return whether an upstream gets nothing new by the operator's word."""
+        """Return whether an operator has evacuated the data centre of an upstream."""
         return self._evacuations.is_active(entry.data_centre)
 
     def set_evacuation_bound(self, evacuation_ms: int) -> None:
-        """Keep another bound on evacuations from now on."""
-        self._copy_ms = evacuation_ms * COPY_WINDOW_SHARE
+        """Replace the evacuation bound, the time within which an evacuation has to take effect."""
+        self._copy_window_ms = evacuation_ms * COPY_WINDOW_SHARE
 
     def may_copy_from(self, entry: Entry) -> bool:
-        """Return whether other engines may copy what an upstream holds.
+        """Return whether other engines may copy cached prompts from an upstream.
 
-        From an evacuated one only at the beginning: what it holds would else be read again by the
-        engines that take over its prompts.
+        Copying from an evacuated engine is allowed at the beginning of the evacuation, so that the
+        engines that take over its prompts need not prefill them again.
         """
         if not self.is_evacuated(entry):
             return True
         age_ms = self._evacuations.get_age_ms(entry.data_centre)
-        return age_ms is not None and age_ms < self._copy_ms
+        return age_ms is not None and age_ms < self._copy_window_ms
 
     def select(
         self, entries: Iterable[Entry], *, excluded: Collection[str]
     ) -> tuple[Entry, ...] | PlacementRefusal:
-        """Return those of a service's upstreams that may get a request, at least one of them."""
-        left = tuple(entry for entry in entries if entry.incarnation not in excluded)
-        if not left:
+        """Return the upstreams that may receive a request (never empty), or why there is none."""
+        remaining = tuple(entry for entry in entries if entry.incarnation not in excluded)
+        if not remaining:
             return NO_UPSTREAM
-        settled = tuple(entry for entry in left if not self.is_evacuated(entry))
-        if not settled:
+        in_service = tuple(entry for entry in remaining if not self.is_evacuated(entry))
+        if not in_service:
             return ALL_EVACUATED
-        awake = tuple(
-            entry for entry in settled if not self._backoffs.is_backing_off(entry.incarnation)
+        accepting = tuple(
+            entry for entry in in_service if not self._backoffs.is_backing_off(entry.incarnation)
         )
-        if not awake:
-            return self._make_resting(settled)
-        reachable = awake
-        if self._rest_when_down:
-            reachable = tuple(e for e in awake if not self._health.is_down(e.incarnation))
-        return self._select_warm(reachable or awake, awake)
+        if not accepting:
+            return self._make_backoff_refusal(in_service)
+        reachable = accepting
+        if self._skips_unreachable:
+            reachable = tuple(e for e in accepting if not self._health.is_down(e.incarnation))
+        return self._select_warm(reachable or accepting, accepting)
 
     def _select_warm(
-        self, reachable: tuple[Entry, ...], awake: tuple[Entry, ...]
+        self, reachable: tuple[Entry, ...], accepting: tuple[Entry, ...]
     ) -> tuple[Entry, ...] | PlacementRefusal:
-        """Return the upstreams that are warm, or those that warm up at which it is our turn."""
+        """Return the warm upstreams; without one, the warming ones this router may send to now."""
         warm = tuple(e for e in reachable if not self._slow_start.is_warming(e.incarnation))
-        if warm and self._warm_first:
+        if warm and self._prefers_warm:
             return warm
         warming = tuple(
             e
@@ -129,22 +129,22 @@
         )
         if warm or warming:
             return warm + warming
-        # One that took no connection a moment ago is better than none.
-        down = tuple(e for e in awake if not self._slow_start.is_warming(e.incarnation))
-        return down or self._make_refusal(awake)
+        # Prefer an upstream that was unreachable a moment ago to refusing the request.
+        unreachable = tuple(e for e in accepting if not self._slow_start.is_warming(e.incarnation))
+        return unreachable or self._make_warm_up_refusal(accepting)
 
-    def _make_resting(self, settled: tuple[Entry, ...]) -> PlacementRefusal:
-        waits_ms = (self._backoffs.get_remaining_ms(entry.incarnation) for entry in settled)
+    def _make_backoff_refusal(self, in_service: tuple[Entry, ...]) -> PlacementRefusal:
+        waits_ms = (self._backoffs.get_remaining_ms(entry.incarnation) for entry in in_service)
         return PlacementRefusal(
             reason=Reason.UPSTREAMS_REST,
-            message="All upstreams are full and want a rest",
+            message="All upstreams are at capacity and have asked for a back-off",
             not_before_ms=min(waits_ms),
         )
 
-    def _make_refusal(self, awake: tuple[Entry, ...]) -> PlacementRefusal:
-        waits_ms = (self._slow_start.get_wait_ms(entry.incarnation) for entry in awake)
+    def _make_warm_up_refusal(self, accepting: tuple[Entry, ...]) -> PlacementRefusal:
+        waits_ms = (self._slow_start.get_wait_ms(entry.incarnation) for entry in accepting)
         return PlacementRefusal(
             reason=Reason.WARMING_UP,
-            message="All upstreams warm up and have as much as they bear",
+            message="All upstreams are warming up and have reached their request limit",
             not_before_ms=min(waits_ms),
         )
--- a/gypsumrouter/forwarding/health.py
+++ b/gypsumrouter/forwarding/health.py
@@ -1,8 +1,8 @@
-"""How far an upstream is trusted, judged by its answers and not by its health check.
+"""Passive health checks: failure rates and reachability of upstreams, from their responses.
 
-Answers this load: upstreams that fail, reset or swallow a share of their requests while their
-health check is good, and upstreams that vanish without a word. All of them may fail alike; then
-their order stays as it was.
+Detects upstreams that fail, reset or never answer some of their requests although their health
+check succeeds, and upstreams that disappear. If all upstreams fail alike, their relative order does
+not change.
 """
 
 from __future__ import annotations
@@ -13,29 +13,26 @@
 from gypsumrouter.journal import Journal, UpstreamHealth
 from gypsumrouter.util.clock import Clock
 
-# HealthRecord halves in this time: an upstream that failed two of four requests is tried again with
-# few requests after about six seconds.
+# Half-life of the success and failure counts.
 HALF_LIFE_MS: Final = 2_500
-# What a certain failure costs, in the engine's time that placement weighs: three copies of a long
-# prompt, so that an engine that fails a third of its requests is left even at the price of one.
+# Cost of a failure in the placement's cost estimate, to be multiplied by the failure rate.
 FAILURE_COST_MS: Final = 800.0
-# A request that has no prompt has little to lose, and its upstreams have nothing to copy.
+# The same for requests without a prompt, which lose no prefill work when they fail.
 PLAIN_FAILURE_COST_MS: Final = 200.0
-# Before this much record an upstream counts as sound in part.
+# Weight of the prior, in successful observations.
 PRIOR_OBSERVATIONS: Final = 2.0
-UNHEALTHY_SHARE: Final = 0.25
-# An upstream that takes no connection is left alone for this long, doubled with each further try.
+UNHEALTHY_FAILURE_RATE: Final = 0.25
+# An unreachable upstream is skipped for this long, doubled with each failed connection attempt.
 DOWN_FIRST_MS: Final = 300
 DOWN_MAX_MS: Final = 2_000
-# Peers are told for this long that an upstream refused a connection, which takes them two or three
-# news, and leave it alone for so long after each of them. An upstream that is back is tried again
-# by somebody within about 1.5 s.
+# A refused connection is reported to peers for this long, and each report makes them skip the
+# upstream for PEER_REFUSAL_DOWN_MS.
 REFUSAL_SHARED_MS: Final = 600
 PEER_REFUSAL_DOWN_MS: Final = 600
 
 
 class HealthRecord:
-    """What is known of one upstream: decayed counts of good and failed answers."""
+    """Exponentially decayed counts of one upstream's successes and failures."""
 
     __slots__ = (
         "_decayed_ms",
@@ -53,29 +50,29 @@
         self._decayed_ms = 0
         self._down_ms = 0
         self.down_until_ms = 0
-        # When it last refused a connection of this router; None where it has answered since.
+        # When it last refused a connection of this router; None if it has answered since.
         self.last_refused_ms: int | None = None
         self.healthy = True
 
     @property
     def observations(self) -> int:
-        """Return how much record is left."""
+        """Return the decayed number of successes and failures."""
         return round(self._successes + self._failures)
 
     def decay(self, now_ms: int) -> None:
-        """Let old record fade."""
+        """Decay the counts to `now_ms`."""
         factor = 0.5 ** ((now_ms - self._decayed_ms) / HALF_LIFE_MS)
         self._successes *= factor
         self._failures *= factor
         self._decayed_ms = now_ms
 
     def get_failure_rate(self, now_ms: int) -> float:
-        """Return the expected share of failures."""
+        """Return the estimated share of requests that fail."""
         self.decay(now_ms)
         return self._failures / (self._successes + self._failures + PRIOR_OBSERVATIONS)
 
     def note_success(self, now_ms: int) -> None:
-        """Note a good answer."""
+        """Count a success; the upstream is no longer down."""
         self.decay(now_ms)
         self._successes += 1
         self._down_ms = 0
@@ -83,19 +80,19 @@
         self.down_until_ms = 0
 
     def note_failure(self, now_ms: int) -> None:
-        """Note a failed request."""
+        """Count a failed request."""
         self.decay(now_ms)
         self._failures += 1
 
     def note_unreachable(self, now_ms: int) -> None:
-        """Note that no connection could be made, and leave the upstream alone for a while."""
+        """Count a failed connection attempt and mark the upstream as down for a while."""
         self.note_failure(now_ms)
         self._down_ms = min(DOWN_MAX_MS, self._down_ms * 2) if self._down_ms else DOWN_FIRST_MS
         self.down_until_ms = now_ms + self._down_ms
 
 
 class HealthTracker:
-    """The record of all upstreams."""
+    """The health records of all upstreams."""
 
     __slots__ = ("_clock", "_journal", "_records")
 
@@ -105,7 +102,7 @@
         self._records: dict[str, HealthRecord] = {}
 
     def penalty_ms(self, upstream: str, *, plain: bool = False) -> float:
-        """Return what the failures of an upstream are expected to cost a request.
+        """Return the expected cost of failures for a request to an upstream.
 
         `plain` requests have no prompt.
         """
@@ -116,24 +113,24 @@
         return record.get_failure_rate(self._clock.now_ms()) * failure_ms
 
     def is_down(self, upstream: str) -> bool:
-        """Return whether an upstream took no connection a moment ago."""
+        """Return whether an upstream was found unreachable a moment ago."""
         record = self._records.get(upstream)
         return record is not None and self._clock.now_ms() < record.down_until_ms
 
     def note_success(self, upstream: str) -> None:
-        """Note a good answer."""
+        """Count a successful response of an upstream."""
         record = self._get(upstream)
         record.note_success(self._clock.now_ms())
         self._record_change(upstream, record, "answered")
 
     def note_failure(self, upstream: str, *, reason: str) -> None:
-        """Note a request that failed there."""
+        """Count a failed request; `reason` goes to the journal."""
         record = self._get(upstream)
         record.note_failure(self._clock.now_ms())
         self._record_change(upstream, record, reason)
 
     def note_unreachable(self, upstream: str, *, reason: str, refused: bool = False) -> None:
-        """Note that no connection could be made; `refused` where its machine said so itself."""
+        """Record a failed connection attempt; `refused` if the host actively refused it."""
         record = self._get(upstream)
         record.note_unreachable(self._clock.now_ms())
         if refused:
@@ -141,9 +138,9 @@
         self._record_change(upstream, record, reason)
 
     def list_refusals(self) -> tuple[str, ...]:
-        """Return the upstreams that refused a connection of this router a moment ago.
+        """Return the upstreams that recently refused a connection of this router, for its peers.
 
-        Only a refusal is told: a connection that is not answered may be this router's own fault.
+        Connections that timed out are not reported: the fault may be on this router's side.
         """
         since_ms = self._clock.now_ms() - REFUSAL_SHARED_MS
         return tuple(
@@ -153,14 +150,14 @@
         )
 
     def apply_peer_refusals(self, upstreams: Iterable[str]) -> None:
-        """Leave alone what refused a connection of a peer."""
+        """Mark upstreams as down that refused a connection of a peer router."""
         until_ms = self._clock.now_ms() + PEER_REFUSAL_DOWN_MS
         for upstream in upstreams:
             record = self._get(upstream)
             record.down_until_ms = max(record.down_until_ms, until_ms)
 
     def forget(self, upstream: str) -> None:
-        """Forget an upstream that ended."""
+        """Drop the record of an upstream that was removed."""
         self._records.pop(upstream, None)
 
     def _get(self, upstream: str) -> HealthRecord:
@@ -168,7 +165,7 @@
 
     def _record_change(self, upstream: str, record: HealthRecord, reason: str) -> None:
         failing = record.get_failure_rate(self._clock.now_ms())
-        healthy = failing < UNHEALTHY_SHARE
+        healthy = failing < UNHEALTHY_FAILURE_RATE
         if healthy == record.healthy:
             return
         record.healthy = healthy
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -1,7 +1,7 @@
-"""What engines hold when a router starts after a failure: told by a peer, or asked once.
+"""Loads the cache contents of all engines when a router starts, from a peer or from the engines.
 
-Answers this load: all routers are lost at once and start again knowing nothing, while the engines
-still hold every prompt that is in use. Without it these prompts are read again.
+Without it, a restart of all routers makes the engines prefill prompts again that they still have in
+their caches.
 """
 
 from __future__ import annotations
@@ -31,27 +31,27 @@
 _LOGGER = logging.getLogger(__name__)
 
 LIST_TIMEOUT_MS: Final = 1_000
-# One call holds its engine up for as long as reading 600 tokens, and a list of 500 parts takes a
-# router 1 ms of a core. One that has to ask more engines than this by itself asks none: their lists
-# would keep a small router busy for longer than requests wait for them.
+# A router that would have to query more engines than this by itself queries none: parsing the
+# listings would take longer than requests wait for the inventory.
 MAX_ENGINES: Final = 64
-# How long a router waits for the one before it in an engine's order: a list, and its way here.
+# Per rank, how long a router waits for routers of a lower rank to report an engine's listing.
 FALLBACK_DELAY_MS: Final = 100
-# Parts of fewer tokens are read faster than they are told.
+# Parts of fewer tokens are left out: prefilling them costs less than sharing them.
 MIN_PART_TOKENS: Final = 100
 
 
 class CachedPart(Struct, frozen=True, kw_only=True):
-    """A part of a prompt in an engine's cache."""
+    """A prompt part in the cache of an engine."""
 
     part: int
     tokens: int
 
 
 class CacheListing(Struct, frozen=True, kw_only=True):
-    """All parts in an engine's cache, and when the engine was started (Unix time; 0: not told).
+    """The prompt parts in the cache of an engine.
 
-    `leaving` is its word that it leaves.
+    `started_ms` is when the engine was started (Unix time; 0 if not reported); `leaving` is set if
+    the engine is shutting down.
     """
 
     parts: tuple[CachedPart, ...]
@@ -60,40 +60,40 @@
 
 
 class FetchCacheListing(Protocol):
-    """Asks an engine what it holds."""
+    """Fetches the cache listing of an engine."""
 
     async def __call__(self, connection: HttpConnection) -> CacheListing:
-        """Return the list; raises ConnectionBroken for anything that is no list."""
+        """Return the listing; raises ConnectionBroken if the response is not a valid listing."""
 
 
 class InventoryPeers(Protocol):
-    """The other routers, as far as they tell each other what engines hold."""
+    """The other routers, for the exchange of cache listings."""
 
     @property
     def complete(self) -> asyncio.Event:
-        """Return the event that is set once a peer told of all engines."""
+        """Return the event that is set when a peer has reported the listings of all engines."""
 
     async def async_ask(self) -> bool:
-        """Return whether a peer told of all engines in time."""
+        """Ask the peers; return whether one reported the listings of all engines in time."""
 
     def rank(self, position: int) -> int:
-        """Return how many routers ask the engine at a position of the list before this one."""
+        """Return how many routers have precedence in querying the engine at a list position."""
 
     async def async_share(self, upstream: str, parts: tuple[int, ...]) -> None:
-        """Tell the others what an engine holds."""
+        """Send the cached parts of an engine to the other routers."""
 
     def on_told(self, listener: Callable[[str], None]) -> None:
-        """Call `listener` with each engine of which a peer told what it holds."""
+        """Call `listener` with each engine whose listing a peer reported."""
 
     def note_informed(self) -> None:
-        """Note that this router knows of all engines."""
+        """Record that this router has the listings of all engines."""
 
 
 class CacheInventory:
-    """Learns what engines hold; `done` is set when all is known that will be.
+    """Fills the cache index at the start of a router; `done` is set when this has finished.
 
-    A peer that lives tells it in one message. Where all routers start together they divide the
-    engines among them, since each call delays its engine and is paid for.
+    A running peer reports all listings in one message. Routers that start together divide the
+    engines among themselves, because each query delays its engine.
     """
 
     __slots__ = (
@@ -132,27 +132,27 @@
         self.done = asyncio.Event()
 
     def set_peers(self, peers: InventoryPeers) -> None:
-        """Ask these routers first from now on, and tell them."""
+        """Set the routers to query before the engines and to share listings with."""
         self._peers = peers
         peers.on_told(self._note_reported)
 
     def async_start(self) -> None:
-        """Learn it as soon as the list and the configuration are there."""
+        """Start loading in the background, once the directory and the configuration are loaded."""
         self._app.async_create_task(self._async_run(), "inventory")
 
     def mark_complete(self) -> None:
-        """Note that all is known that can be, or that all engines are as new as this router."""
+        """Set `done`: loading has finished, or is not needed because all engines are new."""
         self.done.set()
         if self._peers is not None:
             self._peers.note_informed()
 
     async def _async_run(self) -> None:
-        told = self._app.async_create_task(self._async_ask_peers(), "ask peers")
+        reported = self._app.async_create_task(self._async_ask_peers(), "ask peers")
         await self._routing.ready.wait()
         await self._directory.loaded.wait()
         if self._peers is None:
             await self._async_load_all()
-        elif not await told:
+        elif not await reported:
             await self._async_load_share(self._peers)
         self.mark_complete()
 
@@ -160,14 +160,14 @@
         return self._peers is not None and await self._peers.async_ask()
 
     async def _async_load_share(self, peers: InventoryPeers) -> None:
-        """Ask the engines whose turn is this router's, until all are asked or told."""
-        asking = asyncio.ensure_future(self._async_load_all())
+        """Query this router's share of the engines, until a peer has reported all listings."""
+        loading = asyncio.ensure_future(self._async_load_all())
         complete = asyncio.ensure_future(peers.complete.wait())
         try:
-            await asyncio.wait((asking, complete), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((loading, complete), return_when=asyncio.FIRST_COMPLETED)
         finally:
             complete.cancel()
-            asking.cancel()
+            loading.cancel()
 
     async def _async_load_all(self) -> None:
         ranked = [(self._rank(position), e) for position, e in enumerate(self._list_engines())]
@@ -181,11 +181,11 @@
         )
 
     async def _async_load_as_fallback(self, entry: Entry, rank: int) -> None:
-        """Ask an engine if nobody before this router told of it."""
-        told = self._reported.setdefault(entry.incarnation, asyncio.Event())
+        """Query an engine unless a router of a lower rank reports its listing in time."""
+        reported = self._reported.setdefault(entry.incarnation, asyncio.Event())
         try:
             async with asyncio.timeout(rank * FALLBACK_DELAY_MS / MS_PER_S):
-                await told.wait()
+                await reported.wait()
         except TimeoutError:
             await self._async_load(entry)
 
@@ -213,20 +213,24 @@
     async def _async_load(self, entry: Entry) -> None:
         try:
             async with asyncio.timeout(LIST_TIMEOUT_MS / MS_PER_S):
-                held = await self._async_fetch(entry)
+                listing = await self._async_fetch(entry)
         except (ConnectFailed, ConnectionBroken, TimeoutError) as error:
-            # It is a hint: what is not known is read again.
-            _LOGGER.warning("Upstream %s does not list what it holds: %r", entry.incarnation, error)
+            # The listing is only a hint: prompts that are not listed are prefilled again.
+            _LOGGER.warning(
+                "No cache listing from upstream %s (%r); its cached prompts may be prefilled again",
+                entry.incarnation,
+                error,
+            )
             return
-        # A later start may answer before the list tells of it; what it holds is its own.
-        started_ms = held.started_ms or entry.born_ms
+        # The engine may have restarted before the directory shows it; the listing names its start.
+        started_ms = listing.started_ms or entry.born_ms
         incarnation = name_incarnation(upstream=entry.upstream, born_ms=started_ms)
-        parts = tuple(part.part for part in held.parts if part.tokens >= MIN_PART_TOKENS)
+        parts = tuple(part.part for part in listing.parts if part.tokens >= MIN_PART_TOKENS)
         for part in parts:
             self._placer.note_cached(part=part, upstream=incarnation)
-        if held.leaving:
+        if listing.leaving:
             self._directory.note_leaving(incarnation, source=SOURCE_ANSWER)
-        _LOGGER.info("Upstream %s holds %d parts", incarnation, len(held.parts))
+        _LOGGER.info("Upstream %s listed %d cached prompt parts", incarnation, len(listing.parts))
         if self._peers is not None:
             await self._peers.async_share(incarnation, parts)
 
@@ -235,9 +239,9 @@
             entry, repeatable=True, timeout_ms=LIST_TIMEOUT_MS
         )
         try:
-            held = await self._ask(leased.connection)
+            listing = await self._ask(leased.connection)
         except BaseException:
             leased.connection.close()
             raise
         self._connections.give_back(entry, leased.connection)
-        return held
+        return listing
--- a/gypsumrouter/forwarding/placed.py
+++ b/gypsumrouter/forwarding/placed.py
@@ -1,4 +1,4 @@
-"""What was decided of a placement, and what was noted of it, as values."""
+"""Values of a placement: the decision, the source of a cache copy and the request as sent."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class Placement(Struct, frozen=True, kw_only=True):
-    """The chosen upstream and the inputs that decided it.
+    """The chosen upstream and the inputs of the decision.
 
-    `probably_cached` is a prompt of which this router knows nothing at the first of its order, where
-    routers that know it send it: right after a start that is nearly always where it is cached.
+    `probably_cached` is set shortly after a router's start, if no engine is known to have the
+    prompt cached and it goes to the first upstream of its rendezvous order: other routers send it
+    there too, so it is most likely in that cache.
     """
 
     entry: Entry
@@ -25,16 +26,17 @@
 
 
 class CopySource(Struct, frozen=True, kw_only=True):
-    """An upstream from which cached parts can be copied, and what it lacks itself."""
+    """An upstream from which cached prompt parts can be copied; `missing_tokens` are not cached."""
 
     entry: Entry
     missing_tokens: int
 
 
 class SentRequest(Struct, frozen=True, kw_only=True):
-    """What was noted of a request: prompt tokens to read, and parts new to its upstream.
+    """A request as it was sent: prompt tokens to prefill, and parts not cached there before.
 
-    `uncontended` says that its prompt is the only one that is to be read there, and nothing is copied.
+    `uncontended` is set if no other prompt waits for prefill at the upstream and nothing is copied,
+    so that the time to the first event measures the prefill speed.
     """
 
     upstream: str
--- a/gypsumrouter/forwarding/placement.py
+++ b/gypsumrouter/forwarding/placement.py
@@ -1,8 +1,8 @@
-"""Which upstream a request goes to: the cheapest by prompt tokens to read again and by load.
+"""Placement cost model: chooses the upstream with the lowest cost of prefill, copying and load.
 
-Answers this load: a few prompts of about ten thousand tokens are shared by many requests, and some
-of them are suddenly in high demand. Reading such a prompt again takes an engine 0.12 s, in which
-all its streams stand still; sending all of its requests to one engine overloads that one.
+Many requests share a few long prompts. Sending them to the engine that has the prompt cached saves
+prefill time, during which all streams of an engine stall; the load cap keeps a popular prompt from
+overloading that engine.
 """
 
 from __future__ import annotations
@@ -16,38 +16,35 @@
 
 from gypsumrouter.forwarding.reading import PRIOR_TOKENS_PER_MS
 
-# Copying cached tokens from another engine: 10 ms to set it up, and per token more than it takes.
-# A wait behind the engine that holds a prompt costs nothing while its first event is in time; a
-# copy is paid for at once, and pushes out what others use.
+# Cost of copying cached tokens from another engine: a set-up time and a rate. The rate is set below
+# the real one, because a copy also evicts other prompts from the cache of the receiving engine.
 FETCH_SETUP_MS: Final = 10.0
 FETCH_TOKENS_PER_MS: Final = 40.0
-# Reading what another engine holds takes the engine five times as long as the copy and is twice as
-# dear here: more, and requests would stay at an engine that fails three of four.
+# Cost of prefilling a prompt that another engine has cached: twice that of copying it.
 REDUNDANT_PREFILL_TOKENS_PER_MS: Final = FETCH_TOKENS_PER_MS / 2
-# Below this a prompt is read faster than a copy is set up.
+# Shorter prompts are prefilled faster than a copy is set up.
 MIN_FETCH_TOKENS: Final = 256
-# What one more running request costs the others, in each step to a first event. Reading a prompt
-# again is paid for each time, so that load counts a quarter of its time; the cap bounds the rest.
+# Cost of each running request at the upstream.
 LOAD_COST_MS: Final = 0.5
-# What a request that waits for a slot of a plain service costs, in units of its mean service time.
+# Cost of each request that waits for a slot at the upstream.
 QUEUED_COST_MS: Final = 20.0
-# A prompt that nobody is cached to hold goes to the first of its own stable order, where another
-# router would send it too; the others count as if they had to read it twice.
+# Surcharge on upstreams that are not first in the rendezvous order of a prompt that is cached
+# nowhere, as a share of the prompt's prefill time. It makes routers agree on one upstream.
 OFF_AFFINITY_SHARE: Final = 1.0
-# Where a holder is cached the order only decides between equals, so that routers agree.
+# The same surcharge if some upstream has the prompt cached; decides only between similar costs.
 CACHED_OFF_AFFINITY_SHARE: Final = 0.1
-# Requests and answers between data centres cost bytes; a nearer upstream wins among equals.
+# Surcharge on upstreams in another data centre, for the traffic between data centres.
 REMOTE_COST_MS: Final = 4.0
 
 
 class Candidate(Struct, kw_only=True):
-    """One upstream as it looks for one request.
+    """An upstream and its state as seen by the placement of one request.
 
-    `load` counts the requests that all routers have there, `own_load` those of this one.
-    `pending_tokens` are the prompt tokens that wait to be read there, `missing_tokens` those of
-    this prompt that it has to read, of which `fetchable_tokens` can be copied from another engine.
-    `off_affinity` is one that does not come first in the stable order of a prompt that nobody holds.
-    `penalty_ms` is what its recent failures are expected to cost.
+    `load` is the number of running requests of all routers, `own_load` that of this router.
+    `pending_tokens` are prompt tokens that wait for prefill there. `missing_tokens` are the tokens
+    of this prompt that are not in its cache, of which `fetchable_tokens` can be copied from another
+    engine. `off_affinity` is set if another upstream comes first in the rendezvous order of the
+    prompt. `penalty_ms` is the expected cost of failures, from its recent failure rate.
     """
 
     upstream: str
@@ -63,20 +60,21 @@
 
 
 class Cap(Struct, frozen=True, kw_only=True):
-    """The bound on skew: a multiple of the mean load of a service, and a floor."""
+    """The load cap of an upstream: a multiple of the mean load of its service, plus a constant."""
 
     factor: float
     slack: float
 
     def allows(self, *, load: int, mean: float) -> bool:
-        """Return whether an upstream with `load` may take one more request."""
+        """Return whether an upstream with `load` running requests may receive another one."""
         return load + 1 <= self.factor * mean + self.slack
 
 
 class CostModel(Struct, frozen=True, kw_only=True):
-    """What all candidates of one request have in common.
+    """Parameters of the cost estimate that are the same for all candidates of a request.
 
-    `off_affinity_ms` is added where a prompt would be a off_affinity, `cached` says that some engine has it.
+    `off_affinity_ms` is the surcharge on `off_affinity` candidates; `cached` is set if some engine
+    has the shared parts of the prompt in its cache.
     """
 
     prefill_tokens_per_ms: float
@@ -93,10 +91,9 @@
     cached: bool,
     prefill_tokens_per_ms: float = PRIOR_TOKENS_PER_MS,
 ) -> Candidate | None:
-    """Return the cheapest candidate under the cap, or the least loaded one if none is under it.
+    """Return the cheapest candidate below the cap; if there is none, the least loaded candidate.
 
-    `cached` says that some upstream is cached to hold the shared part of the prompt,
-    `prefill_tokens_per_ms` how fast engines read.
+    `cached` is set if some upstream is known to have the shared parts of the prompt in its cache.
     """
     if not candidates:
         return None
@@ -113,10 +110,10 @@
 
 
 def estimate_cost_ms(candidate: Candidate, costs: CostModel) -> float:
-    """Return what a request costs at a candidate, in milliseconds of an engine's time."""
-    read = candidate.missing_tokens - candidate.fetchable_tokens
+    """Return the estimated cost of a request at a candidate, in milliseconds of engine time."""
+    prefill_tokens = candidate.missing_tokens - candidate.fetchable_tokens
     cost = candidate.pending_tokens / costs.prefill_tokens_per_ms
-    cost += read / (
+    cost += prefill_tokens / (
         REDUNDANT_PREFILL_TOKENS_PER_MS if costs.cached else costs.prefill_tokens_per_ms
     )
     if candidate.fetchable_tokens:
@@ -133,11 +130,11 @@
 
 
 def choose_plain(candidates: Sequence[Candidate], *, cap: Cap, mean: float) -> Candidate | None:
-    """Return an upstream for a request without a prompt; None where there is no candidate.
+    """Return an upstream for a request without a prompt; None if there is no candidate.
 
-    The fewest of this router's own requests decide, then chance. What peers told is some hundred
-    milliseconds old: where all routers follow it, they all turn to the same upstream, fill its
-    queue, and turn away from it together.
+    Chooses the upstream with the fewest requests of this router; ties are broken by a random choice
+    that favours upstreams with a low total load. Loads reported by peers are some hundred milliseconds old: routers that
+    all followed them would send to the same upstream at the same time (herding).
     """
     if not candidates:
         return None
@@ -149,17 +146,17 @@
 
 
 def _count_own(candidate: Candidate) -> int:
-    """Return this router's requests there; what failed there counts as some more of them."""
+    """Return the number of this router's requests, with the failure penalty as extra requests."""
     return candidate.own_load + int(candidate.penalty_ms / QUEUED_COST_MS)
 
 
 def choose_by_affinity(upstreams: Iterable[str], *, affinity: int) -> str:
-    """Return the first upstream in the stable order of a prompt; there has to be one."""
+    """Return the first upstream in the rendezvous order of a prompt; `upstreams` is not empty."""
     seed = affinity.to_bytes(8, "little")
     return min(upstreams, key=lambda name: xxhash.xxh3_64_intdigest(seed + name.encode()))
 
 
 def order_by_affinity(upstreams: Sequence[str], *, affinity: int) -> list[str]:
-    """Return the upstreams in the stable order of a prompt, by rendezvous hashing."""
+    """Return the upstreams in the order of a prompt by rendezvous hashing."""
     seed = affinity.to_bytes(8, "little")
     return sorted(upstreams, key=lambda name: xxhash.xxh3_64_intdigest(seed + name.encode()))
--- a/gypsumrouter/forwarding/placer.py
+++ b/gypsumrouter/forwarding/placer.py
@@ -1,4 +1,4 @@
-"""Gathers what is cached of a service's upstreams and chooses one of them."""
+"""Chooses an upstream for each attempt from health, load, cache contents and eligibility."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.mechanisms import Mechanism
 
-# How long a router that has started is_cached too little of what engines hold.
+# For this long after its start a router's view of the engines' prompt caches is incomplete.
 COLD_START_MS: Final = 4_000
 
 PlacementListener = Callable[[int, str], None]
@@ -46,15 +46,15 @@
         "_cap",
         "_directory",
         "_eligibility",
-        "_gone_ms",
-        "_keeps_lapsed",
-        "_placed_listeners",
+        "_keeps_removed",
+        "_placement_listeners",
         "_prefers_local",
         "_refuses_late",
+        "_removed_ms",
         "_spreads_plain",
         "_started_ms",
         "_uses_affinity",
-        "_weigh_health",
+        "_weighs_health",
         "backoffs",
         "cache_index",
         "health",
@@ -91,11 +91,11 @@
             evacuation_ms=evacuation_ms,
             without=without,
         )
-        self._weigh_health = Mechanism.HEALTH not in without
-        self._keeps_lapsed = Mechanism.LAPSED_BELIEFS not in without
+        self._weighs_health = Mechanism.HEALTH not in without
+        self._keeps_removed = Mechanism.LAPSED_BELIEFS not in without
         self._by_service: dict[str, dict[str, Entry]] = {}
-        # Incarnations that ended, and when.
-        self._gone_ms: dict[str, int] = {}
+        # When each incarnation was removed from the directory.
+        self._removed_ms: dict[str, int] = {}
         self.health = health
         self.backoffs = backoffs
         self.slow_start = slow_start
@@ -108,23 +108,23 @@
             prefill_speed=self.prefill_speed,
             extrapolates_prefill=Mechanism.READING_ON not in without,
         )
-        self._placed_listeners: list[PlacementListener] = []
+        self._placement_listeners: list[PlacementListener] = []
         self._started_ms = app.clock.now_ms()
         directory.on_change(self._handle_entry)
         evacuations.on_change(self._handle_evacuation)
 
     def set_bounds(self, cap: Cap, *, evacuation_ms: int) -> None:
-        """Keep another cap and another bound on evacuations from now on."""
+        """Replace the load cap and the evacuation bound."""
         self._cap = cap
         self._eligibility.set_evacuation_bound(evacuation_ms)
 
     def on_placed(self, listener: PlacementListener) -> Remove:
-        """Call `listener` with each shared part that is sent to an upstream, and the upstream."""
-        self._placed_listeners.append(listener)
-        return lambda: self._placed_listeners.remove(listener)
+        """Call `listener(part, upstream)` for each shared prompt part sent to an upstream."""
+        self._placement_listeners.append(listener)
+        return lambda: self._placement_listeners.remove(listener)
 
     def list_ready(self, service: str) -> Collection[Entry]:
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that are ready for new requests."""
         return self._by_service.get(service, {}).values()
 
     def place(
@@ -135,9 +135,10 @@
         excluded: Collection[str],
         limit_ms: int | None = None,
     ) -> Placement | PlacementRefusal:
-        """Return the best upstream but those passed over, or why there is none.
+        """Return the best upstream that is not in `excluded`, or why there is none.
 
-        A plain request is not taken where its answer is expected later than in `limit_ms`.
+        A plain request (one without a prompt) is refused if its response is expected to take
+        longer than `limit_ms`.
         """
         now_ms = self._app.clock.now_ms()
         members = self._by_service.get(service)
@@ -150,8 +151,8 @@
         mean = get_mean(loads)
         shared = () if prompt is None else prompt.shared
         source = self._find_source(shared, now_ms)
-        # Among those that may get it: where the preferred one is lost or evacuated, routers that hear
-        # nothing of each other agree on the next one, and a prompt is read in one place.
+        # Only eligible upstreams are ranked: when the preferred one is lost or evacuated, all
+        # routers agree on the next one without communication, and the prompt is prefilled once.
         eligible = [entry.incarnation for entry in entries]
         preferred = _find_preferred(eligible, shared) if self._uses_affinity else None
         candidates = {
@@ -203,14 +204,14 @@
         )
 
     def is_cached(self, prompt: Prompt) -> bool:
-        """Return whether an engine is cached that holds a prompt's shared parts."""
+        """Return whether some engine is known to have shared parts of a prompt in its cache."""
         return self._find_source(prompt.shared, self._app.clock.now_ms()) is not None
 
     def _is_cold_start(self, now_ms: int) -> bool:
         return now_ms - self._started_ms < COLD_START_MS
 
     def note_sent(self, placed: Placement, prompt: Prompt | None) -> SentRequest:
-        """Count a request that is sent, and what its upstream will hold of its prompt."""
+        """Record a request that is sent, and the prompt parts that its upstream will cache."""
         upstream = placed.entry.incarnation
         self.slow_start.note_sent(upstream)
         if prompt is None:
@@ -228,7 +229,7 @@
             if self.cache_index.note(part=part.part, upstream=upstream, now_ms=now_ms)
         )
         for part in prompt.shared:
-            for listener in self._placed_listeners:
+            for listener in self._placement_listeners:
                 listener(part.part, upstream)
         self.loads.begin(upstream, tokens=tokens)
         return SentRequest(
@@ -240,9 +241,10 @@
         )
 
     def apply_answer_facts(self, entry: Entry, facts: AnswerFacts) -> None:
-        """Take what an upstream says of itself in an answer.
+        """Apply the back-off and the shutdown that an upstream announced in a response.
 
-        The list may be away for long: without this, an upstream gets new work until it has ended.
+        The directory may be unavailable; without this, an upstream that shuts down would get new
+        requests until it has stopped.
         """
         if facts.rest_ms is not None:
             self.backoffs.note(entry.incarnation, backoff_ms=facts.rest_ms)
@@ -250,13 +252,13 @@
             self._directory.note_leaving(entry.incarnation, source=SOURCE_ANSWER)
 
     def note_unreachable(self, entry: Entry, *, reason: str, refused: bool) -> None:
-        """Note that no connection could be made; `refused` where its machine said so itself."""
+        """Record a failed connection attempt; `refused` if the host actively refused it."""
         self.health.note_unreachable(entry.incarnation, reason=reason, refused=refused)
         if refused:
             self.slow_start.note_refused(entry)
 
     def apply_peer_refusals(self, upstreams: Iterable[str]) -> None:
-        """Take which upstreams refused connections of peers a moment ago."""
+        """Record upstreams that recently refused connections of peer routers."""
         self.health.apply_peer_refusals(upstreams)
         for upstream in upstreams:
             entry = self._directory.get_incarnation(upstream)
@@ -264,40 +266,40 @@
                 self.slow_start.note_refused(entry)
 
     def note_cached(self, *, part: int, upstream: str) -> None:
-        """Note a part that an upstream says it holds."""
+        """Record a prompt part that an upstream reports as cached."""
         self.cache_index.note_cached(part=part, upstream=upstream, now_ms=self._app.clock.now_ms())
 
     def note_prefilled(self, sent: SentRequest) -> None:
-        """Note that nothing of a prompt is to be read any more."""
+        """Record that a prompt was prefilled, or that its attempt ended without a response."""
         self.loads.note_prefilled(sent.upstream, tokens=sent.tokens)
 
     def note_first_event(self, sent: SentRequest) -> None:
-        """Note that an answer began, which shows how fast the prompt was read."""
+        """Update the prefill speed from the time to the first event of a response."""
         if sent.uncontended:
             first_event_ms = self._app.clock.now_ms() - sent.sent_ms
             self.prefill_speed.note(tokens=sent.tokens, first_event_ms=first_event_ms)
 
     def note_not_run(self, sent: SentRequest) -> None:
-        """Take back what was noted of a request that its upstream never ran."""
+        """Undo the cache entries recorded for a request that its upstream did not run."""
         for part in sent.new_parts:
             self.cache_index.forget(part=part, upstream=sent.upstream)
 
     def sweep(self) -> None:
-        """Forget what upstreams held that ended long ago; call it about once a second.
+        """Drop expired state; call this about once a second.
 
-        An entry may lapse while its upstream lives on, as where its heartbeats are lost on the way;
-        forgotten at once, its prompts would be read again after each lapse.
+        The cache contents of a removed upstream are kept for a while: its directory entry may have
+        expired because heartbeats were lost, and the prompts it caches would be prefilled again.
         """
         self.slow_start.sweep()
         self.backoffs.sweep()
         now_ms = self._app.clock.now_ms()
-        for incarnation, gone_ms in tuple(self._gone_ms.items()):
-            if now_ms - gone_ms >= CACHE_TTL_MS:
-                del self._gone_ms[incarnation]
+        for incarnation, removed_ms in tuple(self._removed_ms.items()):
+            if now_ms - removed_ms >= CACHE_TTL_MS:
+                del self._removed_ms[incarnation]
                 self.cache_index.forget_upstream(incarnation)
 
     def _find_source(self, shared: tuple[PromptPart, ...], now_ms: int) -> CopySource | None:
-        """Return the reachable upstream that holds most of the shared parts."""
+        """Return the reachable upstream with the most tokens of the shared parts in its cache."""
         best: CopySource | None = None
         for part in reversed(shared):
             for upstream in self.cache_index.list_copy_sources(part.part, now_ms=now_ms):
@@ -346,7 +348,7 @@
         )
 
     def _get_penalty_ms(self, entry: Entry, *, plain: bool) -> float:
-        if not self._weigh_health:
+        if not self._weighs_health:
             return 0.0
         return self.health.penalty_ms(entry.incarnation, plain=plain)
 
@@ -365,14 +367,14 @@
         if entry.state is EntryState.READY:
             self._by_service.setdefault(entry.service, {})[entry.incarnation] = entry
         if entry.state is EntryState.GONE:
-            if self._keeps_lapsed:
-                self._gone_ms[entry.incarnation] = self._app.clock.now_ms()
+            if self._keeps_removed:
+                self._removed_ms[entry.incarnation] = self._app.clock.now_ms()
             else:
                 self.cache_index.forget_upstream(entry.incarnation)
             self.health.forget(entry.incarnation)
             self.plain.forget(entry.incarnation)
         else:
-            self._gone_ms.pop(entry.incarnation, None)
+            self._removed_ms.pop(entry.incarnation, None)
 
 
 def _find_preferred(members: Collection[str], shared: tuple[PromptPart, ...]) -> str | None:
--- a/gypsumrouter/forwarding/plain_admission.py
+++ b/gypsumrouter/forwarding/plain_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request without a prompt is taken on, or refused since it could not be in time."""
+"""Admission control for plain requests, which have no prompt: refuses those expected to be late."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class PlainAdmission:
-    """Admits plain requests by how long their upstreams take and how many wait there.
+    """Admits plain requests by their estimated response time.
 
-    Loads of peers are old, so that each router also goes on with its part of what the upstreams
-    serve, whatever it believes of their queues. `count_routers` is how many routers share it.
+    Independently of the estimate, each router admits its share of the throughput of the upstreams,
+    because the loads reported by peers are old. `count_routers` returns the number of routers that
+    share the throughput.
     """
 
     __slots__ = ("_count_routers", "_permits", "_times")
@@ -39,9 +40,9 @@
         limit_ms: int,
         now_ms: int,
     ) -> PlacementRefusal | None:
-        """Count a request that is taken on; return the refusal of one that is not.
+        """Admit a request and return None, or return its refusal.
 
-        `entries` are the upstreams that may get it, `limit_ms` is how much time it has.
+        `entries` are the eligible upstreams, `limit_ms` is the time within which to respond.
         """
         lateness_ms = self._estimate_lateness_ms(service, chosen, limit_ms)
         if not self._has_permit(service, entries, now_ms) and lateness_ms > 0:
@@ -50,7 +51,7 @@
         return None
 
     def note_answered(self, placed: Placement, *, elapsed_ms: int) -> None:
-        """Note a whole answer."""
+        """Record the duration of a complete response."""
         entry = placed.entry
         self._times.note(
             service=entry.service,
@@ -61,21 +62,21 @@
         )
 
     def forget(self, upstream: str) -> None:
-        """Forget an upstream that ended."""
+        """Drop the service time of an upstream that was removed."""
         self._times.forget(upstream)
 
     def _has_permit(self, service: str, entries: Collection[Entry], now_ms: int) -> bool:
-        """Return whether this router has a part left of what a service's upstreams serve."""
-        served_per_ms = 0.0
+        """Return whether this router's share of the service's throughput has a permit left."""
+        throughput_per_ms = 0.0
         for entry in entries:
             service_ms = self._times.get(service=service, upstream=entry.incarnation)
             if service_ms:
-                served_per_ms += entry.slots / service_ms
-        per_ms = served_per_ms / self._count_routers()
+                throughput_per_ms += entry.slots / service_ms
+        per_ms = throughput_per_ms / self._count_routers()
         return self._permits.has_permit(service, per_ms=per_ms, now_ms=now_ms)
 
     def _estimate_lateness_ms(self, service: str, chosen: Candidate, limit_ms: int) -> float:
-        """Return by how much the answer is expected later than it is worth waiting for."""
+        """Return by how much the response is expected to be late; 0 or less if it is in time."""
         service_ms = self._times.get(service=service, upstream=chosen.upstream)
         if service_ms is None or chosen.load < chosen.slots:
             return 0.0
--- a/gypsumrouter/forwarding/rests.py
+++ b/gypsumrouter/forwarding/rests.py
@@ -1,7 +1,6 @@
-"""For how long upstreams want nothing from this router, by their own word.
+"""Back-off of upstreams that are at capacity and named a time before which not to retry.
 
-Answers this load: an upstream that is full turns requests away and names a time to come back. Each
-request that is offered to it meanwhile costs it a connection and the caller a round trip.
+A request sent to such an upstream earlier would be rejected again, at the cost of a round trip.
 """
 
 from __future__ import annotations
@@ -11,12 +10,12 @@
 from gypsumrouter.journal import Journal, UpstreamResting
 from gypsumrouter.util.clock import Clock
 
-# No upstream is left alone for longer by one answer; one that still wants a rest says so again.
-MAX_REST_MS: Final = 600_000
+# Upper bound on the back-off requested by one response.
+MAX_BACKOFF_MS: Final = 600_000
 
 
 class BackoffTracker:
-    """Until when each upstream is to be left alone by this router; other routers have their own."""
+    """The end of each upstream's back-off, from responses to this router's requests."""
 
     __slots__ = ("_clock", "_journal", "_until_ms")
 
@@ -26,11 +25,11 @@
         self._until_ms: dict[str, int] = {}
 
     def note(self, upstream: str, *, backoff_ms: int) -> None:
-        """Note that an upstream wants nothing for so long; a shorter word shortens no earlier one.
+        """Start or extend the back-off of an upstream; it is never shortened.
 
-        Answers of requests that were under way together come in any order.
+        Responses to concurrent requests arrive in any order.
         """
-        backoff_ms = min(backoff_ms, MAX_REST_MS)
+        backoff_ms = min(backoff_ms, MAX_BACKOFF_MS)
         until_ms = self._clock.now_ms() + backoff_ms
         if until_ms <= self._until_ms.get(upstream, 0):
             return
@@ -38,18 +37,18 @@
         self._journal.record(UpstreamResting(upstream=upstream, rest_ms=backoff_ms))
 
     def is_backing_off(self, upstream: str) -> bool:
-        """Return whether an upstream is to be left alone now."""
+        """Return whether an upstream must not receive requests now."""
         return self.get_remaining_ms(upstream) > 0
 
     def get_remaining_ms(self, upstream: str) -> int:
-        """Return for how much longer an upstream is to be left alone."""
+        """Return the remaining back-off of an upstream; 0 if there is none."""
         until_ms = self._until_ms.get(upstream)
         return 0 if until_ms is None else max(0, until_ms - self._clock.now_ms())
 
     def sweep(self) -> None:
-        """Forget rests that are over; call it about once a second.
+        """Drop back-offs that have ended; call this about once a second.
 
-        That an upstream's entry is gone ends no rest: the entry may only have lapsed.
+        Back-offs of removed upstreams stay: the directory entry may only have expired.
         """
         now_ms = self._clock.now_ms()
         for upstream, until_ms in tuple(self._until_ms.items()):
--- a/gypsumrouter/forwarding/slow_start.py
+++ b/gypsumrouter/forwarding/slow_start.py
@@ -1,10 +1,8 @@
-"""How many requests an upstream gets while it warms up after its start.
+"""Slow start: bounds the requests per second that the fleet sends to an upstream that warms up.
 
-Answers this load: upstreams come back together, after a loss or an evacuation, and look idle to
-some hundred routers, which see each other's requests late. One that warms up bears few requests a
-second and crashes well above that. No router asks another one before it sends: each upstream has an
-order of the routers by rendezvous hashing, only the selected of them send to it, and each of these at
-its own share, so that the sum keeps within the bound whoever starts, dies or is cut off.
+Upstreams that restart together look idle to all routers at once, and crash if the warm-up rate is
+far exceeded. Routers keep the bound without communication: for each upstream they are ranked by
+rendezvous hashing, and only the first of them send to it, each its share of the bound.
 """
 
 from __future__ import annotations
@@ -23,21 +21,21 @@
 from gypsumrouter.routing import RoutingTable, SlowStart
 from gypsumrouter.util.clock import Clock
 
-# A request may be on its way for as long as a connection takes, so that two that left further apart
-# than a second may arrive within one.
+# Length of the rate window. It exceeds a second by the connection timeout, so that requests with
+# different connection times still keep the bound in each second of arrival.
 WINDOW_MS: Final = MS_PER_S + CONNECT_MS
-# The part of the bound that is shared out. Routers whose views of the fleet differ may send as
-# much again.
+# Share of the bound that is divided among the routers. The remainder allows for routers whose views
+# of the fleet differ.
 BOUND_SHARE: Final = 0.5
-# A router that starts sends nothing to what warms up until its view of the fleet stands still:
-# with half of the fleet unknown it would take twice its share.
+# A router sends nothing to warming upstreams until its view of the fleet has not grown for this
+# long: with an incomplete view its share would be too large.
 SETTLE_MS: Final = 1_200
-# A router that hears of nobody else takes itself for the only one after this time.
+# A router that has heard from no other router assumes after this time that it is the only one.
 NO_PEERS_MS: Final = 5_000
-# An upstream that starts again within its lease goes on under its entry, which tells of the start
-# up to this much later: three heartbeats until the lease ends, and one until the news are here.
+# Added to the warm-up of an upstream that refused a connection: if it restarted within its lease,
+# the directory shows the restart up to this much later.
 UNLISTED_RESTART_MS: Final = 3_000
-# Which routers come selected for an upstream is worked out again this often.
+# The ranking of routers for an upstream is computed again after this time.
 SELECTION_TTL_MS: Final = 500
 
 REASON_LISTED: Final = "listed"
@@ -47,22 +45,22 @@
 
 
 class Fleet(Protocol):
-    """The routers that are known, this one not among them."""
+    """This router's view of the other routers."""
 
     own: str
 
     def list_addresses(self) -> Collection[str]:
-        """Return the addresses of all routers that may live, whether they were heard or not."""
+        """Return the addresses of all other routers that may be running, reachable or not."""
 
     def get_grown_ms(self) -> int:
-        """Return when a router was last heard of for the selected time."""
+        """Return when a router was last added to the view."""
 
     def has_heard(self) -> bool:
-        """Return whether any other router was ever heard."""
+        """Return whether a message of another router was ever received."""
 
 
 class SingleRouter:
-    """A fleet without other routers."""
+    """The view of a router that is the only one."""
 
     __slots__ = ("own",)
 
@@ -70,54 +68,54 @@
         self.own = ""
 
     def list_addresses(self) -> Collection[str]:
-        """Return no other router."""
+        """Return an empty collection."""
         return ()
 
     def get_grown_ms(self) -> int:
-        """Return that nobody was ever heard of."""
+        """Return 0: no router was ever added."""
         return 0
 
     def has_heard(self) -> bool:
-        """Return that there is nobody to hear."""
+        """Return True: there is no other router to wait for."""
         return True
 
 
-class SendShare(Struct, frozen=True, kw_only=True):
-    """How the requests to one upstream are shared out: so many routers send so many a window."""
+class RateShare(Struct, frozen=True, kw_only=True):
+    """The division of the bound: `routers` routers each send `requests` requests per window."""
 
     routers: int
     requests: int
 
 
 class SendWindow:
-    """What one router knows of its window at one upstream."""
+    """The requests that this router sent to a warming upstream within the rate window."""
 
     __slots__ = ("selected", "selected_ms", "sent_ms")
 
     def __init__(self) -> None:
-        # Whether this router is among the selected of the upstream's order, and since when.
+        # Whether this router is among those selected to send, and when that was computed.
         self.selected = False
         self.selected_ms: int | None = None
         self.sent_ms: deque[int] = deque()
 
 
 class Warming(Struct, kw_only=True):
-    """An upstream that warms up; `until_ms` is when it bears as much as others."""
+    """An upstream that is warming up until `until_ms`."""
 
     entry: Entry
     until_ms: int
 
 
-def split_bound(*, bound: float, routers: int) -> SendShare:
-    """Return the share at which a fleet of so many routers keeps to `bound` requests a second."""
+def split_bound(*, bound: float, routers: int) -> RateShare:
+    """Divide a bound in requests per second among a fleet of `routers` routers."""
     shared = max(1, int(bound * BOUND_SHARE))
     if routers >= shared:
-        return SendShare(routers=shared, requests=1)
-    return SendShare(routers=routers, requests=shared // routers)
+        return RateShare(routers=shared, requests=1)
+    return RateShare(routers=routers, requests=shared // routers)
 
 
 def is_selected_sender(own: str, others: Iterable[str], *, upstream: str, count: int) -> bool:
-    """Return whether a router is among the selected `count` in the order of an upstream."""
+    """Return whether a router is among the first `count` in the rendezvous order of an upstream."""
     seed = xxhash.xxh3_64_intdigest(upstream.encode())
     key = xxhash.xxh3_64_intdigest(own.encode(), seed)
     before = 0
@@ -130,7 +128,7 @@
 
 
 class SlowStartLimiter:
-    """Which upstreams warm up, and when this router may send something to one of them."""
+    """Tracks the upstreams that warm up, and when this router may send a request to them."""
 
     __slots__ = (
         "_clock",
@@ -158,20 +156,20 @@
         self._windows: dict[str, SendWindow] = {}
 
     def set_bound(self, *, factor: float, slack: float) -> None:
-        """Keep another bound from now on: `factor` times the published rate and `slack` more."""
+        """Set the bound: `factor` times the configured warm-up rate, plus `slack`."""
         self._factor = factor
         self._slack = slack
 
     def set_fleet(self, fleet: Fleet) -> None:
-        """Share what upstreams bear with these routers from now on."""
+        """Set the view of the routers among which the bound is divided."""
         self._fleet = fleet
 
     def count_routers(self) -> int:
-        """Return how many routers share what upstreams bear."""
+        """Return the number of routers in the fleet, including this one."""
         return 1 + len(self._fleet.list_addresses())
 
     def set_table(self, table: RoutingTable) -> None:
-        """Take what upstreams of each service bear."""
+        """Read the slow-start settings of the services from the routing table."""
         self._services = {
             service.name: service.slow_start
             for service in table.configuration.services
@@ -179,7 +177,7 @@
         }
 
     def update_entry(self, entry: Entry) -> None:
-        """Take what the list says of an upstream."""
+        """Update an upstream from its directory entry."""
         if entry.state is EntryState.GONE:
             self._warming.pop(entry.incarnation, None)
             self._windows.pop(entry.incarnation, None)
@@ -187,41 +185,41 @@
             self._start_warming(entry, entry.cold_ms, REASON_LISTED)
 
     def note_refused(self, entry: Entry) -> None:
-        """Note that an upstream refused a connection: when it is back it has started again."""
-        traits = self._services.get(entry.service)
-        if traits is not None:
-            self._start_warming(entry, traits.duration_ms + UNLISTED_RESTART_MS, REASON_REFUSED)
+        """Treat an upstream that refused a connection as restarting."""
+        settings = self._services.get(entry.service)
+        if settings is not None:
+            self._start_warming(entry, settings.duration_ms + UNLISTED_RESTART_MS, REASON_REFUSED)
 
     def note_evacuation_ended(self, entry: Entry) -> None:
-        """Note that the evacuation of an upstream's data centre ended, where it may have rested."""
-        traits = self._services.get(entry.service)
-        if traits is not None:
-            self._start_warming(entry, traits.duration_ms, REASON_EVACUATED)
+        """Treat an upstream as warming up after the evacuation of its data centre ended."""
+        settings = self._services.get(entry.service)
+        if settings is not None:
+            self._start_warming(entry, settings.duration_ms, REASON_EVACUATED)
 
     def is_warming(self, upstream: str) -> bool:
-        """Return whether an upstream bears few requests now."""
+        """Return whether an upstream is warming up."""
         warming = self._warming.get(upstream)
         return warming is not None and self._clock.now_ms() < warming.until_ms
 
     def may_send(self, upstream: str) -> bool:
-        """Return whether this router may send a request to an upstream that warms up."""
+        """Return whether this router may send a request to an upstream now."""
         return self.get_wait_ms(upstream) == 0
 
     def get_wait_ms(self, upstream: str) -> int:
-        """Return how long this router has to wait before it may send a request to an upstream."""
+        """Return how long to wait before sending a request to an upstream; 0 if allowed now."""
         warming = self._warming.get(upstream)
         now_ms = self._clock.now_ms()
         if warming is None or now_ms >= warming.until_ms:
             return 0
         left_ms = warming.until_ms - now_ms
-        traits = self._services.get(warming.entry.service)
-        if traits is None:
+        settings = self._services.get(warming.entry.service)
+        if settings is None:
             return 0
         settling_ms = self._get_settling_ms(now_ms)
         if settling_ms > 0:
             return min(left_ms, settling_ms)
         others = self._fleet.list_addresses()
-        bound = traits.requests_per_s * self._factor + self._slack
+        bound = settings.requests_per_s * self._factor + self._slack
         share = split_bound(bound=bound, routers=1 + len(others))
         window = self._windows.setdefault(upstream, SendWindow())
         if not self._is_selected(window, upstream, others, share, now_ms):
@@ -233,18 +231,18 @@
         return min(left_ms, window.sent_ms[-share.requests] + WINDOW_MS - now_ms)
 
     def note_sent(self, upstream: str) -> None:
-        """Note a request that goes to an upstream."""
+        """Record a request that is sent to an upstream."""
         if self.is_warming(upstream):
             self._windows.setdefault(upstream, SendWindow()).sent_ms.append(self._clock.now_ms())
 
     def sweep(self) -> None:
-        """Forget upstreams that are warm; call it about once a second."""
+        """Drop upstreams whose warm-up has ended; call this about once a second."""
         now_ms = self._clock.now_ms()
         for upstream, warming in tuple(self._warming.items()):
             if now_ms >= warming.until_ms:
                 del self._warming[upstream]
                 self._windows.pop(upstream, None)
-                self._record(upstream, warming=False, reason=REASON_WARM, left_ms=0)
+                self._record_change(upstream, warming=False, reason=REASON_WARM, left_ms=0)
 
     def _start_warming(self, entry: Entry, duration_ms: int, reason: str) -> None:
         until_ms = self._clock.now_ms() + duration_ms
@@ -252,12 +250,12 @@
         known = self._warming.get(upstream)
         if known is None:
             self._warming[upstream] = Warming(entry=entry, until_ms=until_ms)
-            self._record(upstream, warming=True, reason=reason, left_ms=duration_ms)
+            self._record_change(upstream, warming=True, reason=reason, left_ms=duration_ms)
             return
         known.until_ms = max(known.until_ms, until_ms)
 
     def _get_settling_ms(self, now_ms: int) -> int:
-        """Return how long this router's view of the fleet has to stand still yet."""
+        """Return how long the view of the fleet must still stay unchanged before sending."""
         since_ms = max(self._started_ms, self._fleet.get_grown_ms())
         if not self._fleet.has_heard():
             return max(0, self._started_ms + NO_PEERS_MS - now_ms)
@@ -268,7 +266,7 @@
         window: SendWindow,
         upstream: str,
         others: Collection[str],
-        share: SendShare,
+        share: RateShare,
         now_ms: int,
     ) -> bool:
         if window.selected_ms is None or now_ms - window.selected_ms >= SELECTION_TTL_MS:
@@ -279,7 +277,7 @@
             window.selected_ms = now_ms
         return window.selected
 
-    def _record(self, upstream: str, *, warming: bool, reason: str, left_ms: int) -> None:
+    def _record_change(self, upstream: str, *, warming: bool, reason: str, left_ms: int) -> None:
         self._journal.record(
             UpstreamWarming(upstream=upstream, warming=warming, reason=reason, left_ms=left_ms)
         )
--- a/gypsumrouter/forwarding/suspects.py
+++ b/gypsumrouter/forwarding/suspects.py
@@ -1,8 +1,7 @@
-"""Requests whose content breaks the upstreams that run it.
+"""Detection of requests that crash the upstreams that run them ("queries of death").
 
-Answers this load: one request crashes each upstream that begins to run it, and its caller sends it
-again and again, through any router. Requests that merely ran beside it succeed elsewhere, which
-clears them.
+Such a request is retried by its caller through any router and would crash one upstream after the
+other. Requests that ran on a crashing upstream by coincidence succeed elsewhere, which clears them.
 """
 
 from __future__ import annotations
@@ -17,9 +16,9 @@
 from gypsumrouter.forwarding.models import CallerRequest
 from gypsumrouter.journal import Journal, SuspectNoted
 
-# A content that broke this many upstreams, and never succeeded, is not sent to another.
+# A request that crashed this many upstreams and never succeeded is not sent to another one.
 MAX_STRIKES: Final = 3
-# How long strikes and successes are remembered: callers repeat within seconds.
+# How long strikes and successes are kept.
 STRIKE_TTL_MS: Final = 120_000
 MAX_DIGESTS: Final = 5_000
 
@@ -27,7 +26,7 @@
 
 
 class SuspectTracker:
-    """Counts, for each content, the different upstreams that broke off while they ran it."""
+    """Counts strikes per request digest: the upstreams whose connection broke while running it."""
 
     __slots__ = ("_app", "_cleared", "_journal", "_listeners", "_strikes")
 
@@ -39,48 +38,48 @@
         self._listeners: list[StrikeListener] = []
 
     def on_strike(self, listener: StrikeListener) -> None:
-        """Call `listener` with each strike that this router saw itself."""
+        """Call `listener(digest, upstream)` for each strike observed by this router itself."""
         self._listeners.append(listener)
 
     def is_suspect(self, digest: int) -> bool:
-        """Return whether a content must not be sent to a further upstream."""
+        """Return whether a request must not be sent to another upstream."""
         since_ms = self._app.clock.now_ms() - STRIKE_TTL_MS
-        struck = self._strikes.get(digest, {})
-        return sum(noted_ms >= since_ms for noted_ms in struck.values()) >= MAX_STRIKES
+        strikes = self._strikes.get(digest, {})
+        return sum(noted_ms >= since_ms for noted_ms in strikes.values()) >= MAX_STRIKES
 
     def note_crash(self, digest: int, upstream: str) -> None:
-        """Note that an upstream broke off while it ran this content."""
+        """Record that the connection to an upstream broke while it ran this request."""
         if self.add_strike(digest, upstream, source="own"):
             for listener in self._listeners:
                 listener(digest, upstream)
 
     def note_success(self, digest: int) -> None:
-        """Note that this content was answered: it breaks nothing."""
+        """Clear a request that was answered."""
         self._strikes.pop(digest, None)
         self._cleared[digest] = self._app.clock.now_ms()
         if len(self._cleared) > MAX_DIGESTS:
             self._cleared.popitem(last=False)
 
     def add_strike(self, digest: int, upstream: str, *, source: str) -> bool:
-        """Take a strike, also from a peer; return whether it is news."""
+        """Record a strike seen by this router or by a peer; return whether it is a new one."""
         now_ms = self._app.clock.now_ms()
         if now_ms - self._cleared.get(digest, -STRIKE_TTL_MS) < STRIKE_TTL_MS:
             return False
-        struck = self._strikes.setdefault(digest, {})
-        if upstream in struck:
+        strikes = self._strikes.setdefault(digest, {})
+        if upstream in strikes:
             return False
-        struck[upstream] = now_ms
+        strikes[upstream] = now_ms
         if len(self._strikes) > MAX_DIGESTS:
             self._strikes.popitem(last=False)
-        if len(struck) >= 2:
+        if len(strikes) >= 2:
             self._journal.record(
-                SuspectNoted(digest=digest, strikes=len(struck), upstream=upstream, source=source)
+                SuspectNoted(digest=digest, strikes=len(strikes), upstream=upstream, source=source)
             )
         return True
 
 
 def make_digest(request: CallerRequest) -> int:
-    """Return what stands for a request's content: its path, caller and body."""
+    """Return a hash of a request's method, path, key and body."""
     hashed = xxhash.xxh3_64()
     for part in (request.method, request.path, request.key or ""):
         hashed.update(part.encode("utf-8", "surrogateescape"))
