--- a/gypsumrouter/forwarding/eligibility.py
+++ b/gypsumrouter/forwarding/eligibility.py
@@ -15,7 +15,7 @@
 from gypsumrouter.outcomes import Reason
 
 # Share of the evacuation bound during which cached prompts may still be copied from an evacuated
-# engine. The rest allows for the delay until a router learns of the evacuation.
+# engine. The other half allows for the delay until a router learns of the evacuation.
 COPY_WINDOW_SHARE: Final = 0.5
 
 
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -122,7 +122,7 @@
             routing=routing,
             placer=self.placer,
             connections=self._connections,
-            ask=ask_held,
+            fetch_listing=ask_held,
         )
         self.handler = RequestHandler(
             parts=parts,
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -74,7 +74,7 @@
         """Return the event that is set when a peer has reported the listings of all engines."""
 
     async def async_ask(self) -> bool:
-        """Ask the peers; return whether one reported the listings of all engines in time."""
+        """Query the peers; return whether one reported the listings of all engines in time."""
 
     def rank(self, position: int) -> int:
         """Return how many routers have precedence in querying the engine at a list position."""
@@ -98,10 +98,10 @@
 
     __slots__ = (
         "_app",
-        "_ask",
         "_connections",
         "_directory",
         "_evacuations",
+        "_fetch_listing",
         "_peers",
         "_placer",
         "_reported",
@@ -118,7 +118,7 @@
         routing: RoutingStore,
         placer: Placer,
         connections: UpstreamConnections,
-        ask: FetchCacheListing,
+        fetch_listing: FetchCacheListing,
     ) -> None:
         self._app = app
         self._directory = directory
@@ -126,7 +126,7 @@
         self._routing = routing
         self._placer = placer
         self._connections = connections
-        self._ask = ask
+        self._fetch_listing = fetch_listing
         self._peers: InventoryPeers | None = None
         self._reported: dict[str, asyncio.Event] = {}
         self.done = asyncio.Event()
@@ -147,7 +147,7 @@
             self._peers.note_informed()
 
     async def _async_run(self) -> None:
-        reported = self._app.async_create_task(self._async_ask_peers(), "ask peers")
+        reported = self._app.async_create_task(self._async_query_peers(), "ask peers")
         await self._routing.ready.wait()
         await self._directory.loaded.wait()
         if self._peers is None:
@@ -156,7 +156,7 @@
             await self._async_load_share(self._peers)
         self.mark_complete()
 
-    async def _async_ask_peers(self) -> bool:
+    async def _async_query_peers(self) -> bool:
         return self._peers is not None and await self._peers.async_ask()
 
     async def _async_load_share(self, peers: InventoryPeers) -> None:
@@ -239,7 +239,7 @@
             entry, repeatable=True, timeout_ms=LIST_TIMEOUT_MS
         )
         try:
-            listing = await self._ask(leased.connection)
+            listing = await self._fetch_listing(leased.connection)
         except BaseException:
             leased.connection.close()
             raise
--- a/gypsumrouter/forwarding/placement.py
+++ b/gypsumrouter/forwarding/placement.py
@@ -133,8 +133,8 @@
     """Return an upstream for a request without a prompt; None if there is no candidate.
 
     Chooses the upstream with the fewest requests of this router; ties are broken by a random choice
-    that favours upstreams with a low total load. Loads reported by peers are some hundred milliseconds old: routers that
-    all followed them would send to the same upstream at the same time (herding).
+    that favours a low total load. Loads reported by peers are some hundred milliseconds old:
+    routers that all followed them would send to the same upstream at the same time (herding).
     """
     if not candidates:
         return None
--- a/tests/forwarding/test_forwarding_births.py
+++ b/tests/forwarding/test_forwarding_births.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their ids, and entries of other writers, end to end."""
+"""Restarts of upstreams under the same id, and unusable directory entries, end to end."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 import pytest
 from forwarding_world import PROMPT, ForwardingWorld
 
-BORN_MS = 1_760_000_000_000
+STARTED_MS = 1_760_000_000_000
 SHARED_TOKENS = 1_200
 
 
-async def _async_put_models(world: ForwardingWorld, born_ms: int) -> None:
+async def _async_put_models(world: ForwardingWorld, started_ms: int) -> None:
     for runner in world.models:
         await world.store.async_put_runner(
-            runner.name, service="models", address=world.addresses[runner.name], born=born_ms
+            runner.name, service="models", address=world.addresses[runner.name], born=started_ms
         )
-    await world.async_until(lambda: _get_births(world) == {born_ms})
+    await world.async_until(lambda: _get_start_times(world) == {started_ms})
 
 
 def _list_missing(caplog: pytest.LogCaptureFixture) -> list[int]:
-    """Return the tokens that each placed request had to read."""
+    """Return the tokens that were missing from the cache for each placed request."""
     placed = [record for record in caplog.records if record.message == "request_placed"]
     return [record.event["missing_tokens"] for record in placed]  # type: ignore[attr-defined]
 
 
-def _get_births(world: ForwardingWorld) -> set[int]:
+def _get_start_times(world: ForwardingWorld) -> set[int]:
     section = world.product.app.dump()["directory"]
     assert isinstance(section, dict)
     upstreams = section["upstreams"]
     return {entry["born_ms"] for entry in upstreams if entry["service"] == "models"}
 
 
-async def test_an_upstream_that_starts_again_under_its_id_is_asked_as_one_that_knows_nothing(
+async def test_cache_index_is_empty_for_an_upstream_restarted_under_the_same_id(
     world: ForwardingWorld, session: aiohttp.ClientSession, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    await _async_put_models(world, BORN_MS)
+    await _async_put_models(world, STARTED_MS)
     for number in range(2):
         await world.async_call(session, "POST", "/quote/a", f"r{number}", extra=PROMPT, body=b"{}")
-    await _async_put_models(world, BORN_MS + 5_000)
+    await _async_put_models(world, STARTED_MS + 5_000)
     await world.async_call(session, "POST", "/quote/a", "r2", extra=PROMPT, body=b"{}")
     arrivals = {number: world.arrivals(f"r{number}")[0].headers for number in range(3)}
     ids = {headers["X-Expect-Instance"] for headers in arrivals.values()}
@@ -48,10 +48,10 @@
     assert _list_missing(caplog) == [SHARED_TOKENS, 0, SHARED_TOKENS]
 
 
-async def test_what_an_upstream_holds_is_known_after_its_entry_lapsed_and_came_back(
+async def test_cache_index_survives_expiry_and_return_of_an_entry(
     world: ForwardingWorld, session: aiohttp.ClientSession, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Heartbeats that are lost on the way end an entry, though the upstream lives on."""
+    """Lost heartbeats let an entry expire while its upstream keeps running."""
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
     for runner in world.models:
@@ -65,7 +65,7 @@
     assert _list_missing(caplog) == [SHARED_TOKENS, 0]
 
 
-async def test_a_router_follows_the_list_on_after_entries_of_other_writers(
+async def test_directory_updates_are_followed_after_malformed_entries(
     world: ForwardingWorld, session: aiohttp.ClientSession
 ) -> None:
     good = {"service": "records", "zone": "dc-a", "slots": 6, "state": "ready"}
@@ -73,19 +73,19 @@
     await world.store.async_put("servers/i-bad-2", {**good, "address": "1.2.3.4:x"})
     await world.store.async_put("servers/i-bad-3", [1, {"a": None}])
     await world.store.async_put("servers/", {**good, "address": "127.0.0.1:1"})
-    late = world.records[0]
-    address = world.addresses[late.name]
+    draining = world.records[0]
+    address = world.addresses[draining.name]
     await world.store.async_put_runner(
-        late.name, service="records", address=address, state="draining"
+        draining.name, service="records", address=address, state="draining"
     )
-    await world.async_until(lambda: _get_state(world, late.name) == "leaving")
+    await world.async_until(lambda: _get_state(world, draining.name) == "leaving")
     for number in range(6):
         status, _, _ = await world.async_call(session, "GET", "/lookup/a", f"r{number}")
         assert status == 200
-    assert not late.arrivals
+    assert not draining.arrivals
 
 
-async def test_an_upstream_whose_entry_was_overwritten_serves_on_after_its_next_one(
+async def test_upstream_serves_again_after_its_overwritten_entry_is_restored(
     world: ForwardingWorld, session: aiohttp.ClientSession
 ) -> None:
     for runner in world.records:
@@ -101,7 +101,7 @@
     assert status == 200
 
 
-async def test_an_upstream_that_changes_its_service_leaves_the_one_before(
+async def test_upstream_that_changes_its_service_gets_no_requests_of_the_former_one(
     world: ForwardingWorld, session: aiohttp.ClientSession
 ) -> None:
     moved = world.records[0]
--- a/tests/forwarding/test_forwarding_eligibility.py
+++ b/tests/forwarding/test_forwarding_eligibility.py
@@ -1,4 +1,4 @@
-"""Which upstreams may get a request: evacuated, lost and warming up ones, together."""
+"""Eligibility of upstreams that are evacuated, unreachable, backing off or warming up."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 SERVICE = "models"
 PER_S, FACTOR, SLACK = 4.0, 1.5, 2.0
-# Half of the bound, which a router that is alone may send in a window.
+# Half of the bound, which a single router may send per window.
 SHARE = 4
 WARM_UP_MS = 3_000
 PROMPT = Prompt(
@@ -41,7 +41,7 @@
 
 
 class Router:
-    """One router before engines in two data centres, three in each."""
+    """One router with three engines in each of two data centres."""
 
     def __init__(self, *, without: frozenset[Mechanism] = frozenset()) -> None:
         self.clock = ManualClock(now_ms=100_000)
@@ -71,7 +71,7 @@
         self.clock.advance(SETTLE_MS)
 
     def write(self, name: str, *, cold_ms: int = 0) -> None:
-        """Write the entry of an engine."""
+        """Write the directory entry of an engine."""
         self._revision += 1
         entry = Entry(
             upstream=name,
@@ -85,27 +85,27 @@
         self.directory.merge(Record(revision=self._revision, entry=entry), source="test")
 
     def evacuate(self, name: str, *, active: bool = True) -> None:
-        """Evacuate a data centre, or take it back."""
+        """Evacuate a data centre, or end its evacuation."""
         self._revision += 1
         evacuation = Evacuation(data_centre=name, revision=self._revision, active=active)
         self.evacuations.merge(evacuation, source="test")
 
     def send(self, count: int, *, prompt: Prompt | None = PROMPT) -> list[str]:
-        """Place and send requests; return where they went, refused ones by their reason."""
-        places = []
+        """Place and send requests; return the upstream, or the reason of the refusal, of each."""
+        results = []
         for _ in range(count):
             placed = self.placer.place(service=SERVICE, prompt=prompt, excluded=())
             if isinstance(placed, PlacementRefusal):
-                places.append(placed.reason.value)
+                results.append(placed.reason.value)
                 continue
             self.placer.note_sent(placed, prompt)
-            places.append(placed.entry.upstream)
-        return places
+            results.append(placed.entry.upstream)
+        return results
 
 
 def make_table() -> RoutingTable:
-    traits = SlowStart(duration_ms=WARM_UP_MS, requests_per_s=PER_S)
-    service = Service(name=SERVICE, max_connections=100, slow_start=traits)
+    settings = SlowStart(duration_ms=WARM_UP_MS, requests_per_s=PER_S)
+    service = Service(name=SERVICE, max_connections=100, slow_start=settings)
     configuration = RoutingConfiguration(
         version=1,
         routes=(),
@@ -117,7 +117,7 @@
     return RoutingTable(configuration=configuration)
 
 
-def test_one_that_warms_up_gets_nothing_while_a_warm_one_can_take_it() -> None:
+def test_warming_upstreams_get_no_requests_while_a_warm_one_is_available() -> None:
     router = Router()
     for name in router.names[1:]:
         router.write(name, cold_ms=WARM_UP_MS)
@@ -127,13 +127,13 @@
     assert len(set(router.send(50, prompt=None))) > 1
 
 
-def test_where_all_warm_up_they_get_their_share_and_the_rest_is_refused_at_once() -> None:
+def test_all_warming_upstreams_get_their_share_and_excess_requests_are_refused() -> None:
     router = Router()
     for name in router.names:
         router.write(name, cold_ms=WARM_UP_MS)
-    places = router.send(60, prompt=None)
-    assert all(places.count(name) == SHARE for name in router.names)
-    assert places.count(Reason.WARMING_UP.value) == 60 - 6 * SHARE
+    results = router.send(60, prompt=None)
+    assert all(results.count(name) == SHARE for name in router.names)
+    assert results.count(Reason.WARMING_UP.value) == 60 - 6 * SHARE
     refused = router.placer.place(service=SERVICE, prompt=None, excluded=())
     assert isinstance(refused, PlacementRefusal)
     assert refused.not_before_ms == WINDOW_MS
@@ -141,14 +141,14 @@
     assert Reason.WARMING_UP.value not in router.send(6 * SHARE, prompt=None)
 
 
-def test_without_the_rule_one_that_warms_up_is_a_candidate_within_its_share() -> None:
+def test_warming_upstream_is_a_candidate_within_its_share_without_warm_first() -> None:
     router = Router(without=frozenset({Mechanism.WARM_FIRST}))
     router.write("i-5", cold_ms=WARM_UP_MS)
-    places = router.send(120, prompt=None)
-    assert places.count("i-5") == SHARE
+    results = router.send(120, prompt=None)
+    assert results.count("i-5") == SHARE
 
 
-def test_an_engine_of_a_data_centre_that_is_taken_back_warms_up_first() -> None:
+def test_engines_warm_up_after_the_evacuation_of_their_data_centre_ends() -> None:
     router = Router()
     router.evacuate("dc-1")
     assert set(router.send(30, prompt=None)) == {"i-0", "i-2", "i-4"}
@@ -158,25 +158,25 @@
     assert set(router.send(120, prompt=None)) == set(router.names)
 
 
-def test_a_lost_one_that_was_warm_is_tried_before_a_request_is_refused() -> None:
+def test_unreachable_warm_upstream_is_tried_before_requests_are_refused() -> None:
     router = Router()
     for name in router.names[1:]:
         router.write(name, cold_ms=60_000)
     router.health.note_unreachable("i-0", reason="no answer")
-    places = router.send(5 * SHARE, prompt=None)
-    assert "i-0" not in places
-    assert places.count(Reason.WARMING_UP.value) == 0
+    results = router.send(5 * SHARE, prompt=None)
+    assert "i-0" not in results
+    assert results.count(Reason.WARMING_UP.value) == 0
     assert set(router.send(SHARE, prompt=None)) == {"i-0"}
 
 
-def test_no_engine_is_left_where_all_data_centres_are_evacuated() -> None:
+def test_requests_are_refused_when_all_data_centres_are_evacuated() -> None:
     router = Router()
     router.evacuate("dc-0")
     router.evacuate("dc-1")
     assert router.send(3) == [Reason.EVACUATED.value] * 3
 
 
-def test_an_engine_that_refused_a_peer_is_left_alone_and_taken_for_one_that_starts() -> None:
+def test_engine_that_refused_a_peer_is_skipped_and_then_treated_as_warming() -> None:
     router = Router()
     router.placer.apply_peer_refusals(["i-0", "i-9"])
     assert "i-0" not in router.send(60, prompt=None)
@@ -185,7 +185,7 @@
     assert "i-0" not in router.send(60, prompt=None)
 
 
-def test_an_upstream_that_wants_a_rest_gets_nothing_until_it_is_over() -> None:
+def test_upstream_gets_no_requests_during_its_backoff() -> None:
     router = Router()
     router.placer.backoffs.note("i-0", backoff_ms=2_000)
     assert "i-0" not in router.send(60)
@@ -195,7 +195,7 @@
     assert "i-0" in router.send(60, prompt=None)
 
 
-def test_a_shorter_word_on_a_rest_does_not_end_an_earlier_one() -> None:
+def test_shorter_backoff_does_not_shorten_an_earlier_one() -> None:
     router = Router()
     router.placer.backoffs.note("i-0", backoff_ms=2_000)
     router.placer.backoffs.note("i-0", backoff_ms=500)
@@ -205,7 +205,7 @@
     assert router.placer.backoffs.get_remaining_ms("i-0") == 500
 
 
-def test_where_all_left_want_a_rest_the_first_end_is_when_to_come_back() -> None:
+def test_refusal_names_the_earliest_end_of_all_backoffs() -> None:
     router = Router()
     for number, name in enumerate(router.names):
         router.placer.backoffs.note(name, backoff_ms=1_000 + number * 100)
@@ -215,7 +215,7 @@
     assert placed.not_before_ms == 1_100
 
 
-def test_an_upstream_that_rests_is_not_asked_even_where_all_others_are_down() -> None:
+def test_upstream_in_backoff_is_skipped_even_if_all_others_are_down() -> None:
     router = Router()
     router.placer.backoffs.note("i-0", backoff_ms=1_000)
     for name in router.names[1:]:
@@ -223,7 +223,7 @@
     assert "i-0" not in router.send(60)
 
 
-def test_a_rest_outlives_a_lapse_of_the_entry_and_ends_with_a_new_start() -> None:
+def test_backoff_survives_expiry_of_the_entry_and_ends_with_a_restart() -> None:
     router = Router()
     router.placer.backoffs.note("i-0", backoff_ms=60_000)
     gone = Record(revision=50, entry=Entry(upstream="i-0", state=EntryState.GONE))
@@ -239,13 +239,13 @@
     )
     router.directory.merge(Record(revision=51, entry=entry), source="test")
     assert "i-0" not in router.send(60, prompt=None)
-    reborn = replace(entry, born_ms=5)
-    router.directory.merge(Record(revision=52, entry=reborn), source="test")
+    restarted = replace(entry, born_ms=5)
+    router.directory.merge(Record(revision=52, entry=restarted), source="test")
     router.clock.advance(SETTLE_MS)
     assert "i-0" in router.send(60, prompt=None)
 
 
-def test_rests_that_are_over_are_forgotten() -> None:
+def test_sweep_drops_only_backoffs_that_have_ended() -> None:
     router = Router()
     router.placer.backoffs.note("i-0", backoff_ms=1_000)
     router.placer.backoffs.note("i-1", backoff_ms=3_000)
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -1,4 +1,4 @@
-"""What engines hold, learned by a router that starts: from a peer, or from each engine once."""
+"""Loading of cache listings by a starting router, from a peer or once from each engine."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 
 SEEDS = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 ENGINES = 23
-# A wait that no test sees the end of, and after how long a test has failed.
+# A timeout that no test reaches, and the time after which a test counts as hung.
 FOREVER_MS = 600_000
 HANG_S = 20
 
 
 class Net:
-    """Routers that reach each other at once; one that is down refuses."""
+    """A network that delivers messages between routers at once, except to refused targets."""
 
     def __init__(self) -> None:
         self.hubs: dict[str, NoticeHub] = {}
         self.desks: dict[str, HeldDesk] = {}
-        self.holdings: dict[str, CacheIndex] = {}
+        self.cache_indexes: dict[str, CacheIndex] = {}
         self.refused: set[tuple[str, str]] = set()
 
     def add(self, address: str) -> HeldDesk:
         """Start a router."""
         app = Application(name=address, role=Role.FORWARDER, data_centre="a", region="r")
         hub = self.hubs[address] = NoticeHub()
-        own_holdings = self.holdings[address] = CacheIndex()
+        cache_index = self.cache_indexes[address] = CacheIndex()
         desk = self.desks[address] = HeldDesk(
             app=app,
             journal=Journal(app=app),
             notices=hub,
-            holdings=own_holdings,
+            holdings=cache_index,
             own=lambda: address,
             list_seeds=lambda: SEEDS,
             send=lambda target, notice: self._async_send(address, target, notice),
@@ -72,31 +72,38 @@
         return True
 
 
-def test_each_engine_is_asked_by_one_seed_and_the_others_stand_in_for_it_in_turn() -> None:
+def test_each_engine_is_queried_by_one_seed_with_the_others_as_fallbacks() -> None:
     net = Net()
     desks = [net.add(seed) for seed in SEEDS]
     other = net.add("10.0.0.9:7")
     ranks = [[desk.rank(position) for desk in desks] for position in range(ENGINES)]
-    assert all(sorted(turn) == [0, 1, 2] for turn in ranks)
-    asked = [sum(turn[number] == 0 for turn in ranks) for number in range(len(SEEDS))]
-    assert max(asked) - min(asked) <= 1
+    assert all(sorted(ranks_of_engine) == [0, 1, 2] for ranks_of_engine in ranks)
+    queried = [
+        sum(ranks_of_engine[number] == 0 for ranks_of_engine in ranks)
+        for number in range(len(SEEDS))
+    ]
+    assert max(queried) - min(queried) <= 1
     assert {other.rank(position) for position in range(ENGINES)} == {len(SEEDS)}
 
 
-async def test_a_router_that_starts_is_told_all_by_a_peer_that_lives() -> None:
+async def test_starting_router_gets_all_listings_from_a_running_peer() -> None:
     net = Net()
-    living = net.add(SEEDS[0])
-    net.holdings[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=living._app.clock.now_ms())
-    living.note_informed()
+    running = net.add(SEEDS[0])
+    net.cache_indexes[SEEDS[0]].note_cached(
+        part=7, upstream="i-1", now_ms=running._app.clock.now_ms()
+    )
+    running.note_informed()
     for address in (SEEDS[1], "10.0.0.9:7"):
         assert await net.add(address).async_ask()
-        assert net.holdings[address].list_cached(now_ms=living._app.clock.now_ms()) == {"i-1": (7,)}
+        assert net.cache_indexes[address].list_cached(now_ms=running._app.clock.now_ms()) == {
+            "i-1": (7,)
+        }
 
 
 async def test_seeds_that_start_together_do_not_wait_for_each_other(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All routers were lost: no answer is worth waiting for the whole patience."""
+    """After the loss of all routers no seed has listings, so waiting for one is pointless."""
     net = Net()
     desks = [net.add(seed) for seed in SEEDS[:2]]
     monkeypatch.setattr(held, "SEED_PATIENCE_MS", FOREVER_MS)
@@ -104,7 +111,7 @@
         assert await asyncio.gather(*(desk.async_ask() for desk in desks)) == [False, False]
 
 
-async def test_a_router_that_is_no_seed_waits_until_a_seed_knows(
+async def test_router_that_is_not_a_seed_waits_until_a_seed_has_the_listings(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
@@ -116,75 +123,75 @@
             await asyncio.get_running_loop().run_in_executor(None, lambda: None)
     assert not asking.done()
     now_ms = seed._app.clock.now_ms()
-    net.holdings[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
+    net.cache_indexes[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
     seed.note_informed()
     assert await asking
 
 
-async def test_a_seed_that_starts_later_is_told_what_was_found_before() -> None:
-    """Machines get their power back one after the other."""
+async def test_seed_that_starts_later_gets_the_listings_found_before() -> None:
+    """Seeds start one after the other, for instance after a power failure."""
     net = Net()
     first = net.add(SEEDS[0])
     now_ms = first._app.clock.now_ms()
-    net.holdings[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
-    net.holdings[SEEDS[0]].note_cached(part=8, upstream="i-2", now_ms=now_ms)
+    net.cache_indexes[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
+    net.cache_indexes[SEEDS[0]].note_cached(part=8, upstream="i-2", now_ms=now_ms)
     await first.async_share("i-1", (7,))
-    late = net.add(SEEDS[1])
-    told: list[str] = []
-    late.on_told(told.append)
-    assert not await late.async_ask()
-    assert told == ["i-1"]
+    second = net.add(SEEDS[1])
+    reported: list[str] = []
+    second.on_told(reported.append)
+    assert not await second.async_ask()
+    assert reported == ["i-1"]
 
 
-async def test_a_seed_tells_those_that_asked_also_where_its_own_links_fail() -> None:
+async def test_seed_answers_requesters_that_it_cannot_connect_to_itself() -> None:
     net = Net()
     first = net.add(SEEDS[0])
-    late = net.add(SEEDS[1])
-    told: list[str] = []
-    late.on_told(told.append)
-    assert not await late.async_ask()
+    second = net.add(SEEDS[1])
+    reported: list[str] = []
+    second.on_told(reported.append)
+    assert not await second.async_ask()
     net.refused.add((SEEDS[0], SEEDS[1]))
     await first.async_share("i-1", (7,))
-    assert told == ["i-1"]
+    assert reported == ["i-1"]
 
 
-async def test_what_one_seed_found_is_told_to_the_others() -> None:
+async def test_listing_found_by_one_seed_is_sent_to_the_others() -> None:
     net = Net()
     first = net.add(SEEDS[0])
-    told: list[str] = []
-    net.add(SEEDS[1]).on_told(told.append)
+    reported: list[str] = []
+    net.add(SEEDS[1]).on_told(reported.append)
     await first.async_share("i-1", (7, 8))
-    assert told == ["i-1"]
-    listed = net.holdings[SEEDS[1]].list_cached(now_ms=first._app.clock.now_ms())
+    assert reported == ["i-1"]
+    listed = net.cache_indexes[SEEDS[1]].list_cached(now_ms=first._app.clock.now_ms())
     assert listed == {"i-1": (7, 8)}
 
 
-def test_a_list_of_parts_keeps_its_way_over_a_link() -> None:
-    news = HeldNews(complete=True, engines=(HeldAt(upstream="i-1~0abcd", parts=(1, 2**64 - 1)),))
-    kind, body = encode_notice(news)
-    assert decode_notice(kind, body) == news
+def test_listing_survives_encoding_and_decoding() -> None:
+    message = HeldNews(complete=True, engines=(HeldAt(upstream="i-1~0abcd", parts=(1, 2**64 - 1)),))
+    kind, body = encode_notice(message)
+    assert decode_notice(kind, body) == message
 
 
-def test_what_all_engines_of_a_large_fleet_hold_keeps_its_way_over_a_link() -> None:
-    """39 engines that hold 500 parts each: a hash does not shrink when it is packed."""
+def test_listings_of_a_large_fleet_survive_encoding_and_decoding() -> None:
+    """39 engines with 500 parts each: hashes do not compress, so the message is large."""
     random = Random(1)
     engines = tuple(
         HeldAt(upstream=f"i-{n}~0abcd", parts=tuple(random.getrandbits(64) for _ in range(500)))
         for n in range(39)
     )
-    news = HeldNews(complete=True, engines=engines)
-    kind, body = encode_notice(news)
-    assert decode_notice(kind, body) == news
+    message = HeldNews(complete=True, engines=engines)
+    kind, body = encode_notice(message)
+    assert decode_notice(kind, body) == message
 
 
-async def test_a_router_without_peers_asks_all_engines_of_a_large_fleet(
+async def test_router_without_peers_queries_all_engines_of_a_large_fleet(
     world: ForwardingWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As many as a seed has to ask where three of them divide the engines of 120 among them."""
-    asked: list[str] = []
+    """About as many engines as each of three seeds has to query in a fleet of 120."""
+    queried: list[str] = []
 
     async def async_ask(self: CacheInventory, entry: Entry) -> CacheListing:
-        asked.append(entry.upstream)
+        queried.append(entry.upstream)
         return CacheListing(parts=())
 
     monkeypatch.setattr(CacheInventory, "_async_fetch", async_ask)
@@ -192,12 +199,12 @@
     for name in names:
         address = world.addresses["i-models-1"]
         await world.store.async_put_runner(name, service="models", address=address)
-    late = await world.async_start_forwarder("entry-2", first_start=False)
-    await world.async_until(late.is_ready)
-    await world.async_until(lambda: set(names) <= set(asked))
+    second = await world.async_start_forwarder("entry-2", first_start=False)
+    await world.async_until(second.is_ready)
+    await world.async_until(lambda: set(names) <= set(queried))
 
 
-async def test_a_second_router_knows_what_engines_hold_without_asking_them(
+async def test_second_router_gets_listings_from_its_peer_without_querying_engines(
     world: ForwardingWorld,
     session: aiohttp.ClientSession,
     caplog: pytest.LogCaptureFixture,
@@ -209,25 +216,25 @@
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
     seed = str(world.product.addresses["link"])
-    late = await world.async_start_forwarder("entry-2", seeds=(seed,), first_start=False)
-    await world.async_until(late.is_ready)
+    second = await world.async_start_forwarder("entry-2", seeds=(seed,), first_start=False)
+    await world.async_until(second.is_ready)
     await world.async_call(
-        session, "POST", "/quote/a", "r1", product=late, extra=PROMPT, body=b"{}"
+        session, "POST", "/quote/a", "r1", product=second, extra=PROMPT, body=b"{}"
     )
     assert _list_missing(caplog) == [1_200, 0]
     assert [runner.listed for runner in world.models] == [0, 0]
 
 
-async def test_a_router_without_peers_asks_each_engine_once(
+async def test_router_without_peers_queries_each_engine_once(
     world: ForwardingWorld, session: aiohttp.ClientSession, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
     for runner in world.models:
         runner.held = [("", "a1", 800, "m"), ("", "b2", 400, "m")]
-    late = await world.async_start_forwarder("entry-2", first_start=False)
-    await world.async_until(late.is_ready)
+    second = await world.async_start_forwarder("entry-2", first_start=False)
+    await world.async_until(second.is_ready)
     await world.async_call(
-        session, "POST", "/quote/a", "r1", product=late, extra=PROMPT, body=b"{}"
+        session, "POST", "/quote/a", "r1", product=second, extra=PROMPT, body=b"{}"
     )
     assert _list_missing(caplog) == [0]
     assert [runner.listed for runner in world.models] == [1, 1]
--- a/tests/forwarding/test_forwarding_placer.py
+++ b/tests/forwarding/test_forwarding_placer.py
@@ -1,4 +1,4 @@
-"""The placer of several routers: what they agree on without a word."""
+"""Placers of several routers choose the same upstream for a prompt without communication."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def make_prompt(number: int) -> Prompt:
-    """Return a prompt of one shared part and a part of its own."""
+    """Return a prompt of a shared part and a part that only this request has."""
     parts = (
         PromptPart(part=number, tokens=TOKENS),
         PromptPart(part=(number << 20) + 1, tokens=100),
@@ -38,7 +38,7 @@
 
 
 class Router:
-    """What one router places by; it hears of nobody."""
+    """The placer of one router, which receives no reports from others."""
 
     def __init__(self, clock: ManualClock, rng: random.Random) -> None:
         app = Application(name="r", role=Role.FORWARDER, data_centre="a", region="r", clock=clock)
@@ -70,7 +70,7 @@
                 self.placer.loads.begin(name, tokens=0)
 
     def place(self, number: int, down: Collection[str] = ()) -> str:
-        """Return where a prompt goes; those that are down are found so one after the other."""
+        """Return the upstream of a prompt; upstreams in `down` fail to connect and are excluded."""
         excluded: set[str] = set()
         while True:
             placed = self.placer.place(
@@ -83,8 +83,8 @@
             excluded.add(placed.entry.incarnation)
 
 
-def count_readings(routers: list[Router], down: Collection[str] = ()) -> float:
-    """Return in how many places the routers have a prompt read, on the mean."""
+def count_engines_per_prompt(routers: list[Router], down: Collection[str] = ()) -> float:
+    """Return the mean number of engines that the routers choose for the same prompt."""
     places = [{router.place(number, down) for router in routers} for number in range(PROMPTS)]
     return sum(len(engines) for engines in places) / PROMPTS
 
@@ -94,20 +94,20 @@
     return [Router(clock, rng) for _ in range(ROUTERS)]
 
 
-def test_routers_that_meet_the_same_loss_read_a_prompt_in_one_place() -> None:
-    """A third of the engines refuse connections; routers hear nothing of each other meanwhile."""
-    assert count_readings(make_routers(), down=ENGINES[:4]) < 1.5
+def test_routers_agree_on_the_engine_of_a_prompt_after_the_same_failures() -> None:
+    """A third of the engines refuse connections; the routers do not communicate."""
+    assert count_engines_per_prompt(make_routers(), down=ENGINES[:4]) < 1.5
 
 
-def test_routers_read_a_prompt_of_an_evacuated_data_centre_in_one_place() -> None:
+def test_routers_agree_on_the_engine_of_a_prompt_after_an_evacuation() -> None:
     routers = make_routers()
     for router in routers:
         evacuation = Evacuation(data_centre="dc-1", revision=99, active=True)
         router.evacuations.merge(evacuation, source="test")
-    assert count_readings(routers) < 1.5
+    assert count_engines_per_prompt(routers) < 1.5
 
 
-def test_prompts_of_an_evacuated_data_centre_are_copied_at_its_beginning_and_never_later() -> None:
+def test_prompts_are_copied_from_an_evacuated_data_centre_only_at_the_beginning() -> None:
     clock = ManualClock(now_ms=100_000)
     router = Router(clock, random.Random(3))
     clock.advance(YOUNG_MS)
--- a/tests/forwarding/test_forwarding_service_time.py
+++ b/tests/forwarding/test_forwarding_service_time.py
@@ -1,4 +1,4 @@
-"""Plain services that have more to do than they serve in time, replayed on a driven clock."""
+"""Admission control of plain services near and above capacity, simulated on a manual clock."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from gypsumrouter.mechanisms import Mechanism
 
 
-def test_waiting_grows_with_what_is_ahead() -> None:
+def test_response_time_grows_with_the_queue() -> None:
     assert get_queue_factor(load=SLOTS - 1, slots=SLOTS) == 0
     assert get_queue_factor(load=2 * SLOTS - 1, slots=SLOTS) == 1
     assert estimate_response_ms(load=3 * SLOTS - 1, slots=SLOTS, service_ms=90) == 270
 
 
-def test_the_time_of_an_upstream_is_learned_with_and_without_a_queue() -> None:
+def test_service_time_is_estimated_with_and_without_a_queue() -> None:
     times = ServiceTimes()
     for _ in range(60):
         times.note(service=SERVICE, upstream="i-1", load=2, slots=SLOTS, elapsed_ms=90)
@@ -34,7 +34,7 @@
     assert times.get(service="other", upstream="i-9") is None
 
 
-def test_one_answer_that_took_very_long_moves_little() -> None:
+def test_single_slow_response_hardly_changes_the_estimate() -> None:
     times = ServiceTimes()
     for elapsed_ms in (90, 90, 90, 5_000):
         times.note(service=SERVICE, upstream="i-1", load=0, slots=SLOTS, elapsed_ms=elapsed_ms)
@@ -46,7 +46,7 @@
 def play(
     *, pressure: float, upstreams: int, work_ms: float = 90.0, without: Iterable[Mechanism] = ()
 ) -> Tally:
-    """Add up several plays of one load."""
+    """Run the same load with several seeds and return the summed tallies."""
     total = Tally()
     for seed in range(1, 4):
         replay = PlainReplay(
@@ -63,44 +63,42 @@
 
 @pytest.mark.parametrize("work_ms", [22.5, 90.0, 360.0])
 @pytest.mark.parametrize("upstreams", [2, 3])
-def test_below_what_they_serve_nearly_all_is_in_time_at_every_speed(
-    work_ms: float, upstreams: int
-) -> None:
-    """Routers that all follow the same late news fill one queue after the other instead."""
+def test_nearly_all_requests_are_in_time_below_capacity(work_ms: float, upstreams: int) -> None:
+    """Without spreading, all routers follow the same old reports and fill one queue at a time."""
     tally = play(pressure=0.85, upstreams=upstreams, work_ms=work_ms)
     assert tally.in_time > 0.97 * tally.asked
-    before = play(
+    baseline = play(
         pressure=0.85,
         upstreams=upstreams,
         work_ms=work_ms,
         without=(Mechanism.PLAIN_SPREAD, Mechanism.HOPELESS_REFUSED),
     )
-    assert before.in_time < 0.95 * before.asked
+    assert baseline.in_time < 0.95 * baseline.asked
 
 
 @pytest.mark.parametrize("work_ms", [22.5, 90.0, 360.0])
 @pytest.mark.parametrize("upstreams", [1, 2])
-def test_above_what_they_serve_more_is_in_time_where_the_hopeless_is_refused_at_once(
+def test_refusing_late_requests_puts_more_in_time_above_capacity(
     work_ms: float, upstreams: int
 ) -> None:
     tally = play(pressure=1.15, upstreams=upstreams, work_ms=work_ms)
-    before = play(
+    baseline = play(
         pressure=1.15,
         upstreams=upstreams,
         work_ms=work_ms,
         without=(Mechanism.HOPELESS_REFUSED,),
     )
-    assert tally.in_time > before.in_time
-    assert tally.credit > before.credit + 0.1
-    # Of what is taken, most is in time.
+    assert tally.in_time > baseline.in_time
+    assert tally.credit > baseline.credit + 0.1
+    # Most of the admitted requests are in time.
     assert tally.in_time > 2 * tally.late
 
 
-def test_a_part_that_is_saved_up_is_bounded_and_grows_again() -> None:
-    share = AdmissionPermits()
+def test_saved_permits_are_bounded_and_refilled() -> None:
+    permits = AdmissionPermits()
     for _ in range(int(MAX_SAVED_PERMITS)):
-        assert share.has_permit("s", per_ms=0.01, now_ms=1_000)
-        share.spend("s")
-    assert not share.has_permit("s", per_ms=0.01, now_ms=1_050)
-    assert share.has_permit("s", per_ms=0.01, now_ms=1_100)
-    assert share.has_permit("other", per_ms=0.01, now_ms=1_100)
+        assert permits.has_permit("s", per_ms=0.01, now_ms=1_000)
+        permits.spend("s")
+    assert not permits.has_permit("s", per_ms=0.01, now_ms=1_050)
+    assert permits.has_permit("s", per_ms=0.01, now_ms=1_100)
+    assert permits.has_permit("other", per_ms=0.01, now_ms=1_100)
--- a/tests/forwarding/test_forwarding_slow_start.py
+++ b/tests/forwarding/test_forwarding_slow_start.py
@@ -1,4 +1,4 @@
-"""Upstreams that warm up: what all routers together send to one of them in any second."""
+"""Slow start: all routers together keep to the bound of a warming upstream in any second."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 BOUND = PER_S * FACTOR + SLACK
 COLD_MS = 6_000
 STEP_MS = 20
-TRAITS = SlowStart(duration_ms=3_000, requests_per_s=PER_S)
+SETTINGS = SlowStart(duration_ms=3_000, requests_per_s=PER_S)
 
 
 class Routers:
-    """What one router knows of the others."""
+    """A router's view of the other routers."""
 
     def __init__(self, own: str, others: Iterable[str] = (), *, heard: bool = True) -> None:
         self.own = own
@@ -52,16 +52,16 @@
         return self.others
 
     def get_grown_ms(self) -> int:
-        """Return when the last one was learned."""
+        """Return when the last one was added."""
         return self.grown_ms
 
     def has_heard(self) -> bool:
-        """Return whether anybody was heard."""
+        """Return whether a message of another router was received."""
         return self.heard
 
 
-def make_table(traits: SlowStart | None = TRAITS) -> RoutingTable:
-    service = Service(name="models", max_connections=10, slow_start=traits)
+def make_table(settings: SlowStart | None = SETTINGS) -> RoutingTable:
+    service = Service(name="models", max_connections=10, slow_start=settings)
     configuration = RoutingConfiguration(
         version=1,
         routes=(),
@@ -73,13 +73,13 @@
     return RoutingTable(configuration=configuration)
 
 
-def make_book(clock: ManualClock, fleet: Routers | None = None) -> SlowStartLimiter:
+def make_limiter(clock: ManualClock, fleet: Routers | None = None) -> SlowStartLimiter:
     app = Application(name="entry-1", role=Role.FORWARDER, data_centre="a", region="r", clock=clock)
-    book = SlowStartLimiter(clock=clock, journal=Journal(app=app), factor=FACTOR, slack=SLACK)
-    book.set_table(make_table())
+    limiter = SlowStartLimiter(clock=clock, journal=Journal(app=app), factor=FACTOR, slack=SLACK)
+    limiter.set_table(make_table())
     if fleet is not None:
-        book.set_fleet(fleet)
-    return book
+        limiter.set_fleet(fleet)
+    return limiter
 
 
 def make_entry(name: str = "i-1", *, cold_ms: int = 0) -> Entry:
@@ -93,94 +93,93 @@
     )
 
 
-def test_an_upstream_is_warm_once_the_time_that_it_told_is_over() -> None:
+def test_upstream_is_warm_after_the_announced_time() -> None:
     clock = ManualClock()
-    book = make_book(clock)
-    book.update_entry(make_entry(cold_ms=2_000))
-    assert book.is_warming("i-1")
+    limiter = make_limiter(clock)
+    limiter.update_entry(make_entry(cold_ms=2_000))
+    assert limiter.is_warming("i-1")
     clock.advance(1_999)
-    assert book.is_warming("i-1")
+    assert limiter.is_warming("i-1")
     clock.advance(1)
-    assert not book.is_warming("i-1")
-    assert book.may_send("i-1")
+    assert not limiter.is_warming("i-1")
+    assert limiter.may_send("i-1")
 
 
-def test_a_start_that_is_not_told_yet_is_known_by_refusals_and_by_the_end_of_an_evacuation() -> (
-    None
-):
+def test_warm_up_starts_after_a_refusal_and_after_an_evacuation() -> None:
     clock = ManualClock()
-    book = make_book(clock)
-    book.note_refused(make_entry("i-1"))
-    book.note_evacuation_ended(make_entry("i-2"))
-    assert book.is_warming("i-1")
-    assert book.is_warming("i-2")
-    clock.advance(TRAITS.duration_ms)
-    assert book.is_warming("i-1")
-    assert not book.is_warming("i-2")
+    limiter = make_limiter(clock)
+    limiter.note_refused(make_entry("i-1"))
+    limiter.note_evacuation_ended(make_entry("i-2"))
+    assert limiter.is_warming("i-1")
+    assert limiter.is_warming("i-2")
+    clock.advance(SETTINGS.duration_ms)
+    assert limiter.is_warming("i-1")
+    assert not limiter.is_warming("i-2")
     clock.advance(UNLISTED_RESTART_MS)
-    assert not book.is_warming("i-1")
+    assert not limiter.is_warming("i-1")
 
 
-def test_upstreams_of_a_service_that_needs_no_time_are_never_warming() -> None:
-    book = make_book(ManualClock())
-    book.set_table(make_table(None))
-    book.note_refused(make_entry("i-1"))
-    book.note_evacuation_ended(make_entry("i-1"))
-    assert not book.is_warming("i-1")
+def test_upstreams_of_a_service_without_slow_start_never_warm_up() -> None:
+    limiter = make_limiter(ManualClock())
+    limiter.set_table(make_table(None))
+    limiter.note_refused(make_entry("i-1"))
+    limiter.note_evacuation_ended(make_entry("i-1"))
+    assert not limiter.is_warming("i-1")
 
 
-def test_a_router_that_starts_sends_nothing_until_its_view_stands_still() -> None:
+def test_starting_router_sends_nothing_until_its_view_is_settled() -> None:
     clock = ManualClock(now_ms=1_000)
     fleet = Routers("r0", ("r1", "r2"))
-    book = make_book(clock, fleet)
-    book.update_entry(make_entry(cold_ms=60_000))
+    limiter = make_limiter(clock, fleet)
+    limiter.update_entry(make_entry(cold_ms=60_000))
     clock.advance(SETTLE_MS - 1)
-    assert not book.may_send("i-1")
+    assert not limiter.may_send("i-1")
     fleet.grown_ms = clock.now_ms()
     clock.advance(SETTLE_MS - 1)
-    assert not book.may_send("i-1")
+    assert not limiter.may_send("i-1")
     clock.advance(1)
-    assert book.may_send("i-1")
+    assert limiter.may_send("i-1")
 
 
-def test_a_router_that_hears_of_nobody_waits_longer() -> None:
+def test_router_without_messages_from_others_waits_longer() -> None:
     clock = ManualClock(now_ms=1_000)
-    book = make_book(clock, Routers("r0", ("r1",), heard=False))
-    book.update_entry(make_entry(cold_ms=60_000))
+    limiter = make_limiter(clock, Routers("r0", ("r1",), heard=False))
+    limiter.update_entry(make_entry(cold_ms=60_000))
     clock.advance(NO_PEERS_MS - 1)
-    assert not book.may_send("i-1")
-    assert book.get_wait_ms("i-1") == 1
+    assert not limiter.may_send("i-1")
+    assert limiter.get_wait_ms("i-1") == 1
     clock.advance(1)
-    assert book.may_send("i-1")
+    assert limiter.may_send("i-1")
 
 
-def test_the_wait_says_when_the_next_turn_is() -> None:
+def test_wait_time_ends_when_the_next_request_is_allowed() -> None:
     clock = ManualClock()
-    book = make_book(clock)
-    book.update_entry(make_entry(cold_ms=60_000))
+    limiter = make_limiter(clock)
+    limiter.update_entry(make_entry(cold_ms=60_000))
     clock.advance(SETTLE_MS)
     sent = 0
-    while book.may_send("i-1"):
-        book.note_sent("i-1")
+    while limiter.may_send("i-1"):
+        limiter.note_sent("i-1")
         sent += 1
     assert sent == int(BOUND / 2)
     clock.advance(200)
-    assert book.get_wait_ms("i-1") == WINDOW_MS - 200
+    assert limiter.get_wait_ms("i-1") == WINDOW_MS - 200
     clock.advance(WINDOW_MS - 200)
-    assert book.may_send("i-1")
+    assert limiter.may_send("i-1")
 
 
 @pytest.mark.parametrize("routers", [1, 2, 5, 11, 26, 68, 330, 1_000])
-def test_what_is_shared_out_is_half_of_the_bound_at_most_and_never_nothing(routers: int) -> None:
-    pace = split_bound(bound=BOUND, routers=routers)
-    assert 1 <= pace.routers <= routers
-    assert 1 <= pace.routers * pace.requests <= BOUND / 2
+def test_shares_sum_to_at_most_half_of_the_bound_and_at_least_one(routers: int) -> None:
+    share = split_bound(bound=BOUND, routers=routers)
+    assert 1 <= share.routers <= routers
+    assert 1 <= share.routers * share.requests <= BOUND / 2
 
 
 class WarmingFleet:
-    """Routers that each send to an upstream that warms up whenever they believe it is their turn.
+    """Simulation of routers that send to a warming upstream whenever their limiter allows it.
 
-    Each one knows a part of the others, and some that are long gone. Some start in the middle.
+    Each router's view lacks some of the others and includes one that no longer exists. A third of
+    the routers restart halfway.
     """
 
     def __init__(self, *, size: int, unknown: float, seed: int, naive: bool = False) -> None:
@@ -188,42 +187,42 @@
         self._clock = ManualClock(now_ms=1_000_000)
         self._naive = naive
         self._names = [f"10.0.{number // 100}.{number % 100}:80" for number in range(size)]
-        # Views differ by so many routers at most.
+        # Number of routers that are missing from each view.
         self._unknown = int(unknown * min(size, BOUND / 2))
-        self._books = [self._make_book(name) for name in self._names]
+        self._limiters = [self._make_limiter(name) for name in self._names]
         self._sent_ms: list[int] = []
 
     def play(self) -> int:
-        """Return the most requests that arrived within a second."""
+        """Return the maximum number of requests that arrived within any second."""
         self._clock.advance(SETTLE_MS)
         restarts = dict.fromkeys(
             self._random.sample(range(len(self._names)), len(self._names) // 3)
         )
-        for book in self._books:
-            book.update_entry(make_entry(cold_ms=COLD_MS))
+        for limiter in self._limiters:
+            limiter.update_entry(make_entry(cold_ms=COLD_MS))
         for now_ms in range(0, COLD_MS, STEP_MS):
-            for number, book in enumerate(self._books):
+            for number, limiter in enumerate(self._limiters):
                 if number in restarts and now_ms == COLD_MS // 2:
-                    self._books[number] = book = self._make_book(self._names[number])
-                    book.update_entry(make_entry(cold_ms=COLD_MS))
-                self._send(book)
+                    self._limiters[number] = limiter = self._make_limiter(self._names[number])
+                    limiter.update_entry(make_entry(cold_ms=COLD_MS))
+                self._send(limiter)
             self._clock.advance(STEP_MS)
         return self._count_densest()
 
-    def _send(self, book: SlowStartLimiter) -> None:
-        while self._naive or book.may_send("i-1"):
-            book.note_sent("i-1")
-            # A connection takes up to 200 ms, and a request may leave on a kept one at once.
+    def _send(self, limiter: SlowStartLimiter) -> None:
+        while self._naive or limiter.may_send("i-1"):
+            limiter.note_sent("i-1")
+            # A new connection takes up to 200 ms; a pooled one is used at once.
             self._sent_ms.append(self._clock.now_ms() + self._random.randint(0, 200))
             if self._naive:
                 return
 
-    def _make_book(self, own: str) -> SlowStartLimiter:
+    def _make_limiter(self, own: str) -> SlowStartLimiter:
         unknown = set(self._random.sample(self._names, self._unknown))
         others = [name for name in self._names if name != own and name not in unknown]
         fleet = Routers(own, (*others, "10.9.9.9:80"))
         fleet.grown_ms = self._clock.now_ms()
-        return make_book(self._clock, fleet)
+        return make_limiter(self._clock, fleet)
 
     def _count_densest(self) -> int:
         times = sorted(self._sent_ms)
@@ -245,5 +244,5 @@
     assert 0 < most <= BOUND
 
 
-def test_routers_that_each_send_what_they_like_do_not() -> None:
+def test_simulation_exceeds_the_bound_without_the_limiter() -> None:
     assert WarmingFleet(size=26, unknown=0, seed=1, naive=True).play() > BOUND
--- a/tests/forwarding/test_forwarding_suspects.py
+++ b/tests/forwarding/test_forwarding_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that break the upstreams which run them, and their innocent neighbours."""
+"""Detection of requests that crash upstreams, without blaming requests that ran beside them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return SuspectTracker(app=app, journal=Journal(app=app))
 
 
-def test_a_content_that_broke_three_upstreams_goes_to_no_fourth() -> None:
+def test_request_is_suspect_after_crashing_three_upstreams() -> None:
     suspects = make_suspects()
     for number in range(MAX_STRIKES):
         assert not suspects.is_suspect(CRASHER)
@@ -31,14 +31,14 @@
     assert suspects.is_suspect(CRASHER)
 
 
-def test_strikes_at_one_upstream_count_once() -> None:
+def test_strikes_at_the_same_upstream_count_once() -> None:
     suspects = make_suspects()
     for _ in range(10):
         suspects.note_crash(CRASHER, "i-1")
     assert not suspects.is_suspect(CRASHER)
 
 
-def test_a_neighbour_that_is_answered_is_never_suspect() -> None:
+def test_answered_request_is_not_suspect() -> None:
     suspects = make_suspects()
     suspects.note_crash(NEIGHBOUR, "i-1")
     suspects.note_success(NEIGHBOUR)
@@ -47,18 +47,18 @@
     assert not suspects.is_suspect(NEIGHBOUR)
 
 
-def test_strikes_of_peers_count_and_are_not_told_on() -> None:
+def test_strikes_of_peers_count_and_are_not_forwarded() -> None:
     suspects = make_suspects()
-    told: list[tuple[int, str]] = []
-    suspects.on_strike(lambda digest, upstream: told.append((digest, upstream)))
+    forwarded: list[tuple[int, str]] = []
+    suspects.on_strike(lambda digest, upstream: forwarded.append((digest, upstream)))
     suspects.add_strike(CRASHER, "i-1", source="entry-2")
     suspects.add_strike(CRASHER, "i-2", source="entry-3")
     suspects.note_crash(CRASHER, "i-3")
     assert suspects.is_suspect(CRASHER)
-    assert told == [(CRASHER, "i-3")]
+    assert forwarded == [(CRASHER, "i-3")]
 
 
-def test_old_strikes_are_forgotten() -> None:
+def test_strikes_expire() -> None:
     clock = ManualClock()
     suspects = make_suspects(clock)
     for number in range(MAX_STRIKES):
