--- a/bench/costs.py
+++ b/bench/costs.py
@@ -17,7 +17,7 @@
 from bench.two_year import GAP_MS, KEY_WORKSPACES
 from gypsumrouter.idempotency.memory import CallMemory, Record
 from gypsumrouter.link.models import Head
-from gypsumrouter.placement.memory import RecentMap
+from gypsumrouter.placement.lru import LruMap
 from gypsumrouter.standins import EngineSettings
 
 ENGINE_SLOTS: Final = 256
@@ -101,7 +101,7 @@
 
 def measure_sticky_chat_bytes() -> float:
     """Return the memory of one chat in a router that remembers chats, which ours does not."""
-    chats: RecentMap[str, str] = RecentMap(size=THINGS)
+    chats: LruMap[str, str] = LruMap(size=THINGS)
     return _measure_memory(lambda number: chats.put(f"chat-of-a-caller-{number:024}", "side"))
 
 
--- a/gypsumrouter/admission/admission.py
+++ b/gypsumrouter/admission/admission.py
@@ -98,13 +98,13 @@
         """Take in what a router believes of the pool's load; noting one twice counts once."""
         self._capacity.note_pool(load)
 
-    def note_first_token(self, slot: Slot) -> None:
+    def record_first_token(self, slot: Slot) -> None:
         """Note that the answer of a slot has begun."""
         if slot.first_token_noted:
             return
         slot.first_token_noted = True
         passed_ms = self._app.clock.now_ms() - slot.granted_ms
-        self._scheduler.estimates.note_first_token(slot.service, passed_ms, batch=slot.batch)
+        self._scheduler.estimates.record_first_token(slot.service, passed_ms, batch=slot.batch)
 
     def stop(self) -> None:
         """Refuse all that waits and all that comes; what runs goes on."""
--- a/gypsumrouter/admission/estimates.py
+++ b/gypsumrouter/admission/estimates.py
@@ -27,7 +27,7 @@
     first_token_ms: float = FIRST_TOKEN_START_MS
     hold_ms: float = HOLD_START_MS
 
-    def note_first_token(self, passed_ms: int) -> None:
+    def record_first_token(self, passed_ms: int) -> None:
         """Take in the time from the grant of a slot to the first token."""
         error = passed_ms - self.first_token_ms
         step = FIRST_TOKEN_STEP_UP if error > 0 else FIRST_TOKEN_STEP_DOWN
@@ -64,10 +64,10 @@
         for item in (service, self._all, self._get_together(batch)):
             item.note_hold(passed_ms)
 
-    def note_first_token(self, service: ServiceTime, passed_ms: int, *, batch: bool) -> None:
+    def record_first_token(self, service: ServiceTime, passed_ms: int, *, batch: bool) -> None:
         """Take in the time from the grant of a slot to the first token."""
         for item in (service, self._get_together(batch)):
-            item.note_first_token(passed_ms)
+            item.record_first_token(passed_ms)
 
     def _get_together(self, batch: bool) -> ServiceTime:
         return self.batch if batch else self.interactive
--- a/gypsumrouter/admission/scheduler.py
+++ b/gypsumrouter/admission/scheduler.py
@@ -200,7 +200,7 @@
 
     def _release(self, slot: Slot) -> None:
         self._slots.give_back(slot)
-        if slot.first_token_noted and not slot.yield_asked.is_set():
+        if slot.first_token_noted and not slot.yield_requested.is_set():
             held_ms = self._clock.now_ms() - slot.granted_ms
             self.estimates.note_hold(slot.service, held_ms, batch=slot.batch)
         self.shares.settle(slot.usage)
--- a/gypsumrouter/admission/slots.py
+++ b/gypsumrouter/admission/slots.py
@@ -13,7 +13,7 @@
 class Slot:
     """The right to run one request, until it is released.
 
-    `priority` is what the engine is told; higher runs sooner. When `yield_asked` is set, the work
+    `priority` is what the engine is told; higher runs sooner. When `yield_requested` is set, the work
     should be cancelled and admitted again; it is only asked of batch work.
     """
 
@@ -28,8 +28,8 @@
         "request_id",
         "service",
         "usage",
-        "yield_asked",
-        "yield_asked_ms",
+        "yield_requested",
+        "yield_requested_ms",
     )
 
     def __init__(
@@ -53,8 +53,8 @@
         self.service = service
         self.released = False
         self.first_token_noted = False
-        self.yield_asked = asyncio.Event()
-        self.yield_asked_ms = 0
+        self.yield_requested = asyncio.Event()
+        self.yield_requested_ms = 0
         self._on_release = on_release
 
     def release(self) -> None:
@@ -104,15 +104,15 @@
         that was asked and didn't give way in time no longer counts. Returns how many were asked.
         """
         expected = sum(
-            slot.yield_asked.is_set() and now_ms - slot.yield_asked_ms < YIELD_ANSWERED_MS
+            slot.yield_requested.is_set() and now_ms - slot.yield_requested_ms < YIELD_ANSWERED_MS
             for slot in self._batch
         )
         missing = wanted - expected
         if missing <= 0:
             return 0
-        askable = [s for s in self._batch if not s.yield_asked.is_set() and not s.keeps]
+        askable = [s for s in self._batch if not s.yield_requested.is_set() and not s.keeps]
         askable.sort(key=lambda slot: (-slot.granted_ms, slot.request_id))
         for slot in askable[:missing]:
-            slot.yield_asked_ms = now_ms
-            slot.yield_asked.set()
+            slot.yield_requested_ms = now_ms
+            slot.yield_requested.set()
         return min(missing, len(askable))
--- a/gypsumrouter/exchange/execution.py
+++ b/gypsumrouter/exchange/execution.py
@@ -53,7 +53,7 @@
             sink=attempt.sink,
             gone=attempt.gone,
             left_ms=attempt.deadline.left_ms(),
-            yield_asked=attempt.slot.yield_asked if attempt.may_yield else None,
+            yield_asked=attempt.slot.yield_requested if attempt.may_yield else None,
             limit_ms=attempt.limit_ms,
         ):
             failure = await self._async_isolate(attempt)
--- a/gypsumrouter/exchange/once.py
+++ b/gypsumrouter/exchange/once.py
@@ -214,4 +214,4 @@
 
     def _note_first_body(self) -> None:
         if self._slot is not None:
-            self._parts.admission.note_first_token(self._slot)
+            self._parts.admission.record_first_token(self._slot)
--- a/gypsumrouter/exchange/repeatable.py
+++ b/gypsumrouter/exchange/repeatable.py
@@ -55,7 +55,7 @@
                 return self._tell(slot)
             relay = Relay(
                 answer=self._answer,
-                on_first_body=partial(self._admission.note_first_token, slot),
+                on_first_body=partial(self._admission.record_first_token, slot),
             )
             try:
                 await self._prefixes.async_fetch(request)
--- a/gypsumrouter/gateway/candidates.py
+++ b/gypsumrouter/gateway/candidates.py
@@ -82,7 +82,7 @@
             if pool is None:
                 continue
             query = make_query(call, pool)
-            holders = self._placement.find_holders(query)
+            holders = self._placement.find_prefix_holders(query)
             for instance in self._placement.order(query):
                 yield Candidate(pool=pool, instance=instance, query=query, holders=holders)
 
--- a/gypsumrouter/gateway/dispatch.py
+++ b/gypsumrouter/gateway/dispatch.py
@@ -78,7 +78,7 @@
                 return attempts.conclude()
             failure = await self._async_try(call, reply, attempts, candidate, suspect)
             if failure is None:
-                self._placement.note_served(candidate.query, candidate.instance)
+                self._placement.record_served(candidate.query, candidate.instance)
                 return None
             attempts.note_failure(failure)
             if not self._may_go_on(call, reply, attempts, failure):
--- a/gypsumrouter/placement/baselines.py
+++ b/gypsumrouter/placement/baselines.py
@@ -8,7 +8,7 @@
 from gypsumrouter.instances import Instance
 from gypsumrouter.placement.const import MAX_CANDIDATES, STICKY_CHATS
 from gypsumrouter.placement.loads import KnownLoads
-from gypsumrouter.placement.memory import RecentMap
+from gypsumrouter.placement.lru import LruMap
 from gypsumrouter.placement.models import PlacementKind, PlacementQuery
 from gypsumrouter.placement.rendezvous import hash_chat
 
@@ -24,7 +24,7 @@
         self._loads = loads
         self._next = 0
         self._random = random.Random(seed)
-        self._served: RecentMap[ChatKey, str] = RecentMap(size=STICKY_CHATS)
+        self._served: LruMap[ChatKey, str] = LruMap(size=STICKY_CHATS)
 
     def order(
         self, *, kind: PlacementKind, query: PlacementQuery, members: list[Instance]
@@ -47,7 +47,7 @@
                 raise InvariantBroken("rendezvous hashing is not a baseline")
         return ordered[:MAX_CANDIDATES]
 
-    def note_served(self, *, query: PlacementQuery, instance: Instance) -> None:
+    def record_served(self, *, query: PlacementQuery, instance: Instance) -> None:
         """Remember where a chat was served."""
         if query.chat:
             self._served.put((query.workspace, query.chat), instance.name)
--- a/gypsumrouter/placement/memory.py
+++ b/gypsumrouter/placement/lru.py
@@ -10,7 +10,7 @@
 _V = TypeVar("_V")
 
 
-class RecentMap(Generic[_K, _V]):
+class LruMap(Generic[_K, _V]):
     """A map that forgets what was used least recently."""
 
     __slots__ = ("_items", "_size")
--- a/gypsumrouter/placement/placement.py
+++ b/gypsumrouter/placement/placement.py
@@ -93,7 +93,7 @@
             return self._finish("batch", query, self._find_shortest_queue(query, own), own)
         return self._finish("new", query, self._place_new_chat(query, own), own)
 
-    def find_holders(self, query: PlacementQuery) -> tuple[str, ...]:
+    def find_prefix_holders(self, query: PlacementQuery) -> tuple[str, ...]:
         """Return the names of the instances that may hold a returning chat's prefix.
 
         These are the first of the chat's own order, then the hinted one. The baselines know none.
@@ -116,10 +116,10 @@
         """Return the hint that leads a caller's next turn to an instance."""
         return write_hint(hash_name(instance.name))
 
-    def note_served(self, query: PlacementQuery, instance: Instance) -> None:
+    def record_served(self, query: PlacementQuery, instance: Instance) -> None:
         """Note which instance answered; only the sticky baseline remembers it."""
         if self._kind is PlacementKind.STICKY:
-            self._baselines.note_served(query=query, instance=instance)
+            self._baselines.record_served(query=query, instance=instance)
 
     def _get_table(self, pool: Pool) -> MemberTable:
         members = self._fleet.members(pool.name)
--- a/tests/admission/test_admission_machine.py
+++ b/tests/admission/test_admission_machine.py
@@ -60,7 +60,7 @@
             return
         call = running[index % len(running)]
         if first_token:
-            self.side.admission.note_first_token(call.slot)
+            self.side.admission.record_first_token(call.slot)
         self.run(self.side.async_finish(call))
 
     @rule(index=st.integers(0, 20), by_task=st.booleans())
--- a/tests/admission/test_admission_queue.py
+++ b/tests/admission/test_admission_queue.py
@@ -42,7 +42,7 @@
 ) -> None:
     for _ in range(100):
         quick = await side.async_call(OFFICE)
-        side.admission.note_first_token(quick.slot)
+        side.admission.record_first_token(quick.slot)
         await side.async_finish(quick)
     running = await async_fill(side)
     inspector = await side.async_call(INSPECTORS)
@@ -157,11 +157,11 @@
     await side.async_advance(10)
     young = await side.async_call(REPORTS)
     running = [await side.async_call(INSPECTORS) for _ in range(2)]
-    assert not young.slot.yield_asked.is_set()
+    assert not young.slot.yield_requested.is_set()
 
     inspector = await side.async_call(INSPECTORS)
-    assert young.slot.yield_asked.is_set()
-    assert not old.slot.yield_asked.is_set()
+    assert young.slot.yield_requested.is_set()
+    assert not old.slot.yield_requested.is_set()
 
     await side.async_finish(young)
     assert inspector.runs
@@ -172,10 +172,10 @@
     report = await side.async_call(REPORTS)
     await side.async_call(INSPECTORS)
     office = await side.async_call(OFFICE)
-    assert not report.slot.yield_asked.is_set()
+    assert not report.slot.yield_requested.is_set()
     await side.async_advance(1_500)
     assert office.waits
-    assert report.slot.yield_asked.is_set()
+    assert report.slot.yield_requested.is_set()
 
 
 async def test_batch_work_that_does_not_yield_makes_room_for_asking_another(side: Side) -> None:
@@ -185,11 +185,11 @@
     other = await side.async_call(REPORTS)
     await side.async_call(INSPECTORS)
     await side.async_call(INSPECTORS)
-    assert other.slot.yield_asked.is_set()
-    assert not stuck.slot.yield_asked.is_set()
+    assert other.slot.yield_requested.is_set()
+    assert not stuck.slot.yield_requested.is_set()
     await side.async_advance(300)
     await side.async_advance(20)
-    assert stuck.slot.yield_asked.is_set()
+    assert stuck.slot.yield_requested.is_set()
 
 
 async def test_batch_work_is_not_starved_by_interactive_work_without_end(side: Side) -> None:
@@ -204,7 +204,7 @@
         waiting.append(await side.async_call(OFFICE))
         grants += 1
         assert grants <= BATCH_BOUND
-    assert not report.slot.yield_asked.is_set()
+    assert not report.slot.yield_requested.is_set()
 
 
 async def test_a_small_workspace_goes_first_while_another_surges(side: Side) -> None:
--- a/tests/gateway/gateway_fakes.py
+++ b/tests/gateway/gateway_fakes.py
@@ -188,7 +188,7 @@
         self.fleet = fleet
         self.queries: list[PlacementQuery] = []
 
-    def find_holders(self, query: PlacementQuery) -> tuple[str, ...]:
+    def find_prefix_holders(self, query: PlacementQuery) -> tuple[str, ...]:
         if not query.returning:
             return ()
         return tuple(item.name for item in self.fleet.members(query.pool.name))
@@ -203,7 +203,7 @@
     def make_hint(self, instance: Instance) -> str:
         return f"hint-{instance.name}"
 
-    def note_served(self, query: PlacementQuery, instance: Instance) -> None:
+    def record_served(self, query: PlacementQuery, instance: Instance) -> None:
         pass
 
 
--- a/tests/placement/test_placement_order.py
+++ b/tests/placement/test_placement_order.py
@@ -194,7 +194,7 @@
 def test_sticky_memory_returns_to_where_a_chat_was_served(world: World) -> None:
     router = world.make_router(kind=PlacementKind.STICKY)
     query = make_query("chat-1")
-    router.note_served(query, world.fleet.instances[5])
+    router.record_served(query, world.fleet.instances[5])
     assert router.order(query)[0] == world.fleet.instances[5]
 
 
@@ -204,13 +204,13 @@
     router = world.make_router()
     own = list_names(router.order(make_query("chat-1")))
     query = make_query("chat-1", hint=router.make_hint(router.order(make_query("chat-1"))[4]))
-    assert router.find_holders(query) == (own[0], own[1], own[4])
-    assert router.find_holders(make_query("chat-1", returning=False)) == ()
+    assert router.find_prefix_holders(query) == (own[0], own[1], own[4])
+    assert router.find_prefix_holders(make_query("chat-1", returning=False)) == ()
 
 
 def test_the_baselines_name_no_holders(world: World) -> None:
     router = world.make_router(kind=PlacementKind.STICKY)
-    assert router.find_holders(make_query("chat-1")) == ()
+    assert router.find_prefix_holders(make_query("chat-1")) == ()
 
 
 def test_new_batch_work_goes_where_least_of_it_waits(world: World) -> None:
