--- a/gypsumrouter/admission/admission.py
+++ b/gypsumrouter/admission/admission.py
@@ -7,12 +7,12 @@
 
 from gypsumrouter.admission import refusals
 from gypsumrouter.admission.capacity import Capacity
-from gypsumrouter.admission.const import WATCH_MS
+from gypsumrouter.admission.const import QUEUE_CHECK_INTERVAL_MS
 from gypsumrouter.admission.diagnostics import register_diagnostics
 from gypsumrouter.admission.estimates import ServiceTime
 from gypsumrouter.admission.metrics import AdmissionMetrics
 from gypsumrouter.admission.scheduler import Scheduler
-from gypsumrouter.admission.shares import Usage
+from gypsumrouter.admission.shares import WorkspaceUsage
 from gypsumrouter.admission.slots import Slot
 from gypsumrouter.admission.waiters import Waiter
 from gypsumrouter.configuration.models import CallerClass, Configuration, Pool
@@ -31,12 +31,12 @@
     __slots__ = (
         "_app",
         "_capacity",
+        "_checking_queue",
+        "_last_sequence",
         "_listeners",
         "_metrics",
-        "_order",
         "_scheduler",
         "_stopped",
-        "_watching",
     )
 
     def __init__(self, *, app: Application, weight: float, name: str) -> None:
@@ -47,12 +47,12 @@
             clock=app.clock,
             capacity=self._capacity,
             metrics=self._metrics,
-            on_change=self._changed,
+            on_change=self._handle_change,
         )
         self._listeners: list[Callable[[], None]] = []
-        self._order = 0
+        self._last_sequence = 0
         self._stopped = False
-        self._watching = False
+        self._checking_queue = False
         register_diagnostics(app=app, name=name, capacity=self._capacity, scheduler=self._scheduler)
         app.on_stop(self._async_stop)
 
@@ -83,7 +83,7 @@
     async def async_admit(self, request: Open, cancelled: asyncio.Event) -> Slot | Refused:
         """Return a slot, after waiting for one within the request's deadline, or a refusal."""
         if request.pool_load is not None:
-            self.note_pool_load(request.pool_load)
+            self.record_pool_load(request.pool_load)
         outcome = self._decide(request, cancelled)
         match outcome:
             case Slot():
@@ -94,17 +94,17 @@
             case Waiter():
                 return await self._async_wait(outcome, cancelled)
 
-    def note_pool_load(self, load: PoolLoad) -> None:
+    def record_pool_load(self, load: PoolLoad) -> None:
         """Take in what a router believes of the pool's load; noting one twice counts once."""
-        self._capacity.note_pool(load)
+        self._capacity.record_pool_load(load)
 
     def record_first_token(self, slot: Slot) -> None:
         """Note that the answer of a slot has begun."""
-        if slot.first_token_noted:
+        if slot.first_token_seen:
             return
-        slot.first_token_noted = True
-        passed_ms = self._app.clock.now_ms() - slot.granted_ms
-        self._scheduler.estimates.record_first_token(slot.service, passed_ms, batch=slot.batch)
+        slot.first_token_seen = True
+        elapsed_ms = self._app.clock.now_ms() - slot.granted_ms
+        self._scheduler.estimates.record_first_token(slot.service, elapsed_ms, batch=slot.batch)
 
     def stop(self) -> None:
         """Refuse all that waits and all that comes; what runs goes on."""
@@ -134,11 +134,11 @@
         caller_class = scheduler.classes.get(request.caller_class)
         service = scheduler.estimates.find(request, batch=caller_class.batch)
         if request.deadline_ms <= service.first_token_ms:
-            return refusals.refuse_hopeless()
+            return refusals.refuse_deadline_unreachable()
         usage = scheduler.shares.get(request.workspace)
         refused = scheduler.make_room(limits, usage, caller_class)
         if refused is not None:
-            scheduler.shares.settle(usage)
+            scheduler.shares.remove_if_idle(usage)
             return refused
         # Making room may have ended the last request of the same workspace.
         usage = scheduler.shares.get(request.workspace)
@@ -147,13 +147,13 @@
         return self._enqueue(request, usage, caller_class, service)
 
     def _enqueue(
-        self, request: Open, usage: Usage, caller_class: CallerClass, service: ServiceTime
+        self, request: Open, usage: WorkspaceUsage, caller_class: CallerClass, service: ServiceTime
     ) -> Waiter:
         now_ms = self._app.clock.now_ms()
-        self._order += 1
+        self._last_sequence += 1
         waiter = Waiter(
             request_id=request.request_id,
-            order=self._order,
+            sequence=self._last_sequence,
             usage=usage,
             caller_class=caller_class,
             service=service,
@@ -162,8 +162,8 @@
             expires_ms=now_ms + request.deadline_ms - service.first_token_ms,
             future=asyncio.get_running_loop().create_future(),
         )
-        self._scheduler.wait(waiter)
-        self._start_watch()
+        self._scheduler.enqueue(waiter)
+        self._start_queue_check()
         return waiter
 
     async def _async_wait(self, waiter: Waiter, cancelled: asyncio.Event) -> Slot | Refused:
@@ -191,30 +191,30 @@
         if isinstance(outcome, Slot):
             outcome.release()
 
-    def _start_watch(self) -> None:
-        if self._watching:
+    def _start_queue_check(self) -> None:
+        if self._checking_queue:
             return
-        self._watching = True
-        self._app.async_create_task(self._async_watch_queue(), "admission watch")
+        self._checking_queue = True
+        self._app.async_create_task(self._async_check_queue(), "admission watch")
 
-    async def _async_watch_queue(self) -> None:
+    async def _async_check_queue(self) -> None:
         """Refuse what can't be answered in time any more, for as long as anything waits."""
         queue = self._scheduler.queue
         try:
             while queue.size:
-                await self._app.clock.async_sleep(WATCH_MS)
-                for waiter in queue.pop_expired(self._app.clock.now_ms()):
-                    self._scheduler.refuse(waiter, refusals.refuse_hopeless())
+                await self._app.clock.async_sleep(QUEUE_CHECK_INTERVAL_MS)
+                for waiter in queue.iter_expired(self._app.clock.now_ms()):
+                    self._scheduler.refuse(waiter, refusals.refuse_deadline_unreachable())
                 # Room for batch work also comes with time, as interactive work gets less.
                 self._scheduler.dispatch()
         finally:
-            self._watching = False
+            self._checking_queue = False
 
     async def _async_stop(self) -> None:
         self.stop()
 
-    def _changed(self) -> None:
-        self._capacity.note_own(self.load)
+    def _handle_change(self) -> None:
+        self._capacity.record_own_load(self.load)
         for listener in tuple(self._listeners):
             listener()
 
--- a/gypsumrouter/admission/batch_room.py
+++ b/gypsumrouter/admission/batch_limiter.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from gypsumrouter.admission.capacity import Capacity
-from gypsumrouter.admission.classes import Classes
+from gypsumrouter.admission.classes import CallerClasses
 from gypsumrouter.admission.demand import (
     InteractiveDemand,
-    choose_quantile,
-    count_needed,
-    get_cost,
+    choose_demand_quantile,
+    count_slots_needed,
+    get_cost_per_ms,
 )
 from gypsumrouter.admission.estimates import Estimates
 from gypsumrouter.admission.limits import Limits
@@ -16,7 +16,7 @@
 from gypsumrouter.util.clock import Clock
 
 
-class BatchRoom:
+class BatchLimiter:
     """Keeps slots free for the interactive work that is about to come.
 
     Batch work that has begun to answer can't give way, so it starts only where interactive work
@@ -26,7 +26,7 @@
     __slots__ = ("_capacity", "_classes", "_clock", "_demand", "_estimates")
 
     def __init__(
-        self, *, clock: Clock, capacity: Capacity, classes: Classes, estimates: Estimates
+        self, *, clock: Clock, capacity: Capacity, classes: CallerClasses, estimates: Estimates
     ) -> None:
         self._clock = clock
         self._capacity = capacity
@@ -34,28 +34,32 @@
         self._estimates = estimates
         self._demand = InteractiveDemand()
 
-    def note_interactive(self, interactive: int) -> None:
+    def record_interactive(self, interactive: int) -> None:
         """Set how many interactive requests run or wait from now on."""
-        self._demand.note(interactive=interactive, now_ms=self._clock.now_ms())
+        self._demand.record(interactive=interactive, now_ms=self._clock.now_ms())
 
-    def fits(self, limits: Limits, *, slots: Slots, load: int) -> bool:
+    def may_start(self, limits: Limits, *, slots: Slots, load: int) -> bool:
         """Return whether one more may start at a load."""
         if slots.running >= limits.slots - limits.reserve:
             return False
         batch_limit = self._capacity.batch_limit
         if batch_limit is not None and load >= batch_limit:
             return False
-        return slots.batch_running < limits.slots - self._count_needed()
+        return slots.batch_running < limits.slots - self._count_slots_needed()
 
-    def _count_needed(self) -> int:
+    def _count_slots_needed(self) -> int:
         """Return how many slots interactive work is about to need, within its targets."""
-        times, classes = self._estimates, self._classes
-        quantile = choose_quantile(
-            batch_cost=get_cost(penalty=classes.batch_penalty, hold_ms=times.batch.hold_ms),
-            interactive_cost=get_cost(
-                penalty=classes.interactive_penalty, hold_ms=times.interactive.hold_ms
+        estimates, classes = self._estimates, self._classes
+        quantile = choose_demand_quantile(
+            batch_cost=get_cost_per_ms(
+                penalty=classes.batch_penalty, hold_ms=estimates.batch.hold_ms
             ),
+            interactive_cost=get_cost_per_ms(
+                penalty=classes.interactive_penalty, hold_ms=estimates.interactive.hold_ms
+            ),
+        )
+        peak = self._demand.estimate_peak(now_ms=self._clock.now_ms(), quantile=quantile)
+        slack_ms = classes.first_token_ms - estimates.interactive.first_token_ms
+        return count_slots_needed(
+            peak=peak, hold_ms=estimates.interactive.hold_ms, slack_ms=slack_ms
         )
-        peak = self._demand.expect_peak(now_ms=self._clock.now_ms(), quantile=quantile)
-        slack_ms = classes.first_token_ms - times.interactive.first_token_ms
-        return count_needed(peak=peak, hold_ms=times.interactive.hold_ms, slack_ms=slack_ms)
--- a/gypsumrouter/admission/capacity.py
+++ b/gypsumrouter/admission/capacity.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from gypsumrouter.admission.const import POOL_FULL_SHARE
+from gypsumrouter.admission.const import POOL_FULL_RATIO
 from gypsumrouter.admission.limits import Limits, make_limits
 from gypsumrouter.admission.load import (
-    Believed,
-    PoolMean,
+    PoolEstimate,
+    PoolLoadEstimator,
     compute_batch_limit,
-    compute_limit,
+    compute_load_limit,
 )
 from gypsumrouter.configuration.models import Pool
 from gypsumrouter.link.models import PoolLoad
@@ -18,27 +18,27 @@
 class Capacity:
     """The bounds of one upstream of a given weight; `limits` is None before a configuration."""
 
-    __slots__ = ("_clock", "_last_note", "_mean", "_weight", "limits")
+    __slots__ = ("_clock", "_estimator", "_last_report", "_weight", "limits")
 
     def __init__(self, *, clock: Clock, weight: float) -> None:
         self._clock = clock
         self._weight = weight
-        self._mean = PoolMean(weight=weight)
-        self._last_note: PoolLoad | None = None
+        self._estimator = PoolLoadEstimator(weight=weight)
+        self._last_report: PoolLoad | None = None
         self.limits: Limits | None = None
 
     @property
-    def believed(self) -> Believed | None:
-        """Return what is believed of the other members' load."""
-        return self._mean.believe(now_ms=self._clock.now_ms())
+    def pool_estimate(self) -> PoolEstimate | None:
+        """Return what is pool_estimate of the other members' load."""
+        return self._estimator.estimate(now_ms=self._clock.now_ms())
 
     @property
     def load_limit(self) -> int | None:
         """Return the highest load that the cap allows now, None for any."""
         if self.limits is None:
             return 0
-        return compute_limit(
-            believed=self.believed,
+        return compute_load_limit(
+            pool_estimate=self.pool_estimate,
             cap=self.limits.cap,
             floor=self.limits.floor,
             weight=self._weight,
@@ -50,7 +50,7 @@
         if self.limits is None:
             return 0
         return compute_batch_limit(
-            believed=self.believed, floor=self.limits.floor, weight=self._weight
+            pool_estimate=self.pool_estimate, floor=self.limits.floor, weight=self._weight
         )
 
     def configure(self, pool: Pool) -> Limits:
@@ -58,20 +58,20 @@
         self.limits = make_limits(pool=pool, weight=self._weight)
         return self.limits
 
-    def note_own(self, load: int) -> None:
+    def record_own_load(self, load: int) -> None:
         """Note a change of the own load."""
-        self._mean.note_own(load=load, now_ms=self._clock.now_ms())
+        self._estimator.record_own_load(load=load, now_ms=self._clock.now_ms())
 
-    def note_pool(self, load: PoolLoad) -> None:
+    def record_pool_load(self, load: PoolLoad) -> None:
         """Take in what a router believes; noting the same value twice counts once."""
-        if load is self._last_note:
+        if load is self._last_report:
             return
-        self._last_note = load
-        self._mean.note(load, now_ms=self._clock.now_ms())
+        self._last_report = load
+        self._estimator.record_report(load, now_ms=self._clock.now_ms())
 
     def is_pool_full(self, limits: Limits) -> bool:
         """Return whether the other members have hardly any room either."""
-        believed = self.believed
-        if believed is None:
+        pool_estimate = self.pool_estimate
+        if pool_estimate is None:
             return False
-        return believed.mean * self._weight >= POOL_FULL_SHARE * limits.room
+        return pool_estimate.mean * self._weight >= POOL_FULL_RATIO * limits.capacity
--- a/gypsumrouter/admission/classes.py
+++ b/gypsumrouter/admission/classes.py
@@ -1,4 +1,4 @@
-"""Classes of a configuration as the side uses them."""
+"""CallerClasses of a configuration as the side uses them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from gypsumrouter.admission.const import BATCH_PRIORITY
 from gypsumrouter.configuration.models import CallerClass, Configuration
 
-_ANY_CLASS: Final = CallerClass(name="default")
+_FALLBACK_CLASS: Final = CallerClass(name="default")
 
 
-class Classes:
+class CallerClasses:
     """Finds classes by name, and the priority that the engine is told for each."""
 
     __slots__ = (
@@ -23,7 +23,7 @@
     )
 
     def __init__(self) -> None:
-        self._default = _ANY_CLASS
+        self._default = _FALLBACK_CLASS
         self._by_name: dict[str, CallerClass] = {}
         self._priorities: dict[str, int] = {}
         self.batch_penalty = 0.0
@@ -33,13 +33,13 @@
     def configure(self, configuration: Configuration) -> None:
         """Take over the classes of a configuration."""
         self._by_name = {item.name: item for item in configuration.classes}
-        self._default = self._by_name.get(configuration.default_class or "", _ANY_CLASS)
+        self._default = self._by_name.get(configuration.default_class or "", _FALLBACK_CLASS)
         ranked = sorted(
             (item for item in configuration.classes if not item.batch),
             key=lambda item: (item.penalty, -item.first_token_ms, item.name),
         )
-        self.batch_penalty = _get_highest(configuration.classes, batch=True)
-        self.interactive_penalty = _get_highest(configuration.classes, batch=False)
+        self.batch_penalty = _get_highest_penalty(configuration.classes, batch=True)
+        self.interactive_penalty = _get_highest_penalty(configuration.classes, batch=False)
         self.first_token_ms = min((item.first_token_ms for item in ranked), default=0)
         self._priorities = {
             item.name: BATCH_PRIORITY + rank for rank, item in enumerate(ranked, start=1)
@@ -56,5 +56,5 @@
         return self._priorities.get(caller_class.name, BATCH_PRIORITY + 1)
 
 
-def _get_highest(classes: tuple[CallerClass, ...], *, batch: bool) -> float:
+def _get_highest_penalty(classes: tuple[CallerClass, ...], *, batch: bool) -> float:
     return max((item.penalty for item in classes if item.batch is batch), default=0.0)
--- a/gypsumrouter/admission/diagnostics.py
+++ b/gypsumrouter/admission/diagnostics.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from gypsumrouter.admission.capacity import Capacity
-from gypsumrouter.admission.const import DUMPED_WORKSPACES
-from gypsumrouter.admission.load import Believed
+from gypsumrouter.admission.const import MAX_DUMPED_WORKSPACES
+from gypsumrouter.admission.load import PoolEstimate
 from gypsumrouter.admission.scheduler import Scheduler
-from gypsumrouter.admission.shares import Usage
+from gypsumrouter.admission.shares import WorkspaceUsage
 from gypsumrouter.core import Application
 from gypsumrouter.helpers.metrics import NO_LABELS, Labels
 
@@ -21,8 +21,8 @@
         return {} if limit is None else {NO_LABELS: limit}
 
     def read_mean() -> dict[Labels, float]:
-        believed = capacity.believed
-        return {} if believed is None else {NO_LABELS: believed.mean}
+        pool_estimate = capacity.pool_estimate
+        return {} if pool_estimate is None else {NO_LABELS: pool_estimate.mean}
 
     app.add_dump_section("admission", lambda: make_dump(name, capacity, scheduler))
     app.metrics.gauge(
@@ -46,7 +46,7 @@
 def make_dump(name: str, capacity: Capacity, scheduler: Scheduler) -> dict[str, object]:
     """Return the state of admission as plain JSON data."""
     limits = capacity.limits
-    active = scheduler.shares.list_active()[:DUMPED_WORKSPACES]
+    active = scheduler.shares.list_active()[:MAX_DUMPED_WORKSPACES]
     return {
         "name": name,
         "load": scheduler.load,
@@ -55,27 +55,27 @@
         "load_limit": capacity.load_limit,
         "slots": limits.slots if limits else None,
         "queue": limits.queue if limits else None,
-        "pool": _dump_believed(capacity.believed),
+        "pool": _dump_pool_estimate(capacity.pool_estimate),
         "workspaces": [_dump_usage(usage) for usage in active],
         "service_times": scheduler.estimates.dump(),
     }
 
 
-def _dump_believed(believed: Believed | None) -> dict[str, object] | None:
-    if believed is None:
+def _dump_pool_estimate(pool_estimate: PoolEstimate | None) -> dict[str, object] | None:
+    if pool_estimate is None:
         return None
     return {
-        "mean": round(believed.mean, 3),
-        "members": believed.members,
-        "age_ms": believed.age_ms,
+        "mean": round(pool_estimate.mean, 3),
+        "members": pool_estimate.members,
+        "age_ms": pool_estimate.age_ms,
     }
 
 
-def _dump_usage(usage: Usage) -> dict[str, object]:
+def _dump_usage(usage: WorkspaceUsage) -> dict[str, object]:
     return {
         "name": usage.name,
         "running": usage.running,
-        "batch": usage.batch,
+        "batch": usage.batch_running,
         "waiting": usage.waiting,
         "share": usage.share,
     }
--- a/gypsumrouter/admission/estimates.py
+++ b/gypsumrouter/admission/estimates.py
@@ -6,13 +6,13 @@
 
 from gypsumrouter.admission.const import (
     BYTES_PER_TOKEN,
-    FIRST_TOKEN_START_MS,
-    FIRST_TOKEN_STEP_DOWN,
-    FIRST_TOKEN_STEP_UP,
-    HOLD_START_MS,
-    HOLD_STEP,
+    FIRST_TOKEN_SMOOTHING_DOWN,
+    FIRST_TOKEN_SMOOTHING_UP,
+    HOLD_SMOOTHING,
+    INITIAL_FIRST_TOKEN_MS,
+    INITIAL_HOLD_MS,
     MIN_RELEASE_INTERVAL_MS,
-    SIZE_BYTES,
+    SIZE_BUCKET_BYTES,
 )
 from gypsumrouter.link.models import Open
 
@@ -24,18 +24,18 @@
     one would be late. `hold_ms` is the mean time that a slot is held.
     """
 
-    first_token_ms: float = FIRST_TOKEN_START_MS
-    hold_ms: float = HOLD_START_MS
+    first_token_ms: float = INITIAL_FIRST_TOKEN_MS
+    hold_ms: float = INITIAL_HOLD_MS
 
-    def record_first_token(self, passed_ms: int) -> None:
+    def record_first_token(self, elapsed_ms: int) -> None:
         """Take in the time from the grant of a slot to the first token."""
-        error = passed_ms - self.first_token_ms
-        step = FIRST_TOKEN_STEP_UP if error > 0 else FIRST_TOKEN_STEP_DOWN
+        error = elapsed_ms - self.first_token_ms
+        step = FIRST_TOKEN_SMOOTHING_UP if error > 0 else FIRST_TOKEN_SMOOTHING_DOWN
         self.first_token_ms += step * error
 
-    def note_hold(self, passed_ms: int) -> None:
+    def record_hold(self, elapsed_ms: int) -> None:
         """Take in how long a slot was held."""
-        self.hold_ms += HOLD_STEP * (passed_ms - self.hold_ms)
+        self.hold_ms += HOLD_SMOOTHING * (elapsed_ms - self.hold_ms)
 
 
 class Estimates:
@@ -47,7 +47,7 @@
         self._by_kind = {
             (batch, size): ServiceTime()
             for batch in (False, True)
-            for size in range(len(SIZE_BYTES) + 1)
+            for size in range(len(SIZE_BUCKET_BYTES) + 1)
         }
         self._all = ServiceTime()
         self.batch = ServiceTime()
@@ -56,20 +56,20 @@
     def find(self, request: Open, *, batch: bool) -> ServiceTime:
         """Return the estimate for requests of this kind and size."""
         size_bytes = request.prompt_bytes + BYTES_PER_TOKEN * request.max_output_tokens
-        size = sum(size_bytes > bound for bound in SIZE_BYTES)
+        size = sum(size_bytes > bound for bound in SIZE_BUCKET_BYTES)
         return self._by_kind[batch, size]
 
-    def note_hold(self, service: ServiceTime, passed_ms: int, *, batch: bool) -> None:
+    def record_hold(self, service: ServiceTime, elapsed_ms: int, *, batch: bool) -> None:
         """Take in how long a slot was held, for its kind and for all together."""
-        for item in (service, self._all, self._get_together(batch)):
-            item.note_hold(passed_ms)
+        for item in (service, self._all, self._get_aggregate(batch)):
+            item.record_hold(elapsed_ms)
 
-    def record_first_token(self, service: ServiceTime, passed_ms: int, *, batch: bool) -> None:
+    def record_first_token(self, service: ServiceTime, elapsed_ms: int, *, batch: bool) -> None:
         """Take in the time from the grant of a slot to the first token."""
-        for item in (service, self._get_together(batch)):
-            item.record_first_token(passed_ms)
+        for item in (service, self._get_aggregate(batch)):
+            item.record_first_token(elapsed_ms)
 
-    def _get_together(self, batch: bool) -> ServiceTime:
+    def _get_aggregate(self, batch: bool) -> ServiceTime:
         return self.batch if batch else self.interactive
 
     def get_release_interval_ms(self, slots: int) -> float:
--- a/gypsumrouter/admission/limits.py
+++ b/gypsumrouter/admission/limits.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from gypsumrouter.admission.const import BATCH_RESERVE_RATIO
+from gypsumrouter.admission.const import SLOTS_PER_RESERVED_SLOT
 from gypsumrouter.configuration.models import Pool
 
 
@@ -18,7 +18,7 @@
     floor: int
 
     @property
-    def room(self) -> int:
+    def capacity(self) -> int:
         """Return how much load there is room for."""
         return self.slots + self.queue
 
@@ -26,7 +26,7 @@
 def make_limits(*, pool: Pool, weight: float) -> Limits:
     """Return the bounds of an upstream of this weight."""
     slots = max(1, int(pool.slots * weight))
-    reserve = -(-slots // BATCH_RESERVE_RATIO) if slots > 1 else 0
+    reserve = -(-slots // SLOTS_PER_RESERVED_SLOT) if slots > 1 else 0
     return Limits(
         slots=slots,
         queue=int(pool.queue * weight),
--- a/gypsumrouter/admission/load.py
+++ b/gypsumrouter/admission/load.py
@@ -7,16 +7,16 @@
 from msgspec import Struct
 
 from gypsumrouter.admission.const import (
-    CAUTION_AFTER_MS,
-    CAUTION_HALF_LIFE_MS,
+    DECAY_AFTER_MS,
+    DECAY_HALF_LIFE_MS,
     DRIFT_MARGIN,
     GROWTH_SLACK,
-    HALF,
-    HALF_LIFE_MS,
     HISTORY_STEP_MS,
     HISTORY_STEPS,
-    NOTE_FRESH_MS,
-    ROUNDING,
+    REPORT_HALF_LIFE_MS,
+    REPORT_MAX_AGE_MS,
+    ROUND_HALF_UP,
+    ROUNDING_EPSILON,
 )
 from gypsumrouter.link.models import PoolLoad
 
@@ -30,11 +30,11 @@
         self._loads = [0] * HISTORY_STEPS
         self._step = 0
 
-    def note(self, *, load: int, now_ms: int) -> None:
+    def record(self, *, load: int, now_ms: int) -> None:
         """Set the load from now on."""
         step = now_ms // HISTORY_STEP_MS
         if step > self._step:
-            self._fill_until(step)
+            self._advance_to(step)
         self._loads[step % HISTORY_STEPS] = load
 
     def get(self, *, at_ms: int) -> int:
@@ -43,15 +43,15 @@
         step = max(step, self._step - HISTORY_STEPS + 1)
         return self._loads[step % HISTORY_STEPS]
 
-    def _fill_until(self, step: int) -> None:
+    def _advance_to(self, step: int) -> None:
         last = self._loads[self._step % HISTORY_STEPS]
         first = max(self._step + 1, step - HISTORY_STEPS + 1)
-        for passed in range(first, step + 1):
-            self._loads[passed % HISTORY_STEPS] = last
+        for skipped in range(first, step + 1):
+            self._loads[skipped % HISTORY_STEPS] = last
         self._step = step
 
 
-class Believed(Struct, frozen=True, kw_only=True):
+class PoolEstimate(Struct, frozen=True, kw_only=True):
     """The estimate of the other members' mean load for each unit of weight.
 
     `age_ms` is the age of the newest status that went into it; `mean` has the discount for age.
@@ -62,7 +62,7 @@
     age_ms: int | None
 
 
-class PoolMean:
+class PoolLoadEstimator:
     """Estimates the mean load of the other members from what routers say of the whole pool.
 
     What this side adds to each router's mean is taken out, as of the time that the router speaks
@@ -71,13 +71,13 @@
     """
 
     __slots__ = (
+        "_confidence",
         "_history",
         "_mean",
         "_members",
         "_members_at_ms",
-        "_newest_ms",
-        "_noted_at_ms",
-        "_trust",
+        "_newest_observed_ms",
+        "_recorded_at_ms",
         "_weight",
     )
 
@@ -85,82 +85,86 @@
         self._weight = weight
         self._history = LoadHistory()
         self._mean = 0.0
-        self._trust = 0.0
-        self._noted_at_ms = 0
-        self._newest_ms: int | None = None
+        self._confidence = 0.0
+        self._recorded_at_ms = 0
+        self._newest_observed_ms: int | None = None
         self._members: int | None = None
         self._members_at_ms = 0
 
-    def note_own(self, *, load: int, now_ms: int) -> None:
+    def record_own_load(self, *, load: int, now_ms: int) -> None:
         """Note a change of this side's own load."""
-        self._history.note(load=load, now_ms=now_ms)
+        self._history.record(load=load, now_ms=now_ms)
 
-    def note(self, load: PoolLoad, *, now_ms: int) -> None:
+    def record_report(self, load: PoolLoad, *, now_ms: int) -> None:
         """Take in what one router believes."""
-        self._note_members(load.members, now_ms)
+        self._update_members(load.members, now_ms)
         others = min(load.known, load.members) - 1
-        if others < 1 or load.age_ms > NOTE_FRESH_MS:
+        if others < 1 or load.age_ms > REPORT_MAX_AGE_MS:
             return
         observed_ms = now_ms - load.age_ms
         own = self._history.get(at_ms=observed_ms) / self._weight
         mean = max(0.0, (load.mean * (others + 1) - own) / others)
-        trust = others * 0.5 ** (load.age_ms / HALF_LIFE_MS)
-        kept = self._trust * 0.5 ** ((now_ms - self._noted_at_ms) / HALF_LIFE_MS)
-        if kept + trust > 0:
-            self._mean = (self._mean * kept + mean * trust) / (kept + trust)
-        self._trust = kept + trust
-        self._noted_at_ms = now_ms
-        if self._newest_ms is None or observed_ms > self._newest_ms:
-            self._newest_ms = observed_ms
-
-    def believe(self, *, now_ms: int) -> Believed | None:
+        confidence = others * 0.5 ** (load.age_ms / REPORT_HALF_LIFE_MS)
+        kept = self._confidence * 0.5 ** ((now_ms - self._recorded_at_ms) / REPORT_HALF_LIFE_MS)
+        if kept + confidence > 0:
+            self._mean = (self._mean * kept + mean * confidence) / (kept + confidence)
+        self._confidence = kept + confidence
+        self._recorded_at_ms = now_ms
+        if self._newest_observed_ms is None or observed_ms > self._newest_observed_ms:
+            self._newest_observed_ms = observed_ms
+
+    def estimate(self, *, now_ms: int) -> PoolEstimate | None:
         """Return the estimate, None as long as no router has spoken of the pool."""
         if self._members is None:
             return None
-        if self._newest_ms is None:
-            return Believed(mean=0.0, members=self._members, age_ms=None)
-        age_ms = now_ms - self._newest_ms
-        late_ms = max(0, age_ms - CAUTION_AFTER_MS)
-        mean = self._mean * 0.5 ** (late_ms / CAUTION_HALF_LIFE_MS)
-        return Believed(mean=mean, members=self._members, age_ms=age_ms)
-
-    def _note_members(self, members: int, now_ms: int) -> None:
-        """Keep the largest number of members that any router lately believed in."""
-        outdated = now_ms - self._members_at_ms > NOTE_FRESH_MS
+        if self._newest_observed_ms is None:
+            return PoolEstimate(mean=0.0, members=self._members, age_ms=None)
+        age_ms = now_ms - self._newest_observed_ms
+        late_ms = max(0, age_ms - DECAY_AFTER_MS)
+        mean = self._mean * 0.5 ** (late_ms / DECAY_HALF_LIFE_MS)
+        return PoolEstimate(mean=mean, members=self._members, age_ms=age_ms)
+
+    def _update_members(self, members: int, now_ms: int) -> None:
+        """Keep the largest number of members that any router lately pool_estimate in."""
+        outdated = now_ms - self._members_at_ms > REPORT_MAX_AGE_MS
         if self._members is None or outdated or members >= self._members:
             self._members = members
             self._members_at_ms = now_ms
 
 
-def compute_limit(
-    *, believed: Believed | None, cap: float, floor: int, weight: float
+def compute_load_limit(
+    *, pool_estimate: PoolEstimate | None, cap: float, floor: int, weight: float
 ) -> int | None:
-    """Return the highest load that keeps this side within `cap` times the mean.
+    """Return the highest load that protected this side within `cap` times the mean.
 
     The mean includes this side with that load: with n members whose others carry a mean of m,
     load / weight <= cap * ((n - 1) * m + load / weight) / n. A margin for the drift of the mean
     after the admission is taken off. One request above a mean that is all but reached is always
-    allowed, or a pool whose members all stand at their limit could never take more. None is no
+    allowed, or a pool whose members all stand at their limit could never acquire more. None is no
     limit, where a side could not exceed the multiple of the mean with all of the load.
     """
-    if believed is None:
+    if pool_estimate is None:
         return floor
-    if believed.members <= cap:
+    if pool_estimate.members <= cap:
         return None
-    even = weight * believed.mean
-    exact = cap * even * (believed.members - 1) / (believed.members - cap)
-    limit = math.ceil(exact - DRIFT_MARGIN * math.sqrt(exact) - ROUNDING)
-    return max(floor, int(even + GROWTH_SLACK) + 1, limit)
+    fair_load = weight * pool_estimate.mean
+    unrounded_limit = cap * fair_load * (pool_estimate.members - 1) / (pool_estimate.members - cap)
+    limit = math.ceil(
+        unrounded_limit - DRIFT_MARGIN * math.sqrt(unrounded_limit) - ROUNDING_EPSILON
+    )
+    return max(floor, int(fair_load + GROWTH_SLACK) + 1, limit)
 
 
-def compute_batch_limit(*, believed: Believed | None, floor: int, weight: float) -> int | None:
+def compute_batch_limit(
+    *, pool_estimate: PoolEstimate | None, floor: int, weight: float
+) -> int | None:
     """Return the highest load at which batch work may still start.
 
     It fills a side up to the others' mean and one more. So it leaves the room between the mean and
     the cap to interactive work, which can't be given the slot of batch work that has begun.
     """
-    if believed is None:
+    if pool_estimate is None:
         return floor
-    if believed.members <= 1:
+    if pool_estimate.members <= 1:
         return None
-    return max(floor, int(weight * believed.mean + HALF) + 1)
+    return max(floor, int(weight * pool_estimate.mean + ROUND_HALF_UP) + 1)
--- a/gypsumrouter/admission/queue.py
+++ b/gypsumrouter/admission/queue.py
@@ -1,4 +1,4 @@
-"""The queue: who runs next, and who is turned away when there is no room."""
+"""The queue: who runs next, and who is turned away when there is no capacity."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from collections.abc import Iterator
 
 from gypsumrouter.admission.const import (
-    BATCH_EVERY,
-    ENDED_RATIO,
-    ENDED_SPARE,
+    BATCH_GRANT_INTERVAL,
+    COMPACT_RATIO,
+    COMPACT_SPARE,
     GUARANTEE_RELEASES,
-    HOPELESS_EVERY,
+    LATE_GRANT_INTERVAL,
     LOOKAHEAD_RELEASES,
     MIN_PENALTY,
 )
-from gypsumrouter.admission.shares import Shares, Usage
-from gypsumrouter.admission.waiters import Group, Waiter
+from gypsumrouter.admission.shares import Shares, WorkspaceUsage
+from gypsumrouter.admission.waiters import Waiter, WaiterGroup
 from gypsumrouter.configuration.models import CallerClass
 
 _GroupKey = tuple[str, CallerClass]
@@ -33,11 +33,11 @@
     """
 
     __slots__ = (
-        "_batch_passed",
         "_expiring",
+        "_grants_since_batch",
+        "_grants_since_late",
         "_groups",
-        "_hopeless_passed",
-        "_hopeless_waits",
+        "_late_waiting",
         "_shares",
         "interactive",
         "size",
@@ -45,11 +45,11 @@
 
     def __init__(self, *, shares: Shares) -> None:
         self._shares = shares
-        self._groups: dict[_GroupKey, Group] = {}
+        self._groups: dict[_GroupKey, WaiterGroup] = {}
         self._expiring: list[tuple[float, int, Waiter]] = []
-        self._hopeless_passed = 0
-        self._hopeless_waits = False
-        self._batch_passed = 0
+        self._grants_since_late = 0
+        self._late_waiting = False
+        self._grants_since_batch = 0
         self.size = 0
         self.interactive = 0
 
@@ -63,11 +63,11 @@
         key = (waiter.usage.name, waiter.caller_class)
         group = self._groups.get(key)
         if group is None:
-            group = Group(usage=waiter.usage, caller_class=waiter.caller_class)
+            group = WaiterGroup(usage=waiter.usage, caller_class=waiter.caller_class)
             self._groups[key] = group
         group.add(waiter)
-        self._drop_ended()
-        heapq.heappush(self._expiring, (waiter.expires_ms, waiter.order, waiter))
+        self._compact_expiring()
+        heapq.heappush(self._expiring, (waiter.expires_ms, waiter.sequence, waiter))
         waiter.queued = True
         self._count(waiter, 1)
 
@@ -84,78 +84,84 @@
             del self._groups[key]
         if self.size == 0:
             self._expiring.clear()
-            self._hopeless_passed = 0
-            self._batch_passed = 0
+            self._grants_since_late = 0
+            self._grants_since_batch = 0
 
-    def pick(
-        self, *, now_ms: int, slots: int, release_ms: float, batch_fits: bool
+    def select_next(
+        self, *, now_ms: int, slots: int, release_interval_ms: float, batch_allowed: bool
     ) -> Waiter | None:
         """Return who runs next, None if nobody may.
 
-        `release_ms` is the expected time between two releases, `batch_fits` whether the reserve
+        `release_interval_ms` is the expected time between two releases, `batch_allowed` whether the reserve
         lets batch work run.
         """
-        if self._batch_passed >= BATCH_EVERY:
-            due = self._first_batch()
-            if due is not None:
-                return due
-        best, hopeless = self._find_interactive(now_ms, slots, release_ms)
-        self._hopeless_waits = hopeless is not None
-        if hopeless is not None and (best is None or self._hopeless_passed >= HOPELESS_EVERY - 1):
-            return hopeless
+        if self._grants_since_batch >= BATCH_GRANT_INTERVAL:
+            overdue = self._select_batch()
+            if overdue is not None:
+                return overdue
+        best, late = self._select_interactive(now_ms, slots, release_interval_ms)
+        self._late_waiting = late is not None
+        if late is not None and (
+            best is None or self._grants_since_late >= LATE_GRANT_INTERVAL - 1
+        ):
+            return late
         if best is not None:
             return best
-        return self._first_batch() if batch_fits else None
+        return self._select_batch() if batch_allowed else None
 
-    def note_granted(self, waiter: Waiter, *, now_ms: int) -> bool:
+    def record_grant(self, waiter: Waiter, *, now_ms: int) -> bool:
         """Count a grant; returns whether batch work ran because it was passed over for long."""
         if waiter.caller_class.batch:
-            due = self._batch_passed >= BATCH_EVERY
-            self._batch_passed = 0
-            return due
+            overdue = self._grants_since_batch >= BATCH_GRANT_INTERVAL
+            self._grants_since_batch = 0
+            return overdue
         if self.batch:
-            self._batch_passed += 1
+            self._grants_since_batch += 1
         if waiter.start_by_ms < now_ms:
-            self._hopeless_passed = 0
-        elif self._hopeless_waits:
-            self._hopeless_passed += 1
+            self._grants_since_late = 0
+        elif self._late_waiting:
+            self._grants_since_late += 1
         return False
 
-    def pick_victim(self, *, room: int, newcomer: Usage | None, counted: bool) -> Waiter | None:
-        """Return who is turned away when there is room for a load of `room`.
+    def find_victim(
+        self, *, capacity: int, newcomer: WorkspaceUsage | None, interactive_only: bool
+    ) -> Waiter | None:
+        """Return who is turned away when there is capacity for a load of `capacity`.
 
-        It falls on the workspace that is most above its share of the room; None where that is the
-        newcomer's own. With `counted` only those that count as load are turned away.
+        It falls on the workspace that is most above its share of the capacity; None where that is the
+        newcomer's own. With `interactive_only` only those that count as load are turned away.
         """
-        worst: Usage | None = newcomer
-        worst_excess = -math.inf if newcomer is None else self._get_excess(newcomer, room) + 1
+        worst: WorkspaceUsage | None = newcomer
+        worst_excess = -math.inf if newcomer is None else self._get_excess(newcomer, capacity) + 1
         for usage in self._shares.list_waiting():
-            excess = self._get_excess(usage, room)
+            excess = self._get_excess(usage, capacity)
             if excess > worst_excess:
                 worst = usage
                 worst_excess = excess
         if worst is None or worst is newcomer:
             return None
-        return self._find_victim(worst, counted=counted)
+        return self._find_workspace_victim(worst, interactive_only=interactive_only)
 
-    def find_own_victim(
-        self, usage: Usage, newcomer_class: CallerClass, *, counted: bool
+    def find_lower_class_victim(
+        self, usage: WorkspaceUsage, newcomer_class: CallerClass, *, interactive_only: bool
     ) -> Waiter | None:
         """Return a waiter of the same workspace that is worth less than the newcomer."""
-        victim = self._find_victim(usage, counted=counted)
-        if victim is None or _get_worth(victim.caller_class) >= _get_worth(newcomer_class):
+        victim = self._find_workspace_victim(usage, interactive_only=interactive_only)
+        if victim is None or _get_eviction_rank(victim.caller_class) >= _get_eviction_rank(
+            newcomer_class
+        ):
             return None
         return victim
 
-    def pop_expired(self, now_ms: int) -> Iterator[Waiter]:
+    def iter_expired(self, now_ms: int) -> Iterator[Waiter]:
         """Yield every waiter that can't be answered in time any more; the caller removes it."""
         while self._expiring and self._expiring[0][0] <= now_ms:
             _, _, waiter = heapq.heappop(self._expiring)
             if waiter.queued:
                 yield waiter
 
-    def count_urgent(self, *, start_by_ms: float, most: int) -> int:
-        """Return how many interactive requests must start by a time, counted up to `most`."""
+    def count_due(self, *, start_by_ms: float, most: int) -> int:
+        """Return how many interactive requests must start by a time, interactive_only up to `most`."""
         urgent = 0
         for group in self._groups.values():
             if group.caller_class.batch:
@@ -169,9 +175,9 @@
         """Return all that wait."""
         return [waiter for _, _, waiter in self._expiring if waiter.queued]
 
-    def _drop_ended(self) -> None:
+    def _compact_expiring(self) -> None:
         """Forget those that no longer wait once they are most of what is held."""
-        if len(self._expiring) < ENDED_RATIO * (self.size + ENDED_SPARE):
+        if len(self._expiring) < COMPACT_RATIO * (self.size + COMPACT_SPARE):
             return
         self._expiring = [item for item in self._expiring if item[2].queued]
         heapq.heapify(self._expiring)
@@ -182,64 +188,68 @@
         if not waiter.caller_class.batch:
             self.interactive += change
 
-    def _get_excess(self, usage: Usage, room: int) -> float:
-        return usage.load - self._shares.get_guarantee(usage, room)
+    def _get_excess(self, usage: WorkspaceUsage, capacity: int) -> float:
+        return usage.load - self._shares.get_guarantee(usage, capacity)
 
-    def _find_interactive(
-        self, now_ms: int, slots: int, release_ms: float
+    def _select_interactive(
+        self, now_ms: int, slots: int, release_interval_ms: float
     ) -> tuple[Waiter | None, Waiter | None]:
-        """Return the best of those within reach and the oldest of those out of reach."""
+        """Return the best of those within reach and the oldest_late of those out of reach."""
         best: Waiter | None = None
         best_rank = (False, -math.inf)
-        oldest: Waiter | None = None
-        lookahead_ms = LOOKAHEAD_RELEASES * release_ms
-        guarantee_ms = GUARANTEE_RELEASES * release_ms
+        oldest_late: Waiter | None = None
+        lookahead_ms = LOOKAHEAD_RELEASES * release_interval_ms
+        guarantee_ms = GUARANTEE_RELEASES * release_interval_ms
         for group in self._groups.values():
             if group.caller_class.batch:
                 continue
             front = group.front(now_ms)
-            hopeless = group.oldest_hopeless()
-            if hopeless is not None and (oldest is None or hopeless.order < oldest.order):
-                oldest = hopeless
+            late = group.oldest_late()
+            if late is not None and (oldest_late is None or late.sequence < oldest_late.sequence):
+                oldest_late = late
             if front is None:
                 continue
-            left_ms = front.start_by_ms - now_ms
-            guaranteed = left_ms <= guarantee_ms and self._shares.is_below(group.usage, slots)
+            slack_ms = front.start_by_ms - now_ms
+            guaranteed = slack_ms <= guarantee_ms and self._shares.is_below_guarantee(
+                group.usage, slots
+            )
             penalty = max(MIN_PENALTY, group.caller_class.penalty)
-            cost = math.log(penalty / front.service.hold_ms) - left_ms / lookahead_ms
+            cost = math.log(penalty / front.service.hold_ms) - slack_ms / lookahead_ms
             rank = (guaranteed, cost)
             if rank > best_rank:
                 best = front
                 best_rank = rank
-        return best, oldest
+        return best, oldest_late
 
-    def _first_batch(self) -> Waiter | None:
-        """Return the batch request whose workspace uses least, then the one due first."""
+    def _select_batch(self) -> Waiter | None:
+        """Return the batch request whose workspace uses least, then the one overdue first."""
         best: Waiter | None = None
         best_rank = (math.inf, math.inf)
         for group in self._groups.values():
             if not group.caller_class.batch:
                 continue
-            # Batch work has no first-token target: order by the whole answer, never hopeless.
+            # Batch work has no first-token target: order by the whole answer, never late.
             front = group.front(-math.inf)
             if front is None:
                 continue
-            rank = (group.usage.batch / group.usage.share, front.start_by_ms)
+            rank = (group.usage.batch_running / group.usage.share, front.start_by_ms)
             if rank < best_rank:
                 best = front
                 best_rank = rank
         return best
 
-    def _find_victim(self, usage: Usage, *, counted: bool) -> Waiter | None:
+    def _find_workspace_victim(
+        self, usage: WorkspaceUsage, *, interactive_only: bool
+    ) -> Waiter | None:
         groups = [
             group
             for group in self._groups.values()
-            if group.usage is usage and not (counted and group.caller_class.batch)
+            if group.usage is usage and not (interactive_only and group.caller_class.batch)
         ]
         if not groups:
             return None
-        return min(groups, key=lambda group: _get_worth(group.caller_class)).newest()
+        return min(groups, key=lambda group: _get_eviction_rank(group.caller_class)).find_victim()
 
 
-def _get_worth(caller_class: CallerClass) -> tuple[bool, float]:
+def _get_eviction_rank(caller_class: CallerClass) -> tuple[bool, float]:
     return (not caller_class.batch, caller_class.penalty)
--- a/gypsumrouter/admission/refusals.py
+++ b/gypsumrouter/admission/refusals.py
@@ -21,7 +21,7 @@
     return Refused(reason=Reason.CANCELLED, message="cancelled while waiting")
 
 
-def refuse_hopeless() -> Refused:
+def refuse_deadline_unreachable() -> Refused:
     """Return the refusal of a request that can't be answered within its deadline."""
     return Refused(
         reason=Reason.TARGET_HOPELESS, message="the deadline would pass before the answer"
--- a/gypsumrouter/admission/scheduler.py
+++ b/gypsumrouter/admission/scheduler.py
@@ -6,15 +6,15 @@
 from collections.abc import Callable
 
 from gypsumrouter.admission import refusals
-from gypsumrouter.admission.batch_room import BatchRoom
+from gypsumrouter.admission.batch_limiter import BatchLimiter
 from gypsumrouter.admission.capacity import Capacity
-from gypsumrouter.admission.classes import Classes
-from gypsumrouter.admission.const import YIELD_RELEASES
+from gypsumrouter.admission.classes import CallerClasses
+from gypsumrouter.admission.const import YIELD_LOOKAHEAD_RELEASES
 from gypsumrouter.admission.estimates import Estimates, ServiceTime
 from gypsumrouter.admission.limits import Limits
 from gypsumrouter.admission.metrics import AdmissionMetrics
 from gypsumrouter.admission.queue import WaitQueue
-from gypsumrouter.admission.shares import Shares, Usage
+from gypsumrouter.admission.shares import Shares, WorkspaceUsage
 from gypsumrouter.admission.slots import Slot, Slots
 from gypsumrouter.admission.waiters import Waiter
 from gypsumrouter.configuration.models import CallerClass, Configuration, Pool
@@ -28,7 +28,7 @@
     """The slots, the queue before them and who uses both."""
 
     __slots__ = (
-        "_batch_room",
+        "_batch_limiter",
         "_capacity",
         "_clock",
         "_metrics",
@@ -53,9 +53,9 @@
         self._metrics = metrics
         self._on_change = on_change
         self._slots = Slots()
-        self.classes = Classes()
+        self.classes = CallerClasses()
         self.estimates = Estimates()
-        self._batch_room = BatchRoom(
+        self._batch_limiter = BatchLimiter(
             clock=clock, capacity=capacity, classes=self.classes, estimates=self.estimates
         )
         self.shares = Shares()
@@ -82,74 +82,78 @@
         self.dispatch()
         self._shrink_queue(limits)
 
-    def make_room(self, limits: Limits, usage: Usage, caller_class: CallerClass) -> Refused | None:
-        """Return why there is no room for one more, None where there is.
+    def make_room(
+        self, limits: Limits, usage: WorkspaceUsage, caller_class: CallerClass
+    ) -> Refused | None:
+        """Return why there is no capacity for one more, None where there is.
 
-        A newcomer may take the place of a request that waits, of the workspace that is most above
+        A newcomer may acquire the place of a request that waits, of the workspace that is most above
         its share, or of a lesser class of its own workspace. The load stays the same then.
         """
         load_limit = None if caller_class.batch else self._capacity.load_limit
         if load_limit is not None and self.load >= load_limit:
-            refused = refusals.refuse_over_cap(self._expect_room_ms())
-            return self._replace(refused, load_limit, usage, caller_class, counted=True)
+            refused = refusals.refuse_over_cap(self._estimate_pool_wait_ms())
+            return self._evict_for(refused, load_limit, usage, caller_class, interactive_only=True)
         if self.queue.size < limits.queue or self.may_run_now(limits, caller_class):
             return None
         refused = refusals.refuse_queue_full(
-            self._expect_wait_ms(), elsewhere=not self._capacity.is_pool_full(limits)
+            self._estimate_wait_ms(), elsewhere=not self._capacity.is_pool_full(limits)
+        )
+        return self._evict_for(
+            refused, limits.capacity, usage, caller_class, interactive_only=False
         )
-        return self._replace(refused, limits.room, usage, caller_class, counted=False)
 
     def may_run_now(self, limits: Limits, caller_class: CallerClass) -> bool:
         """Return whether a newcomer of a class may run without waiting."""
         if self._slots.running >= limits.slots:
             return False
         if caller_class.batch:
-            return self.queue.size == 0 and self._batch_fits(limits)
+            return self.queue.size == 0 and self._may_start_batch(limits)
         return self.queue.interactive == 0
 
     def grant(
         self,
         request_id: str,
-        usage: Usage,
+        usage: WorkspaceUsage,
         caller_class: CallerClass,
         service: ServiceTime,
         *,
-        keeps: bool = False,
+        protected: bool = False,
         waited_ms: int = 0,
     ) -> Slot:
-        """Return a new slot; `keeps` protects batch work from being asked to give way."""
+        """Return a new slot; `protected` protects batch work from being requested to give way."""
         slot = Slot(
             request_id=request_id,
             priority=self.classes.get_priority(caller_class),
             batch=caller_class.batch,
-            keeps=keeps,
+            protected=protected,
             granted_ms=self._clock.now_ms(),
             usage=usage,
             service=service,
             on_release=self._release,
         )
-        self._slots.take(slot)
+        self._slots.acquire(slot)
         self._metrics.count_granted(batch=slot.batch, waited_ms=waited_ms)
-        self._note_change()
+        self._notify_change()
         return slot
 
-    def wait(self, waiter: Waiter) -> None:
+    def enqueue(self, waiter: Waiter) -> None:
         """Put a newcomer into the queue."""
         self.queue.add(waiter)
-        self._note_change()
-        self.ask_to_yield()
+        self._notify_change()
+        self.request_yields()
 
     def refuse(self, waiter: Waiter, refused: Refused) -> None:
         """End the waiting of a request; nothing happens if it waits no more."""
         if not waiter.queued:
             return
         self.queue.remove(waiter)
-        self.shares.settle(waiter.usage)
+        self.shares.remove_if_idle(waiter.usage)
         if not waiter.future.done():
             waiter.future.set_result(refused)
         _LOGGER.debug("Request %s refused while waiting: %s", waiter.request_id, refused.reason)
         self._metrics.count_refused(refused)
-        self._note_change()
+        self._notify_change()
 
     def dispatch(self) -> None:
         """Grant free slots to those who wait, in the order of the queue."""
@@ -158,34 +162,34 @@
             return
         now_ms = self._clock.now_ms()
         while self.queue.size and self._slots.running < limits.slots:
-            waiter = self.queue.pick(
+            waiter = self.queue.select_next(
                 now_ms=now_ms,
                 slots=limits.slots,
-                release_ms=self._get_release_ms(),
-                batch_fits=self._batch_fits(limits),
+                release_interval_ms=self._get_release_interval_ms(),
+                batch_allowed=self._may_start_batch(limits),
             )
             if waiter is None:
                 break
             self._start(waiter, now_ms)
-        self.ask_to_yield()
+        self.request_yields()
 
-    def ask_to_yield(self) -> None:
+    def request_yields(self) -> None:
         """Ask batch work to give way to interactive work that has no time to wait for a release."""
         if not self.queue.interactive or not self._slots.batch_running:
             return
         now_ms = self._clock.now_ms()
-        start_by_ms = now_ms + YIELD_RELEASES * self._get_release_ms()
-        wanted = self.queue.count_urgent(start_by_ms=start_by_ms, most=self._slots.batch_running)
-        asked = self._slots.ask_to_yield(wanted=wanted, now_ms=now_ms)
-        if asked:
-            self._metrics.yields.inc(asked)
+        start_by_ms = now_ms + YIELD_LOOKAHEAD_RELEASES * self._get_release_interval_ms()
+        needed = self.queue.count_due(start_by_ms=start_by_ms, most=self._slots.batch_running)
+        requested = self._slots.request_yields(needed=needed, now_ms=now_ms)
+        if requested:
+            self._metrics.yields.inc(requested)
 
     def _start(self, waiter: Waiter, now_ms: int) -> None:
         if waiter.future.done():
             self.refuse(waiter, refusals.refuse_cancelled())
             return
         self.queue.remove(waiter)
-        keeps = self.queue.note_granted(waiter, now_ms=now_ms)
+        protected = self.queue.record_grant(waiter, now_ms=now_ms)
         if not waiter.caller_class.batch and waiter.start_by_ms < now_ms:
             self._metrics.count_late()
         slot = self.grant(
@@ -193,32 +197,36 @@
             waiter.usage,
             waiter.caller_class,
             waiter.service,
-            keeps=keeps,
+            protected=protected,
             waited_ms=now_ms - waiter.arrived_ms,
         )
         waiter.future.set_result(slot)
 
     def _release(self, slot: Slot) -> None:
-        self._slots.give_back(slot)
-        if slot.first_token_noted and not slot.yield_requested.is_set():
+        self._slots.release(slot)
+        if slot.first_token_seen and not slot.yield_requested.is_set():
             held_ms = self._clock.now_ms() - slot.granted_ms
-            self.estimates.note_hold(slot.service, held_ms, batch=slot.batch)
-        self.shares.settle(slot.usage)
-        self._note_change()
+            self.estimates.record_hold(slot.service, held_ms, batch=slot.batch)
+        self.shares.remove_if_idle(slot.usage)
+        self._notify_change()
         self.dispatch()
 
-    def _replace(
+    def _evict_for(
         self,
         refused: Refused,
-        room: int,
-        usage: Usage,
+        capacity: int,
+        usage: WorkspaceUsage,
         caller_class: CallerClass,
         *,
-        counted: bool,
+        interactive_only: bool,
     ) -> Refused | None:
-        victim = self.queue.pick_victim(room=room, newcomer=usage, counted=counted)
+        victim = self.queue.find_victim(
+            capacity=capacity, newcomer=usage, interactive_only=interactive_only
+        )
         if victim is None:
-            victim = self.queue.find_own_victim(usage, caller_class, counted=counted)
+            victim = self.queue.find_lower_class_victim(
+                usage, caller_class, interactive_only=interactive_only
+            )
         if victim is None:
             return refused
         self.refuse(victim, refused)
@@ -226,28 +234,30 @@
 
     def _shrink_queue(self, limits: Limits) -> None:
         while self.queue.size > limits.queue:
-            victim = self.queue.pick_victim(room=limits.room, newcomer=None, counted=False)
+            victim = self.queue.find_victim(
+                capacity=limits.capacity, newcomer=None, interactive_only=False
+            )
             if victim is None:
                 return
-            refused = refusals.refuse_queue_full(self._expect_wait_ms(), elsewhere=True)
+            refused = refusals.refuse_queue_full(self._estimate_wait_ms(), elsewhere=True)
             self.refuse(victim, refused)
 
-    def _batch_fits(self, limits: Limits) -> bool:
-        return self._batch_room.fits(limits, slots=self._slots, load=self.load)
+    def _may_start_batch(self, limits: Limits) -> bool:
+        return self._batch_limiter.may_start(limits, slots=self._slots, load=self.load)
 
-    def _note_change(self) -> None:
+    def _notify_change(self) -> None:
         interactive = self._slots.running - self._slots.batch_running + self.queue.interactive
-        self._batch_room.note_interactive(interactive)
+        self._batch_limiter.record_interactive(interactive)
         self._on_change()
 
-    def _expect_wait_ms(self) -> float:
-        return self._get_release_ms() * (self.queue.size + 1)
+    def _estimate_wait_ms(self) -> float:
+        return self._get_release_interval_ms() * (self.queue.size + 1)
 
-    def _expect_room_ms(self) -> float:
-        """Return the time in which some member of the pool is likely to have room."""
-        believed = self._capacity.believed
-        members = 1 if believed is None else max(1, believed.members)
-        return self._get_release_ms() / members
+    def _estimate_pool_wait_ms(self) -> float:
+        """Return the time in which some member of the pool is likely to have capacity."""
+        pool_estimate = self._capacity.pool_estimate
+        members = 1 if pool_estimate is None else max(1, pool_estimate.members)
+        return self._get_release_interval_ms() / members
 
-    def _get_release_ms(self) -> float:
+    def _get_release_interval_ms(self) -> float:
         return self.estimates.get_release_interval_ms(max(1, self._slots.running))
--- a/gypsumrouter/admission/shares.py
+++ b/gypsumrouter/admission/shares.py
@@ -9,22 +9,22 @@
 DEFAULT_SHARE = 1.0
 
 
-class Usage:
+class WorkspaceUsage:
     """What one workspace has at this side now."""
 
-    __slots__ = ("batch", "name", "running", "share", "waiting")
+    __slots__ = ("batch_running", "name", "running", "share", "waiting")
 
     def __init__(self, *, name: str, share: float) -> None:
         self.name = name
         self.share = share
         self.running = 0
-        self.batch = 0
+        self.batch_running = 0
         self.waiting = 0
 
     @property
     def load(self) -> int:
         """Return how many requests run or wait."""
-        return self.running + self.batch + self.waiting
+        return self.running + self.batch_running + self.waiting
 
 
 class Shares:
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self._shares: dict[str, float] = {}
-        self._active: dict[str, Usage] = {}
+        self._active: dict[str, WorkspaceUsage] = {}
         self._share_sum = 0.0
 
     def configure(self, workspaces: Iterable[Workspace]) -> None:
@@ -48,19 +48,19 @@
             usage.share = self._shares.get(usage.name, DEFAULT_SHARE)
         self._share_sum = sum(usage.share for usage in self._active.values())
 
-    def get(self, name: str) -> Usage:
+    def get(self, name: str) -> WorkspaceUsage:
         """Return the usage of a workspace, which counts as active from now on.
 
-        Pair with :meth:`settle` once nothing of it is left.
+        Pair with :meth:`remove_if_idle` once nothing of it is left.
         """
         usage = self._active.get(name)
         if usage is None:
-            usage = Usage(name=name, share=self._shares.get(name, DEFAULT_SHARE))
+            usage = WorkspaceUsage(name=name, share=self._shares.get(name, DEFAULT_SHARE))
             self._active[name] = usage
             self._share_sum += usage.share
         return usage
 
-    def settle(self, usage: Usage) -> None:
+    def remove_if_idle(self, usage: WorkspaceUsage) -> None:
         """Forget a workspace that has nothing left here."""
         if usage.load or self._active.get(usage.name) is not usage:
             return
@@ -69,18 +69,18 @@
         if not self._active:
             self._share_sum = 0.0
 
-    def get_guarantee(self, usage: Usage, total: int) -> float:
+    def get_guarantee(self, usage: WorkspaceUsage, total: int) -> float:
         """Return what a workspace is guaranteed of a total."""
         return total * usage.share / self._share_sum
 
-    def is_below(self, usage: Usage, slots: int) -> bool:
+    def is_below_guarantee(self, usage: WorkspaceUsage, slots: int) -> bool:
         """Return whether a workspace runs less than it is guaranteed."""
         return usage.running < self.get_guarantee(usage, slots)
 
-    def list_waiting(self) -> list[Usage]:
+    def list_waiting(self) -> list[WorkspaceUsage]:
         """Return the workspaces of which something waits."""
         return [usage for usage in self._active.values() if usage.waiting]
 
-    def list_active(self) -> list[Usage]:
+    def list_active(self) -> list[WorkspaceUsage]:
         """Return the active workspaces, those with the most load first."""
         return sorted(self._active.values(), key=lambda usage: (-usage.load, usage.name))
--- a/gypsumrouter/admission/slots.py
+++ b/gypsumrouter/admission/slots.py
@@ -5,25 +5,25 @@
 import asyncio
 from collections.abc import Callable
 
-from gypsumrouter.admission.const import YIELD_ANSWERED_MS
+from gypsumrouter.admission.const import YIELD_TIMEOUT_MS
 from gypsumrouter.admission.estimates import ServiceTime
-from gypsumrouter.admission.shares import Usage
+from gypsumrouter.admission.shares import WorkspaceUsage
 
 
 class Slot:
     """The right to run one request, until it is released.
 
     `priority` is what the engine is told; higher runs sooner. When `yield_requested` is set, the work
-    should be cancelled and admitted again; it is only asked of batch work.
+    should be cancelled and admitted again; it is only requested of batch work.
     """
 
     __slots__ = (
         "_on_release",
         "batch",
-        "first_token_noted",
+        "first_token_seen",
         "granted_ms",
-        "keeps",
         "priority",
+        "protected",
         "released",
         "request_id",
         "service",
@@ -38,21 +38,21 @@
         request_id: str,
         priority: int,
         batch: bool,
-        keeps: bool,
+        protected: bool,
         granted_ms: int,
-        usage: Usage,
+        usage: WorkspaceUsage,
         service: ServiceTime,
         on_release: Callable[[Slot], None],
     ) -> None:
         self.request_id = request_id
         self.priority = priority
         self.batch = batch
-        self.keeps = keeps
+        self.protected = protected
         self.granted_ms = granted_ms
         self.usage = usage
         self.service = service
         self.released = False
-        self.first_token_noted = False
+        self.first_token_seen = False
         self.yield_requested = asyncio.Event()
         self.yield_requested_ms = 0
         self._on_release = on_release
@@ -79,40 +79,40 @@
         """Return how many slots batch work holds."""
         return len(self._batch)
 
-    def take(self, slot: Slot) -> None:
+    def acquire(self, slot: Slot) -> None:
         """Count a slot as held."""
         self.running += 1
         if slot.batch:
             self._batch.add(slot)
-            slot.usage.batch += 1
+            slot.usage.batch_running += 1
         else:
             slot.usage.running += 1
 
-    def give_back(self, slot: Slot) -> None:
+    def release(self, slot: Slot) -> None:
         """Count a slot as free."""
         self.running -= 1
         if slot.batch:
             self._batch.discard(slot)
-            slot.usage.batch -= 1
+            slot.usage.batch_running -= 1
         else:
             slot.usage.running -= 1
 
-    def ask_to_yield(self, *, wanted: int, now_ms: int) -> int:
-        """Ask batch work to give way until `wanted` slots are about to come free.
+    def request_yields(self, *, needed: int, now_ms: int) -> int:
+        """Ask batch work to give way until `needed` slots are about to come free.
 
-        The work that ran for the shortest time is asked first, since least is lost with it. One
-        that was asked and didn't give way in time no longer counts. Returns how many were asked.
+        The work that ran for the shortest time is requested first, since least is lost with it. One
+        that was requested and didn't give way in time no longer counts. Returns how many were requested.
         """
-        expected = sum(
-            slot.yield_requested.is_set() and now_ms - slot.yield_requested_ms < YIELD_ANSWERED_MS
+        pending = sum(
+            slot.yield_requested.is_set() and now_ms - slot.yield_requested_ms < YIELD_TIMEOUT_MS
             for slot in self._batch
         )
-        missing = wanted - expected
+        missing = needed - pending
         if missing <= 0:
             return 0
-        askable = [s for s in self._batch if not s.yield_requested.is_set() and not s.keeps]
-        askable.sort(key=lambda slot: (-slot.granted_ms, slot.request_id))
-        for slot in askable[:missing]:
+        candidates = [s for s in self._batch if not s.yield_requested.is_set() and not s.protected]
+        candidates.sort(key=lambda slot: (-slot.granted_ms, slot.request_id))
+        for slot in candidates[:missing]:
             slot.yield_requested_ms = now_ms
             slot.yield_requested.set()
-        return min(missing, len(askable))
+        return min(missing, len(candidates))
--- a/gypsumrouter/admission/waiters.py
+++ b/gypsumrouter/admission/waiters.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from gypsumrouter.admission.estimates import ServiceTime
-from gypsumrouter.admission.shares import Usage
+from gypsumrouter.admission.shares import WorkspaceUsage
 from gypsumrouter.admission.slots import Slot
 from gypsumrouter.configuration.models import CallerClass
 from gypsumrouter.outcomes import Refused
@@ -25,9 +25,9 @@
         "caller_class",
         "expires_ms",
         "future",
-        "order",
         "queued",
         "request_id",
+        "sequence",
         "service",
         "start_by_ms",
         "usage",
@@ -37,8 +37,8 @@
         self,
         *,
         request_id: str,
-        order: int,
-        usage: Usage,
+        sequence: int,
+        usage: WorkspaceUsage,
         caller_class: CallerClass,
         service: ServiceTime,
         arrived_ms: int,
@@ -47,7 +47,7 @@
         future: asyncio.Future[Slot | Refused],
     ) -> None:
         self.request_id = request_id
-        self.order = order
+        self.sequence = sequence
         self.usage = usage
         self.caller_class = caller_class
         self.service = service
@@ -58,25 +58,25 @@
         self.queued = False
 
 
-class Group:
+class WaiterGroup:
     """The waiters of one workspace and class, those that must start first at the front.
 
     All of them have the same target and penalty, so only the front needs to be compared with
     other groups. Those whose target is out of reach are kept apart, oldest first.
     """
 
-    __slots__ = ("_heap", "_hopeless", "caller_class", "size", "usage")
+    __slots__ = ("_heap", "_late", "caller_class", "size", "usage")
 
-    def __init__(self, *, usage: Usage, caller_class: CallerClass) -> None:
+    def __init__(self, *, usage: WorkspaceUsage, caller_class: CallerClass) -> None:
         self.usage = usage
         self.caller_class = caller_class
         self.size = 0
         self._heap: list[tuple[float, int, Waiter]] = []
-        self._hopeless: deque[Waiter] = deque()
+        self._late: deque[Waiter] = deque()
 
     def add(self, waiter: Waiter) -> None:
         """Add a waiter."""
-        heapq.heappush(self._heap, (waiter.start_by_ms, waiter.order, waiter))
+        heapq.heappush(self._heap, (waiter.start_by_ms, waiter.sequence, waiter))
         self.size += 1
 
     def front(self, now_ms: float) -> Waiter | None:
@@ -90,24 +90,24 @@
             if start_by_ms >= now_ms:
                 return waiter
             heapq.heappop(heap)
-            self._hopeless.append(waiter)
+            self._late.append(waiter)
         return None
 
-    def oldest_hopeless(self) -> Waiter | None:
+    def oldest_late(self) -> Waiter | None:
         """Return the first that lost its target; call :meth:`front` before."""
-        while self._hopeless and not self._hopeless[0].queued:
-            self._hopeless.popleft()
-        return self._hopeless[0] if self._hopeless else None
+        while self._late and not self._late[0].queued:
+            self._late.popleft()
+        return self._late[0] if self._late else None
 
     def count_due(self, start_by_ms: float) -> int:
         """Return how many must start by a time or are late already."""
-        late = sum(waiter.queued for waiter in self._hopeless)
+        late = sum(waiter.queued for waiter in self._late)
         return late + sum(item[0] <= start_by_ms and item[2].queued for item in self._heap)
 
-    def newest(self) -> Waiter | None:
-        """Return the waiter that would be missed least: out of reach first, then the newest."""
-        hopeless = [waiter for waiter in self._hopeless if waiter.queued]
-        if hopeless:
-            return hopeless[-1]
+    def find_victim(self) -> Waiter | None:
+        """Return the waiter that would be missed least: out of reach first, then the find_victim."""
+        late_waiters = [waiter for waiter in self._late if waiter.queued]
+        if late_waiters:
+            return late_waiters[-1]
         waiting = (waiter for _, _, waiter in self._heap if waiter.queued)
-        return max(waiting, key=lambda waiter: waiter.order, default=None)
+        return max(waiting, key=lambda waiter: waiter.sequence, default=None)
--- a/tests/admission/test_admission_batch.py
+++ b/tests/admission/test_admission_batch.py
@@ -1,4 +1,4 @@
-"""Batch work beside interactive work: which slots it may take, and what it counts for."""
+"""Batch work beside interactive work: which slots it may acquire, and what it counts for."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 async def test_batch_work_fills_up_to_the_mean_and_leaves_the_rest_of_the_cap_to_others() -> None:
     side = make_wide_side(floor=4, slots=64)
-    side.admission.note_pool_load(PoolLoad(mean=10.0, known=9, members=9, age_ms=0))
+    side.admission.record_pool_load(PoolLoad(mean=10.0, known=9, members=9, age_ms=0))
     reports = [await side.async_call(REPORTS) for _ in range(20)]
     started = sum(call.runs for call in reports)
     assert 10 <= started <= 12
@@ -63,7 +63,7 @@
     None
 ):
     side = make_wide_side(floor=4)
-    side.admission.note_pool_load(PoolLoad(mean=0.0, known=9, members=9, age_ms=0))
+    side.admission.record_pool_load(PoolLoad(mean=0.0, known=9, members=9, age_ms=0))
     for _ in range(4):
         await side.async_call(INSPECTORS)
     report = await side.async_call(REPORTS, "school")
@@ -79,7 +79,7 @@
     waits: list[int] = []
     for members in (2, 90):
         side = make_wide_side(floor=1)
-        side.admission.note_pool_load(PoolLoad(mean=0.0, known=2, members=members, age_ms=0))
+        side.admission.record_pool_load(PoolLoad(mean=0.0, known=2, members=members, age_ms=0))
         await side.async_call(INSPECTORS)
         refused = await side.admission.async_admit(make_open(99), asyncio.Event())
         assert isinstance(refused, Refused)
--- a/tests/admission/test_admission_cap.py
+++ b/tests/admission/test_admission_cap.py
@@ -81,7 +81,7 @@
 async def test_old_news_fades_to_the_floor() -> None:
     clock = ManualClock(now_ms=10_000)
     side = make_capped_side(clock)
-    side.admission.note_pool_load(PoolLoad(mean=40.0, known=9, members=9, age_ms=0))
+    side.admission.record_pool_load(PoolLoad(mean=40.0, known=9, members=9, age_ms=0))
     fresh = side.admission.load_limit
     clock.advance(1_000)
     assert side.admission.load_limit == fresh
@@ -100,9 +100,9 @@
 async def test_a_router_that_knows_few_members_hardly_moves_the_estimate() -> None:
     clock = ManualClock(now_ms=10_000)
     side = make_capped_side(clock)
-    side.admission.note_pool_load(PoolLoad(mean=40.0, known=930, members=930, age_ms=0))
+    side.admission.record_pool_load(PoolLoad(mean=40.0, known=930, members=930, age_ms=0))
     before = side.admission.load_limit
-    side.admission.note_pool_load(PoolLoad(mean=400.0, known=2, members=930, age_ms=0))
+    side.admission.record_pool_load(PoolLoad(mean=400.0, known=2, members=930, age_ms=0))
     assert before is not None
     assert (side.admission.load_limit or 0) <= before + 2
 
@@ -200,6 +200,6 @@
         if step == 500:
             surge.refused = 0
         await surge.async_offer(None)
-    # 200 a second that take 2 s each make 44 at each of the nine.
+    # 200 a second that acquire 2 s each make 44 at each of the nine.
     assert surge.refused < 10
     assert sum(surge.get_loads()) > 330
--- a/tests/admission/test_admission_machine.py
+++ b/tests/admission/test_admission_machine.py
@@ -1,4 +1,4 @@
-"""Any mix of arrivals, ends, changes and the end keeps the limits and ends every wait."""
+"""Any mix of arrivals, ends, changes and the end protected the limits and ends every wait."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
     @rule(mean=st.floats(0, 50), known=st.integers(0, 9), age_ms=st.integers(0, 4_000))
     def hear(self, mean: float, known: int, age_ms: int) -> None:
         load = PoolLoad(mean=mean, known=known, members=9, age_ms=age_ms)
-        self.side.admission.note_pool_load(load)
+        self.side.admission.record_pool_load(load)
 
     @rule(delay_ms=st.integers(1, 2_000))
     def advance(self, delay_ms: int) -> None:
