--- a/gypsumrouter/placement/hint.py
+++ b/gypsumrouter/placement/hint.py
@@ -9,20 +9,20 @@
 
 import xxhash
 
-_FORM: Final = 1
+_FORMAT_VERSION: Final = 1
 _LAYOUT: Final = struct.Struct(">BQH")
-_CHECKED: Final = struct.Struct(">BQ")
-_CHECK_MASK: Final = 0xFFFF
+_CHECKSUM_INPUT: Final = struct.Struct(">BQ")
+_CHECKSUM_MASK: Final = 0xFFFF
 HINT_LENGTH: Final = 15
 
 
-def write_hint(digest: int) -> str:
+def encode_hint(digest: int) -> str:
     """Return the hint that stands for the digest of an instance's name."""
-    body = _LAYOUT.pack(_FORM, digest, _compute_check(digest))
+    body = _LAYOUT.pack(_FORMAT_VERSION, digest, _compute_checksum(digest))
     return base64.urlsafe_b64encode(body).rstrip(b"=").decode()
 
 
-def read_hint(hint: str) -> int | None:
+def decode_hint(hint: str) -> int | None:
     """Return the digest in a hint, None if the hint is not one of ours."""
     if len(hint) != HINT_LENGTH or not hint.isascii():
         return None
@@ -30,10 +30,10 @@
         body = base64.b64decode(hint + "=", altchars=b"-_", validate=True)
     except (binascii.Error, ValueError):
         return None
-    _form, digest, _check = _LAYOUT.unpack(body)
+    _version, digest, _checksum = _LAYOUT.unpack(body)
     # Compared whole, so that each instance has one hint only.
-    return int(digest) if write_hint(digest) == hint else None
+    return int(digest) if encode_hint(digest) == hint else None
 
 
-def _compute_check(digest: int) -> int:
-    return xxhash.xxh64_intdigest(_CHECKED.pack(_FORM, digest)) & _CHECK_MASK
+def _compute_checksum(digest: int) -> int:
+    return xxhash.xxh64_intdigest(_CHECKSUM_INPUT.pack(_FORMAT_VERSION, digest)) & _CHECKSUM_MASK
--- a/gypsumrouter/placement/loads.py
+++ b/gypsumrouter/placement/loads.py
@@ -9,55 +9,55 @@
 from gypsumrouter.instances import Instance
 from gypsumrouter.link.models import PoolLoad, Status
 from gypsumrouter.placement.const import (
-    MODELS_KNOWN_MS,
-    POOL_LOAD_REFRESH_MS,
-    POOL_LOAD_SAMPLE,
-    STATUS_FRESH_MS,
+    MODELS_MAX_AGE_MS,
+    POOL_LOAD_REFRESH_INTERVAL_MS,
+    POOL_LOAD_SAMPLE_SIZE,
+    STATUS_MAX_AGE_MS,
 )
 from gypsumrouter.placement.models import MemberSource, StatusSource
 
 
-class _Measured(Struct, frozen=True, kw_only=True):
-    at_ms: int
+class _PoolSample(Struct, frozen=True, kw_only=True):
+    sampled_at_ms: int
     load: PoolLoad
 
 
-class KnownLoads:
+class LoadView:
     """Loads of instances and pools, only from statuses that are fresh."""
 
-    __slots__ = ("_app", "_fleet", "_links", "_measured", "_offset")
+    __slots__ = ("_app", "_fleet", "_links", "_offset", "_pool_samples")
 
     def __init__(self, *, app: Application, fleet: MemberSource, links: StatusSource) -> None:
         self._app = app
         self._fleet = fleet
         self._links = links
-        self._measured: dict[str, _Measured] = {}
+        self._pool_samples: dict[str, _PoolSample] = {}
         self._offset = 0
 
-    def fresh_status(self, instance: Instance) -> Status | None:
+    def get_fresh_status(self, instance: Instance) -> Status | None:
         """Return the last status of an instance unless it is too old to go by."""
         view = self._links.status(instance.name)
-        if view is None or view.age_ms > STATUS_FRESH_MS:
+        if view is None or view.age_ms > STATUS_MAX_AGE_MS:
             return None
         return view.status
 
-    def may_hold(self, instance: Instance, model: str) -> bool:
+    def may_serve_model(self, instance: Instance, model: str) -> bool:
         """Return False only where the instance has said that it does not hold the model."""
         if not model:
             return True
         view = self._links.status(instance.name)
-        if view is None or view.age_ms > MODELS_KNOWN_MS or not view.status.models:
+        if view is None or view.age_ms > MODELS_MAX_AGE_MS or not view.status.models:
             return True
         return model in view.status.models
 
-    def is_closed(self, instance: Instance) -> bool:
+    def is_unavailable(self, instance: Instance) -> bool:
         """Return whether the instance says that it takes no work now."""
-        status = self.fresh_status(instance)
+        status = self.get_fresh_status(instance)
         return status is not None and (status.leaving or not status.ready)
 
     def is_over_cap(self, instance: Instance, pool: Pool) -> bool:
         """Return whether one more request would take the instance over the pool's cap."""
-        status = self.fresh_status(instance)
+        status = self.get_fresh_status(instance)
         if status is None or status.load < pool.floor:
             return False
         load = self.pool_load(pool)
@@ -67,7 +67,7 @@
 
     def relative_load(self, instance: Instance, pool: Pool) -> float:
         """Return the load for each unit of weight; an unknown one counts as the mean."""
-        status = self.fresh_status(instance)
+        status = self.get_fresh_status(instance)
         if status is not None:
             return status.load / status.weight
         load = self.pool_load(pool)
@@ -75,7 +75,7 @@
 
     def relative_backlog(self, instance: Instance, pool: Pool) -> float:
         """Return the load and the waiting batch work for each unit of weight."""
-        status = self.fresh_status(instance)
+        status = self.get_fresh_status(instance)
         waiting = 0.0 if status is None else status.batch_waiting / status.weight
         return self.relative_load(instance, pool) + waiting
 
@@ -85,44 +85,44 @@
         Of a large pool a part is looked at in turn, so that the cost has a bound.
         """
         now_ms = self._app.clock.now_ms()
-        measured = self._measured.get(pool.name)
-        if measured is None or now_ms - measured.at_ms >= POOL_LOAD_REFRESH_MS:
-            measured = _Measured(at_ms=now_ms, load=self._measure(pool))
-            self._measured[pool.name] = measured
-        load = measured.load
+        sample = self._pool_samples.get(pool.name)
+        if sample is None or now_ms - sample.sampled_at_ms >= POOL_LOAD_REFRESH_INTERVAL_MS:
+            sample = _PoolSample(sampled_at_ms=now_ms, load=self._sample_pool(pool))
+            self._pool_samples[pool.name] = sample
+        load = sample.load
         if load.members == 0:
             return None
-        passed_ms = now_ms - measured.at_ms
-        if passed_ms == 0:
+        elapsed_ms = now_ms - sample.sampled_at_ms
+        if elapsed_ms == 0:
             return load
         return PoolLoad(
             mean=load.mean,
             known=load.known,
             members=load.members,
-            age_ms=load.age_ms + passed_ms,
+            age_ms=load.age_ms + elapsed_ms,
         )
 
     def dump(self) -> dict[str, object]:
-        """Return the pools' loads as last measured."""
+        """Return the pools' loads as last sample."""
         return {
             name: {
-                "mean": round(measured.load.mean, 3),
-                "known": measured.load.known,
-                "members": measured.load.members,
-                "age_ms": measured.load.age_ms + self._app.clock.now_ms() - measured.at_ms,
+                "mean": round(sample.load.mean, 3),
+                "known": sample.load.known,
+                "members": sample.load.members,
+                "age_ms": sample.load.age_ms + self._app.clock.now_ms() - sample.sampled_at_ms,
             }
-            for name, measured in self._measured.items()
+            for name, sample in self._pool_samples.items()
         }
 
-    def _measure(self, pool: Pool) -> PoolLoad:
+    def _sample_pool(self, pool: Pool) -> PoolLoad:
         members = self._fleet.members(pool.name)
         load_sum = 0
         weight_sum = 0.0
         age_sum = 0
         known = 0
-        for member in self._sample(members):
+        for member in self._select_sample(members):
             view = self._links.status(member.name)
-            if view is None or view.age_ms > STATUS_FRESH_MS:
+            if view is None or view.age_ms > STATUS_MAX_AGE_MS:
                 continue
             load_sum += view.status.load
             weight_sum += view.status.weight
@@ -137,9 +137,9 @@
             age_ms=age_sum // known,
         )
 
-    def _sample(self, members: tuple[Instance, ...]) -> tuple[Instance, ...]:
-        if len(members) <= POOL_LOAD_SAMPLE:
+    def _select_sample(self, members: tuple[Instance, ...]) -> tuple[Instance, ...]:
+        if len(members) <= POOL_LOAD_SAMPLE_SIZE:
             return members
-        step = -(-len(members) // POOL_LOAD_SAMPLE)
+        step = -(-len(members) // POOL_LOAD_SAMPLE_SIZE)
         self._offset = (self._offset + 1) % step
         return members[self._offset :: step]
--- a/gypsumrouter/placement/models.py
+++ b/gypsumrouter/placement/models.py
@@ -18,7 +18,7 @@
     RENDEZVOUS = "rendezvous"
     ROUND_ROBIN = "round_robin"
     RANDOM = "random"
-    LEAST_OF_TWO = "least_of_two"
+    POWER_OF_TWO = "least_of_two"
     MODULO = "modulo"
     STICKY = "sticky"
 
--- a/gypsumrouter/placement/placement.py
+++ b/gypsumrouter/placement/placement.py
@@ -9,13 +9,13 @@
 from gypsumrouter.placement.baselines import Baselines
 from gypsumrouter.placement.const import (
     BATCH_CHOICES,
-    FIRST_LOOK,
-    HOLDERS_LOOK,
+    INITIAL_RANKS,
+    LEAST_LOADED_CHOICES,
     MAX_CANDIDATES,
-    SPREAD_CHOICES,
+    PREFIX_HOLDER_RANKS,
 )
-from gypsumrouter.placement.hint import read_hint, write_hint
-from gypsumrouter.placement.loads import KnownLoads
+from gypsumrouter.placement.hint import decode_hint, encode_hint
+from gypsumrouter.placement.loads import LoadView
 from gypsumrouter.placement.models import (
     MemberSource,
     PlacementKind,
@@ -36,14 +36,14 @@
     __slots__ = (
         "_app",
         "_baselines",
+        "_displaced",
         "_fleet",
         "_hints",
         "_kind",
         "_loads",
-        "_moved",
+        "_no_chat_count",
         "_orders",
         "_tables",
-        "_unnamed",
     )
 
     def __init__(
@@ -58,19 +58,19 @@
         self._app = app
         self._fleet = fleet
         self._kind = kind
-        self._loads = KnownLoads(app=app, fleet=fleet, links=links)
+        self._loads = LoadView(app=app, fleet=fleet, links=links)
         self._baselines = Baselines(
             loads=self._loads, seed=app.incarnation if seed is None else seed
         )
         self._tables: dict[str, MemberTable] = {}
-        self._unnamed = 0
+        self._no_chat_count = 0
         self._orders = app.metrics.counter(
             "gypsumrouter_placement_orders_total", "Requests placed, by kind of request"
         )
         self._hints = app.metrics.counter(
             "gypsumrouter_placement_hints_total", "Hints that callers brought, by what became of it"
         )
-        self._moved = app.metrics.counter(
+        self._displaced = app.metrics.counter(
             "gypsumrouter_placement_moved_total", "New chats placed off their own first instance"
         )
         app.add_dump_section("placement", self._dump)
@@ -83,30 +83,32 @@
         if not query.chat:
             return self._order_without_chat(query, table)
         key = hash_chat(workspace=query.workspace, chat=query.chat)
-        own = self._find_candidates(query, table, key)
-        hinted = self._follow_hint(query, table)
+        ranked = self._find_candidates(query, table, key)
+        hinted = self._resolve_hint(query, table)
         if hinted is not None:
-            return self._finish("hinted", query, hinted, own)
+            return self._build_order("hinted", query, hinted, ranked)
         if query.returning:
-            return self._finish("returning", query, own[0] if own else None, own)
+            return self._build_order("returning", query, ranked[0] if ranked else None, ranked)
         if query.batch:
-            return self._finish("batch", query, self._find_shortest_queue(query, own), own)
-        return self._finish("new", query, self._place_new_chat(query, own), own)
+            return self._build_order(
+                "batch", query, self._choose_smallest_backlog(query, ranked), ranked
+            )
+        return self._build_order("new", query, self._choose_for_new_chat(query, ranked), ranked)
 
     def find_prefix_holders(self, query: PlacementQuery) -> tuple[str, ...]:
         """Return the names of the instances that may hold a returning chat's prefix.
 
-        These are the first of the chat's own order, then the hinted one. The baselines know none.
+        These are the first of the chat's ranked order, then the hinted one. The baselines know none.
         """
         if self._kind is not PlacementKind.RENDEZVOUS or not query.chat or not query.returning:
             return ()
         table = self._get_table(query.pool)
         key = hash_chat(workspace=query.workspace, chat=query.chat)
-        own = [member.name for member in table.rank(key=key, limit=HOLDERS_LOOK)]
-        hinted = self._find_hinted(query, table)
-        if hinted is not None and hinted.name not in own:
-            own.append(hinted.name)
-        return tuple(own)
+        ranked = [member.name for member in table.rank(key=key, limit=PREFIX_HOLDER_RANKS)]
+        hinted = self._find_hinted_instance(query, table)
+        if hinted is not None and hinted.name not in ranked:
+            ranked.append(hinted.name)
+        return tuple(ranked)
 
     def pool_load(self, pool: Pool) -> PoolLoad | None:
         """Return what this router believes of a pool's load, for the sides' cap."""
@@ -114,7 +116,7 @@
 
     def make_hint(self, instance: Instance) -> str:
         """Return the hint that leads a caller's next turn to an instance."""
-        return write_hint(hash_name(instance.name))
+        return encode_hint(hash_name(instance.name))
 
     def record_served(self, query: PlacementQuery, instance: Instance) -> None:
         """Note which instance answered; only the sticky baseline remembers it."""
@@ -131,16 +133,18 @@
 
     def _order_by_baseline(self, query: PlacementQuery, table: MemberTable) -> tuple[Instance, ...]:
         self._orders.inc(labels=(("request", self._kind.value),))
-        members = [m for m in table.members if self._loads.may_hold(m, query.model)]
+        members = [m for m in table.members if self._loads.may_serve_model(m, query.model)]
         return tuple(self._baselines.order(kind=self._kind, query=query, members=members))
 
     def _order_without_chat(
         self, query: PlacementQuery, table: MemberTable
     ) -> tuple[Instance, ...]:
-        self._unnamed += 1
-        key = hash_chat(workspace=str(self._app.incarnation), chat=str(self._unnamed))
+        self._no_chat_count += 1
+        key = hash_chat(workspace=str(self._app.incarnation), chat=str(self._no_chat_count))
         candidates = self._find_candidates(query, table, key)
-        return self._finish("no_chat", query, self._choose_least(query, candidates), candidates)
+        return self._build_order(
+            "no_chat", query, self._choose_least_loaded(query, candidates), candidates
+        )
 
     def _find_candidates(
         self, query: PlacementQuery, table: MemberTable, key: int
@@ -149,94 +153,107 @@
 
         Statuses are looked up only as far as needed: most of the time the first ranks suffice.
         """
-        ranked = table.rank(key=key, limit=FIRST_LOOK)
-        found = [m for m in ranked if self._loads.may_hold(m, query.model)]
+        ranked = table.rank(key=key, limit=INITIAL_RANKS)
+        found = [m for m in ranked if self._loads.may_serve_model(m, query.model)]
         if len(found) < MAX_CANDIDATES and len(ranked) < len(table.members):
             ranked = table.rank(key=key, limit=len(table.members))
-            found = [m for m in ranked if self._loads.may_hold(m, query.model)]
-        return self._sort_by_use(found)[:FIRST_LOOK]
+            found = [m for m in ranked if self._loads.may_serve_model(m, query.model)]
+        return self._sort_by_availability(found)[:INITIAL_RANKS]
 
-    def _sort_by_use(self, ranked: list[Instance]) -> list[Instance]:
-        """Put closed instances last and other regions behind the router's own."""
+    def _sort_by_availability(self, ranked: list[Instance]) -> list[Instance]:
+        """Put closed instances last and other regions behind the router's ranked."""
         region = self._app.region
-        return sorted(ranked, key=lambda m: (self._loads.is_closed(m), m.region != region))
+        return sorted(ranked, key=lambda m: (self._loads.is_unavailable(m), m.region != region))
 
-    def _follow_hint(self, query: PlacementQuery, table: MemberTable) -> Instance | None:
+    def _resolve_hint(self, query: PlacementQuery, table: MemberTable) -> Instance | None:
         if not query.hint:
             return None
-        if read_hint(query.hint) is None:
+        if decode_hint(query.hint) is None:
             self._hints.inc(labels=(("hint", "invalid"),))
             return None
-        instance = self._find_hinted(query, table)
-        if instance is None or not self._is_usable(instance, query.model):
+        instance = self._find_hinted_instance(query, table)
+        if instance is None or not self._is_available(instance, query.model):
             self._hints.inc(labels=(("hint", "gone"),))
             return None
         self._hints.inc(labels=(("hint", "followed"),))
         return instance
 
-    def _find_hinted(self, query: PlacementQuery, table: MemberTable) -> Instance | None:
-        digest = read_hint(query.hint)
+    def _find_hinted_instance(self, query: PlacementQuery, table: MemberTable) -> Instance | None:
+        digest = decode_hint(query.hint)
         return None if digest is None else table.by_digest.get(digest)
 
-    def _is_usable(self, instance: Instance, model: str) -> bool:
-        return self._loads.may_hold(instance, model) and not self._loads.is_closed(instance)
+    def _is_available(self, instance: Instance, model: str) -> bool:
+        return self._loads.may_serve_model(instance, model) and not self._loads.is_unavailable(
+            instance
+        )
 
-    def _place_new_chat(self, query: PlacementQuery, own: list[Instance]) -> Instance | None:
-        """Keep a new chat off its own first instance only where that is over the cap.
+    def _choose_for_new_chat(
+        self, query: PlacementQuery, ranked: list[Instance]
+    ) -> Instance | None:
+        """Keep a new chat off its ranked first instance only where that is over the cap.
 
-        A caller that brings no hint returns to its own first instance, so any other place costs it
+        A caller that brings no hint returns to its ranked first instance, so any other place costs it
         the prefix.
         """
-        free = [m for m in own[:MAX_CANDIDATES] if not self._loads.is_over_cap(m, query.pool)]
-        if not free:
-            return own[0] if own else None
-        if free[0] is own[0]:
-            return own[0]
-        self._moved.inc()
-        return self._choose_least(query, free)
-
-    def _find_shortest_queue(self, query: PlacementQuery, own: list[Instance]) -> Instance | None:
-        """Return where new batch work waits least, of the first few of the chat's own order."""
+        below_cap = [
+            m for m in ranked[:MAX_CANDIDATES] if not self._loads.is_over_cap(m, query.pool)
+        ]
+        if not below_cap:
+            return ranked[0] if ranked else None
+        if below_cap[0] is ranked[0]:
+            return ranked[0]
+        self._displaced.inc()
+        return self._choose_least_loaded(query, below_cap)
+
+    def _choose_smallest_backlog(
+        self, query: PlacementQuery, ranked: list[Instance]
+    ) -> Instance | None:
+        """Return where new batch work waits least, of the first few of the chat's ranked order."""
         return min(
-            own[:BATCH_CHOICES],
-            key=lambda m: (self._loads.is_closed(m), self._loads.relative_backlog(m, query.pool)),
+            ranked[:BATCH_CHOICES],
+            key=lambda m: (
+                self._loads.is_unavailable(m),
+                self._loads.relative_backlog(m, query.pool),
+            ),
             default=None,
         )
 
-    def _choose_least(self, query: PlacementQuery, ranked: list[Instance]) -> Instance | None:
+    def _choose_least_loaded(
+        self, query: PlacementQuery, ranked: list[Instance]
+    ) -> Instance | None:
         """Return the less loaded of the first two; the router's data centre breaks a tie."""
         return min(
-            ranked[:SPREAD_CHOICES],
+            ranked[:LEAST_LOADED_CHOICES],
             key=lambda m: (
-                self._loads.is_closed(m),
+                self._loads.is_unavailable(m),
                 self._loads.relative_load(m, query.pool),
                 m.data_centre != self._app.data_centre,
             ),
             default=None,
         )
 
-    def _finish(
+    def _build_order(
         self,
         request: str,
         query: PlacementQuery,
         first: Instance | None,
-        own: list[Instance],
+        ranked: list[Instance],
     ) -> tuple[Instance, ...]:
-        """Return the order: the chosen first, the next of the chat's own, the rest by load.
+        """Return the order: the chosen first, the next of the chat's ranked, the others by load.
 
-        The second place is stable, so that the overflow of a chat finds its own prefix again. From
+        The second place is stable, so that the overflow of a chat finds its ranked prefix again. From
         the third on there is nothing to find, and the emptiest most likely has room.
         """
         self._orders.inc(labels=(("request", request),))
         if first is None:
             return ()
-        rest = [member for member in own if member.name != first.name]
-        second = next((m for m in rest[:1] if not self._loads.is_over_cap(m, query.pool)), None)
+        others = [member for member in ranked if member.name != first.name]
+        second = next((m for m in others[:1] if not self._loads.is_over_cap(m, query.pool)), None)
         head = (first,) if second is None else (first, second)
-        tail = [member for member in rest if member is not second]
+        tail = [member for member in others if member is not second]
         tail.sort(
             key=lambda m: (
-                self._loads.is_closed(m),
+                self._loads.is_unavailable(m),
                 m.region != self._app.region,
                 self._loads.relative_load(m, query.pool),
             )
--- a/gypsumrouter/placement/rendezvous.py
+++ b/gypsumrouter/placement/rendezvous.py
@@ -55,11 +55,11 @@
             # Equal weights: -weight / ln(unit) grows with the hash, so the hash itself will do.
             return hashes
         return [
-            -weight / math.log(_to_unit(value))
+            -weight / math.log(_to_unit_interval(value))
             for weight, value in zip(self._weights, hashes, strict=True)
         ]
 
 
-def _to_unit(value: int) -> float:
+def _to_unit_interval(value: int) -> float:
     """Return a hash as a number between 0 and 1, never 0 or 1 itself."""
     return ((value >> (_HASH_BITS - _UNIT_BITS)) + 0.5) * _UNIT
--- a/gypsumrouter/policy/repeats.py
+++ b/gypsumrouter/policy/at_most_once.py
@@ -15,23 +15,25 @@
 ANY_METHOD: Final = "*"
 
 
-class CallMatcher:
+class AtMostOnceMatcher:
     """The patterns of one pool; a path that servers may read differently matches in doubt."""
 
-    __slots__ = ("_prefixes",)
+    __slots__ = ("_prefixes_by_method",)
 
     def __init__(self, *, rules: AtMostOnce) -> None:
-        self._prefixes: dict[str, tuple[str, ...]] = {}
+        self._prefixes_by_method: dict[str, tuple[str, ...]] = {}
         for call in rules.calls:
-            known = self._prefixes.get(call.method, ())
-            self._prefixes[call.method] = (*known, normalise_prefix(call.path_prefix))
+            prefixes = self._prefixes_by_method.get(call.method, ())
+            self._prefixes_by_method[call.method] = (*prefixes, normalise_prefix(call.path_prefix))
 
     def matches(self, *, method: str, path: str) -> bool:
         """Return whether a call must not be repeated."""
-        prefixes = self._prefixes.get(ANY_METHOD, ()) + self._prefixes.get(method.upper(), ())
+        prefixes = self._prefixes_by_method.get(ANY_METHOD, ()) + self._prefixes_by_method.get(
+            method.upper(), ()
+        )
         if not prefixes:
             return False
         if is_ambiguous(path):
             return True
-        readings = {normalise_path(path), collapse_path(path)}
-        return any(reading.startswith(prefixes) for reading in readings)
+        normal_forms = {normalise_path(path), collapse_path(path)}
+        return any(normal_form.startswith(prefixes) for normal_form in normal_forms)
--- a/gypsumrouter/policy/rules.py
+++ b/gypsumrouter/policy/rules.py
@@ -26,9 +26,9 @@
 EPOCH_WEEKDAY: Final = 3
 
 # Conditions that list names; `When` and `RequestFacts` call them the same.
-_LISTS: Final = ("workspace", "caller_class", "model", "data_centre", "service", "method")
+_NAME_CONDITIONS: Final = ("workspace", "caller_class", "model", "data_centre", "service", "method")
 
-get_names: Final = attrgetter("kind", *_LISTS)
+get_candidate_key: Final = attrgetter("kind", *_NAME_CONDITIONS)
 
 Test = Callable[[RequestFacts], bool]
 
@@ -45,20 +45,20 @@
 class CompiledRule(Struct, frozen=True, kw_only=True):
     """A rule with its conditions.
 
-    `fixed` are the tests that depend on the names in a request alone, see `get_names`, and
-    `tests` the rest.
+    `name_tests` are the tests that depend on the names in a request alone, see `get_candidate_key`, and
+    `tests` the request_conditions.
     """
 
     rule: Rule
     conditions: tuple[Condition, ...]
-    fixed: tuple[Test, ...]
+    name_tests: tuple[Test, ...]
     tests: tuple[Test, ...]
 
-    def is_about(self, facts: RequestFacts) -> bool:
+    def may_match(self, facts: RequestFacts) -> bool:
         """Return whether the rule can match requests with the same names."""
-        return all(test(facts) for test in self.fixed)
+        return all(test(facts) for test in self.name_tests)
 
-    def find_miss(self, facts: RequestFacts) -> Condition | None:
+    def find_failed_condition(self, facts: RequestFacts) -> Condition | None:
         """Return the first condition that does not hold."""
         for condition in self.conditions:
             if not condition.test(facts):
@@ -68,8 +68,8 @@
 
 def compile_rule(rule: Rule, pools: dict[str, Pool]) -> CompiledRule:
     """Compile one rule; one that leads to a pool is only about requests of that pool's kind."""
-    fixed = (*_compile_lists(rule.when), *_compile_kind(rule, pools))
-    rest = (
+    name_conditions = (*_compile_name_conditions(rule.when), *_compile_kind(rule, pools))
+    request_conditions = (
         *_compile_path(rule.when),
         *_compile_returning(rule.when),
         *_compile_size(rule.when),
@@ -77,9 +77,9 @@
     )
     return CompiledRule(
         rule=rule,
-        conditions=fixed + rest,
-        fixed=tuple(condition.test for condition in fixed),
-        tests=tuple(condition.test for condition in rest),
+        conditions=name_conditions + request_conditions,
+        name_tests=tuple(condition.test for condition in name_conditions),
+        tests=tuple(condition.test for condition in request_conditions),
     )
 
 
@@ -109,14 +109,14 @@
     )
 
 
-def _compile_lists(when: When) -> Iterator[Condition]:
-    for name in _LISTS:
+def _compile_name_conditions(when: When) -> Iterator[Condition]:
+    for name in _NAME_CONDITIONS:
         values = getattr(when, name)
         if values is not None:
-            yield _build_list_condition(name, values)
+            yield _build_name_condition(name, values)
 
 
-def _build_list_condition(name: str, values: tuple[str, ...]) -> Condition:
+def _build_name_condition(name: str, values: tuple[str, ...]) -> Condition:
     allowed = frozenset(values)
     read: Callable[[RequestFacts], str] = attrgetter(name)
     return Condition(
@@ -152,19 +152,19 @@
 
 
 def _compile_size(when: When) -> Iterator[Condition]:
-    least, most = when.min_bytes, when.max_bytes
-    if least is not None:
+    min_bytes, max_bytes = when.min_bytes, when.max_bytes
+    if min_bytes is not None:
         yield Condition(
             name="min_bytes",
-            needed=str(least),
-            test=lambda facts: facts.size_bytes >= least,
+            needed=str(min_bytes),
+            test=lambda facts: facts.size_bytes >= min_bytes,
             found=attrgetter("size_bytes"),
         )
-    if most is not None:
+    if max_bytes is not None:
         yield Condition(
             name="max_bytes",
-            needed=str(most),
-            test=lambda facts: facts.size_bytes <= most,
+            needed=str(max_bytes),
+            test=lambda facts: facts.size_bytes <= max_bytes,
             found=attrgetter("size_bytes"),
         )
 
--- a/tests/placement/conftest.py
+++ b/tests/placement/conftest.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import pytest
-from placement_fakes import FakeFleet, FakeLinks, World, make_instance
+from placement_fakes import FakeFleet, FakeLinks, PlacementHarness, make_instance
 
 from gypsumrouter.util.clock import ManualClock
 
 
 @pytest.fixture
-def world() -> World:
+def harness() -> PlacementHarness:
     members = tuple(make_instance(number) for number in range(9))
-    return World(fleet=FakeFleet(members), links=FakeLinks(), clock=ManualClock(now_ms=10_000))
+    return PlacementHarness(
+        fleet=FakeFleet(members), links=FakeLinks(), clock=ManualClock(now_ms=10_000)
+    )
--- a/tests/placement/placement_fakes.py
+++ b/tests/placement/placement_fakes.py
@@ -60,7 +60,7 @@
         self.views[name] = FakeStatusView(status=status, age_ms=age_ms)
 
 
-class World(Struct, kw_only=True):
+class PlacementHarness(Struct, kw_only=True):
     """One fleet and one set of statuses, seen by any number of routers."""
 
     fleet: FakeFleet
--- a/tests/placement/test_placement_order.py
+++ b/tests/placement/test_placement_order.py
@@ -10,7 +10,7 @@
     MODEL,
     FakeFleet,
     FakeLinks,
-    World,
+    PlacementHarness,
     list_names,
     make_instance,
     make_query,
@@ -22,51 +22,53 @@
 CHATS = [f"chat-{number}" for number in range(2_000)]
 
 
-def first_names(world: World) -> dict[str, str]:
-    router = world.make_router()
+def first_names(harness: PlacementHarness) -> dict[str, str]:
+    router = harness.make_router()
     return {chat: router.order(make_query(chat))[0].name for chat in CHATS}
 
 
-def test_a_leaving_instance_moves_only_its_own_chats(world: World) -> None:
-    before = first_names(world)
-    gone = world.fleet.instances[4]
-    world.fleet.instances = world.fleet.instances[:4] + world.fleet.instances[5:]
+def test_a_leaving_instance_moves_only_its_own_chats(harness: PlacementHarness) -> None:
+    before = first_names(harness)
+    gone = harness.fleet.instances[4]
+    harness.fleet.instances = harness.fleet.instances[:4] + harness.fleet.instances[5:]
 
-    after = first_names(world)
+    after = first_names(harness)
 
     moved = {chat for chat in CHATS if before[chat] != after[chat]}
     assert moved == {chat for chat in CHATS if before[chat] == gone.name}
 
 
-def test_a_joining_instance_takes_its_part_and_moves_nothing_else(world: World) -> None:
-    before = first_names(world)
+def test_a_joining_instance_takes_its_part_and_moves_nothing_else(
+    harness: PlacementHarness,
+) -> None:
+    before = first_names(harness)
     new = make_instance(9)
-    world.fleet.instances = (*world.fleet.instances, new)
+    harness.fleet.instances = (*harness.fleet.instances, new)
 
-    after = first_names(world)
+    after = first_names(harness)
 
     moved = [chat for chat in CHATS if before[chat] != after[chat]]
     assert {after[chat] for chat in moved} == {new.name}
     assert 0.07 < len(moved) / len(CHATS) < 0.13
 
 
-def test_an_instance_of_double_weight_gets_double_the_chats(world: World) -> None:
-    world.fleet.instances = tuple(
+def test_an_instance_of_double_weight_gets_double_the_chats(harness: PlacementHarness) -> None:
+    harness.fleet.instances = tuple(
         make_instance(number, weight=2.0 if number == 0 else 1.0) for number in range(3)
     )
-    names = list(first_names(world).values())
+    names = list(first_names(harness).values())
     assert 0.46 < names.count("engine-000") / len(names) < 0.54
 
 
-def test_every_router_has_the_same_order_wherever_it_stands(world: World) -> None:
-    near = world.make_router(data_centre="dc-1")
-    far = world.make_router(name="router-2", data_centre="dc-3")
+def test_every_router_has_the_same_order_wherever_it_stands(harness: PlacementHarness) -> None:
+    near = harness.make_router(data_centre="dc-1")
+    far = harness.make_router(name="router-2", data_centre="dc-3")
     for chat in CHATS[:100]:
         assert near.order(make_query(chat)) == far.order(make_query(chat))
 
 
-def test_a_hint_goes_first_and_the_rest_keeps_its_order(world: World) -> None:
-    router = world.make_router()
+def test_a_hint_goes_first_and_the_rest_keeps_its_order(harness: PlacementHarness) -> None:
+    router = harness.make_router()
     plain = router.order(make_query("chat-1"))
     hint = router.make_hint(plain[3])
 
@@ -76,14 +78,14 @@
     assert hinted[1] == plain[0]
 
 
-def test_a_hint_to_an_instance_that_is_gone_is_ignored(world: World) -> None:
-    router = world.make_router()
+def test_a_hint_to_an_instance_that_is_gone_is_ignored(harness: PlacementHarness) -> None:
+    router = harness.make_router()
     hint = router.make_hint(make_instance(77))
     assert router.order(make_query("chat-1", hint=hint)) == router.order(make_query("chat-1"))
 
 
-def test_a_hint_with_a_wrong_check_is_ignored(world: World) -> None:
-    router = world.make_router()
+def test_a_hint_with_a_wrong_check_is_ignored(harness: PlacementHarness) -> None:
+    router = harness.make_router()
     own = router.order(make_query("chat-1"))
     hint = router.make_hint(own[3])
     wrong = hint[:-1] + ("A" if hint[-1] != "A" else "B")
@@ -94,86 +96,88 @@
 @given(hint=st.one_of(st.text(max_size=40), st.from_regex(r"[A-Za-z0-9_-]{15}", fullmatch=True)))
 def test_a_made_up_hint_changes_nothing(hint: str) -> None:
     members = tuple(make_instance(number) for number in range(5))
-    world = World(fleet=FakeFleet(members), links=FakeLinks(), clock=ManualClock())
-    router = world.make_router()
+    harness = PlacementHarness(fleet=FakeFleet(members), links=FakeLinks(), clock=ManualClock())
+    router = harness.make_router()
     assert router.order(make_query("chat-1", hint=hint)) == router.order(make_query("chat-1"))
 
 
 def test_instances_that_lack_the_model_are_skipped_and_unknown_ones_are_tried(
-    world: World,
+    harness: PlacementHarness,
 ) -> None:
     for number in range(4):
-        world.links.report(f"engine-{number:03}", models=("other",))
-    world.links.report("engine-004", models=(MODEL, "other"))
-    order = list_names(world.make_router().order(make_query("chat-1", model=MODEL)))
+        harness.links.report(f"engine-{number:03}", models=("other",))
+    harness.links.report("engine-004", models=(MODEL, "other"))
+    order = list_names(harness.make_router().order(make_query("chat-1", model=MODEL)))
     assert set(order) == {f"engine-{number:03}" for number in range(4, 9)}
 
 
-def test_a_model_that_nobody_holds_gets_no_instance(world: World) -> None:
-    for instance in world.fleet.instances:
-        world.links.report(instance.name, models=("other",))
-    assert world.make_router().order(make_query("chat-1", model=MODEL)) == ()
+def test_a_model_that_nobody_holds_gets_no_instance(harness: PlacementHarness) -> None:
+    for instance in harness.fleet.instances:
+        harness.links.report(instance.name, models=("other",))
+    assert harness.make_router().order(make_query("chat-1", model=MODEL)) == ()
 
 
-def test_an_instance_that_is_not_ready_comes_last(world: World) -> None:
-    router = world.make_router()
+def test_an_instance_that_is_not_ready_comes_last(harness: PlacementHarness) -> None:
+    router = harness.make_router()
     first = router.order(make_query("chat-1"))[0]
-    world.links.report(first.name, ready=False)
+    harness.links.report(first.name, ready=False)
     assert router.order(make_query("chat-1"))[0] != first
     hinted = router.order(make_query("chat-1", hint=router.make_hint(first)))
     assert hinted[0] != first
 
 
 def test_a_new_chat_avoids_an_instance_over_the_cap_and_a_returning_one_tries_it_first(
-    world: World,
+    harness: PlacementHarness,
 ) -> None:
-    router = world.make_router()
+    router = harness.make_router()
     own = router.order(make_query("chat-1"))
-    for instance in world.fleet.instances:
-        world.links.report(instance.name, load=20 if instance == own[0] else 8)
-    world.clock.advance(100)
+    for instance in harness.fleet.instances:
+        harness.links.report(instance.name, load=20 if instance == own[0] else 8)
+    harness.clock.advance(100)
 
     assert router.order(make_query("chat-1", returning=True))[0] == own[0]
     assert router.order(make_query("chat-1", returning=False))[0] in own[1:3]
 
 
-def test_old_statuses_move_nothing(world: World) -> None:
-    router = world.make_router()
+def test_old_statuses_move_nothing(harness: PlacementHarness) -> None:
+    router = harness.make_router()
     own = router.order(make_query("chat-1"))
-    for instance in world.fleet.instances:
+    for instance in harness.fleet.instances:
         load = 50 if instance == own[0] else 1
-        world.links.report(instance.name, load=load, age_ms=5_000)
-    world.clock.advance(100)
+        harness.links.report(instance.name, load=load, age_ms=5_000)
+    harness.clock.advance(100)
     assert router.order(make_query("chat-1", returning=False)) == own
 
 
-def test_from_the_third_place_on_the_emptiest_comes_first(world: World) -> None:
-    router = world.make_router()
-    for load, instance in enumerate(world.fleet.instances):
-        world.links.report(instance.name, load=20 - load)
-    world.clock.advance(100)
-    tail = [world.links.views[item.name].status.load for item in router.order(make_query("chat-1"))]
+def test_from_the_third_place_on_the_emptiest_comes_first(harness: PlacementHarness) -> None:
+    router = harness.make_router()
+    for load, instance in enumerate(harness.fleet.instances):
+        harness.links.report(instance.name, load=20 - load)
+    harness.clock.advance(100)
+    tail = [
+        harness.links.views[item.name].status.load for item in router.order(make_query("chat-1"))
+    ]
     assert tail[2:] == sorted(tail[2:])
 
 
-def test_requests_without_a_chat_spread_over_all_members(world: World) -> None:
-    router = world.make_router()
+def test_requests_without_a_chat_spread_over_all_members(harness: PlacementHarness) -> None:
+    router = harness.make_router()
     firsts = {router.order(make_query(""))[0].name for _ in range(200)}
-    assert len(firsts) == len(world.fleet.instances)
+    assert len(firsts) == len(harness.fleet.instances)
 
 
-def test_another_region_is_tried_last(world: World) -> None:
+def test_another_region_is_tried_last(harness: PlacementHarness) -> None:
     away = make_instance(0, region="region-2")
-    world.fleet.instances = (away, *world.fleet.instances[1:4])
-    router = world.make_router()
+    harness.fleet.instances = (away, *harness.fleet.instances[1:4])
+    router = harness.make_router()
     assert all(router.order(make_query(chat))[-1] == away for chat in CHATS[:50])
 
 
-def test_pool_load_is_the_mean_of_fresh_statuses_only(world: World) -> None:
-    router = world.make_router()
-    world.links.report("engine-000", load=10, age_ms=100)
-    world.links.report("engine-001", load=20, age_ms=300)
-    world.links.report("engine-002", load=99, age_ms=2_500)
+def test_pool_load_is_the_mean_of_fresh_statuses_only(harness: PlacementHarness) -> None:
+    router = harness.make_router()
+    harness.links.report("engine-000", load=10, age_ms=100)
+    harness.links.report("engine-001", load=20, age_ms=300)
+    harness.links.report("engine-002", load=99, age_ms=2_500)
     load = router.pool_load(make_query("").pool)
     assert load is not None
     assert (load.mean, load.known, load.members, load.age_ms) == (15.0, 2, 9, 200)
@@ -181,43 +185,43 @@
 
 @pytest.mark.parametrize("kind", [kind for kind in PlacementKind if kind != "rendezvous"])
 def test_each_baseline_orders_every_request_and_skips_what_lacks_the_model(
-    world: World, kind: PlacementKind
+    harness: PlacementHarness, kind: PlacementKind
 ) -> None:
-    world.links.report("engine-000", models=("other",))
-    router = world.make_router(kind=kind)
+    harness.links.report("engine-000", models=("other",))
+    router = harness.make_router(kind=kind)
     for chat in CHATS[:50]:
         names = list_names(router.order(make_query(chat, model=MODEL)))
         assert len(names) == len(set(names)) == 8
         assert "engine-000" not in names
 
 
-def test_sticky_memory_returns_to_where_a_chat_was_served(world: World) -> None:
-    router = world.make_router(kind=PlacementKind.STICKY)
+def test_sticky_memory_returns_to_where_a_chat_was_served(harness: PlacementHarness) -> None:
+    router = harness.make_router(kind=PlacementKind.STICKY)
     query = make_query("chat-1")
-    router.record_served(query, world.fleet.instances[5])
-    assert router.order(query)[0] == world.fleet.instances[5]
+    router.record_served(query, harness.fleet.instances[5])
+    assert router.order(query)[0] == harness.fleet.instances[5]
 
 
 def test_the_holders_of_a_returning_chat_are_its_first_places_and_the_hinted_one(
-    world: World,
+    harness: PlacementHarness,
 ) -> None:
-    router = world.make_router()
+    router = harness.make_router()
     own = list_names(router.order(make_query("chat-1")))
     query = make_query("chat-1", hint=router.make_hint(router.order(make_query("chat-1"))[4]))
     assert router.find_prefix_holders(query) == (own[0], own[1], own[4])
     assert router.find_prefix_holders(make_query("chat-1", returning=False)) == ()
 
 
-def test_the_baselines_name_no_holders(world: World) -> None:
-    router = world.make_router(kind=PlacementKind.STICKY)
+def test_the_baselines_name_no_holders(harness: PlacementHarness) -> None:
+    router = harness.make_router(kind=PlacementKind.STICKY)
     assert router.find_prefix_holders(make_query("chat-1")) == ()
 
 
-def test_new_batch_work_goes_where_least_of_it_waits(world: World) -> None:
-    router = world.make_router()
+def test_new_batch_work_goes_where_least_of_it_waits(harness: PlacementHarness) -> None:
+    router = harness.make_router()
     own = router.order(make_query("chat-1"))
-    for instance in world.fleet.instances:
-        world.links.report(instance.name, load=4, batch_waiting=9)
-    world.links.report(own[2].name, load=5, batch_waiting=1)
+    for instance in harness.fleet.instances:
+        harness.links.report(instance.name, load=4, batch_waiting=9)
+    harness.links.report(own[2].name, load=5, batch_waiting=1)
     query = replace(make_query("chat-1", returning=False), batch=True)
     assert router.order(query)[0] == own[2]
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -61,7 +61,7 @@
     return Policy(configuration=make_configuration(*rules))
 
 
-def chat(**changes: Any) -> RequestFacts:
+def make_chat_facts(**changes: Any) -> RequestFacts:
     facts: dict[str, Any] = {
         "workspace": "schools",
         "kind": UpstreamKind.ENGINE,
@@ -75,26 +75,26 @@
     return RequestFacts(**{**facts, **changes})
 
 
-def call(**changes: Any) -> RequestFacts:
+def make_call_facts(**changes: Any) -> RequestFacts:
     facts = {"kind": UpstreamKind.SERVICE, "model": "", "service": "dispatch", "path": "/stock"}
-    return chat(**{**facts, **changes})
+    return make_chat_facts(**{**facts, **changes})
 
 
-def get_name(policy: Policy, facts: RequestFacts) -> str | None:
+def get_rule_name(policy: Policy, facts: RequestFacts) -> str | None:
     return policy.decide(facts).rule
 
 
 def test_without_rules_a_request_goes_where_its_model_or_service_is() -> None:
     policy = make_policy()
-    decision = policy.decide(chat())
+    decision = policy.decide(make_chat_facts())
     assert (decision.rule, decision.caller_class.name) == (None, "parents")
     assert decision.pool is not None
     assert decision.pool.name == "shared"
-    assert policy.decide(chat(workspace="utility")).caller_class.name == "office"
-    asked = chat(workspace="utility", caller_class="inspectors")
+    assert policy.decide(make_chat_facts(workspace="utility")).caller_class.name == "office"
+    asked = make_chat_facts(workspace="utility", caller_class="inspectors")
     assert policy.decide(asked).caller_class.name == "inspectors"
-    assert policy.decide(chat(model="unknown")).pool is None
-    service = policy.decide(call()).pool
+    assert policy.decide(make_chat_facts(model="unknown")).pool is None
+    service = policy.decide(make_call_facts()).pool
     assert service is not None
     assert service.name == "dispatch"
 
@@ -105,39 +105,43 @@
         {"when": {"model": ["sizing"]}, "then": {"pool": "spare", "next_pool": "shared"}},
         {"then": {"refuse": "closed", "retry_after_ms": 5, "caller_class": None}},
     )
-    decision = policy.decide(chat())
+    decision = policy.decide(make_chat_facts())
     assert decision.rule == "rule-1"
     assert decision.pool is not None
     assert decision.next_pool is not None
     assert (decision.pool.name, decision.next_pool.name) == ("spare", "shared")
     assert (decision.max_output_tokens, decision.refuse) == (None, None)
-    refusal = policy.decide(chat(model="quotes"))
+    refusal = policy.decide(make_chat_facts(model="quotes"))
     assert (refusal.refuse, refusal.retry_after_ms) == ("closed", 5)
 
 
 @pytest.mark.parametrize(
     ("when", "matching", "other"),
     [
-        ({"workspace": ["utility"]}, chat(workspace="utility"), chat()),
-        ({"caller_class": ["office"]}, chat(workspace="utility"), chat()),
-        ({"caller_class": ["parents"]}, chat(), chat(caller_class="office")),
-        ({"model": ["quotes"]}, chat(model="quotes"), chat()),
-        ({"service": ["dispatch"]}, call(), call(service="plain")),
-        ({"method": ["PUT"]}, call(method="PUT"), call()),
-        ({"path_prefix": "/Stock"}, call(path="//x/../STOCK/9"), call(path="/x/stock")),
-        ({"data_centre": ["dc-2"]}, chat(data_centre="dc-2"), chat()),
-        ({"returning": True}, chat(returning=True), chat()),
-        ({"returning": False}, chat(), chat(returning=True)),
-        ({"min_bytes": 101}, chat(size_bytes=101), chat(size_bytes=100)),
-        ({"max_bytes": 99}, chat(size_bytes=99), chat(size_bytes=100)),
-        ({"weekdays": [0]}, chat(), chat(wall_ms=MONDAY_MS + 24 * HOUR_MS)),
-        ({"weekdays": [6]}, chat(wall_ms=MONDAY_MS - 9 * HOUR_MS), chat()),
-        ({"from_minute": 480}, chat(), chat(wall_ms=MONDAY_MS - 1)),
-        ({"to_minute": 480}, chat(wall_ms=MONDAY_MS - 1), chat()),
+        ({"workspace": ["utility"]}, make_chat_facts(workspace="utility"), make_chat_facts()),
+        ({"caller_class": ["office"]}, make_chat_facts(workspace="utility"), make_chat_facts()),
+        ({"caller_class": ["parents"]}, make_chat_facts(), make_chat_facts(caller_class="office")),
+        ({"model": ["quotes"]}, make_chat_facts(model="quotes"), make_chat_facts()),
+        ({"service": ["dispatch"]}, make_call_facts(), make_call_facts(service="plain")),
+        ({"method": ["PUT"]}, make_call_facts(method="PUT"), make_call_facts()),
+        (
+            {"path_prefix": "/Stock"},
+            make_call_facts(path="//x/../STOCK/9"),
+            make_call_facts(path="/x/stock"),
+        ),
+        ({"data_centre": ["dc-2"]}, make_chat_facts(data_centre="dc-2"), make_chat_facts()),
+        ({"returning": True}, make_chat_facts(returning=True), make_chat_facts()),
+        ({"returning": False}, make_chat_facts(), make_chat_facts(returning=True)),
+        ({"min_bytes": 101}, make_chat_facts(size_bytes=101), make_chat_facts(size_bytes=100)),
+        ({"max_bytes": 99}, make_chat_facts(size_bytes=99), make_chat_facts(size_bytes=100)),
+        ({"weekdays": [0]}, make_chat_facts(), make_chat_facts(wall_ms=MONDAY_MS + 24 * HOUR_MS)),
+        ({"weekdays": [6]}, make_chat_facts(wall_ms=MONDAY_MS - 9 * HOUR_MS), make_chat_facts()),
+        ({"from_minute": 480}, make_chat_facts(), make_chat_facts(wall_ms=MONDAY_MS - 1)),
+        ({"to_minute": 480}, make_chat_facts(wall_ms=MONDAY_MS - 1), make_chat_facts()),
         (
             {"from_minute": 1320, "to_minute": 60},
-            chat(wall_ms=MONDAY_MS - 8 * HOUR_MS),
-            chat(wall_ms=MONDAY_MS - 7 * HOUR_MS),
+            make_chat_facts(wall_ms=MONDAY_MS - 8 * HOUR_MS),
+            make_chat_facts(wall_ms=MONDAY_MS - 7 * HOUR_MS),
         ),
     ],
 )
@@ -145,15 +149,15 @@
     when: dict[str, Any], matching: RequestFacts, other: RequestFacts
 ) -> None:
     policy = make_policy({"when": when, "then": {"max_output_tokens": 7}})
-    assert get_name(policy, matching) == "rule-0"
-    assert get_name(policy, other) is None
-    assert get_name(policy, matching) == "rule-0"
+    assert get_rule_name(policy, matching) == "rule-0"
+    assert get_rule_name(policy, other) is None
+    assert get_rule_name(policy, matching) == "rule-0"
 
 
 def test_a_rule_that_leads_to_an_engine_pool_leaves_service_calls_alone() -> None:
     policy = make_policy({"then": {"pool": "spare"}})
-    assert get_name(policy, chat()) == "rule-0"
-    assert get_name(policy, call()) is None
+    assert get_rule_name(policy, make_chat_facts()) == "rule-0"
+    assert get_rule_name(policy, make_call_facts()) is None
 
 
 def test_an_explanation_names_the_first_condition_that_did_not_hold() -> None:
@@ -163,12 +167,12 @@
         {"when": {"workspace": ["schools"]}, "then": {"concurrent": 3}},
         {"then": {"refuse": "never seen"}},
     )
-    explanation = policy.explain(chat())
+    explanation = policy.explain(make_chat_facts())
     assert explanation.misses == (
         Miss(rule="rule-0", condition="workspace", needed="utility", found="schools"),
         Miss(rule="rule-1", condition="min_bytes", needed="1000", found="100"),
     )
-    assert explanation.decision == policy.decide(chat())
+    assert explanation.decision == policy.decide(make_chat_facts())
     assert explanation.decision.concurrent == 3
 
 
@@ -197,7 +201,7 @@
         policy = make_policy(*({"when": when} for when in whens))
     except ConfigurationInvalid:
         reject()
-    facts = chat(workspace=workspace, returning=returning, size_bytes=size_bytes)
+    facts = make_chat_facts(workspace=workspace, returning=returning, size_bytes=size_bytes)
     expected = next(
         (
             f"rule-{number}"
@@ -228,7 +232,7 @@
 async def test_a_policy_that_is_built_in_slices_decides_the_same() -> None:
     configuration = make_configuration({"when": {"model": ["quotes"]}})
     policy = await Policy.async_compile(configuration)
-    assert get_name(policy, chat(model="quotes")) == "rule-0"
+    assert get_rule_name(policy, make_chat_facts(model="quotes")) == "rule-0"
     assert policy.find_workspace("key-1") == configuration.workspaces[0]
 
 
