--- a/gypsumrouter/admission/__init__.py
+++ b/gypsumrouter/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: load, cap, order of the queue and shares of one upstream."""
+"""Admission control for one upstream: load limit, wait queue and workspace shares."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/admission/admission.py
+++ b/gypsumrouter/admission/admission.py
@@ -1,4 +1,4 @@
-"""Decides for one upstream what runs, what waits and what is refused."""
+"""Admission control of one upstream: which requests run, wait or are refused."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class Admission:
-    """The one gate before an upstream; every request of it passes here.
+    """Admission control of one upstream; every request to it is admitted here first.
 
-    The load is the number of requests that run, and of interactive ones that wait. Nothing refused
-    here has run.
+    The load is the number of running requests plus the number of waiting interactive requests. A
+    request that is refused here has not been sent to the upstream.
     """
 
     __slots__ = (
@@ -58,30 +58,30 @@
 
     @property
     def load(self) -> int:
-        """Return how many requests run, and interactive ones that wait."""
+        """Return the number of running requests plus waiting interactive requests."""
         return self._scheduler.load
 
     @property
     def running(self) -> int:
-        """Return how many requests hold a slot."""
+        """Return the number of requests that hold a slot."""
         return self._scheduler.running
 
     @property
     def batch_waiting(self) -> int:
-        """Return how much batch work waits."""
+        """Return the number of batch requests in the queue."""
         return self._scheduler.queue.batch
 
     @property
     def load_limit(self) -> int | None:
-        """Return the highest load that the cap allows now, None for any."""
+        """Return the highest load that the cap allows now, or None without a limit."""
         return self._capacity.load_limit
 
     def configure(self, configuration: Configuration, pool: Pool) -> None:
-        """Take over a configuration; what waits beyond a smaller queue is refused."""
+        """Apply a configuration; refuse waiting requests that exceed a smaller queue."""
         self._scheduler.configure(configuration, pool)
 
     async def async_admit(self, request: Open, cancelled: asyncio.Event) -> Slot | Refused:
-        """Return a slot, after waiting for one within the request's deadline, or a refusal."""
+        """Return a slot, waiting for it until the deadline if needed, or a refusal."""
         if request.pool_load is not None:
             self.record_pool_load(request.pool_load)
         outcome = self._decide(request, cancelled)
@@ -95,11 +95,11 @@
                 return await self._async_wait(outcome, cancelled)
 
     def record_pool_load(self, load: PoolLoad) -> None:
-        """Take in what a router believes of the pool's load; noting one twice counts once."""
+        """Update the pool estimate from a router's report; a repeated report counts once."""
         self._capacity.record_pool_load(load)
 
     def record_first_token(self, slot: Slot) -> None:
-        """Note that the answer of a slot has begun."""
+        """Record that the response of a slot's request has started."""
         if slot.first_token_seen:
             return
         slot.first_token_seen = True
@@ -107,13 +107,13 @@
         self._scheduler.estimates.record_first_token(slot.service, elapsed_ms, batch=slot.batch)
 
     def stop(self) -> None:
-        """Refuse all that waits and all that comes; what runs goes on."""
+        """Refuse all waiting and new requests; running requests continue."""
         self._stopped = True
         for waiter in self._scheduler.queue.list_waiters():
             self._scheduler.refuse(waiter, refusals.refuse_leaving())
 
     def on_change(self, listener: Callable[[], None]) -> Remove:
-        """Call the listener after each change of the load."""
+        """Call the listener after each change of the load; return a function to remove it."""
         self._listeners.append(listener)
 
         def remove() -> None:
@@ -140,7 +140,7 @@
         if refused is not None:
             scheduler.shares.remove_if_idle(usage)
             return refused
-        # Making room may have ended the last request of the same workspace.
+        # Eviction may have removed the usage record of the same workspace.
         usage = scheduler.shares.get(request.workspace)
         if scheduler.may_run_now(limits, caller_class):
             return scheduler.grant(request.request_id, usage, caller_class, service)
@@ -183,7 +183,7 @@
         self._scheduler.refuse(waiter, refusals.refuse_cancelled())
 
     def _abandon(self, waiter: Waiter) -> None:
-        """Give up what a task that was cancelled held or waited for."""
+        """Remove a cancelled task's request from the queue, or release its slot."""
         self._scheduler.refuse(waiter, refusals.refuse_cancelled())
         if waiter.future.cancelled():
             return
@@ -198,14 +198,14 @@
         self._app.async_create_task(self._async_check_queue(), "admission watch")
 
     async def _async_check_queue(self) -> None:
-        """Refuse what can't be answered in time any more, for as long as anything waits."""
+        """Refuse requests that can no longer meet their deadline, until the queue is empty."""
         queue = self._scheduler.queue
         try:
             while queue.size:
                 await self._app.clock.async_sleep(QUEUE_CHECK_INTERVAL_MS)
                 for waiter in queue.iter_expired(self._app.clock.now_ms()):
                     self._scheduler.refuse(waiter, refusals.refuse_deadline_unreachable())
-                # Room for batch work also comes with time, as interactive work gets less.
+                # The batch limit rises over time as the average interactive demand decays.
                 self._scheduler.dispatch()
         finally:
             self._checking_queue = False
@@ -220,7 +220,7 @@
 
 
 def _get_slack_ms(caller_class: CallerClass, service: ServiceTime) -> float:
-    """Return how long a request may wait for its slot and still meet its target."""
+    """Return how long a request may wait for a slot and still meet its latency target."""
     if caller_class.batch:
         return caller_class.answer_ms - service.hold_ms
     return caller_class.first_token_ms - service.first_token_ms
--- a/gypsumrouter/admission/batch_limiter.py
+++ b/gypsumrouter/admission/batch_limiter.py
@@ -1,4 +1,4 @@
-"""Whether one more batch request may run beside interactive work."""
+"""Decides whether a batch request may start beside interactive work."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class BatchLimiter:
-    """Keeps slots free for the interactive work that is about to come.
+    """Keeps slots free for the interactive requests expected next.
 
-    Batch work that has begun to answer can't give way, so it starts only where interactive work
-    is unlikely to need its slot, and where this side carries no more than the pool's mean.
+    A batch request that has started its response can't be preempted. So batch work starts only on
+    slots that interactive work is unlikely to need, and only while the load of this instance is at
+    most about the mean of the pool.
     """
 
     __slots__ = ("_capacity", "_classes", "_clock", "_demand", "_estimates")
@@ -35,11 +36,11 @@
         self._demand = InteractiveDemand()
 
     def record_interactive(self, interactive: int) -> None:
-        """Set how many interactive requests run or wait from now on."""
+        """Record the current number of running and waiting interactive requests."""
         self._demand.record(interactive=interactive, now_ms=self._clock.now_ms())
 
     def may_start(self, limits: Limits, *, slots: Slots, load: int) -> bool:
-        """Return whether one more may start at a load."""
+        """Return whether one more batch request may start at the given load."""
         if slots.running >= limits.slots - limits.reserve:
             return False
         batch_limit = self._capacity.batch_limit
@@ -48,7 +49,7 @@
         return slots.batch_running < limits.slots - self._count_slots_needed()
 
     def _count_slots_needed(self) -> int:
-        """Return how many slots interactive work is about to need, within its targets."""
+        """Return the slots to keep for interactive requests to meet their targets."""
         estimates, classes = self._estimates, self._classes
         quantile = choose_demand_quantile(
             batch_cost=get_cost_per_ms(
--- a/gypsumrouter/admission/capacity.py
+++ b/gypsumrouter/admission/capacity.py
@@ -1,4 +1,4 @@
-"""How much load an upstream may carry: its own bounds and the cap against its pool."""
+"""Load limits of an upstream: its own slots and queue, and the cap relative to its pool."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Capacity:
-    """The bounds of one upstream of a given weight; `limits` is None before a configuration."""
+    """The load limits of one upstream; `limits` is None before the first configuration."""
 
     __slots__ = ("_clock", "_estimator", "_last_report", "_weight", "limits")
 
@@ -29,12 +29,12 @@
 
     @property
     def pool_estimate(self) -> PoolEstimate | None:
-        """Return what is pool_estimate of the other members' load."""
+        """Return the estimated load of the other pool members."""
         return self._estimator.estimate(now_ms=self._clock.now_ms())
 
     @property
     def load_limit(self) -> int | None:
-        """Return the highest load that the cap allows now, None for any."""
+        """Return the highest load that the cap allows now, or None without a limit."""
         if self.limits is None:
             return 0
         return compute_load_limit(
@@ -46,7 +46,7 @@
 
     @property
     def batch_limit(self) -> int | None:
-        """Return the highest load at which batch work may still start, None for any."""
+        """Return the load below which batch work may start, or None without a limit."""
         if self.limits is None:
             return 0
         return compute_batch_limit(
@@ -54,23 +54,23 @@
         )
 
     def configure(self, pool: Pool) -> Limits:
-        """Take over the bounds of a pool."""
+        """Apply the settings of a pool."""
         self.limits = make_limits(pool=pool, weight=self._weight)
         return self.limits
 
     def record_own_load(self, load: int) -> None:
-        """Note a change of the own load."""
+        """Record a change of this instance's own load."""
         self._estimator.record_own_load(load=load, now_ms=self._clock.now_ms())
 
     def record_pool_load(self, load: PoolLoad) -> None:
-        """Take in what a router believes; noting the same value twice counts once."""
+        """Update the pool estimate from a router's report; a repeated report counts once."""
         if load is self._last_report:
             return
         self._last_report = load
         self._estimator.record_report(load, now_ms=self._clock.now_ms())
 
     def is_pool_full(self, limits: Limits) -> bool:
-        """Return whether the other members have hardly any room either."""
+        """Return whether the other members have almost no capacity left."""
         pool_estimate = self.pool_estimate
         if pool_estimate is None:
             return False
--- a/gypsumrouter/admission/classes.py
+++ b/gypsumrouter/admission/classes.py
@@ -1,4 +1,4 @@
-"""CallerClasses of a configuration as the side uses them."""
+"""Caller classes of a configuration, as admission uses them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallerClasses:
-    """Finds classes by name, and the priority that the engine is told for each."""
+    """Looks up classes by name and maps each to the priority passed to the engine."""
 
     __slots__ = (
         "_by_name",
@@ -31,7 +31,7 @@
         self.interactive_penalty = 0.0
 
     def configure(self, configuration: Configuration) -> None:
-        """Take over the classes of a configuration."""
+        """Apply the classes of a configuration."""
         self._by_name = {item.name: item for item in configuration.classes}
         self._default = self._by_name.get(configuration.default_class or "", _FALLBACK_CLASS)
         ranked = sorted(
@@ -46,11 +46,11 @@
         }
 
     def get(self, name: str) -> CallerClass:
-        """Return a class; an unknown one counts as the default class."""
+        """Return a class by name, or the default class for an unknown name."""
         return self._by_name.get(name, self._default)
 
     def get_priority(self, caller_class: CallerClass) -> int:
-        """Return the engine's priority: batch lowest, then by the penalty for a miss."""
+        """Return the engine priority: lowest for batch, else ranked by penalty."""
         if caller_class.batch:
             return BATCH_PRIORITY
         return self._priorities.get(caller_class.name, BATCH_PRIORITY + 1)
--- a/gypsumrouter/admission/demand.py
+++ b/gypsumrouter/admission/demand.py
@@ -1,4 +1,4 @@
-"""How many slots interactive work is about to need, and how many batch work may hold."""
+"""Expected interactive demand and the number of slots to keep free for it."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class InteractiveDemand:
-    """The interactive requests that run or wait, as a mean over the last seconds.
+    """Exponential moving average of the running and waiting interactive requests.
 
-    A request that has begun to answer can't give way, so slots are decay free for those to come.
+    Batch requests that have started their response can't be preempted, so slots are kept free for
+    interactive requests expected to arrive.
     """
 
     __slots__ = ("_changed_ms", "_current", "_mean")
@@ -30,30 +31,30 @@
         self._changed_ms = 0
 
     def record(self, *, interactive: int, now_ms: int) -> None:
-        """Set how many run or wait from now on."""
+        """Record the current number of running and waiting interactive requests."""
         self._mean = self.get_mean(now_ms)
         self._current = interactive
         self._changed_ms = now_ms
 
     def get_mean(self, now_ms: int) -> float:
-        """Return the mean, in which the time before fades."""
+        """Return the moving average at a time."""
         decay = math.exp((self._changed_ms - now_ms) / DEMAND_TIME_CONSTANT_MS)
         return self._current + (self._mean - self._current) * decay
 
     def estimate_peak(self, *, now_ms: int, quantile: float) -> float:
-        """Return how many there will be at most, but for a share of 1 - `quantile` of the time.
+        """Return the number of requests that is not exceeded for a `quantile` of the time.
 
-        Arrivals are independent of each other, so their number varies by its square root.
+        Assumes independent arrivals, so the standard deviation is the square root of the mean.
         """
         mean = max(self.get_mean(now_ms), self._current)
         return mean + _NORMAL.inv_cdf(quantile) * math.sqrt(mean)
 
 
 def choose_demand_quantile(*, batch_cost: float, interactive_cost: float) -> float:
-    """Return how sure it has to be that interactive work finds a slot.
+    """Return the quantile of interactive demand to keep slots for.
 
-    Both are penalties for each millisecond of a slot. It is the rule for stock of uncertain
-    demand: a slot more for batch work must be worth what it makes interactive work miss.
+    Both costs are penalties per millisecond of slot time. This is the newsvendor rule: one more
+    slot for batch work must gain more than the expected penalty for interactive work.
     """
     if interactive_cost <= 0:
         return MIN_PEAK_QUANTILE
@@ -62,14 +63,14 @@
 
 
 def count_slots_needed(*, peak: float, hold_ms: float, slack_ms: float) -> int:
-    """Return how many slots serve a peak of requests that may each wait for `slack_ms`.
+    """Return the slots needed for a peak of requests that may each wait `slack_ms`.
 
-    In that time each slot is released `slack_ms / hold_ms` times.
+    During that time each slot is released `slack_ms / hold_ms` times.
     """
     hold_ms = max(hold_ms, MIN_HOLD_MS)
     return math.ceil(peak * hold_ms / (hold_ms + max(0.0, slack_ms)))
 
 
 def get_cost_per_ms(*, penalty: float, hold_ms: float) -> float:
-    """Return the penalty for each millisecond of a slot."""
+    """Return the penalty per millisecond of slot time."""
     return penalty / max(hold_ms, MIN_HOLD_MS)
--- a/gypsumrouter/admission/diagnostics.py
+++ b/gypsumrouter/admission/diagnostics.py
@@ -1,4 +1,4 @@
-"""What admission adds to the state dump and to the gauges."""
+"""State dump section and gauges of admission."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def make_dump(name: str, capacity: Capacity, scheduler: Scheduler) -> dict[str, object]:
-    """Return the state of admission as plain JSON data."""
+    """Return the admission state as JSON-compatible data."""
     limits = capacity.limits
     active = scheduler.shares.list_active()[:MAX_DUMPED_WORKSPACES]
     return {
--- a/gypsumrouter/admission/limits.py
+++ b/gypsumrouter/admission/limits.py
@@ -1,4 +1,4 @@
-"""What one upstream may run and hold waiting, by its pool's settings and its weight."""
+"""Slot and queue limits of one upstream, from its pool's settings and its weight."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 class Limits(Struct, frozen=True, kw_only=True):
-    """Bounds of one upstream, in requests; `reserve` slots are kept free of batch work."""
+    """Limits of one upstream, in requests.
+
+    `reserve` slots are never used for batch work. `cap` is the highest allowed multiple of the
+    pool's mean load, and `floor` the load up to which the cap does not apply.
+    """
 
     slots: int
     queue: int
@@ -19,12 +23,12 @@
 
     @property
     def capacity(self) -> int:
-        """Return how much load there is room for."""
+        """Return the number of requests that may run or wait."""
         return self.slots + self.queue
 
 
 def make_limits(*, pool: Pool, weight: float) -> Limits:
-    """Return the bounds of an upstream of this weight."""
+    """Return the limits of an upstream with the given weight."""
     slots = max(1, int(pool.slots * weight))
     reserve = -(-slots // SLOTS_PER_RESERVED_SLOT) if slots > 1 else 0
     return Limits(
--- a/gypsumrouter/admission/load.py
+++ b/gypsumrouter/admission/load.py
@@ -1,4 +1,4 @@
-"""The cap: how much load an upstream may carry against the mean of its pool."""
+"""Estimates the mean load of a pool and limits the load of an upstream relative to it."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class LoadHistory:
-    """The own load of the last seconds in steps of HISTORY_STEP_MS."""
+    """Ring buffer of this instance's recent load in steps of HISTORY_STEP_MS."""
 
     __slots__ = ("_loads", "_step")
 
@@ -31,14 +31,14 @@
         self._step = 0
 
     def record(self, *, load: int, now_ms: int) -> None:
-        """Set the load from now on."""
+        """Record the load from `now_ms` on."""
         step = now_ms // HISTORY_STEP_MS
         if step > self._step:
             self._advance_to(step)
         self._loads[step % HISTORY_STEPS] = load
 
     def get(self, *, at_ms: int) -> int:
-        """Return the load at a time; the oldest known for times before."""
+        """Return the load at a time, or the oldest recorded load for earlier times."""
         step = min(at_ms // HISTORY_STEP_MS, self._step)
         step = max(step, self._step - HISTORY_STEPS + 1)
         return self._loads[step % HISTORY_STEPS]
@@ -52,9 +52,10 @@
 
 
 class PoolEstimate(Struct, frozen=True, kw_only=True):
-    """The estimate of the other members' mean load for each unit of weight.
+    """The estimated mean load per unit of weight of the other pool members.
 
-    `age_ms` is the age of the newest status that went into it; `mean` has the discount for age.
+    `age_ms` is the age of the newest router report included, None without any. `mean` already
+    includes the decay for that age.
     """
 
     mean: float
@@ -63,11 +64,11 @@
 
 
 class PoolLoadEstimator:
-    """Estimates the mean load of the other members from what routers say of the whole pool.
+    """Estimates the mean load of the other members from routers' reports on the whole pool.
 
-    What this side adds to each router's mean is taken out, as of the time that the router speaks
-    of, so that a router that knows this side alone says nothing. Notes are weighted by how many
-    others they cover and by their age. Without news the estimate fades towards nothing.
+    Each report includes this instance, so its own load at the time of the report is subtracted. A
+    report that covers only this instance is ignored. Reports are weighted by the number of other
+    members they cover and by their age. Without new reports the estimate decays towards zero.
     """
 
     __slots__ = (
@@ -92,11 +93,11 @@
         self._members_at_ms = 0
 
     def record_own_load(self, *, load: int, now_ms: int) -> None:
-        """Note a change of this side's own load."""
+        """Record a change of this instance's own load."""
         self._history.record(load=load, now_ms=now_ms)
 
     def record_report(self, load: PoolLoad, *, now_ms: int) -> None:
-        """Take in what one router believes."""
+        """Update the estimate with one router's report."""
         self._update_members(load.members, now_ms)
         others = min(load.known, load.members) - 1
         if others < 1 or load.age_ms > REPORT_MAX_AGE_MS:
@@ -114,7 +115,7 @@
             self._newest_observed_ms = observed_ms
 
     def estimate(self, *, now_ms: int) -> PoolEstimate | None:
-        """Return the estimate, None as long as no router has spoken of the pool."""
+        """Return the estimate, or None before the first report."""
         if self._members is None:
             return None
         if self._newest_observed_ms is None:
@@ -125,7 +126,7 @@
         return PoolEstimate(mean=mean, members=self._members, age_ms=age_ms)
 
     def _update_members(self, members: int, now_ms: int) -> None:
-        """Keep the largest number of members that any router lately pool_estimate in."""
+        """Keep the largest member count reported within REPORT_MAX_AGE_MS."""
         outdated = now_ms - self._members_at_ms > REPORT_MAX_AGE_MS
         if self._members is None or outdated or members >= self._members:
             self._members = members
@@ -135,13 +136,14 @@
 def compute_load_limit(
     *, pool_estimate: PoolEstimate | None, cap: float, floor: int, weight: float
 ) -> int | None:
-    """Return the highest load that protected this side within `cap` times the mean.
-
-    The mean includes this side with that load: with n members whose others carry a mean of m,
-    load / weight <= cap * ((n - 1) * m + load / weight) / n. A margin for the drift of the mean
-    after the admission is taken off. One request above a mean that is all but reached is always
-    allowed, or a pool whose members all stand at their limit could never acquire more. None is no
-    limit, where a side could not exceed the multiple of the mean with all of the load.
+    """Return the highest load that stays within `cap` times the pool's mean, None for no limit.
+
+    The mean includes this instance: with n members and a mean m of the others, the condition is
+    load / weight <= cap * ((n - 1) * m + load / weight) / n. A margin is subtracted for changes of
+    the mean after admission. One request above the mean is always allowed; otherwise a pool whose
+    members are all at their limit could not grow. There is no limit where n <= cap, since even the
+    whole pool's load on one member does not exceed the cap. Without an estimate the limit is
+    `floor`.
     """
     if pool_estimate is None:
         return floor
@@ -158,10 +160,11 @@
 def compute_batch_limit(
     *, pool_estimate: PoolEstimate | None, floor: int, weight: float
 ) -> int | None:
-    """Return the highest load at which batch work may still start.
+    """Return the load below which batch work may start, None for no limit.
 
-    It fills a side up to the others' mean and one more. So it leaves the room between the mean and
-    the cap to interactive work, which can't be given the slot of batch work that has begun.
+    Batch work may raise the load to one above the mean of the other members. The range between that
+    and the cap stays free for interactive work, because a batch request that has started its
+    response can't be preempted.
     """
     if pool_estimate is None:
         return floor
--- a/gypsumrouter/admission/metrics.py
+++ b/gypsumrouter/admission/metrics.py
@@ -12,7 +12,7 @@
 
 
 class AdmissionMetrics:
-    """Counters of what was granted and refused, and how long it waited."""
+    """Counters of granted slots, refusals, waiting time and yield requests."""
 
     __slots__ = ("_granted", "_late", "_refused", "_wait_ms", "yields")
 
@@ -35,16 +35,16 @@
         )
 
     def count_granted(self, *, batch: bool, waited_ms: int) -> None:
-        """Count a slot."""
+        """Count a granted slot and the time that its request waited."""
         labels = _KIND_LABELS[batch]
         self._granted.inc(labels=labels)
         if waited_ms:
             self._wait_ms.inc(waited_ms, labels)
 
     def count_late(self) -> None:
-        """Count a slot that came too late for the target."""
+        """Count a slot granted after the request's latency target had passed."""
         self._late.inc()
 
     def count_refused(self, refused: Refused) -> None:
-        """Count a refusal."""
+        """Count a refusal by its reason."""
         self._refused.inc(labels=(("reason", refused.reason.value),))
--- a/gypsumrouter/admission/queue.py
+++ b/gypsumrouter/admission/queue.py
@@ -1,4 +1,4 @@
-"""The queue: who runs next, and who is turned away when there is no capacity."""
+"""The wait queue: which request runs next, and which one is evicted when the queue is full."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class WaitQueue:
-    """Orders waiting requests by the penalty that more waiting costs.
+    """Orders waiting requests by the cost of further delay.
 
-    Among requests that can still meet their target the index of apparent tardiness cost decides:
-    penalty for each millisecond of slot time, discounted by the time that is left. Workspaces
-    that run less than their guarantee go first once their time gets short. Requests out of reach
-    of their target come after all that are within, batch work last; a fixed part of the grants
-    goes to each of these two, so that neither waits for ever.
+    Interactive requests that can still meet their latency target are ordered by the apparent
+    tardiness cost (ATC) rule: penalty per millisecond of slot time, discounted by the remaining
+    slack. Requests of workspaces below their guaranteed share go first once their slack is short.
+    Late requests, whose target has passed, follow, and batch work comes last. To prevent
+    starvation, late requests and batch work each get a fixed minimum fraction of the grants.
     """
 
     __slots__ = (
@@ -55,7 +55,7 @@
 
     @property
     def batch(self) -> int:
-        """Return how many batch requests wait."""
+        """Return the number of waiting batch requests."""
         return self.size - self.interactive
 
     def add(self, waiter: Waiter) -> None:
@@ -72,7 +72,7 @@
         self._count(waiter, 1)
 
     def remove(self, waiter: Waiter) -> None:
-        """Remove a waiter; what the heaps still hold of it is dropped when it surfaces."""
+        """Remove a waiter; its heap entries are dropped lazily."""
         if not waiter.queued:
             return
         waiter.queued = False
@@ -90,10 +90,10 @@
     def select_next(
         self, *, now_ms: int, slots: int, release_interval_ms: float, batch_allowed: bool
     ) -> Waiter | None:
-        """Return who runs next, None if nobody may.
+        """Return the request to run next, or None if none may run.
 
-        `release_interval_ms` is the expected time between two releases, `batch_allowed` whether the reserve
-        lets batch work run.
+        `release_interval_ms` is the expected time between two slot releases. `batch_allowed` says
+        whether a batch request may start now.
         """
         if self._grants_since_batch >= BATCH_GRANT_INTERVAL:
             overdue = self._select_batch()
@@ -110,7 +110,7 @@
         return self._select_batch() if batch_allowed else None
 
     def record_grant(self, waiter: Waiter, *, now_ms: int) -> bool:
-        """Count a grant; returns whether batch work ran because it was passed over for long."""
+        """Count a grant; return whether it was a batch request's anti-starvation grant."""
         if waiter.caller_class.batch:
             overdue = self._grants_since_batch >= BATCH_GRANT_INTERVAL
             self._grants_since_batch = 0
@@ -126,10 +126,11 @@
     def find_victim(
         self, *, capacity: int, newcomer: WorkspaceUsage | None, interactive_only: bool
     ) -> Waiter | None:
-        """Return who is turned away when there is capacity for a load of `capacity`.
+        """Return the waiter to evict so that the total load fits `capacity`.
 
-        It falls on the workspace that is most above its share of the capacity; None where that is the
-        newcomer's own. With `interactive_only` only those that count as load are turned away.
+        It is chosen from the workspace that most exceeds its guaranteed share. Returns None if that
+        is the newcomer's own workspace. With `interactive_only` batch requests, which don't count
+        as load, are not evicted.
         """
         worst: WorkspaceUsage | None = newcomer
         worst_excess = -math.inf if newcomer is None else self._get_excess(newcomer, capacity) + 1
@@ -145,7 +146,7 @@
     def find_lower_class_victim(
         self, usage: WorkspaceUsage, newcomer_class: CallerClass, *, interactive_only: bool
     ) -> Waiter | None:
-        """Return a waiter of the same workspace that is worth less than the newcomer."""
+        """Return a waiter of the same workspace whose class ranks below the newcomer's."""
         victim = self._find_workspace_victim(usage, interactive_only=interactive_only)
         if victim is None or _get_eviction_rank(victim.caller_class) >= _get_eviction_rank(
             newcomer_class
@@ -154,14 +155,14 @@
         return victim
 
     def iter_expired(self, now_ms: int) -> Iterator[Waiter]:
-        """Yield every waiter that can't be answered in time any more; the caller removes it."""
+        """Yield waiters that can no longer meet their deadline; the caller removes them."""
         while self._expiring and self._expiring[0][0] <= now_ms:
             _, _, waiter = heapq.heappop(self._expiring)
             if waiter.queued:
                 yield waiter
 
     def count_due(self, *, start_by_ms: float, most: int) -> int:
-        """Return how many interactive requests must start by a time, interactive_only up to `most`."""
+        """Return the number of interactive requests due by `start_by_ms`, at most `most`."""
         urgent = 0
         for group in self._groups.values():
             if group.caller_class.batch:
@@ -172,11 +173,11 @@
         return urgent
 
     def list_waiters(self) -> list[Waiter]:
-        """Return all that wait."""
+        """Return all waiting requests."""
         return [waiter for _, _, waiter in self._expiring if waiter.queued]
 
     def _compact_expiring(self) -> None:
-        """Forget those that no longer wait once they are most of what is held."""
+        """Rebuild the expiry heap once most of its entries have left the queue."""
         if len(self._expiring) < COMPACT_RATIO * (self.size + COMPACT_SPARE):
             return
         self._expiring = [item for item in self._expiring if item[2].queued]
@@ -194,7 +195,7 @@
     def _select_interactive(
         self, now_ms: int, slots: int, release_interval_ms: float
     ) -> tuple[Waiter | None, Waiter | None]:
-        """Return the best of those within reach and the oldest_late of those out of reach."""
+        """Return the best request that can meet its target, and the oldest late request."""
         best: Waiter | None = None
         best_rank = (False, -math.inf)
         oldest_late: Waiter | None = None
@@ -222,13 +223,13 @@
         return best, oldest_late
 
     def _select_batch(self) -> Waiter | None:
-        """Return the batch request whose workspace uses least, then the one overdue first."""
+        """Return the batch request of the workspace with the least running batch work per share."""
         best: Waiter | None = None
         best_rank = (math.inf, math.inf)
         for group in self._groups.values():
             if not group.caller_class.batch:
                 continue
-            # Batch work has no first-token target: order by the whole answer, never late.
+            # Batch requests have a target for the whole response only, so none of them is late.
             front = group.front(-math.inf)
             if front is None:
                 continue
--- a/gypsumrouter/admission/scheduler.py
+++ b/gypsumrouter/admission/scheduler.py
@@ -1,4 +1,4 @@
-"""Hands out the slots of an upstream to those who come and those who wait."""
+"""Grants the slots of an upstream to new and waiting requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Scheduler:
-    """The slots, the queue before them and who uses both."""
+    """Combines the slots, the wait queue and the workspace shares of one upstream."""
 
     __slots__ = (
         "_batch_limiter",
@@ -63,19 +63,19 @@
 
     @property
     def load(self) -> int:
-        """Return how many requests run, and interactive ones that wait.
+        """Return the number of running requests plus waiting interactive requests.
 
-        Batch work that waits is no load: it has no claim to start while anything else is there.
+        Waiting batch work doesn't count, because it starts only on slots that nothing else needs.
         """
         return self._slots.running + self.queue.interactive
 
     @property
     def running(self) -> int:
-        """Return how many requests hold a slot."""
+        """Return the number of requests that hold a slot."""
         return self._slots.running
 
     def configure(self, configuration: Configuration, pool: Pool) -> None:
-        """Take over a configuration; what waits beyond a smaller queue is refused."""
+        """Apply a configuration; refuse waiting requests that exceed a smaller queue."""
         limits = self._capacity.configure(pool)
         self.classes.configure(configuration)
         self.shares.configure(configuration.workspaces)
@@ -85,10 +85,10 @@
     def make_room(
         self, limits: Limits, usage: WorkspaceUsage, caller_class: CallerClass
     ) -> Refused | None:
-        """Return why there is no capacity for one more, None where there is.
+        """Return the refusal of a new request, or None if it may run or wait.
 
-        A newcomer may acquire the place of a request that waits, of the workspace that is most above
-        its share, or of a lesser class of its own workspace. The load stays the same then.
+        At the load limit or with a full queue, a new request may evict a waiting one: of the
+        workspace that most exceeds its share, or of a lower class of its own workspace.
         """
         load_limit = None if caller_class.batch else self._capacity.load_limit
         if load_limit is not None and self.load >= load_limit:
@@ -104,7 +104,7 @@
         )
 
     def may_run_now(self, limits: Limits, caller_class: CallerClass) -> bool:
-        """Return whether a newcomer of a class may run without waiting."""
+        """Return whether a new request of a class may run without waiting."""
         if self._slots.running >= limits.slots:
             return False
         if caller_class.batch:
@@ -121,7 +121,7 @@
         protected: bool = False,
         waited_ms: int = 0,
     ) -> Slot:
-        """Return a new slot; `protected` protects batch work from being requested to give way."""
+        """Return a new slot; a `protected` batch slot is never asked to yield."""
         slot = Slot(
             request_id=request_id,
             priority=self.classes.get_priority(caller_class),
@@ -138,13 +138,13 @@
         return slot
 
     def enqueue(self, waiter: Waiter) -> None:
-        """Put a newcomer into the queue."""
+        """Add a new request to the wait queue."""
         self.queue.add(waiter)
         self._notify_change()
         self.request_yields()
 
     def refuse(self, waiter: Waiter, refused: Refused) -> None:
-        """End the waiting of a request; nothing happens if it waits no more."""
+        """Refuse a waiting request; does nothing if it no longer waits."""
         if not waiter.queued:
             return
         self.queue.remove(waiter)
@@ -156,7 +156,7 @@
         self._notify_change()
 
     def dispatch(self) -> None:
-        """Grant free slots to those who wait, in the order of the queue."""
+        """Grant free slots to waiting requests in queue order."""
         limits = self._capacity.limits
         if limits is None:
             return
@@ -174,7 +174,7 @@
         self.request_yields()
 
     def request_yields(self) -> None:
-        """Ask batch work to give way to interactive work that has no time to wait for a release."""
+        """Ask batch requests to yield to interactive ones that can't wait for a release."""
         if not self.queue.interactive or not self._slots.batch_running:
             return
         now_ms = self._clock.now_ms()
@@ -254,7 +254,7 @@
         return self._get_release_interval_ms() * (self.queue.size + 1)
 
     def _estimate_pool_wait_ms(self) -> float:
-        """Return the time in which some member of the pool is likely to have capacity."""
+        """Return the expected time until any member of the pool releases a slot."""
         pool_estimate = self._capacity.pool_estimate
         members = 1 if pool_estimate is None else max(1, pool_estimate.members)
         return self._get_release_interval_ms() / members
--- a/gypsumrouter/admission/shares.py
+++ b/gypsumrouter/admission/shares.py
@@ -1,4 +1,4 @@
-"""Guaranteed shares of workspaces, and what each of them uses."""
+"""Guaranteed shares of workspaces and their current usage."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WorkspaceUsage:
-    """What one workspace has at this side now."""
+    """The requests of one workspace that run or wait at this instance."""
 
     __slots__ = ("batch_running", "name", "running", "share", "waiting")
 
@@ -23,15 +23,16 @@
 
     @property
     def load(self) -> int:
-        """Return how many requests run or wait."""
+        """Return the number of running and waiting requests, batch included."""
         return self.running + self.batch_running + self.waiting
 
 
 class Shares:
-    """The active workspaces' usage against their guarantees.
+    """Weighted fair shares of the active workspaces.
 
-    A guarantee is the workspace's part of the shares of those that are active; what they leave is
-    free for the others. Batch work fills gaps and doesn't count against the guarantee.
+    A workspace is guaranteed its share divided by the shares of all active workspaces; what a
+    workspace leaves unused is available to the others. Batch work uses spare slots and doesn't
+    count against the guarantee.
     """
 
     __slots__ = ("_active", "_share_sum", "_shares")
@@ -42,16 +43,16 @@
         self._share_sum = 0.0
 
     def configure(self, workspaces: Iterable[Workspace]) -> None:
-        """Take over the shares of a configuration."""
+        """Apply the shares of a configuration."""
         self._shares = {workspace.name: workspace.share for workspace in workspaces}
         for usage in self._active.values():
             usage.share = self._shares.get(usage.name, DEFAULT_SHARE)
         self._share_sum = sum(usage.share for usage in self._active.values())
 
     def get(self, name: str) -> WorkspaceUsage:
-        """Return the usage of a workspace, which counts as active from now on.
+        """Return the usage of a workspace and mark the workspace as active.
 
-        Pair with :meth:`remove_if_idle` once nothing of it is left.
+        Call :meth:`remove_if_idle` once its last request has ended.
         """
         usage = self._active.get(name)
         if usage is None:
@@ -61,7 +62,7 @@
         return usage
 
     def remove_if_idle(self, usage: WorkspaceUsage) -> None:
-        """Forget a workspace that has nothing left here."""
+        """Remove a workspace without running or waiting requests from the active ones."""
         if usage.load or self._active.get(usage.name) is not usage:
             return
         del self._active[usage.name]
@@ -70,17 +71,17 @@
             self._share_sum = 0.0
 
     def get_guarantee(self, usage: WorkspaceUsage, total: int) -> float:
-        """Return what a workspace is guaranteed of a total."""
+        """Return the guaranteed part of a total."""
         return total * usage.share / self._share_sum
 
     def is_below_guarantee(self, usage: WorkspaceUsage, slots: int) -> bool:
-        """Return whether a workspace runs less than it is guaranteed."""
+        """Return whether a workspace runs fewer requests than its guarantee."""
         return usage.running < self.get_guarantee(usage, slots)
 
     def list_waiting(self) -> list[WorkspaceUsage]:
-        """Return the workspaces of which something waits."""
+        """Return the workspaces that have waiting requests."""
         return [usage for usage in self._active.values() if usage.waiting]
 
     def list_active(self) -> list[WorkspaceUsage]:
-        """Return the active workspaces, those with the most load first."""
+        """Return the active workspaces in descending order of load."""
         return sorted(self._active.values(), key=lambda usage: (-usage.load, usage.name))
--- a/gypsumrouter/admission/slots.py
+++ b/gypsumrouter/admission/slots.py
@@ -1,4 +1,4 @@
-"""Slots: the right to run at the upstream."""
+"""Slots: permits to run a request at the upstream."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Slot:
-    """The right to run one request, until it is released.
+    """Permit to run one request until it is released.
 
-    `priority` is what the engine is told; higher runs sooner. When `yield_requested` is set, the work
-    should be cancelled and admitted again; it is only requested of batch work.
+    `priority` is passed to the engine; higher values run first. `yield_requested` asks the holder
+    of a batch slot to cancel its request and have it admitted again.
     """
 
     __slots__ = (
@@ -58,7 +58,7 @@
         self._on_release = on_release
 
     def release(self) -> None:
-        """Give the slot back; safe to call more than once."""
+        """Release the slot; further calls have no effect."""
         if self.released:
             return
         self.released = True
@@ -66,7 +66,7 @@
 
 
 class Slots:
-    """The slots that are held now."""
+    """The slots in use."""
 
     __slots__ = ("_batch", "running")
 
@@ -76,11 +76,11 @@
 
     @property
     def batch_running(self) -> int:
-        """Return how many slots batch work holds."""
+        """Return the number of slots held by batch work."""
         return len(self._batch)
 
     def acquire(self, slot: Slot) -> None:
-        """Count a slot as held."""
+        """Count a slot as in use."""
         self.running += 1
         if slot.batch:
             self._batch.add(slot)
@@ -98,10 +98,11 @@
             slot.usage.running -= 1
 
     def request_yields(self, *, needed: int, now_ms: int) -> int:
-        """Ask batch work to give way until `needed` slots are about to come free.
+        """Ask batch slots to yield until `needed` of them are expected to be released.
 
-        The work that ran for the shortest time is requested first, since least is lost with it. One
-        that was requested and didn't give way in time no longer counts. Returns how many were requested.
+        The most recently granted are asked first, because they lose the least work. A slot that has
+        not yielded within YIELD_TIMEOUT_MS is no longer expected to. Returns the number of slots
+        asked.
         """
         pending = sum(
             slot.yield_requested.is_set() and now_ms - slot.yield_requested_ms < YIELD_TIMEOUT_MS
--- a/gypsumrouter/admission/waiters.py
+++ b/gypsumrouter/admission/waiters.py
@@ -1,4 +1,4 @@
-"""Requests that wait, in groups of one workspace and class."""
+"""Waiting requests, grouped by workspace and class."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class Waiter:
     """One request that waits for a slot; all times are monotonic milliseconds.
 
-    `start_by_ms` is when it must start to meet its target, `expires_ms` when it can no longer be
-    answered within its caller's deadline.
+    `start_by_ms` is the latest start that meets the latency target, `expires_ms` the latest start
+    that meets the caller's deadline.
     """
 
     __slots__ = (
@@ -59,10 +59,10 @@
 
 
 class WaiterGroup:
-    """The waiters of one workspace and class, those that must start first at the front.
+    """The waiters of one workspace and class, ordered by their latest start.
 
-    All of them have the same target and penalty, so only the front needs to be compared with
-    other groups. Those whose target is out of reach are kept apart, oldest first.
+    All of them have the same target and penalty, so only the front has to be compared with other
+    groups. Late waiters, whose latest start has passed, are kept in a separate list, oldest first.
     """
 
     __slots__ = ("_heap", "_late", "caller_class", "size", "usage")
@@ -80,7 +80,7 @@
         self.size += 1
 
     def front(self, now_ms: float) -> Waiter | None:
-        """Return the waiter that must start first of those that can still meet their target."""
+        """Return the waiter that must start first among those that are not late."""
         heap = self._heap
         while heap:
             start_by_ms, _, waiter = heap[0]
@@ -94,18 +94,18 @@
         return None
 
     def oldest_late(self) -> Waiter | None:
-        """Return the first that lost its target; call :meth:`front` before."""
+        """Return the waiter that has been late longest; call :meth:`front` first."""
         while self._late and not self._late[0].queued:
             self._late.popleft()
         return self._late[0] if self._late else None
 
     def count_due(self, start_by_ms: float) -> int:
-        """Return how many must start by a time or are late already."""
+        """Return the number of waiters that are late or must start by a time."""
         late = sum(waiter.queued for waiter in self._late)
         return late + sum(item[0] <= start_by_ms and item[2].queued for item in self._heap)
 
     def find_victim(self) -> Waiter | None:
-        """Return the waiter that would be missed least: out of reach first, then the find_victim."""
+        """Return the waiter to evict: the most recently late one, else the newest."""
         late_waiters = [waiter for waiter in self._late if waiter.queued]
         if late_waiters:
             return late_waiters[-1]
