--- a/gypsumrouter/placement/__init__.py
+++ b/gypsumrouter/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: which instances to try for a request, in order."""
+"""Placement: chooses the instances to try for a request, in order of preference."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/placement/baselines.py
+++ b/gypsumrouter/placement/baselines.py
@@ -1,4 +1,4 @@
-"""Simple ways of placing requests, kept to compare with."""
+"""Simple placement algorithms for comparison with rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Baselines:
-    """Every baseline with the state that it needs."""
+    """All baseline algorithms and their state."""
 
     __slots__ = ("_last_served", "_loads", "_next", "_random")
 
@@ -29,7 +29,7 @@
     def order(
         self, *, kind: PlacementKind, query: PlacementQuery, members: list[Instance]
     ) -> list[Instance]:
-        """Return at most MAX_CANDIDATES members, best first."""
+        """Return at most MAX_CANDIDATES members, most preferred first."""
         if not members:
             return []
         match kind:
@@ -48,7 +48,7 @@
         return ordered[:MAX_CANDIDATES]
 
     def record_served(self, *, query: PlacementQuery, instance: Instance) -> None:
-        """Remember where a chat was served."""
+        """Record which instance answered a chat, for the sticky baseline."""
         if query.chat:
             self._last_served.put((query.workspace, query.chat), instance.name)
 
--- a/gypsumrouter/placement/hint.py
+++ b/gypsumrouter/placement/hint.py
@@ -1,4 +1,4 @@
-"""Placement hints: a short opaque word that a caller brings back with its next turn."""
+"""Placement hints: opaque tokens that a caller returns to reach the same instance again."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def encode_hint(digest: int) -> str:
-    """Return the hint that stands for the digest of an instance's name."""
+    """Return the hint for the digest of an instance's name."""
     body = _LAYOUT.pack(_FORMAT_VERSION, digest, _compute_checksum(digest))
     return base64.urlsafe_b64encode(body).rstrip(b"=").decode()
 
 
 def decode_hint(hint: str) -> int | None:
-    """Return the digest in a hint, None if the hint is not one of ours."""
+    """Return the digest in a hint, or None if the hint is not valid."""
     if len(hint) != HINT_LENGTH or not hint.isascii():
         return None
     try:
@@ -31,7 +31,7 @@
     except (binascii.Error, ValueError):
         return None
     _version, digest, _checksum = _LAYOUT.unpack(body)
-    # Compared whole, so that each instance has one hint only.
+    # Comparing the encoded form rejects other encodings of the same digest and checks the checksum.
     return int(digest) if encode_hint(digest) == hint else None
 
 
--- a/gypsumrouter/placement/loads.py
+++ b/gypsumrouter/placement/loads.py
@@ -1,4 +1,4 @@
-"""What a router knows of the load of instances, from the statuses at hand."""
+"""Load of instances and pools as known to a router from recent statuses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class LoadView:
-    """Loads of instances and pools, only from statuses that are fresh."""
+    """Loads of instances and pools, computed from statuses that are recent enough."""
 
     __slots__ = ("_app", "_fleet", "_links", "_offset", "_pool_samples")
 
@@ -35,14 +35,14 @@
         self._offset = 0
 
     def get_fresh_status(self, instance: Instance) -> Status | None:
-        """Return the last status of an instance unless it is too old to go by."""
+        """Return the last status of an instance, or None if older than STATUS_MAX_AGE_MS."""
         view = self._links.status(instance.name)
         if view is None or view.age_ms > STATUS_MAX_AGE_MS:
             return None
         return view.status
 
     def may_serve_model(self, instance: Instance, model: str) -> bool:
-        """Return False only where the instance has said that it does not hold the model."""
+        """Return False only if a recent status lists models without this one."""
         if not model:
             return True
         view = self._links.status(instance.name)
@@ -51,12 +51,12 @@
         return model in view.status.models
 
     def is_unavailable(self, instance: Instance) -> bool:
-        """Return whether the instance says that it takes no work now."""
+        """Return whether a recent status reports the instance as leaving or not ready."""
         status = self.get_fresh_status(instance)
         return status is not None and (status.leaving or not status.ready)
 
     def is_over_cap(self, instance: Instance, pool: Pool) -> bool:
-        """Return whether one more request would take the instance over the pool's cap."""
+        """Return whether one more request would exceed the pool's cap at the instance."""
         status = self.get_fresh_status(instance)
         if status is None or status.load < pool.floor:
             return False
@@ -66,7 +66,7 @@
         return status.load + 1 > pool.cap * load.mean * status.weight
 
     def relative_load(self, instance: Instance, pool: Pool) -> float:
-        """Return the load for each unit of weight; an unknown one counts as the mean."""
+        """Return the load per unit of weight, or the pool's mean if it is unknown."""
         status = self.get_fresh_status(instance)
         if status is not None:
             return status.load / status.weight
@@ -74,15 +74,15 @@
         return 0.0 if load is None else load.mean
 
     def relative_backlog(self, instance: Instance, pool: Pool) -> float:
-        """Return the load and the waiting batch work for each unit of weight."""
+        """Return the load plus waiting batch work per unit of weight."""
         status = self.get_fresh_status(instance)
         waiting = 0.0 if status is None else status.batch_waiting / status.weight
         return self.relative_load(instance, pool) + waiting
 
     def pool_load(self, pool: Pool) -> PoolLoad | None:
-        """Return the mean load of a pool, None where it has no members.
+        """Return the mean load of a pool, or None if it has no members.
 
-        Of a large pool a part is looked at in turn, so that the cost has a bound.
+        Of a large pool only a rotating sample of the members is read, which bounds the cost.
         """
         now_ms = self._app.clock.now_ms()
         sample = self._pool_samples.get(pool.name)
@@ -103,7 +103,7 @@
         )
 
     def dump(self) -> dict[str, object]:
-        """Return the pools' loads as last sample."""
+        """Return the last computed load of each pool for the state dump."""
         return {
             name: {
                 "mean": round(sample.load.mean, 3),
--- a/gypsumrouter/placement/lru.py
+++ b/gypsumrouter/placement/lru.py
@@ -1,4 +1,4 @@
-"""Bounded memory of a router."""
+"""A map of bounded size."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LruMap(Generic[_K, _V]):
-    """A map that forgets what was used least recently."""
+    """A map that evicts the least recently used entry when it is full."""
 
     __slots__ = ("_items", "_size")
 
@@ -23,14 +23,14 @@
         return len(self._items)
 
     def get(self, key: _K) -> _V | None:
-        """Return the value of a key and mark it as used."""
+        """Return the value of a key, or None, and mark the entry as recently used."""
         value = self._items.get(key)
         if value is not None:
             self._items.move_to_end(key)
         return value
 
     def put(self, key: _K, value: _V) -> None:
-        """Set the value of a key."""
+        """Set the value of a key and evict the least recently used entry if needed."""
         self._items[key] = value
         self._items.move_to_end(key)
         if len(self._items) > self._size:
--- a/gypsumrouter/placement/models.py
+++ b/gypsumrouter/placement/models.py
@@ -1,4 +1,4 @@
-"""What placement is asked, and what it needs to know of other aggregates."""
+"""Placement queries, and the interfaces that placement needs from the fleet and the links."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PlacementKind(StrEnum):
-    """How instances are ordered for a request; all but the first are baselines."""
+    """The algorithm that orders instances; all but the first are baselines."""
 
     RENDEZVOUS = "rendezvous"
     ROUND_ROBIN = "round_robin"
@@ -24,11 +24,11 @@
 
 
 class PlacementQuery(Struct, frozen=True, kw_only=True):
-    """What is known of a request before it is placed.
+    """What a router knows of a request before it is placed.
 
-    `chat` is empty where no later request will profit from the same instance. `hint` is what the
-    caller brought back of an earlier answer, empty without one; it is not trusted. `batch` work
-    waits for gaps.
+    `chat` is empty if no later request can reuse the cached prefix. `hint` is the hint that the
+    caller returned from an earlier response, or empty; it is not trusted. `returning` marks a
+    request that continues a chat, and `batch` one without a first-token target.
     """
 
     pool: Pool
@@ -41,26 +41,26 @@
 
 
 class StatusView(Protocol):
-    """The last word of a side, and its age in milliseconds."""
+    """The last status received from an instance, and its age in milliseconds."""
 
     @property
     def status(self) -> Status:
-        """Return what the side said."""
+        """Return the status."""
 
     @property
     def age_ms(self) -> int:
-        """Return how long ago it said so."""
+        """Return the age of the status."""
 
 
 class StatusSource(Protocol):
-    """Where statuses of sides are found."""
+    """Provides the last status of each instance."""
 
     def status(self, name: str) -> StatusView | None:
-        """Return the last status of an instance, None if it never sent one."""
+        """Return the last status of an instance, or None if it has not sent one."""
 
 
 class MemberSource(Protocol):
-    """Where the usable instances of a pool are found."""
+    """Provides the usable members of each pool."""
 
     def members(self, pool: str) -> tuple[Instance, ...]:
         """Return the usable instances of a pool, sorted by name."""
--- a/gypsumrouter/placement/placement.py
+++ b/gypsumrouter/placement/placement.py
@@ -1,4 +1,4 @@
-"""Which instances to try for a request, best first."""
+"""Orders the instances to try for a request, most preferred first."""
 
 from __future__ import annotations
 
@@ -28,9 +28,10 @@
 class Placement:
     """Orders the instances of a pool for each request.
 
-    The order is a proposal: every side decides for itself and may refuse, and the router then
-    goes on in the same order. It depends on the chat and the members, never on where the router
-    stands, so that every router finds the same instance for a returning chat.
+    The order is a preference: each instance makes its own admission decision, and the router tries
+    the next one after a refusal. For a chat the ranking depends on the chat, the members and the
+    region, not on the router, so that all routers of a region send a returning chat to the same
+    instance.
     """
 
     __slots__ = (
@@ -76,7 +77,7 @@
         app.add_dump_section("placement", self._dump)
 
     def order(self, query: PlacementQuery) -> tuple[Instance, ...]:
-        """Return the instances to try, best first; none where no member may hold the model."""
+        """Return the instances to try in order; empty if no member may serve the model."""
         table = self._get_table(query.pool)
         if self._kind is not PlacementKind.RENDEZVOUS:
             return self._order_by_baseline(query, table)
@@ -96,9 +97,9 @@
         return self._build_order("new", query, self._choose_for_new_chat(query, ranked), ranked)
 
     def find_prefix_holders(self, query: PlacementQuery) -> tuple[str, ...]:
-        """Return the names of the instances that may hold a returning chat's prefix.
+        """Return the names of instances that may have cached a returning chat's prefix.
 
-        These are the first of the chat's ranked order, then the hinted one. The baselines know none.
+        These are the first instances of the chat's ranking and the hinted one. Empty for baselines.
         """
         if self._kind is not PlacementKind.RENDEZVOUS or not query.chat or not query.returning:
             return ()
@@ -111,15 +112,15 @@
         return tuple(ranked)
 
     def pool_load(self, pool: Pool) -> PoolLoad | None:
-        """Return what this router believes of a pool's load, for the sides' cap."""
+        """Return this router's estimate of a pool's load, for the instances' load limit."""
         return self._loads.pool_load(pool)
 
     def make_hint(self, instance: Instance) -> str:
-        """Return the hint that leads a caller's next turn to an instance."""
+        """Return the hint that routes a caller's next request to an instance."""
         return encode_hint(hash_name(instance.name))
 
     def record_served(self, query: PlacementQuery, instance: Instance) -> None:
-        """Note which instance answered; only the sticky baseline remembers it."""
+        """Record which instance answered; only the sticky baseline uses it."""
         if self._kind is PlacementKind.STICKY:
             self._baselines.record_served(query=query, instance=instance)
 
@@ -149,9 +150,10 @@
     def _find_candidates(
         self, query: PlacementQuery, table: MemberTable, key: int
     ) -> list[Instance]:
-        """Return the usable members in the order of a key.
+        """Return the members that may serve the model, in the order of a key.
 
-        Statuses are looked up only as far as needed: most of the time the first ranks suffice.
+        Statuses are read for the first INITIAL_RANKS members, and for all only if too few of those
+        fit.
         """
         ranked = table.rank(key=key, limit=INITIAL_RANKS)
         found = [m for m in ranked if self._loads.may_serve_model(m, query.model)]
@@ -161,7 +163,7 @@
         return self._sort_by_availability(found)[:INITIAL_RANKS]
 
     def _sort_by_availability(self, ranked: list[Instance]) -> list[Instance]:
-        """Put closed instances last and other regions behind the router's ranked."""
+        """Move unavailable instances last, and those of other regions behind the local ones."""
         region = self._app.region
         return sorted(ranked, key=lambda m: (self._loads.is_unavailable(m), m.region != region))
 
@@ -190,10 +192,10 @@
     def _choose_for_new_chat(
         self, query: PlacementQuery, ranked: list[Instance]
     ) -> Instance | None:
-        """Keep a new chat off its ranked first instance only where that is over the cap.
+        """Return the chat's first-ranked instance unless it is over the pool's cap.
 
-        A caller that brings no hint returns to its ranked first instance, so any other place costs it
-        the prefix.
+        Later requests without a hint go to the first-ranked instance, so any other choice loses the
+        cached prefix.
         """
         below_cap = [
             m for m in ranked[:MAX_CANDIDATES] if not self._loads.is_over_cap(m, query.pool)
@@ -208,7 +210,7 @@
     def _choose_smallest_backlog(
         self, query: PlacementQuery, ranked: list[Instance]
     ) -> Instance | None:
-        """Return where new batch work waits least, of the first few of the chat's ranked order."""
+        """Return the one of the first few with the smallest backlog, for new batch work."""
         return min(
             ranked[:BATCH_CHOICES],
             key=lambda m: (
@@ -221,7 +223,7 @@
     def _choose_least_loaded(
         self, query: PlacementQuery, ranked: list[Instance]
     ) -> Instance | None:
-        """Return the less loaded of the first two; the router's data centre breaks a tie."""
+        """Return the less loaded of the first two; a tie prefers the local data centre."""
         return min(
             ranked[:LEAST_LOADED_CHOICES],
             key=lambda m: (
@@ -239,10 +241,11 @@
         first: Instance | None,
         ranked: list[Instance],
     ) -> tuple[Instance, ...]:
-        """Return the order: the chosen first, the next of the chat's ranked, the others by load.
+        """Return the chosen instance, then the next ranked one, then the others by load.
 
-        The second place is stable, so that the overflow of a chat finds its ranked prefix again. From
-        the third on there is nothing to find, and the emptiest most likely has room.
+        The second one is the same for every request of a chat, so that requests refused by the
+        first can find a cached prefix there. No prefix is expected on the others, so the least
+        loaded come first.
         """
         self._orders.inc(labels=(("request", request),))
         if first is None:
--- a/gypsumrouter/placement/rendezvous.py
+++ b/gypsumrouter/placement/rendezvous.py
@@ -17,20 +17,20 @@
 
 
 def hash_chat(*, workspace: str, chat: str) -> int:
-    """Return the key by which a chat ranks instances, the same in every process."""
+    """Return the key by which instances are ranked for a chat, the same in every process."""
     return xxhash.xxh64_intdigest(workspace.encode() + _SEPARATOR + chat.encode())
 
 
 def hash_name(name: str) -> int:
-    """Return the number that stands for an instance in a hint."""
+    """Return the digest that identifies an instance in a hint."""
     return xxhash.xxh64_intdigest(name.encode())
 
 
 class MemberTable:
-    """The members of a pool, prepared for ranking.
+    """The members of a pool, prepared for rendezvous ranking.
 
-    An instance of weight w is first for w shares of all keys, and a member that joins or leaves
-    moves only the keys for which it is first.
+    Members rank first for a fraction of all keys in proportion to their weight. A member that joins
+    or leaves changes the first rank only for the keys on which it ranks first.
     """
 
     __slots__ = ("_names", "_weights", "by_digest", "members")
@@ -52,7 +52,7 @@
         digest = xxhash.xxh64_intdigest
         hashes = [digest(name, key) for name in self._names]
         if self._weights is None:
-            # Equal weights: -weight / ln(unit) grows with the hash, so the hash itself will do.
+            # With equal weights -weight / ln(unit) is monotonic in the hash, so rank by the hash.
             return hashes
         return [
             -weight / math.log(_to_unit_interval(value))
@@ -61,5 +61,5 @@
 
 
 def _to_unit_interval(value: int) -> float:
-    """Return a hash as a number between 0 and 1, never 0 or 1 itself."""
+    """Map a hash to a number strictly between 0 and 1."""
     return ((value >> (_HASH_BITS - _UNIT_BITS)) + 0.5) * _UNIT
--- a/gypsumrouter/policy/__init__.py
+++ b/gypsumrouter/policy/__init__.py
@@ -1,4 +1,4 @@
-"""When-then rules, classes, targets and penalties, compiled from a configuration."""
+"""Routing rules, caller classes and pools, compiled from a configuration."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/policy/at_most_once.py
+++ b/gypsumrouter/policy/at_most_once.py
@@ -1,4 +1,4 @@
-"""Which calls of a pool must not be repeated, however their path is written."""
+"""Matches calls that must run at most once, whatever the spelling of their path."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AtMostOnceMatcher:
-    """The patterns of one pool; a path that servers may read differently matches in doubt."""
+    """The at-most-once patterns of one pool; an ambiguous path counts as a match."""
 
     __slots__ = ("_prefixes_by_method",)
 
@@ -27,7 +27,7 @@
             self._prefixes_by_method[call.method] = (*prefixes, normalise_prefix(call.path_prefix))
 
     def matches(self, *, method: str, path: str) -> bool:
-        """Return whether a call must not be repeated."""
+        """Return whether a call must run at most once."""
         prefixes = self._prefixes_by_method.get(ANY_METHOD, ()) + self._prefixes_by_method.get(
             method.upper(), ()
         )
--- a/gypsumrouter/policy/models.py
+++ b/gypsumrouter/policy/models.py
@@ -1,4 +1,4 @@
-"""What a decision is made from, and what comes out of it."""
+"""Input and result of a policy decision."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class RequestFacts(Struct, frozen=True, kw_only=True):
-    """What rules may look at; `caller_class` is the class that the caller asked for, or empty.
+    """The request attributes that rules can match.
 
-    `service` and `path` are those of a service call, `model` and `returning` those of a chat.
+    `caller_class` is the class requested by the caller, or empty. `service` and `path` apply to
+    service calls, `model` and `returning` to chats.
     """
 
     workspace: str
@@ -28,9 +29,9 @@
 
 
 class Decision(Struct, frozen=True, kw_only=True):
-    """What follows for one request; `rule` is None where no rule matched.
+    """The result for one request; `rule` is None if no rule matched.
 
-    The limits are those of the rule alone; the workspace's own hold beside them.
+    The limits come from the rule only; those of the workspace apply in addition.
     """
 
     rule: str | None
@@ -46,7 +47,7 @@
 
 
 class Miss(Struct, frozen=True, kw_only=True):
-    """An earlier rule that did not match, and the first of its conditions that did not hold."""
+    """A rule that did not match, with its first condition that failed."""
 
     rule: str
     condition: str
@@ -55,7 +56,7 @@
 
 
 class Explanation(Struct, frozen=True, kw_only=True):
-    """A decision with the rules that came before the one that counted."""
+    """A decision with the earlier rules that did not match."""
 
     decision: Decision
     misses: tuple[Miss, ...]
--- a/gypsumrouter/policy/policy.py
+++ b/gypsumrouter/policy/policy.py
@@ -1,4 +1,4 @@
-"""Decisions about requests, compiled from one configuration."""
+"""Decides class, pool and limits of requests, compiled from one configuration."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Policy:
-    """Who a caller is, what its request is worth and where it goes; immutable once built."""
+    """Looks up workspaces and evaluates routing rules; immutable once compiled."""
 
     __slots__ = (
         "_at_most_once_matchers",
@@ -52,14 +52,14 @@
 
     @classmethod
     async def async_compile(cls, configuration: Configuration) -> Self:
-        """Build a policy and give way to the event loop again and again."""
+        """Compile a policy in slices that yield to the event loop."""
         policy = cls.__new__(cls)
         policy._init_state(configuration)
         await async_run_sliced(policy._compile_in_slices())
         return policy
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that a caller's key belongs to."""
+        """Return the workspace that an API key belongs to, or None."""
         digest = hashlib.sha256(key.encode(errors="surrogateescape")).hexdigest()
         found = self._workspaces_by_digest.get(digest)
         if found is None:
@@ -68,19 +68,19 @@
         return workspace if hmac.compare_digest(stored, digest) else None
 
     def get_workspace(self, name: str) -> Workspace | None:
-        """Return a workspace by its name."""
+        """Return a workspace by its name, or None."""
         return self._workspaces.get(name)
 
     def get_class(self, name: str) -> CallerClass:
-        """Return a class by its name, or the default class where there is none of that name."""
+        """Return a class by its name, or the default class if it is unknown."""
         return self._classes.get(name, self._default_class)
 
     def get_pool(self, name: str) -> Pool | None:
-        """Return a pool by its name."""
+        """Return a pool by its name, or None."""
         return self._pools.get(name)
 
     def decide(self, facts: RequestFacts) -> Decision:
-        """Return what follows from the first rule that matches."""
+        """Return the decision of the first matching rule, or the default decision."""
         facts = self._normalise_facts(facts)
         candidates = self._candidates.get(get_candidate_key(facts))
         if candidates is None:
@@ -111,7 +111,7 @@
         return Explanation(decision=self._build_decision(None, facts), misses=tuple(misses))
 
     def must_not_repeat(self, *, pool: str, method: str, path: str) -> bool:
-        """Return whether a call is marked; one of a pool that is not prefixes is, in doubt."""
+        """Return whether a call must run at most once; True for an unknown pool."""
         if pool not in self._pools:
             return True
         matcher = self._at_most_once_matchers.get(pool)
@@ -150,7 +150,7 @@
                 yield
 
     def _select_candidates(self, facts: RequestFacts) -> tuple[CompiledRule, ...]:
-        """Return the rules that may match requests with these names, and remember them."""
+        """Return the rules that may match requests with these names, and cache them."""
         found = tuple(rule for rule in self._rules if rule.may_match(facts))
         if len(self._candidates) >= _MAX_CACHED_CANDIDATES:
             self._candidates.clear()
@@ -158,7 +158,7 @@
         return found
 
     def _normalise_facts(self, facts: RequestFacts) -> RequestFacts:
-        """Fill in the class that holds without a rule, and write the path in its normal form."""
+        """Set the effective caller class and normalise the path if any rule matches paths."""
         caller_class = facts.caller_class
         if caller_class not in self._classes:
             workspace = self._workspaces.get(facts.workspace)
--- a/gypsumrouter/policy/rules.py
+++ b/gypsumrouter/policy/rules.py
@@ -1,4 +1,4 @@
-"""Rules compiled into tests of a request, in the order in which they count."""
+"""Compiles configured rules into predicates on request facts."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 MS_PER_MINUTE: Final = 60_000
 MINUTES_PER_DAY: Final = 1_440
 DAYS_PER_WEEK: Final = 7
-# The first of January 1970 was a Thursday, and weeks begin with Monday as day 0.
+# 1 January 1970 was a Thursday; Monday is day 0.
 EPOCH_WEEKDAY: Final = 3
 
-# Conditions that list names; `When` and `RequestFacts` call them the same.
+# Conditions on lists of names; the fields have the same names in `When` and `RequestFacts`.
 _NAME_CONDITIONS: Final = ("workspace", "caller_class", "model", "data_centre", "service", "method")
 
 get_candidate_key: Final = attrgetter("kind", *_NAME_CONDITIONS)
@@ -34,7 +34,11 @@
 
 
 class Condition(Struct, frozen=True, kw_only=True):
-    """One condition: what it is about, what it needs, how it is tested and what it looks at."""
+    """One condition of a rule.
+
+    `needed` is the configured value as text, `test` the predicate, and `found` reads the compared
+    value from a request.
+    """
 
     name: str
     needed: str
@@ -45,8 +49,8 @@
 class CompiledRule(Struct, frozen=True, kw_only=True):
     """A rule with its conditions.
 
-    `name_tests` are the tests that depend on the names in a request alone, see `get_candidate_key`, and
-    `tests` the request_conditions.
+    `name_tests` depend only on the values in `get_candidate_key`, so their result can be cached;
+    `tests` are the predicates of the other conditions.
     """
 
     rule: Rule
@@ -55,11 +59,11 @@
     tests: tuple[Test, ...]
 
     def may_match(self, facts: RequestFacts) -> bool:
-        """Return whether the rule can match requests with the same names."""
+        """Return whether the rule can match requests with the same candidate key."""
         return all(test(facts) for test in self.name_tests)
 
     def find_failed_condition(self, facts: RequestFacts) -> Condition | None:
-        """Return the first condition that does not hold."""
+        """Return the first condition that fails, or None."""
         for condition in self.conditions:
             if not condition.test(facts):
                 return condition
@@ -67,7 +71,7 @@
 
 
 def compile_rule(rule: Rule, pools: dict[str, Pool]) -> CompiledRule:
-    """Compile one rule; one that leads to a pool is only about requests of that pool's kind."""
+    """Compile one rule; a rule that selects a pool matches only that pool's kind."""
     name_conditions = (*_compile_name_conditions(rule.when), *_compile_kind(rule, pools))
     request_conditions = (
         *_compile_path(rule.when),
