--- a/tests/admission/admission_fakes.py
+++ b/tests/admission/admission_fakes.py
@@ -1,4 +1,4 @@
-"""What the tests of admission share: requests, a configuration and one side's admission."""
+"""Requests, a configuration and an admission harness for the tests of admission."""
 
 from __future__ import annotations
 
@@ -69,13 +69,13 @@
 
 
 async def async_settle() -> None:
-    """Let every task that is ready run."""
+    """Run the event loop until all ready tasks have run."""
     for _ in range(5):
         await asyncio.sleep(0)
 
 
 class Call(Struct, kw_only=True):
-    """One request on its way through admission."""
+    """One request submitted to admission."""
 
     task: asyncio.Task[Slot | Refused]
     cancelled: asyncio.Event
@@ -102,8 +102,8 @@
         return not self.task.done()
 
 
-class Side(Struct, kw_only=True):
-    """One upstream's admission and the clock it lives by."""
+class AdmissionHarness(Struct, kw_only=True):
+    """One instance's admission with a manual clock."""
 
     clock: ManualClock
     app: Application
@@ -148,7 +148,9 @@
         await async_settle()
 
 
-def make_side(*, clock: ManualClock, pool: Pool, weight: float = 1.0, name: str = "side-1") -> Side:
+def make_harness(
+    *, clock: ManualClock, pool: Pool, weight: float = 1.0, name: str = "side-1"
+) -> AdmissionHarness:
     app = Application(
         name=name,
         role=Role.SIDE,
@@ -157,6 +159,8 @@
         clock=clock,
         incarnation=1,
     )
-    side = Side(clock=clock, app=app, admission=Admission(app=app, weight=weight, name=name))
-    side.configure(pool)
-    return side
+    harness = AdmissionHarness(
+        clock=clock, app=app, admission=Admission(app=app, weight=weight, name=name)
+    )
+    harness.configure(pool)
+    return harness
--- a/tests/placement/conftest.py
+++ b/tests/placement/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of placement."""
+"""Fixtures for the placement tests."""
 
 from __future__ import annotations
 
--- a/tests/placement/placement_fakes.py
+++ b/tests/placement/placement_fakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what placement asks of the fleet and the links."""
+"""Fakes of the fleet and the links, and a harness for placement tests."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class PlacementHarness(Struct, kw_only=True):
-    """One fleet and one set of statuses, seen by any number of routers."""
+    """One fleet and its statuses, shared by any number of routers."""
 
     fleet: FakeFleet
     links: FakeLinks
--- a/tests/placement/test_placement_order.py
+++ b/tests/placement/test_placement_order.py
@@ -1,4 +1,4 @@
-"""The order of instances for returning and new chats."""
+"""The order of instances for new and returning chats, hints, and pool load."""
 
 from __future__ import annotations
 
@@ -27,32 +27,32 @@
     return {chat: router.order(make_query(chat))[0].name for chat in CHATS}
 
 
-def test_a_leaving_instance_moves_only_its_own_chats(harness: PlacementHarness) -> None:
+def test_removing_an_instance_moves_only_its_own_chats(harness: PlacementHarness) -> None:
     before = first_names(harness)
-    gone = harness.fleet.instances[4]
+    removed = harness.fleet.instances[4]
     harness.fleet.instances = harness.fleet.instances[:4] + harness.fleet.instances[5:]
 
     after = first_names(harness)
 
     moved = {chat for chat in CHATS if before[chat] != after[chat]}
-    assert moved == {chat for chat in CHATS if before[chat] == gone.name}
+    assert moved == {chat for chat in CHATS if before[chat] == removed.name}
 
 
-def test_a_joining_instance_takes_its_part_and_moves_nothing_else(
+def test_adding_an_instance_moves_chats_only_to_it(
     harness: PlacementHarness,
 ) -> None:
     before = first_names(harness)
-    new = make_instance(9)
-    harness.fleet.instances = (*harness.fleet.instances, new)
+    added = make_instance(9)
+    harness.fleet.instances = (*harness.fleet.instances, added)
 
     after = first_names(harness)
 
     moved = [chat for chat in CHATS if before[chat] != after[chat]]
-    assert {after[chat] for chat in moved} == {new.name}
+    assert {after[chat] for chat in moved} == {added.name}
     assert 0.07 < len(moved) / len(CHATS) < 0.13
 
 
-def test_an_instance_of_double_weight_gets_double_the_chats(harness: PlacementHarness) -> None:
+def test_double_weight_gets_double_the_chats(harness: PlacementHarness) -> None:
     harness.fleet.instances = tuple(
         make_instance(number, weight=2.0 if number == 0 else 1.0) for number in range(3)
     )
@@ -60,48 +60,48 @@
     assert 0.46 < names.count("engine-000") / len(names) < 0.54
 
 
-def test_every_router_has_the_same_order_wherever_it_stands(harness: PlacementHarness) -> None:
+def test_routers_in_different_data_centres_have_the_same_order(harness: PlacementHarness) -> None:
     near = harness.make_router(data_centre="dc-1")
     far = harness.make_router(name="router-2", data_centre="dc-3")
     for chat in CHATS[:100]:
         assert near.order(make_query(chat)) == far.order(make_query(chat))
 
 
-def test_a_hint_goes_first_and_the_rest_keeps_its_order(harness: PlacementHarness) -> None:
+def test_the_hinted_instance_is_first_and_the_ranked_one_second(harness: PlacementHarness) -> None:
     router = harness.make_router()
-    plain = router.order(make_query("chat-1"))
-    hint = router.make_hint(plain[3])
+    ranked = router.order(make_query("chat-1"))
+    hint = router.make_hint(ranked[3])
 
     hinted = router.order(make_query("chat-1", hint=hint))
 
-    assert hinted[0] == plain[3]
-    assert hinted[1] == plain[0]
+    assert hinted[0] == ranked[3]
+    assert hinted[1] == ranked[0]
 
 
-def test_a_hint_to_an_instance_that_is_gone_is_ignored(harness: PlacementHarness) -> None:
+def test_a_hint_to_a_removed_instance_is_ignored(harness: PlacementHarness) -> None:
     router = harness.make_router()
     hint = router.make_hint(make_instance(77))
     assert router.order(make_query("chat-1", hint=hint)) == router.order(make_query("chat-1"))
 
 
-def test_a_hint_with_a_wrong_check_is_ignored(harness: PlacementHarness) -> None:
+def test_a_hint_with_a_wrong_checksum_is_ignored(harness: PlacementHarness) -> None:
     router = harness.make_router()
-    own = router.order(make_query("chat-1"))
-    hint = router.make_hint(own[3])
+    ranked = router.order(make_query("chat-1"))
+    hint = router.make_hint(ranked[3])
     wrong = hint[:-1] + ("A" if hint[-1] != "A" else "B")
-    assert router.order(make_query("chat-1", hint=wrong)) == own
+    assert router.order(make_query("chat-1", hint=wrong)) == ranked
 
 
 @settings(derandomize=True, deadline=None)
 @given(hint=st.one_of(st.text(max_size=40), st.from_regex(r"[A-Za-z0-9_-]{15}", fullmatch=True)))
-def test_a_made_up_hint_changes_nothing(hint: str) -> None:
+def test_an_invalid_hint_does_not_change_the_order(hint: str) -> None:
     members = tuple(make_instance(number) for number in range(5))
     harness = PlacementHarness(fleet=FakeFleet(members), links=FakeLinks(), clock=ManualClock())
     router = harness.make_router()
     assert router.order(make_query("chat-1", hint=hint)) == router.order(make_query("chat-1"))
 
 
-def test_instances_that_lack_the_model_are_skipped_and_unknown_ones_are_tried(
+def test_instances_without_the_model_are_skipped_and_those_without_status_kept(
     harness: PlacementHarness,
 ) -> None:
     for number in range(4):
@@ -111,13 +111,13 @@
     assert set(order) == {f"engine-{number:03}" for number in range(4, 9)}
 
 
-def test_a_model_that_nobody_holds_gets_no_instance(harness: PlacementHarness) -> None:
+def test_a_model_that_no_instance_serves_gets_an_empty_order(harness: PlacementHarness) -> None:
     for instance in harness.fleet.instances:
         harness.links.report(instance.name, models=("other",))
     assert harness.make_router().order(make_query("chat-1", model=MODEL)) == ()
 
 
-def test_an_instance_that_is_not_ready_comes_last(harness: PlacementHarness) -> None:
+def test_an_instance_that_is_not_ready_is_not_first(harness: PlacementHarness) -> None:
     router = harness.make_router()
     first = router.order(make_query("chat-1"))[0]
     harness.links.report(first.name, ready=False)
@@ -126,30 +126,30 @@
     assert hinted[0] != first
 
 
-def test_a_new_chat_avoids_an_instance_over_the_cap_and_a_returning_one_tries_it_first(
+def test_only_new_chats_avoid_an_instance_over_the_cap(
     harness: PlacementHarness,
 ) -> None:
     router = harness.make_router()
-    own = router.order(make_query("chat-1"))
+    ranked = router.order(make_query("chat-1"))
     for instance in harness.fleet.instances:
-        harness.links.report(instance.name, load=20 if instance == own[0] else 8)
+        harness.links.report(instance.name, load=20 if instance == ranked[0] else 8)
     harness.clock.advance(100)
 
-    assert router.order(make_query("chat-1", returning=True))[0] == own[0]
-    assert router.order(make_query("chat-1", returning=False))[0] in own[1:3]
+    assert router.order(make_query("chat-1", returning=True))[0] == ranked[0]
+    assert router.order(make_query("chat-1", returning=False))[0] in ranked[1:3]
 
 
-def test_old_statuses_move_nothing(harness: PlacementHarness) -> None:
+def test_outdated_statuses_do_not_change_the_order(harness: PlacementHarness) -> None:
     router = harness.make_router()
-    own = router.order(make_query("chat-1"))
+    ranked = router.order(make_query("chat-1"))
     for instance in harness.fleet.instances:
-        load = 50 if instance == own[0] else 1
+        load = 50 if instance == ranked[0] else 1
         harness.links.report(instance.name, load=load, age_ms=5_000)
     harness.clock.advance(100)
-    assert router.order(make_query("chat-1", returning=False)) == own
+    assert router.order(make_query("chat-1", returning=False)) == ranked
 
 
-def test_from_the_third_place_on_the_emptiest_comes_first(harness: PlacementHarness) -> None:
+def test_instances_from_the_third_on_are_sorted_by_load(harness: PlacementHarness) -> None:
     router = harness.make_router()
     for load, instance in enumerate(harness.fleet.instances):
         harness.links.report(instance.name, load=20 - load)
@@ -160,20 +160,20 @@
     assert tail[2:] == sorted(tail[2:])
 
 
-def test_requests_without_a_chat_spread_over_all_members(harness: PlacementHarness) -> None:
+def test_requests_without_a_chat_are_spread_over_all_members(harness: PlacementHarness) -> None:
     router = harness.make_router()
     firsts = {router.order(make_query(""))[0].name for _ in range(200)}
     assert len(firsts) == len(harness.fleet.instances)
 
 
-def test_another_region_is_tried_last(harness: PlacementHarness) -> None:
-    away = make_instance(0, region="region-2")
-    harness.fleet.instances = (away, *harness.fleet.instances[1:4])
+def test_instances_of_another_region_come_last(harness: PlacementHarness) -> None:
+    remote = make_instance(0, region="region-2")
+    harness.fleet.instances = (remote, *harness.fleet.instances[1:4])
     router = harness.make_router()
-    assert all(router.order(make_query(chat))[-1] == away for chat in CHATS[:50])
+    assert all(router.order(make_query(chat))[-1] == remote for chat in CHATS[:50])
 
 
-def test_pool_load_is_the_mean_of_fresh_statuses_only(harness: PlacementHarness) -> None:
+def test_pool_load_is_the_mean_of_recent_statuses_only(harness: PlacementHarness) -> None:
     router = harness.make_router()
     harness.links.report("engine-000", load=10, age_ms=100)
     harness.links.report("engine-001", load=20, age_ms=300)
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("kind", [kind for kind in PlacementKind if kind != "rendezvous"])
-def test_each_baseline_orders_every_request_and_skips_what_lacks_the_model(
+def test_each_baseline_returns_distinct_instances_that_may_serve_the_model(
     harness: PlacementHarness, kind: PlacementKind
 ) -> None:
     harness.links.report("engine-000", models=("other",))
@@ -195,33 +195,35 @@
         assert "engine-000" not in names
 
 
-def test_sticky_memory_returns_to_where_a_chat_was_served(harness: PlacementHarness) -> None:
+def test_sticky_baseline_returns_to_the_instance_that_served_the_chat(
+    harness: PlacementHarness,
+) -> None:
     router = harness.make_router(kind=PlacementKind.STICKY)
     query = make_query("chat-1")
     router.record_served(query, harness.fleet.instances[5])
     assert router.order(query)[0] == harness.fleet.instances[5]
 
 
-def test_the_holders_of_a_returning_chat_are_its_first_places_and_the_hinted_one(
+def test_prefix_holders_are_the_first_ranked_instances_and_the_hinted_one(
     harness: PlacementHarness,
 ) -> None:
     router = harness.make_router()
-    own = list_names(router.order(make_query("chat-1")))
+    ranked = list_names(router.order(make_query("chat-1")))
     query = make_query("chat-1", hint=router.make_hint(router.order(make_query("chat-1"))[4]))
-    assert router.find_prefix_holders(query) == (own[0], own[1], own[4])
+    assert router.find_prefix_holders(query) == (ranked[0], ranked[1], ranked[4])
     assert router.find_prefix_holders(make_query("chat-1", returning=False)) == ()
 
 
-def test_the_baselines_name_no_holders(harness: PlacementHarness) -> None:
+def test_baselines_have_no_prefix_holders(harness: PlacementHarness) -> None:
     router = harness.make_router(kind=PlacementKind.STICKY)
     assert router.find_prefix_holders(make_query("chat-1")) == ()
 
 
-def test_new_batch_work_goes_where_least_of_it_waits(harness: PlacementHarness) -> None:
+def test_new_batch_work_goes_to_the_smallest_backlog(harness: PlacementHarness) -> None:
     router = harness.make_router()
-    own = router.order(make_query("chat-1"))
+    ranked = router.order(make_query("chat-1"))
     for instance in harness.fleet.instances:
         harness.links.report(instance.name, load=4, batch_waiting=9)
-    harness.links.report(own[2].name, load=5, batch_waiting=1)
+    harness.links.report(ranked[2].name, load=5, batch_waiting=1)
     query = replace(make_query("chat-1", returning=False), batch=True)
-    assert router.order(query)[0] == own[2]
+    assert router.order(query)[0] == ranked[2]
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -1,4 +1,4 @@
-"""Which rule counts, what follows, who a caller is, and what must not be repeated."""
+"""Rule matching, decisions and explanations, key lookup, and at-most-once calls."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gypsumrouter.exceptions import ConfigurationInvalid
 from gypsumrouter.policy import Miss, Policy, RequestFacts
 
-# Monday the fifth of January 2026, 08:00 UTC.
+# Monday, 5 January 2026, 08:00 UTC.
 MONDAY_MS = 1_767_600_000_000
 HOUR_MS = 3_600_000
 
@@ -84,7 +84,7 @@
     return policy.decide(facts).rule
 
 
-def test_without_rules_a_request_goes_where_its_model_or_service_is() -> None:
+def test_default_decision_follows_the_model_or_service() -> None:
     policy = make_policy()
     decision = policy.decide(make_chat_facts())
     assert (decision.rule, decision.caller_class.name) == (None, "parents")
@@ -99,7 +99,7 @@
     assert service.name == "dispatch"
 
 
-def test_only_the_first_rule_that_matches_counts() -> None:
+def test_the_first_matching_rule_decides() -> None:
     policy = make_policy(
         {"when": {"workspace": ["utility"]}, "then": {"max_output_tokens": 1}},
         {"when": {"model": ["sizing"]}, "then": {"pool": "spare", "next_pool": "shared"}},
@@ -145,7 +145,7 @@
         ),
     ],
 )
-def test_each_condition_matches_what_it_says(
+def test_each_condition_matches_and_rejects(
     when: dict[str, Any], matching: RequestFacts, other: RequestFacts
 ) -> None:
     policy = make_policy({"when": when, "then": {"max_output_tokens": 7}})
@@ -154,13 +154,13 @@
     assert get_rule_name(policy, matching) == "rule-0"
 
 
-def test_a_rule_that_leads_to_an_engine_pool_leaves_service_calls_alone() -> None:
+def test_a_rule_with_an_engine_pool_does_not_match_service_calls() -> None:
     policy = make_policy({"then": {"pool": "spare"}})
     assert get_rule_name(policy, make_chat_facts()) == "rule-0"
     assert get_rule_name(policy, make_call_facts()) is None
 
 
-def test_an_explanation_names_the_first_condition_that_did_not_hold() -> None:
+def test_an_explanation_names_the_first_failed_condition() -> None:
     policy = make_policy(
         {"when": {"workspace": ["utility"], "min_bytes": 1_000}},
         {"when": {"workspace": ["schools"], "min_bytes": 1_000}},
@@ -194,7 +194,7 @@
     returning=st.booleans(),
     size_bytes=st.integers(0, 5),
 )
-def test_a_decision_and_its_explanation_agree_with_reading_the_rules_in_order(
+def test_decide_and_explain_agree_with_a_linear_scan_of_the_rules(
     whens: list[dict[str, Any]], workspace: str, returning: bool, size_bytes: int
 ) -> None:
     try:
@@ -217,7 +217,7 @@
     assert policy.explain(facts).decision == policy.decide(facts)
 
 
-def test_a_key_finds_its_workspace_alone() -> None:
+def test_a_key_finds_only_its_own_workspace() -> None:
     policy = make_policy()
     names = {key: policy.find_workspace(key) for key in ("key-1", "key-2", "key-3", "key-4", "")}
     assert {key: found.name for key, found in names.items() if found} == {
@@ -229,7 +229,7 @@
     assert policy.find_workspace("\udcff") is None
 
 
-async def test_a_policy_that_is_built_in_slices_decides_the_same() -> None:
+async def test_a_policy_compiled_in_slices_decides_the_same() -> None:
     configuration = make_configuration({"when": {"model": ["quotes"]}})
     policy = await Policy.async_compile(configuration)
     assert get_rule_name(policy, make_chat_facts(model="quotes")) == "rule-0"
@@ -265,14 +265,14 @@
         "/stock/reserve#part",
     ],
 )
-def test_no_spelling_of_a_path_dodges_the_mark(path: str) -> None:
+def test_equivalent_or_ambiguous_paths_match_an_at_most_once_call(path: str) -> None:
     policy = make_policy()
     assert policy.must_not_repeat(pool="dispatch", method="POST", path=path)
     assert policy.must_not_repeat(pool="dispatch", method="post", path=path)
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "marked"),
+    ("method", "path", "at_most_once"),
     [
         ("GET", "/stock/reserve", False),
         ("GET", "/stock;x/reserve", True),
@@ -284,12 +284,14 @@
         ("GET", "/a%20b", False),
     ],
 )
-def test_other_calls_may_be_repeated(method: str, path: str, marked: bool) -> None:
+def test_at_most_once_matches_by_method_and_path(
+    method: str, path: str, at_most_once: bool
+) -> None:
     policy = make_policy()
-    assert policy.must_not_repeat(pool="dispatch", method=method, path=path) is marked
+    assert policy.must_not_repeat(pool="dispatch", method=method, path=path) is at_most_once
 
 
-def test_calls_of_pools_without_marks_may_be_repeated_and_of_unknown_ones_not() -> None:
+def test_only_unknown_pools_and_at_most_once_calls_must_not_repeat() -> None:
     policy = make_policy()
     assert not policy.must_not_repeat(pool="plain", method="POST", path="/stock/reserve")
     assert not policy.must_not_repeat(pool="shared", method="POST", path="/v1/chat/completions")
@@ -297,8 +299,8 @@
 
 
 @settings(derandomize=True, deadline=None)
-@given(path=st.text(max_size=40), noise=st.sampled_from(("", "/", "/.", "/x/..", "//")))
-def test_noise_before_a_path_never_takes_the_mark_away(path: str, noise: str) -> None:
+@given(path=st.text(max_size=40), prefix=st.sampled_from(("", "/", "/.", "/x/..", "//")))
+def test_equivalent_path_prefixes_still_match_an_at_most_once_call(path: str, prefix: str) -> None:
     policy = make_policy()
-    spelled = f"{noise}/stock/reserve{path}"
-    assert policy.must_not_repeat(pool="dispatch", method="POST", path=spelled)
+    path_variant = f"{prefix}/stock/reserve{path}"
+    assert policy.must_not_repeat(pool="dispatch", method="POST", path=path_variant)
