--- a/gypsumrouter/admission/queue.py
+++ b/gypsumrouter/admission/queue.py
@@ -69,14 +69,14 @@
         self._compact_expiring()
         heapq.heappush(self._expiring, (waiter.expires_ms, waiter.sequence, waiter))
         waiter.queued = True
-        self._count(waiter, 1)
+        self._adjust_counts(waiter, 1)
 
     def remove(self, waiter: Waiter) -> None:
         """Remove a waiter; its heap entries are dropped lazily."""
         if not waiter.queued:
             return
         waiter.queued = False
-        self._count(waiter, -1)
+        self._adjust_counts(waiter, -1)
         key = (waiter.usage.name, waiter.caller_class)
         group = self._groups[key]
         group.size -= 1
@@ -128,9 +128,9 @@
     ) -> Waiter | None:
         """Return the waiter to evict so that the total load fits `capacity`.
 
-        It is chosen from the workspace that most exceeds its guaranteed share. Returns None if that
-        is the newcomer's own workspace. With `interactive_only` batch requests, which don't count
-        as load, are not evicted.
+        It is chosen from the workspace that exceeds its guaranteed share by the largest amount.
+        Returns None if that is the newcomer's own workspace. With `interactive_only` batch
+        requests, which don't count as load while they wait, are not evicted.
         """
         worst: WorkspaceUsage | None = newcomer
         worst_excess = -math.inf if newcomer is None else self._get_excess(newcomer, capacity) + 1
@@ -161,16 +161,16 @@
             if waiter.queued:
                 yield waiter
 
-    def count_due(self, *, start_by_ms: float, most: int) -> int:
-        """Return the number of interactive requests due by `start_by_ms`, at most `most`."""
-        urgent = 0
+    def count_due(self, *, start_by_ms: float, limit: int) -> int:
+        """Return the number of interactive requests due by `start_by_ms`, at most `limit`."""
+        due = 0
         for group in self._groups.values():
             if group.caller_class.batch:
                 continue
-            urgent += group.count_due(start_by_ms)
-            if urgent >= most:
-                return most
-        return urgent
+            due += group.count_due(start_by_ms)
+            if due >= limit:
+                return limit
+        return due
 
     def list_waiters(self) -> list[Waiter]:
         """Return all waiting requests."""
@@ -183,7 +183,7 @@
         self._expiring = [item for item in self._expiring if item[2].queued]
         heapq.heapify(self._expiring)
 
-    def _count(self, waiter: Waiter, change: int) -> None:
+    def _adjust_counts(self, waiter: Waiter, change: int) -> None:
         self.size += change
         waiter.usage.waiting += change
         if not waiter.caller_class.batch:
--- a/gypsumrouter/admission/scheduler.py
+++ b/gypsumrouter/admission/scheduler.py
@@ -65,7 +65,7 @@
     def load(self) -> int:
         """Return the number of running requests plus waiting interactive requests.
 
-        Waiting batch work doesn't count, because it starts only on slots that nothing else needs.
+        Waiting batch work doesn't count, because it normally starts only on spare slots.
         """
         return self._slots.running + self.queue.interactive
 
@@ -88,7 +88,8 @@
         """Return the refusal of a new request, or None if it may run or wait.
 
         At the load limit or with a full queue, a new request may evict a waiting one: of the
-        workspace that most exceeds its share, or of a lower class of its own workspace.
+        workspace that exceeds its share by the largest amount, or of a lower class of its own
+        workspace.
         """
         load_limit = None if caller_class.batch else self._capacity.load_limit
         if load_limit is not None and self.load >= load_limit:
@@ -170,7 +171,7 @@
             )
             if waiter is None:
                 break
-            self._start(waiter, now_ms)
+            self._start_waiter(waiter, now_ms)
         self.request_yields()
 
     def request_yields(self) -> None:
@@ -179,12 +180,12 @@
             return
         now_ms = self._clock.now_ms()
         start_by_ms = now_ms + YIELD_LOOKAHEAD_RELEASES * self._get_release_interval_ms()
-        needed = self.queue.count_due(start_by_ms=start_by_ms, most=self._slots.batch_running)
+        needed = self.queue.count_due(start_by_ms=start_by_ms, limit=self._slots.batch_running)
         requested = self._slots.request_yields(needed=needed, now_ms=now_ms)
         if requested:
             self._metrics.yields.inc(requested)
 
-    def _start(self, waiter: Waiter, now_ms: int) -> None:
+    def _start_waiter(self, waiter: Waiter, now_ms: int) -> None:
         if waiter.future.done():
             self.refuse(waiter, refusals.refuse_cancelled())
             return
--- a/gypsumrouter/placement/baselines.py
+++ b/gypsumrouter/placement/baselines.py
@@ -44,7 +44,7 @@
             case PlacementKind.STICKY:
                 ordered = self._order_sticky(query, members)
             case PlacementKind.RENDEZVOUS:
-                raise InvariantBroken("rendezvous hashing is not a baseline")
+                raise InvariantBroken("expected a baseline placement kind, got rendezvous")
         return ordered[:MAX_CANDIDATES]
 
     def record_served(self, *, query: PlacementQuery, instance: Instance) -> None:
--- a/gypsumrouter/placement/models.py
+++ b/gypsumrouter/placement/models.py
@@ -24,7 +24,7 @@
 
 
 class PlacementQuery(Struct, frozen=True, kw_only=True):
-    """What a router knows of a request before it is placed.
+    """The attributes of a request that placement uses.
 
     `chat` is empty if no later request can reuse the cached prefix. `hint` is the hint that the
     caller returned from an earlier response, or empty; it is not trusted. `returning` marks a
