--- a/gypsumrouter/admission/load.py
+++ b/gypsumrouter/admission/load.py
@@ -1,4 +1,4 @@
-"""The cap: how much load an upstream may carry against the mean of its pool."""
+"""Estimates the mean load of a pool and limits the load of an upstream relative to it."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from msgspec import Struct
 
 from gypsumrouter.admission.const import (
-    CAUTION_AFTER_MS,
-    CAUTION_HALF_LIFE_MS,
+    DECAY_AFTER_MS,
+    DECAY_HALF_LIFE_MS,
     DRIFT_MARGIN,
     GROWTH_SLACK,
-    HALF,
-    HALF_LIFE_MS,
     HISTORY_STEP_MS,
     HISTORY_STEPS,
-    NOTE_FRESH_MS,
-    ROUNDING,
+    REPORT_HALF_LIFE_MS,
+    REPORT_MAX_AGE_MS,
+    ROUND_HALF_UP,
+    ROUNDING_EPSILON,
 )
 from gypsumrouter.link.models import PoolLoad
 
 
 class LoadHistory:
-    """The own load of the last seconds in steps of HISTORY_STEP_MS."""
+    """Ring buffer of this instance's recent load in steps of HISTORY_STEP_MS."""
 
     __slots__ = ("_loads", "_step")
 
@@ -30,31 +30,32 @@
         self._loads = [0] * HISTORY_STEPS
         self._step = 0
 
-    def note(self, *, load: int, now_ms: int) -> None:
-        """Set the load from now on."""
+    def record(self, *, load: int, now_ms: int) -> None:
+        """Record the load from `now_ms` on."""
         step = now_ms // HISTORY_STEP_MS
         if step > self._step:
-            self._fill_until(step)
+            self._advance_to(step)
         self._loads[step % HISTORY_STEPS] = load
 
     def get(self, *, at_ms: int) -> int:
-        """Return the load at a time; the oldest known for times before."""
+        """Return the load at a time, or the oldest recorded load for earlier times."""
         step = min(at_ms // HISTORY_STEP_MS, self._step)
         step = max(step, self._step - HISTORY_STEPS + 1)
         return self._loads[step % HISTORY_STEPS]
 
-    def _fill_until(self, step: int) -> None:
+    def _advance_to(self, step: int) -> None:
         last = self._loads[self._step % HISTORY_STEPS]
         first = max(self._step + 1, step - HISTORY_STEPS + 1)
-        for passed in range(first, step + 1):
-            self._loads[passed % HISTORY_STEPS] = last
+        for skipped in range(first, step + 1):
+            self._loads[skipped % HISTORY_STEPS] = last
         self._step = step
 
 
-class Believed(Struct, frozen=True, kw_only=True):
-    """The estimate of the other members' mean load for each unit of weight.
+class PoolEstimate(Struct, frozen=True, kw_only=True):
+    """The estimated mean load per unit of weight of the other pool members.
 
-    `age_ms` is the age of the newest status that went into it; `mean` has the discount for age.
+    `age_ms` is the age of the newest router report included, None without any. `mean` already
+    includes the decay for that age.
     """
 
     mean: float
@@ -62,22 +63,22 @@
     age_ms: int | None
 
 
-class PoolMean:
-    """Estimates the mean load of the other members from what routers say of the whole pool.
+class PoolLoadEstimator:
+    """Estimates the mean load of the other members from routers' reports on the whole pool.
 
-    What this side adds to each router's mean is taken out, as of the time that the router speaks
-    of, so that a router that knows this side alone says nothing. Notes are weighted by how many
-    others they cover and by their age. Without news the estimate fades towards nothing.
+    Each report includes this instance, so its own load at the time of the report is subtracted. A
+    report that covers only this instance is ignored. Reports are weighted by the number of other
+    members they cover and by their age. Without new reports the estimate decays towards zero.
     """
 
     __slots__ = (
+        "_confidence",
         "_history",
         "_mean",
         "_members",
         "_members_at_ms",
-        "_newest_ms",
-        "_noted_at_ms",
-        "_trust",
+        "_newest_observed_ms",
+        "_recorded_at_ms",
         "_weight",
     )
 
@@ -85,82 +86,88 @@
         self._weight = weight
         self._history = LoadHistory()
         self._mean = 0.0
-        self._trust = 0.0
-        self._noted_at_ms = 0
-        self._newest_ms: int | None = None
+        self._confidence = 0.0
+        self._recorded_at_ms = 0
+        self._newest_observed_ms: int | None = None
         self._members: int | None = None
         self._members_at_ms = 0
 
-    def note_own(self, *, load: int, now_ms: int) -> None:
-        """Note a change of this side's own load."""
-        self._history.note(load=load, now_ms=now_ms)
+    def record_own_load(self, *, load: int, now_ms: int) -> None:
+        """Record a change of this instance's own load."""
+        self._history.record(load=load, now_ms=now_ms)
 
-    def note(self, load: PoolLoad, *, now_ms: int) -> None:
-        """Take in what one router believes."""
-        self._note_members(load.members, now_ms)
+    def record_report(self, load: PoolLoad, *, now_ms: int) -> None:
+        """Update the estimate with one router's report."""
+        self._update_members(load.members, now_ms)
         others = min(load.known, load.members) - 1
-        if others < 1 or load.age_ms > NOTE_FRESH_MS:
+        if others < 1 or load.age_ms > REPORT_MAX_AGE_MS:
             return
         observed_ms = now_ms - load.age_ms
         own = self._history.get(at_ms=observed_ms) / self._weight
         mean = max(0.0, (load.mean * (others + 1) - own) / others)
-        trust = others * 0.5 ** (load.age_ms / HALF_LIFE_MS)
-        kept = self._trust * 0.5 ** ((now_ms - self._noted_at_ms) / HALF_LIFE_MS)
-        if kept + trust > 0:
-            self._mean = (self._mean * kept + mean * trust) / (kept + trust)
-        self._trust = kept + trust
-        self._noted_at_ms = now_ms
-        if self._newest_ms is None or observed_ms > self._newest_ms:
-            self._newest_ms = observed_ms
-
-    def believe(self, *, now_ms: int) -> Believed | None:
-        """Return the estimate, None as long as no router has spoken of the pool."""
+        confidence = others * 0.5 ** (load.age_ms / REPORT_HALF_LIFE_MS)
+        kept = self._confidence * 0.5 ** ((now_ms - self._recorded_at_ms) / REPORT_HALF_LIFE_MS)
+        if kept + confidence > 0:
+            self._mean = (self._mean * kept + mean * confidence) / (kept + confidence)
+        self._confidence = kept + confidence
+        self._recorded_at_ms = now_ms
+        if self._newest_observed_ms is None or observed_ms > self._newest_observed_ms:
+            self._newest_observed_ms = observed_ms
+
+    def estimate(self, *, now_ms: int) -> PoolEstimate | None:
+        """Return the estimate, or None before the first report."""
         if self._members is None:
             return None
-        if self._newest_ms is None:
-            return Believed(mean=0.0, members=self._members, age_ms=None)
-        age_ms = now_ms - self._newest_ms
-        late_ms = max(0, age_ms - CAUTION_AFTER_MS)
-        mean = self._mean * 0.5 ** (late_ms / CAUTION_HALF_LIFE_MS)
-        return Believed(mean=mean, members=self._members, age_ms=age_ms)
-
-    def _note_members(self, members: int, now_ms: int) -> None:
-        """Keep the largest number of members that any router lately believed in."""
-        outdated = now_ms - self._members_at_ms > NOTE_FRESH_MS
+        if self._newest_observed_ms is None:
+            return PoolEstimate(mean=0.0, members=self._members, age_ms=None)
+        age_ms = now_ms - self._newest_observed_ms
+        late_ms = max(0, age_ms - DECAY_AFTER_MS)
+        mean = self._mean * 0.5 ** (late_ms / DECAY_HALF_LIFE_MS)
+        return PoolEstimate(mean=mean, members=self._members, age_ms=age_ms)
+
+    def _update_members(self, members: int, now_ms: int) -> None:
+        """Keep the largest member count reported within REPORT_MAX_AGE_MS."""
+        outdated = now_ms - self._members_at_ms > REPORT_MAX_AGE_MS
         if self._members is None or outdated or members >= self._members:
             self._members = members
             self._members_at_ms = now_ms
 
 
-def compute_limit(
-    *, believed: Believed | None, cap: float, floor: int, weight: float
+def compute_load_limit(
+    *, pool_estimate: PoolEstimate | None, cap: float, floor: int, weight: float
 ) -> int | None:
-    """Return the highest load that keeps this side within `cap` times the mean.
-
-    The mean includes this side with that load: with n members whose others carry a mean of m,
-    load / weight <= cap * ((n - 1) * m + load / weight) / n. A margin for the drift of the mean
-    after the admission is taken off. One request above a mean that is all but reached is always
-    allowed, or a pool whose members all stand at their limit could never take more. None is no
-    limit, where a side could not exceed the multiple of the mean with all of the load.
+    """Return the highest load that stays within `cap` times the pool's mean, None for no limit.
+
+    The mean includes this instance: with n members and a mean m of the others, the condition is
+    load / weight <= cap * ((n - 1) * m + load / weight) / n. A margin is subtracted for changes of
+    the mean after admission. One request above the mean is always allowed; otherwise a pool whose
+    members are all at their limit could not grow. There is no limit where n <= cap, since even the
+    whole pool's load on one member does not exceed the cap. Without an estimate the limit is
+    `floor`.
     """
-    if believed is None:
+    if pool_estimate is None:
         return floor
-    if believed.members <= cap:
+    if pool_estimate.members <= cap:
         return None
-    even = weight * believed.mean
-    exact = cap * even * (believed.members - 1) / (believed.members - cap)
-    limit = math.ceil(exact - DRIFT_MARGIN * math.sqrt(exact) - ROUNDING)
-    return max(floor, int(even + GROWTH_SLACK) + 1, limit)
+    fair_load = weight * pool_estimate.mean
+    unrounded_limit = cap * fair_load * (pool_estimate.members - 1) / (pool_estimate.members - cap)
+    limit = math.ceil(
+        unrounded_limit - DRIFT_MARGIN * math.sqrt(unrounded_limit) - ROUNDING_EPSILON
+    )
+    return max(floor, int(fair_load + GROWTH_SLACK) + 1, limit)
 
 
-def compute_batch_limit(*, believed: Believed | None, floor: int, weight: float) -> int | None:
-    """Return the highest load at which batch work may still start.
+def compute_batch_limit(
+    *, pool_estimate: PoolEstimate | None, floor: int, weight: float
+) -> int | None:
+    """Return the load below which batch work may start, None for no limit.
 
-    It fills a side up to the others' mean and one more. So it leaves the room between the mean and
-    the cap to interactive work, which can't be given the slot of batch work that has begun.
+    Batch work may raise the load to one above the mean of the other members. The range between that
+    and the cap stays free for interactive work, because a batch request that has started its
+    response can't be preempted.
     """
-    if believed is None:
+    if pool_estimate is None:
         return floor
-    if believed.members <= 1:
+    if pool_estimate.members <= 1:
         return None
-    return max(floor, int(weight * believed.mean + HALF) + 1)
+    return max(floor, int(weight * pool_estimate.mean + ROUND_HALF_UP) + 1)
