--- a/gypsumrouter/forwarding/eligibility.py
+++ b/gypsumrouter/forwarding/eligibility.py
@@ -28,10 +28,10 @@
 
 
 NO_UPSTREAM = PlacementRefusal(
-    reason=Reason.NO_INSTANCE, message="No upstream is available for this request"
+    reason=Reason.NO_INSTANCE, message="No upstream can take the request"
 )
 ALL_EVACUATED = PlacementRefusal(
-    reason=Reason.EVACUATED, message="All remaining upstreams are in evacuated data centres"
+    reason=Reason.EVACUATED, message="All upstreams left are evacuated"
 )
 
 
@@ -39,7 +39,7 @@
     """Return the refusal of a request whose response is expected to be late by `late_ms`."""
     return PlacementRefusal(
         reason=Reason.TARGET_HOPELESS,
-        message="The upstreams' queues are too long to answer this request in time",
+        message="The upstreams have more waiting than they serve in time",
         not_before_ms=int(late_ms),
     )
 
@@ -137,7 +137,7 @@
         waits_ms = (self._backoffs.get_remaining_ms(entry.incarnation) for entry in in_service)
         return PlacementRefusal(
             reason=Reason.UPSTREAMS_REST,
-            message="All upstreams are at capacity and have asked for a back-off",
+            message="All upstreams are full and want a rest",
             not_before_ms=min(waits_ms),
         )
 
@@ -145,6 +145,6 @@
         waits_ms = (self._slow_start.get_wait_ms(entry.incarnation) for entry in accepting)
         return PlacementRefusal(
             reason=Reason.WARMING_UP,
-            message="All upstreams are warming up and have reached their request limit",
+            message="All upstreams warm up and have as much as they bear",
             not_before_ms=min(waits_ms),
         )
