--- a/bench/plain_replay.py
+++ b/bench/plain_replay.py
@@ -15,12 +15,12 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
+from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.eligibility import PlacementRefusal
 from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads, UpstreamLoad
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import BackoffTracker
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -10,6 +10,7 @@
 from gypsumrouter.callers import CallerConnection, CallerListener, CallerServer, HeadLimits
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
+from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.budget import RetryBudget
 from gypsumrouter.forwarding.connections import UpstreamConnections
 from gypsumrouter.forwarding.const import CALLER_SPARE_MS, LEAVING_MS
@@ -21,7 +22,6 @@
 from gypsumrouter.forwarding.models import Dialect
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import BackoffTracker
 from gypsumrouter.forwarding.run import RunParts
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.forwarding.suspects import SuspectTracker
--- a/gypsumrouter/forwarding/loads.py
+++ b/gypsumrouter/forwarding/loads.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from gypsumrouter.forwarding.reading import PrefillSpeed
+from gypsumrouter.forwarding.prefill_speed import PrefillSpeed
 
 # Loads of a peer that has sent no report for this long are dropped.
 PEER_LOADS_TTL_MS: Final = 1_500
--- a/gypsumrouter/forwarding/placement.py
+++ b/gypsumrouter/forwarding/placement.py
@@ -14,7 +14,7 @@
 import xxhash
 from msgspec import Struct
 
-from gypsumrouter.forwarding.reading import PRIOR_TOKENS_PER_MS
+from gypsumrouter.forwarding.prefill_speed import PRIOR_TOKENS_PER_MS
 
 # Cost of copying cached tokens from another engine: a set-up time and a rate. The rate is set below
 # the real one, because a copy also evicts other prompts from the cache of the receiving engine.
--- a/gypsumrouter/forwarding/placer.py
+++ b/gypsumrouter/forwarding/placer.py
@@ -9,10 +9,11 @@
 
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations
+from gypsumrouter.forwarding.backoff import BackoffTracker
+from gypsumrouter.forwarding.cache_index import CACHE_TTL_MS, CacheIndex
 from gypsumrouter.forwarding.const import SOURCE_ANSWER
 from gypsumrouter.forwarding.eligibility import NO_UPSTREAM, Eligibility, PlacementRefusal
 from gypsumrouter.forwarding.health import HealthTracker
-from gypsumrouter.forwarding.holdings import CACHE_TTL_MS, CacheIndex
 from gypsumrouter.forwarding.loads import LoadTracker, UpstreamLoad, get_mean
 from gypsumrouter.forwarding.models import AnswerFacts, Prompt, PromptPart
 from gypsumrouter.forwarding.placed import CopySource, Placement, SentRequest
@@ -25,8 +26,7 @@
     choose_plain,
 )
 from gypsumrouter.forwarding.plain_admission import PlainAdmission
-from gypsumrouter.forwarding.reading import PrefillSpeed
-from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.prefill_speed import PrefillSpeed
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.mechanisms import Mechanism
 
--- a/gypsumrouter/peers/held.py
+++ b/gypsumrouter/peers/held.py
@@ -10,7 +10,7 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.core import Application
-from gypsumrouter.forwarding.holdings import CacheIndex
+from gypsumrouter.forwarding.cache_index import CacheIndex
 from gypsumrouter.journal import HeldPartsTold, Journal
 from gypsumrouter.link import HeldAt, HeldNews, HeldWanted, Notice, NoticeHub, Peer
 
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -15,8 +15,8 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Entry
-from gypsumrouter.forwarding import handler, holdings
-from gypsumrouter.forwarding.holdings import CacheIndex
+from gypsumrouter.forwarding import cache_index, handler
+from gypsumrouter.forwarding.cache_index import CacheIndex
 from gypsumrouter.forwarding.inventory import CacheInventory, CacheListing
 from gypsumrouter.journal import Journal
 from gypsumrouter.link import HeldAt, HeldNews, Notice, NoticeHub, Peer
@@ -44,12 +44,12 @@
         """Start a router."""
         app = Application(name=address, role=Role.FORWARDER, data_centre="a", region="r")
         hub = self.hubs[address] = NoticeHub()
-        cache_index = self.cache_indexes[address] = CacheIndex()
+        own_index = self.cache_indexes[address] = CacheIndex()
         desk = self.desks[address] = HeldDesk(
             app=app,
             journal=Journal(app=app),
             notices=hub,
-            holdings=cache_index,
+            holdings=own_index,
             own=lambda: address,
             list_seeds=lambda: SEEDS,
             send=lambda target, notice: self._async_send(address, target, notice),
@@ -212,7 +212,7 @@
 ) -> None:
     monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
     monkeypatch.setattr(handler, "START_WAIT_MS", FOREVER_MS)
-    monkeypatch.setattr(holdings, "COPY_READY_MS", 0)
+    monkeypatch.setattr(cache_index, "COPY_READY_MS", 0)
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
     seed = str(world.product.addresses["link"])
--- a/tests/forwarding/test_forwarding_placement.py
+++ b/tests/forwarding/test_forwarding_placement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gypsumrouter.forwarding.holdings import CACHE_TTL_MS, COPY_READY_MS, CacheIndex
+from gypsumrouter.forwarding.cache_index import CACHE_TTL_MS, COPY_READY_MS, CacheIndex
 from gypsumrouter.forwarding.loads import (
     PEER_LOADS_TTL_MS,
     LoadTracker,
@@ -21,7 +21,7 @@
     choose,
     order_by_affinity,
 )
-from gypsumrouter.forwarding.reading import PRIOR_TOKENS_PER_MS
+from gypsumrouter.forwarding.prefill_speed import PRIOR_TOKENS_PER_MS
 
 CAP = Cap(factor=2.0, slack=2.0)
 ENGINES = tuple(f"i-{number}" for number in range(6))
--- a/tests/forwarding/test_forwarding_reading.py
+++ b/tests/forwarding/test_forwarding_prefill_speed.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gypsumrouter.forwarding.reading import (
+from gypsumrouter.forwarding.prefill_speed import (
     MAX_TOKENS_PER_MS,
     MIN_TOKENS_PER_MS,
     PRIOR_TOKENS_PER_MS,
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -11,11 +11,11 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
 from gypsumrouter.exceptions import DocumentInvalid
+from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import BackoffTracker
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.forwarding.suspects import SuspectTracker
 from gypsumrouter.instances import parse_address
