--- a/gypsumrouter/admission/admission.py
+++ b/gypsumrouter/admission/admission.py
@@ -1,4 +1,4 @@
-"""Decides for one upstream what runs, what waits and what is refused."""
+"""Admission control of one upstream: which requests run, wait or are refused."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from gypsumrouter.admission import refusals
 from gypsumrouter.admission.capacity import Capacity
-from gypsumrouter.admission.const import WATCH_MS
+from gypsumrouter.admission.const import QUEUE_CHECK_INTERVAL_MS
 from gypsumrouter.admission.diagnostics import register_diagnostics
 from gypsumrouter.admission.estimates import ServiceTime
 from gypsumrouter.admission.metrics import AdmissionMetrics
 from gypsumrouter.admission.scheduler import Scheduler
-from gypsumrouter.admission.shares import Usage
+from gypsumrouter.admission.shares import WorkspaceUsage
 from gypsumrouter.admission.slots import Slot
 from gypsumrouter.admission.waiters import Waiter
 from gypsumrouter.configuration.models import CallerClass, Configuration, Pool
@@ -22,21 +22,21 @@
 
 
 class Admission:
-    """The one gate before an upstream; every request of it passes here.
+    """Admission control of one upstream; every request to it is admitted here first.
 
-    The load is the number of requests that run, and of interactive ones that wait. Nothing refused
-    here has run.
+    The load is the number of running requests plus the number of waiting interactive requests. A
+    request that is refused here has not been sent to the upstream.
     """
 
     __slots__ = (
         "_app",
         "_capacity",
+        "_checking_queue",
+        "_last_sequence",
         "_listeners",
         "_metrics",
-        "_order",
         "_scheduler",
         "_stopped",
-        "_watching",
     )
 
     def __init__(self, *, app: Application, weight: float, name: str) -> None:
@@ -47,43 +47,43 @@
             clock=app.clock,
             capacity=self._capacity,
             metrics=self._metrics,
-            on_change=self._changed,
+            on_change=self._handle_change,
         )
         self._listeners: list[Callable[[], None]] = []
-        self._order = 0
+        self._last_sequence = 0
         self._stopped = False
-        self._watching = False
+        self._checking_queue = False
         register_diagnostics(app=app, name=name, capacity=self._capacity, scheduler=self._scheduler)
         app.on_stop(self._async_stop)
 
     @property
     def load(self) -> int:
-        """Return how many requests run, and interactive ones that wait."""
+        """Return the number of running requests plus waiting interactive requests."""
         return self._scheduler.load
 
     @property
     def running(self) -> int:
-        """Return how many requests hold a slot."""
+        """Return the number of requests that hold a slot."""
         return self._scheduler.running
 
     @property
     def batch_waiting(self) -> int:
-        """Return how much batch work waits."""
+        """Return the number of batch requests in the queue."""
         return self._scheduler.queue.batch
 
     @property
     def load_limit(self) -> int | None:
-        """Return the highest load that the cap allows now, None for any."""
+        """Return the highest load that the cap allows now, or None without a limit."""
         return self._capacity.load_limit
 
     def configure(self, configuration: Configuration, pool: Pool) -> None:
-        """Take over a configuration; what waits beyond a smaller queue is refused."""
+        """Apply a configuration; refuse waiting requests that exceed a smaller queue."""
         self._scheduler.configure(configuration, pool)
 
     async def async_admit(self, request: Open, cancelled: asyncio.Event) -> Slot | Refused:
-        """Return a slot, after waiting for one within the request's deadline, or a refusal."""
+        """Return a slot, waiting for it until the deadline if needed, or a refusal."""
         if request.pool_load is not None:
-            self.note_pool_load(request.pool_load)
+            self.record_pool_load(request.pool_load)
         outcome = self._decide(request, cancelled)
         match outcome:
             case Slot():
@@ -94,26 +94,26 @@
             case Waiter():
                 return await self._async_wait(outcome, cancelled)
 
-    def note_pool_load(self, load: PoolLoad) -> None:
-        """Take in what a router believes of the pool's load; noting one twice counts once."""
-        self._capacity.note_pool(load)
+    def record_pool_load(self, load: PoolLoad) -> None:
+        """Update the pool estimate from a router's report; a repeated report counts once."""
+        self._capacity.record_pool_load(load)
 
-    def note_first_token(self, slot: Slot) -> None:
-        """Note that the answer of a slot has begun."""
-        if slot.first_token_noted:
+    def record_first_token(self, slot: Slot) -> None:
+        """Record that the response of a slot's request has started."""
+        if slot.first_token_seen:
             return
-        slot.first_token_noted = True
-        passed_ms = self._app.clock.now_ms() - slot.granted_ms
-        self._scheduler.estimates.note_first_token(slot.service, passed_ms, batch=slot.batch)
+        slot.first_token_seen = True
+        elapsed_ms = self._app.clock.now_ms() - slot.granted_ms
+        self._scheduler.estimates.record_first_token(slot.service, elapsed_ms, batch=slot.batch)
 
     def stop(self) -> None:
-        """Refuse all that waits and all that comes; what runs goes on."""
+        """Refuse all waiting and new requests; running requests continue."""
         self._stopped = True
         for waiter in self._scheduler.queue.list_waiters():
             self._scheduler.refuse(waiter, refusals.refuse_leaving())
 
     def on_change(self, listener: Callable[[], None]) -> Remove:
-        """Call the listener after each change of the load."""
+        """Call the listener after each change of the load; return a function to remove it."""
         self._listeners.append(listener)
 
         def remove() -> None:
@@ -134,26 +134,26 @@
         caller_class = scheduler.classes.get(request.caller_class)
         service = scheduler.estimates.find(request, batch=caller_class.batch)
         if request.deadline_ms <= service.first_token_ms:
-            return refusals.refuse_hopeless()
+            return refusals.refuse_deadline_unreachable()
         usage = scheduler.shares.get(request.workspace)
         refused = scheduler.make_room(limits, usage, caller_class)
         if refused is not None:
-            scheduler.shares.settle(usage)
+            scheduler.shares.remove_if_idle(usage)
             return refused
-        # Making room may have ended the last request of the same workspace.
+        # Eviction may have removed the usage record of the same workspace.
         usage = scheduler.shares.get(request.workspace)
         if scheduler.may_run_now(limits, caller_class):
             return scheduler.grant(request.request_id, usage, caller_class, service)
         return self._enqueue(request, usage, caller_class, service)
 
     def _enqueue(
-        self, request: Open, usage: Usage, caller_class: CallerClass, service: ServiceTime
+        self, request: Open, usage: WorkspaceUsage, caller_class: CallerClass, service: ServiceTime
     ) -> Waiter:
         now_ms = self._app.clock.now_ms()
-        self._order += 1
+        self._last_sequence += 1
         waiter = Waiter(
             request_id=request.request_id,
-            order=self._order,
+            sequence=self._last_sequence,
             usage=usage,
             caller_class=caller_class,
             service=service,
@@ -162,8 +162,8 @@
             expires_ms=now_ms + request.deadline_ms - service.first_token_ms,
             future=asyncio.get_running_loop().create_future(),
         )
-        self._scheduler.wait(waiter)
-        self._start_watch()
+        self._scheduler.enqueue(waiter)
+        self._start_queue_check()
         return waiter
 
     async def _async_wait(self, waiter: Waiter, cancelled: asyncio.Event) -> Slot | Refused:
@@ -183,7 +183,7 @@
         self._scheduler.refuse(waiter, refusals.refuse_cancelled())
 
     def _abandon(self, waiter: Waiter) -> None:
-        """Give up what a task that was cancelled held or waited for."""
+        """Remove a cancelled task's request from the queue, or release its slot."""
         self._scheduler.refuse(waiter, refusals.refuse_cancelled())
         if waiter.future.cancelled():
             return
@@ -191,36 +191,36 @@
         if isinstance(outcome, Slot):
             outcome.release()
 
-    def _start_watch(self) -> None:
-        if self._watching:
+    def _start_queue_check(self) -> None:
+        if self._checking_queue:
             return
-        self._watching = True
-        self._app.async_create_task(self._async_watch_queue(), "admission watch")
+        self._checking_queue = True
+        self._app.async_create_task(self._async_check_queue(), "admission watch")
 
-    async def _async_watch_queue(self) -> None:
-        """Refuse what can't be answered in time any more, for as long as anything waits."""
+    async def _async_check_queue(self) -> None:
+        """Refuse requests that can no longer meet their deadline, until the queue is empty."""
         queue = self._scheduler.queue
         try:
             while queue.size:
-                await self._app.clock.async_sleep(WATCH_MS)
-                for waiter in queue.pop_expired(self._app.clock.now_ms()):
-                    self._scheduler.refuse(waiter, refusals.refuse_hopeless())
-                # Room for batch work also comes with time, as interactive work gets less.
+                await self._app.clock.async_sleep(QUEUE_CHECK_INTERVAL_MS)
+                for waiter in queue.iter_expired(self._app.clock.now_ms()):
+                    self._scheduler.refuse(waiter, refusals.refuse_deadline_unreachable())
+                # The batch limit rises over time as the average interactive demand decays.
                 self._scheduler.dispatch()
         finally:
-            self._watching = False
+            self._checking_queue = False
 
     async def _async_stop(self) -> None:
         self.stop()
 
-    def _changed(self) -> None:
-        self._capacity.note_own(self.load)
+    def _handle_change(self) -> None:
+        self._capacity.record_own_load(self.load)
         for listener in tuple(self._listeners):
             listener()
 
 
 def _get_slack_ms(caller_class: CallerClass, service: ServiceTime) -> float:
-    """Return how long a request may wait for its slot and still meet its target."""
+    """Return how long a request may wait for a slot and still meet its latency target."""
     if caller_class.batch:
         return caller_class.answer_ms - service.hold_ms
     return caller_class.first_token_ms - service.first_token_ms
--- a/gypsumrouter/forwarding/plain_admission.py
+++ b/gypsumrouter/forwarding/plain_admission.py
@@ -1,29 +1,35 @@
-"""Whether a request without a prompt is taken on, or refused since it could not be in time."""
+"""Admission control for plain requests, which have no prompt: refuses those expected to be late."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection
 
 from gypsumrouter.directory import Entry
-from gypsumrouter.forwarding.eligibility import NoPlace, make_hopeless
-from gypsumrouter.forwarding.placed import Placed
+from gypsumrouter.forwarding.eligibility import PlacementRefusal, make_late_refusal
+from gypsumrouter.forwarding.placed import Placement
 from gypsumrouter.forwarding.placement import Candidate
-from gypsumrouter.forwarding.service_time import EXPECTED_SHARE, FairShare, ServiceTimes, expect_ms
+from gypsumrouter.forwarding.service_time import (
+    MAX_TIME_SHARE,
+    AdmissionPermits,
+    ServiceTimes,
+    estimate_response_ms,
+)
 
 
 class PlainAdmission:
-    """Admits plain requests by how long their upstreams take and how many wait there.
+    """Admits plain requests by their estimated response time.
 
-    Loads of peers are old, so that each router also goes on with its part of what the upstreams
-    serve, whatever it believes of their queues. `count_routers` is how many routers share it.
+    Independently of the estimate, each router admits its share of the throughput of the upstreams,
+    because the loads reported by peers are old. `count_routers` returns the number of routers that
+    share the throughput.
     """
 
-    __slots__ = ("_count_routers", "_fair_share", "_times")
+    __slots__ = ("_count_routers", "_permits", "_times")
 
     def __init__(self, *, count_routers: Callable[[], int]) -> None:
         self._count_routers = count_routers
         self._times = ServiceTimes()
-        self._fair_share = FairShare()
+        self._permits = AdmissionPermits()
 
     def admit(
         self,
@@ -33,19 +39,19 @@
         chosen: Candidate,
         limit_ms: int,
         now_ms: int,
-    ) -> NoPlace | None:
-        """Count a request that is taken on; return the refusal of one that is not.
+    ) -> PlacementRefusal | None:
+        """Admit a request and return None, or return its refusal.
 
-        `entries` are the upstreams that may get it, `limit_ms` is how much time it has.
+        `entries` are the eligible upstreams, `limit_ms` is the time within which to respond.
         """
-        late_ms = self._expect_late_ms(service, chosen, limit_ms)
-        if not self._has_part(service, entries, now_ms) and late_ms > 0:
-            return make_hopeless(late_ms)
-        self._fair_share.spend(service)
+        lateness_ms = self._estimate_lateness_ms(service, chosen, limit_ms)
+        if not self._has_permit(service, entries, now_ms) and lateness_ms > 0:
+            return make_late_refusal(lateness_ms)
+        self._permits.spend(service)
         return None
 
-    def note_answered(self, placed: Placed, *, elapsed_ms: int) -> None:
-        """Note a whole answer."""
+    def note_answered(self, placed: Placement, *, elapsed_ms: int) -> None:
+        """Record the duration of a complete response."""
         entry = placed.entry
         self._times.note(
             service=entry.service,
@@ -56,23 +62,25 @@
         )
 
     def forget(self, upstream: str) -> None:
-        """Forget an upstream that ended."""
+        """Drop the service time of an upstream that was removed."""
         self._times.forget(upstream)
 
-    def _has_part(self, service: str, entries: Collection[Entry], now_ms: int) -> bool:
-        """Return whether this router has a part left of what a service's upstreams serve."""
-        served_per_ms = 0.0
+    def _has_permit(self, service: str, entries: Collection[Entry], now_ms: int) -> bool:
+        """Return whether this router's share of the service's throughput has a permit left."""
+        throughput_per_ms = 0.0
         for entry in entries:
             service_ms = self._times.get(service=service, upstream=entry.incarnation)
             if service_ms:
-                served_per_ms += entry.slots / service_ms
-        per_ms = served_per_ms / self._count_routers()
-        return self._fair_share.has_left(service, per_ms=per_ms, now_ms=now_ms)
+                throughput_per_ms += entry.slots / service_ms
+        per_ms = throughput_per_ms / self._count_routers()
+        return self._permits.has_permit(service, per_ms=per_ms, now_ms=now_ms)
 
-    def _expect_late_ms(self, service: str, chosen: Candidate, limit_ms: int) -> float:
-        """Return by how much the answer is expected later than it is worth waiting for."""
+    def _estimate_lateness_ms(self, service: str, chosen: Candidate, limit_ms: int) -> float:
+        """Return by how much the response is expected to be late; 0 or less if it is in time."""
         service_ms = self._times.get(service=service, upstream=chosen.upstream)
         if service_ms is None or chosen.load < chosen.slots:
             return 0.0
-        expected_ms = expect_ms(load=chosen.load, slots=chosen.slots, service_ms=service_ms)
-        return expected_ms - limit_ms * EXPECTED_SHARE
+        expected_ms = estimate_response_ms(
+            load=chosen.load, slots=chosen.slots, service_ms=service_ms
+        )
+        return expected_ms - limit_ms * MAX_TIME_SHARE
--- a/gypsumrouter/peers/inventory.py
+++ b/gypsumrouter/peers/inventory.py
@@ -10,7 +10,7 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.core import Application
-from gypsumrouter.forwarding.holdings import Holdings
+from gypsumrouter.forwarding.cache_index import CacheIndex
 from gypsumrouter.journal import HeldPartsTold, Journal
 from gypsumrouter.link import HeldAt, HeldNews, HeldWanted, Notice, NoticeHub, Peer
 
@@ -60,7 +60,7 @@
         app: Application,
         journal: Journal,
         notices: NoticeHub,
-        holdings: Holdings,
+        holdings: CacheIndex,
         get_own_address: Callable[[], str],
         list_seeds: Callable[[], tuple[str, ...]],
         send: SendTo,
@@ -187,7 +187,7 @@
 
     def _make_inventory(self, *, only: set[str] | None = None) -> HeldNews:
         """Return the inventory of all engines, marked complete, or of the engines in `only`."""
-        held = self._holdings.list_held(now_ms=self._app.clock.now_ms())
+        held = self._holdings.list_cached(now_ms=self._app.clock.now_ms())
         engines = tuple(
             HeldAt(upstream=name, parts=parts)
             for name, parts in held.items()
@@ -199,7 +199,7 @@
         now_ms = self._app.clock.now_ms()
         for engine in inventory.engines:
             for part in engine.parts:
-                self._holdings.note_held(part=part, upstream=engine.upstream, now_ms=now_ms)
+                self._holdings.note_cached(part=part, upstream=engine.upstream, now_ms=now_ms)
             self._known_engines.add(engine.upstream)
             self._listener(engine.upstream)
         self._journal.record(
--- a/gypsumrouter/peers/loads.py
+++ b/gypsumrouter/peers/loads.py
@@ -4,18 +4,18 @@
 
 from collections.abc import Iterable
 
-from gypsumrouter.forwarding.loads import LoadBook, PeerLoads, UpstreamLoad
+from gypsumrouter.forwarding.loads import LoadTracker, PeerLoads, UpstreamLoad
 from gypsumrouter.link import DataCentreLoads, RouterLoad, RouterNews
 
 
-def encode_loads(records: LoadBook) -> tuple[RouterLoad, ...]:
+def encode_loads(records: LoadTracker) -> tuple[RouterLoad, ...]:
     """Return the router's own load counts as message entries."""
-    return _encode(records.own())
+    return _encode(records.get_own_loads())
 
 
-def encode_load_sums(records: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
+def encode_load_sums(records: LoadTracker, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
     """Return the load counts of the router and the given peers, summed for each upstream."""
-    return _encode(records.add_up_peers(peers))
+    return _encode(records.sum_with_peers(peers))
 
 
 def decode_loads(update: RouterNews, *, now_ms: int) -> PeerLoads:
@@ -37,7 +37,7 @@
 
 def _decode(loads: tuple[RouterLoad, ...], now_ms: int) -> PeerLoads:
     return PeerLoads(
-        heard_ms=now_ms,
+        received_ms=now_ms,
         loads={
             load.upstream: UpstreamLoad(running=load.running, pending_tokens=load.pending_tokens)
             for load in loads
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -150,15 +150,15 @@
             app=app,
             journal=journal,
             notices=notices,
-            holdings=forwarder.placer.holdings,
+            holdings=forwarder.placer.cache_index,
             get_own_address=lambda: self._routers.own,
             list_seeds=self._list_seeds,
             send=self._async_send,
         )
         self._without = settings.without
         if Mechanism.PEER_INVENTORY not in settings.without:
-            forwarder.inventory.take_peers(self._inventory)
-        forwarder.placer.slow_start.take_fleet(self._routers)
+            forwarder.inventory.set_peers(self._inventory)
+        forwarder.placer.slow_start.set_fleet(self._routers)
         notices.subscribe(RouterNews, self._handle_update)
         forwarder.placer.on_placed(self._note_placed)
         forwarder.suspects.on_strike(self._note_strike)
@@ -247,7 +247,7 @@
             loads=encode_loads(placer.loads),
             placed=placed,
             strikes=self._outbox.list_strikes(now_ms=self._app.clock.now_ms()),
-            refused=placer.health.list_refused(),
+            refused=placer.health.list_refusals(),
         )
 
     def _list_routers(self, known: PeerRouter) -> tuple[RouterAt, ...]:
@@ -298,15 +298,15 @@
     def _apply_update(self, peer: Peer, update: RouterNews, now_ms: int) -> None:
         placer = self._forwarder.placer
         if Mechanism.PEER_LOADS not in self._without:
-            placer.loads.take_peer(peer.hello.name, decode_loads(update, now_ms=now_ms))
+            placer.loads.set_peer_loads(peer.hello.name, decode_loads(update, now_ms=now_ms))
         placed = self._list_placed(update)
         for part in placed:
-            placer.holdings.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
-        placer.take_refused(update.refused)
+            placer.cache_index.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
+        placer.apply_peer_refusals(update.refused)
         self._relays.note_refused(update.refused)
         self._relays.note_placed(placed)
         for strike in update.strikes:
-            if self._forwarder.suspects.take(
+            if self._forwarder.suspects.add_strike(
                 strike.digest, strike.upstream, source=peer.hello.name
             ):
                 self._relays.note_strike(strike)
--- a/gypsumrouter/peers/relays.py
+++ b/gypsumrouter/peers/relays.py
@@ -17,7 +17,7 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.suspects import Suspects
+from gypsumrouter.forwarding.suspects import SuspectTracker
 from gypsumrouter.link import (
     DataCentreLoads,
     DataCentreNews,
@@ -81,7 +81,7 @@
         directory: Directory,
         evacuations: Evacuations,
         placer: Placer,
-        suspects: Suspects,
+        suspects: SuspectTracker,
         catch_up: CatchUpCoordinator,
         notices: NoticeHub,
         send: SendTo,
@@ -94,7 +94,7 @@
         self._evacuations = evacuations
         self._placer = placer
         self._loads = placer.loads
-        self._holdings = placer.holdings
+        self._holdings = placer.cache_index
         self._suspects = suspects
         self._catch_up = catch_up
         self._send = send
@@ -200,7 +200,7 @@
             placed=placed,
             strikes=self._outbound.list_strikes(now_ms=self._app.clock.now_ms()),
             evacuations=encode_evacuations(self._evacuations),
-            refused=tuple(self._outbound_refused.keys() | self._placer.health.list_refused()),
+            refused=tuple(self._outbound_refused.keys() | self._placer.health.list_refusals()),
         )
 
     def _list_routers(self, name: str, neighbours: dict[str, PeerRouter]) -> tuple[str, ...]:
@@ -220,7 +220,7 @@
         self._store_loads(loads, relay=update.address)
         self._inbound_loads[loads.data_centre] = loads
         self._catch_up.merge_evacuations(peer, update.evacuations)
-        self._placer.take_refused(update.refused)
+        self._placer.apply_peer_refusals(update.refused)
         self._inbound_refused.update(update.refused)
         for part in self._store_placed(update.placed):
             self._inbound.add_part(part)
@@ -239,7 +239,7 @@
             if loads.data_centre != self._app.data_centre:
                 self._store_loads(loads)
         self._store_placed(update.placed)
-        self._placer.take_refused(update.refused)
+        self._placer.apply_peer_refusals(update.refused)
         self._apply_strikes(peer, update.strikes)
 
     def _store_loads(self, loads: DataCentreLoads, *, relay: str = "") -> None:
@@ -249,7 +249,7 @@
         if Mechanism.PEER_LOADS in self._without:
             return
         sums = decode_load_sums(loads, now_ms=self._app.clock.now_ms())
-        self._loads.take_peer(_get_sums_key(loads.data_centre), sums)
+        self._loads.set_peer_loads(_get_sums_key(loads.data_centre), sums)
 
     def _store_placed(self, placed: tuple[PlacedPart, ...]) -> tuple[PlacedPart, ...]:
         if Mechanism.PEER_PLACEMENTS in self._without:
@@ -262,7 +262,7 @@
     def _apply_strikes(self, peer: Peer, strikes: tuple[Strike, ...]) -> list[Strike]:
         """Record strikes; return those that were not known before."""
         name = peer.hello.name
-        return [s for s in strikes if self._suspects.take(s.digest, s.upstream, source=name)]
+        return [s for s in strikes if self._suspects.add_strike(s.digest, s.upstream, source=name)]
 
     def _forward_to_neighbours(self) -> None:
         """Send the neighbours the state of other data centres that arrived since the last call."""
