--- a/bench/plain_replay.py
+++ b/bench/plain_replay.py
@@ -230,16 +230,16 @@
 class Others:
     """The other routers, all of them known."""
 
-    own = "r"
+    own_address = "r"
 
     def list_addresses(self) -> tuple[str, ...]:
         """Return one address less than there are routers."""
         return tuple(str(number) for number in range(ROUTERS - 1))
 
-    def get_grown_ms(self) -> int:
+    def get_last_added_ms(self) -> int:
         """Return that they were there from the beginning."""
         return 0
 
-    def has_heard(self) -> bool:
+    def has_received_update(self) -> bool:
         """Return that they were heard."""
         return True
--- a/gypsumrouter/forwarding/eligibility.py
+++ b/gypsumrouter/forwarding/eligibility.py
@@ -72,7 +72,7 @@
         self._health = health
         self._backoffs = backoffs
         self._slow_start = slow_start
-        self._skips_unreachable = Mechanism.EXCLUDE_DOWN not in without
+        self._skips_unreachable = Mechanism.EXCLUDE_UNREACHABLE not in without
         self._prefers_warm = Mechanism.WARM_FIRST not in without
 
     def is_evacuated(self, entry: Entry) -> bool:
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -73,20 +73,20 @@
     def complete(self) -> asyncio.Event:
         """Return the event that is set when a peer has reported the listings of all engines."""
 
-    async def async_ask(self) -> bool:
+    async def async_request(self) -> bool:
         """Query the peers; return whether one reported the listings of all engines in time."""
 
     def rank(self, position: int) -> int:
         """Return how many routers have precedence in querying the engine at a list position."""
 
-    async def async_share(self, upstream: str, parts: tuple[int, ...]) -> None:
+    async def async_share_listing(self, upstream: str, parts: tuple[int, ...]) -> None:
         """Send the cached parts of an engine to the other routers."""
 
-    def on_told(self, listener: Callable[[str], None]) -> None:
+    def on_listing_received(self, listener: Callable[[str], None]) -> None:
         """Call `listener` with each engine whose listing a peer reported."""
 
-    def note_informed(self) -> None:
-        """Record that this router has the listings of all engines."""
+    def publish_inventory(self) -> None:
+        """Mark this router's inventory as complete and send it to the peers that wait for it."""
 
 
 class CacheInventory:
@@ -134,7 +134,7 @@
     def set_peers(self, peers: InventoryPeers) -> None:
         """Set the routers to query before the engines and to share listings with."""
         self._peers = peers
-        peers.on_told(self._note_reported)
+        peers.on_listing_received(self._note_reported)
 
     def async_start(self) -> None:
         """Start loading in the background, once the directory and the configuration are loaded."""
@@ -144,7 +144,7 @@
         """Set `done`: loading has finished, or is not needed because all engines are new."""
         self.done.set()
         if self._peers is not None:
-            self._peers.note_informed()
+            self._peers.publish_inventory()
 
     async def _async_run(self) -> None:
         reported = self._app.async_create_task(self._async_query_peers(), "ask peers")
@@ -157,7 +157,7 @@
         self.mark_complete()
 
     async def _async_query_peers(self) -> bool:
-        return self._peers is not None and await self._peers.async_ask()
+        return self._peers is not None and await self._peers.async_request()
 
     async def _async_load_share(self, peers: InventoryPeers) -> None:
         """Query this router's share of the engines, until a peer has reported all listings."""
@@ -232,7 +232,7 @@
             self._directory.note_leaving(incarnation, source=SOURCE_ANSWER)
         _LOGGER.info("Upstream %s listed %d cached prompt parts", incarnation, len(listing.parts))
         if self._peers is not None:
-            await self._peers.async_share(incarnation, parts)
+            await self._peers.async_share_listing(incarnation, parts)
 
     async def _async_fetch(self, entry: Entry) -> CacheListing:
         leased = await self._connections.async_lease(
--- a/gypsumrouter/forwarding/placer.py
+++ b/gypsumrouter/forwarding/placer.py
@@ -81,7 +81,7 @@
         self._directory = directory
         self._cap = cap
         self._allows_copies = Mechanism.CACHE_TRANSFER not in without
-        self._uses_affinity = Mechanism.HASH_ORDER not in without
+        self._uses_affinity = Mechanism.AFFINITY not in without
         self._prefers_local = Mechanism.LOCALITY not in without
         self._eligibility = Eligibility(
             evacuations=evacuations,
--- a/gypsumrouter/forwarding/slow_start.py
+++ b/gypsumrouter/forwarding/slow_start.py
@@ -47,35 +47,35 @@
 class Fleet(Protocol):
     """This router's view of the other routers."""
 
-    own: str
+    own_address: str
 
     def list_addresses(self) -> Collection[str]:
         """Return the addresses of all other routers that may be running, reachable or not."""
 
-    def get_grown_ms(self) -> int:
+    def get_last_added_ms(self) -> int:
         """Return when a router was last added to the view."""
 
-    def has_heard(self) -> bool:
+    def has_received_update(self) -> bool:
         """Return whether a message of another router was ever received."""
 
 
 class SingleRouter:
     """The view of a router that is the only one."""
 
-    __slots__ = ("own",)
+    __slots__ = ("own_address",)
 
     def __init__(self) -> None:
-        self.own = ""
+        self.own_address = ""
 
     def list_addresses(self) -> Collection[str]:
         """Return an empty collection."""
         return ()
 
-    def get_grown_ms(self) -> int:
+    def get_last_added_ms(self) -> int:
         """Return 0: no router was ever added."""
         return 0
 
-    def has_heard(self) -> bool:
+    def has_received_update(self) -> bool:
         """Return True: there is no other router to wait for."""
         return True
 
@@ -256,8 +256,8 @@
 
     def _get_settling_ms(self, now_ms: int) -> int:
         """Return how long the view of the fleet must still stay unchanged before sending."""
-        since_ms = max(self._started_ms, self._fleet.get_grown_ms())
-        if not self._fleet.has_heard():
+        since_ms = max(self._started_ms, self._fleet.get_last_added_ms())
+        if not self._fleet.has_received_update():
             return max(0, self._started_ms + NO_PEERS_MS - now_ms)
         return max(0, since_ms + SETTLE_MS - now_ms)
 
@@ -270,7 +270,7 @@
         now_ms: int,
     ) -> bool:
         if window.selected_ms is None or now_ms - window.selected_ms >= SELECTION_TTL_MS:
-            own = self._fleet.own
+            own = self._fleet.own_address
             window.selected = is_selected_sender(
                 own, others, upstream=upstream, count=share.routers
             )
--- a/gypsumrouter/mechanisms.py
+++ b/gypsumrouter/mechanisms.py
@@ -21,14 +21,14 @@
     PEER_PLACEMENTS = "peer_placements"
     # Prompt tokens that peers report as pending are reduced by what was prefilled since.
     PREFILL_PROGRESS = "reading_on"
-    # A prompt that no engine has cached goes to the first upstream of its hash order.
-    HASH_ORDER = "stable_order"
+    # A prompt that no engine has cached goes to the first upstream of its affinity order.
+    AFFINITY = "stable_order"
     # Upstreams in the router's own data centre are preferred.
     LOCALITY = "near_first"
     # Upstreams whose responses fail or are slow are penalised.
     HEALTH = "health"
     # Unreachable upstreams are excluded while another one is available.
-    EXCLUDE_DOWN = "rest_when_down"
+    EXCLUDE_UNREACHABLE = "rest_when_down"
     # Requests without a prompt are spread by the router's own request counts.
     PLAIN_OWN_LOAD = "plain_spread"
     # The cache contents of an upstream are kept for a while after its entry is removed.
--- a/gypsumrouter/peers/inventory.py
+++ b/gypsumrouter/peers/inventory.py
@@ -1,4 +1,7 @@
-"""Exchange of cache inventories between routers: which prompt parts each engine has cached."""
+"""Exchange of cache listings between routers: which prompt parts each engine has cached.
+
+An inventory consists of the listings of engines, and is complete if it has those of all.
+"""
 
 from __future__ import annotations
 
@@ -41,9 +44,9 @@
     __slots__ = (
         "_all_incomplete",
         "_app",
+        "_cache_index",
         "_complete",
         "_get_own_address",
-        "_holdings",
         "_incomplete_seeds",
         "_inventory_known",
         "_journal",
@@ -60,14 +63,14 @@
         app: Application,
         journal: Journal,
         notices: NoticeHub,
-        holdings: CacheIndex,
+        cache_index: CacheIndex,
         get_own_address: Callable[[], str],
         list_seeds: Callable[[], tuple[str, ...]],
         send: SendTo,
     ) -> None:
         self._app = app
         self._journal = journal
-        self._holdings = holdings
+        self._cache_index = cache_index
         self._get_own_address = get_own_address
         self._list_seeds = list_seeds
         self._send = send
@@ -77,14 +80,14 @@
         self._incomplete_seeds: set[str] = set()
         self._all_incomplete = asyncio.Event()
         self._waiting_peers: list[Peer] = []
-        # Engines whose full inventory is known.
+        # Engines whose listing is known.
         self._known_engines: set[str] = set()
         self._listener: InventoryListener = lambda upstream: None
         notices.subscribe(HeldWanted, self._handle_request)
         notices.subscribe(HeldNews, self._handle_inventory)
 
-    def on_told(self, listener: InventoryListener) -> None:
-        """Call `listener` with each engine whose inventory was received from a peer."""
+    def on_listing_received(self, listener: InventoryListener) -> None:
+        """Call `listener` with each engine whose listing was received from a peer."""
         self._listener = listener
 
     @property
@@ -92,7 +95,7 @@
         """Return the event that is set once a peer has sent a complete inventory."""
         return self._complete
 
-    async def async_ask(self) -> bool:
+    async def async_request(self) -> bool:
         """Request the inventory; return whether a complete one arrived before the timeout."""
         others = self._list_others()
         if not others:
@@ -148,15 +151,15 @@
             return len(seeds)
         return (position + seeds.index(own)) % len(seeds)
 
-    async def async_share(self, upstream: str, parts: tuple[int, ...]) -> None:
-        """Send an engine's inventory to the other seeds and to all waiting peers."""
+    async def async_share_listing(self, upstream: str, parts: tuple[int, ...]) -> None:
+        """Send an engine's listing to the other seeds and to all waiting peers."""
         self._known_engines.add(upstream)
         inventory = HeldNews(complete=False, engines=(HeldAt(upstream=upstream, parts=parts),))
         for peer in self._waiting_peers:
             peer.send(inventory)
         await asyncio.gather(*(self._send(seed, inventory) for seed in self._list_others()))
 
-    def note_informed(self) -> None:
+    def publish_inventory(self) -> None:
         """Mark this router's inventory as complete and send it to all waiting peers."""
         self._inventory_known = True
         waiting, self._waiting_peers = self._waiting_peers, []
@@ -187,7 +190,7 @@
 
     def _make_inventory(self, *, only: set[str] | None = None) -> HeldNews:
         """Return the inventory of all engines, marked complete, or of the engines in `only`."""
-        held = self._holdings.list_cached(now_ms=self._app.clock.now_ms())
+        held = self._cache_index.list_cached(now_ms=self._app.clock.now_ms())
         engines = tuple(
             HeldAt(upstream=name, parts=parts)
             for name, parts in held.items()
@@ -199,7 +202,7 @@
         now_ms = self._app.clock.now_ms()
         for engine in inventory.engines:
             for part in engine.parts:
-                self._holdings.note_cached(part=part, upstream=engine.upstream, now_ms=now_ms)
+                self._cache_index.note_cached(part=part, upstream=engine.upstream, now_ms=now_ms)
             self._known_engines.add(engine.upstream)
             self._listener(engine.upstream)
         self._journal.record(
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -94,7 +94,7 @@
         self._evacuations = evacuations
         self._forwarder = forwarder
         self._routers = RouterRegistry(
-            clock=app.clock, own=settings.link_address, data_centre=app.data_centre
+            clock=app.clock, own_address=settings.link_address, data_centre=app.data_centre
         )
         self._seeds = settings.seeds
         # Addresses of the routers that have a running update task.
@@ -150,8 +150,8 @@
             app=app,
             journal=journal,
             notices=notices,
-            holdings=forwarder.placer.cache_index,
-            get_own_address=lambda: self._routers.own,
+            cache_index=forwarder.placer.cache_index,
+            get_own_address=lambda: self._routers.own_address,
             list_seeds=self._list_seeds,
             send=self._async_send,
         )
@@ -167,7 +167,7 @@
     async def async_start(self) -> Address:
         """Bind the link listener, start the update tasks and return the bound address."""
         address = await self._server.async_start()
-        self._routers.own = str(address)
+        self._routers.own_address = str(address)
         for seed in self._seeds:
             self._add_router(seed, seed=True)
         self._update_retry_budget()
@@ -216,7 +216,9 @@
     def _list_seeds(self) -> tuple[str, ...]:
         """Return the seeds with a valid address, including this router if it is a seed."""
         return tuple(
-            seed for seed in self._seeds if seed == self._routers.own or seed in self._routers
+            seed
+            for seed in self._seeds
+            if seed == self._routers.own_address or seed in self._routers
         )
 
     async def _async_send(self, address: str, notice: Notice) -> bool:
@@ -232,7 +234,7 @@
 
     def _make_update(self, known: PeerRouter, placed: tuple[PlacedPart, ...]) -> RouterNews:
         update = RouterNews(
-            address=self._routers.own,
+            address=self._routers.own_address,
             routers=self._list_routers(known),
             routing_version=self._routing.version,
             list_revision=self._directory.newest,
--- a/gypsumrouter/peers/relays.py
+++ b/gypsumrouter/peers/relays.py
@@ -52,10 +52,10 @@
 
     __slots__ = (
         "_app",
+        "_cache_index",
         "_catch_up",
         "_directory",
         "_evacuations",
-        "_holdings",
         "_inbound",
         "_inbound_loads",
         "_inbound_refused",
@@ -94,7 +94,7 @@
         self._evacuations = evacuations
         self._placer = placer
         self._loads = placer.loads
-        self._holdings = placer.cache_index
+        self._cache_index = placer.cache_index
         self._suspects = suspects
         self._catch_up = catch_up
         self._send = send
@@ -166,7 +166,7 @@
     def _is_relay(self) -> bool:
         """Return whether this router is the relay of its data centre."""
         neighbours = self._routers.list_neighbours(within_ms=RELAY_TIMEOUT_MS)
-        return all(self._routers.own < other for other in neighbours)
+        return all(self._routers.own_address < other for other in neighbours)
 
     async def _async_send_update(self, name: str, data_centre: RemoteDataCentre) -> None:
         target = self._choose_target(name, data_centre)
@@ -188,7 +188,7 @@
     def _make_update(self, name: str, placed: tuple[PlacedPart, ...]) -> DataCentreNews:
         neighbours = self._routers.list_neighbours()
         return DataCentreNews(
-            address=self._routers.own,
+            address=self._routers.own_address,
             loads=DataCentreLoads(
                 data_centre=self._app.data_centre,
                 alive=1 + len(neighbours),
@@ -210,7 +210,7 @@
         if sent_ms is not None and now_ms - sent_ms < ROUTER_LIST_INTERVAL_MS:
             return ()
         self._routers_sent_ms[name] = now_ms
-        return (self._routers.own, *neighbours)
+        return (self._routers.own_address, *neighbours)
 
     def _handle_update(self, peer: Peer, update: DataCentreNews) -> None:
         """Process an update from another data centre and queue it for the neighbours."""
@@ -256,7 +256,7 @@
             return ()
         now_ms = self._app.clock.now_ms()
         for part in placed:
-            self._holdings.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
+            self._cache_index.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
         return placed
 
     def _apply_strikes(self, peer: Peer, strikes: tuple[Strike, ...]) -> list[Strike]:
--- a/gypsumrouter/peers/routers.py
+++ b/gypsumrouter/peers/routers.py
@@ -94,13 +94,20 @@
 class RouterRegistry:
     """The known routers by the address of their link, without this router."""
 
-    __slots__ = ("_clock", "_last_added_ms", "_routers", "data_centre", "data_centres", "own")
+    __slots__ = (
+        "_clock",
+        "_last_added_ms",
+        "_routers",
+        "data_centre",
+        "data_centres",
+        "own_address",
+    )
 
-    def __init__(self, *, clock: Clock, own: str, data_centre: str) -> None:
+    def __init__(self, *, clock: Clock, own_address: str, data_centre: str) -> None:
         self._clock = clock
         self._routers: dict[str, PeerRouter] = {}
         self._last_added_ms = clock.now_ms()
-        self.own = own
+        self.own_address = own_address
         self.data_centre = data_centre
         self.data_centres: dict[str, RemoteDataCentre] = {}
 
@@ -130,7 +137,7 @@
         if known is not None:
             known.data_centre = known.data_centre or data_centre
             return known
-        if address == self.own or not address or len(self._routers) >= MAX_KNOWN_ROUTERS:
+        if address == self.own_address or not address or len(self._routers) >= MAX_KNOWN_ROUTERS:
             return None
         try:
             parsed = parse_address(address)
@@ -207,11 +214,11 @@
             if known.seed or known.last_seen_ms >= since_ms
         )
 
-    def get_grown_ms(self) -> int:
+    def get_last_added_ms(self) -> int:
         """Return when the last router was added."""
         return self._last_added_ms
 
-    def has_heard(self) -> bool:
+    def has_received_update(self) -> bool:
         """Return whether any update was received, or no other router is known."""
         if not self._routers:
             return True
--- a/gypsumrouter/peers/watchers.py
+++ b/gypsumrouter/peers/watchers.py
@@ -134,7 +134,7 @@
 
     def _is_watcher(self, neighbours: Collection[str]) -> bool:
         per_data_centre = get_watchers_per_data_centre(len(self._routers.count_by_data_centre()))
-        return is_watcher(self._routers.own, neighbours, per_data_centre=per_data_centre)
+        return is_watcher(self._routers.own_address, neighbours, per_data_centre=per_data_centre)
 
     def _handle_announcement(self, peer: Peer, announcement: StoreWatched) -> None:
         if self.is_watcher():
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self.hubs: dict[str, NoticeHub] = {}
-        self.desks: dict[str, InventoryCoordinator] = {}
+        self.coordinators: dict[str, InventoryCoordinator] = {}
         self.cache_indexes: dict[str, CacheIndex] = {}
         self.refused: set[tuple[str, str]] = set()
 
@@ -45,16 +45,16 @@
         app = Application(name=address, role=Role.FORWARDER, data_centre="a", region="r")
         hub = self.hubs[address] = NoticeHub()
         own_index = self.cache_indexes[address] = CacheIndex()
-        desk = self.desks[address] = InventoryCoordinator(
+        coordinator = self.coordinators[address] = InventoryCoordinator(
             app=app,
             journal=Journal(app=app),
             notices=hub,
-            holdings=own_index,
+            cache_index=own_index,
             get_own_address=lambda: address,
             list_seeds=lambda: SEEDS,
             send=lambda target, notice: self._async_send(address, target, notice),
         )
-        return desk
+        return coordinator
 
     async def _async_send(self, source: str, target: str, notice: Notice) -> bool:
         if target not in self.hubs or (source, target) in self.refused:
@@ -74,9 +74,11 @@
 
 def test_each_engine_is_queried_by_one_seed_with_the_others_as_fallbacks() -> None:
     net = Net()
-    desks = [net.add(seed) for seed in SEEDS]
+    coordinators = [net.add(seed) for seed in SEEDS]
     other = net.add("10.0.0.9:7")
-    ranks = [[desk.rank(position) for desk in desks] for position in range(ENGINES)]
+    ranks = [
+        [coordinator.rank(position) for coordinator in coordinators] for position in range(ENGINES)
+    ]
     assert all(sorted(ranks_of_engine) == [0, 1, 2] for ranks_of_engine in ranks)
     queried = [
         sum(ranks_of_engine[number] == 0 for ranks_of_engine in ranks)
@@ -92,9 +94,9 @@
     net.cache_indexes[SEEDS[0]].note_cached(
         part=7, upstream="i-1", now_ms=running._app.clock.now_ms()
     )
-    running.note_informed()
+    running.publish_inventory()
     for address in (SEEDS[1], "10.0.0.9:7"):
-        assert await net.add(address).async_ask()
+        assert await net.add(address).async_request()
         assert net.cache_indexes[address].list_cached(now_ms=running._app.clock.now_ms()) == {
             "i-1": (7,)
         }
@@ -105,10 +107,12 @@
 ) -> None:
     """After the loss of all routers no seed has listings, so waiting for one is pointless."""
     net = Net()
-    desks = [net.add(seed) for seed in SEEDS[:2]]
+    coordinators = [net.add(seed) for seed in SEEDS[:2]]
     monkeypatch.setattr(peer_inventory, "SEED_TIMEOUT_MS", FOREVER_MS)
     async with asyncio.timeout(HANG_S):
-        assert await asyncio.gather(*(desk.async_ask() for desk in desks)) == [False, False]
+        assert await asyncio.gather(
+            *(coordinator.async_request() for coordinator in coordinators)
+        ) == [False, False]
 
 
 async def test_router_that_is_not_a_seed_waits_until_a_seed_has_the_listings(
@@ -117,14 +121,14 @@
     monkeypatch.setattr(peer_inventory, "NON_SEED_TIMEOUT_MS", FOREVER_MS)
     net = Net()
     seed = net.add(SEEDS[0])
-    asking = asyncio.ensure_future(net.add("10.0.0.9:7").async_ask())
+    asking = asyncio.ensure_future(net.add("10.0.0.9:7").async_request())
     async with asyncio.timeout(HANG_S):
         while not seed._waiting_peers:
             await asyncio.get_running_loop().run_in_executor(None, lambda: None)
     assert not asking.done()
     now_ms = seed._app.clock.now_ms()
     net.cache_indexes[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
-    seed.note_informed()
+    seed.publish_inventory()
     assert await asking
 
 
@@ -135,11 +139,11 @@
     now_ms = first._app.clock.now_ms()
     net.cache_indexes[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
     net.cache_indexes[SEEDS[0]].note_cached(part=8, upstream="i-2", now_ms=now_ms)
-    await first.async_share("i-1", (7,))
+    await first.async_share_listing("i-1", (7,))
     second = net.add(SEEDS[1])
     reported: list[str] = []
-    second.on_told(reported.append)
-    assert not await second.async_ask()
+    second.on_listing_received(reported.append)
+    assert not await second.async_request()
     assert reported == ["i-1"]
 
 
@@ -148,10 +152,10 @@
     first = net.add(SEEDS[0])
     second = net.add(SEEDS[1])
     reported: list[str] = []
-    second.on_told(reported.append)
-    assert not await second.async_ask()
+    second.on_listing_received(reported.append)
+    assert not await second.async_request()
     net.refused.add((SEEDS[0], SEEDS[1]))
-    await first.async_share("i-1", (7,))
+    await first.async_share_listing("i-1", (7,))
     assert reported == ["i-1"]
 
 
@@ -159,8 +163,8 @@
     net = Net()
     first = net.add(SEEDS[0])
     reported: list[str] = []
-    net.add(SEEDS[1]).on_told(reported.append)
-    await first.async_share("i-1", (7, 8))
+    net.add(SEEDS[1]).on_listing_received(reported.append)
+    await first.async_share_listing("i-1", (7, 8))
     assert reported == ["i-1"]
     listed = net.cache_indexes[SEEDS[1]].list_cached(now_ms=first._app.clock.now_ms())
     assert listed == {"i-1": (7, 8)}
@@ -190,11 +194,11 @@
     """About as many engines as each of three seeds has to query in a fleet of 120."""
     queried: list[str] = []
 
-    async def async_ask(self: CacheInventory, entry: Entry) -> CacheListing:
+    async def async_request(self: CacheInventory, entry: Entry) -> CacheListing:
         queried.append(entry.upstream)
         return CacheListing(parts=())
 
-    monkeypatch.setattr(CacheInventory, "_async_fetch", async_ask)
+    monkeypatch.setattr(CacheInventory, "_async_fetch", async_request)
     names = [f"i-more-{number}" for number in range(37)]
     for name in names:
         address = world.addresses["i-models-1"]
--- a/tests/forwarding/test_forwarding_slow_start.py
+++ b/tests/forwarding/test_forwarding_slow_start.py
@@ -42,7 +42,7 @@
     """A router's view of the other routers."""
 
     def __init__(self, own: str, others: Iterable[str] = (), *, heard: bool = True) -> None:
-        self.own = own
+        self.own_address = own
         self.others = tuple(others)
         self.grown_ms = 0
         self.heard = heard
@@ -51,11 +51,11 @@
         """Return the other routers."""
         return self.others
 
-    def get_grown_ms(self) -> int:
+    def get_last_added_ms(self) -> int:
         """Return when the last one was added."""
         return self.grown_ms
 
-    def has_heard(self) -> bool:
+    def has_received_update(self) -> bool:
         """Return whether a message of another router was received."""
         return self.heard
 
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -115,7 +115,9 @@
         )
         journal = Journal(app=self.app)
         self.notices = NoticeHub()
-        self.routers = RouterRegistry(clock=clock, own=self.address, data_centre=data_centre)
+        self.routers = RouterRegistry(
+            clock=clock, own_address=self.address, data_centre=data_centre
+        )
         self.directory = Directory(app=self.app, journal=journal)
         self.evacuations = Evacuations(app=self.app, journal=journal)
         routing = RoutingStore(app=self.app, journal=journal)
@@ -129,7 +131,7 @@
             slow_start=SlowStartLimiter(clock=clock, journal=journal),
         )
         self.loads = self.placer.loads
-        self.holdings = self.placer.cache_index
+        self.cache_index = self.placer.cache_index
         # Parts placed since the last update to the neighbours.
         self.placed: list[PlacedPart] = []
         self.state = WatchState(clock=clock)
@@ -204,7 +206,7 @@
         """Place a prompt part on an upstream, with a request that keeps running."""
         self.loads.begin(upstream, tokens=0)
         placed = PlacedPart(part=part, upstream=upstream)
-        self.holdings.note(part=part, upstream=upstream, now_ms=self.app.clock.now_ms())
+        self.cache_index.note(part=part, upstream=upstream, now_ms=self.app.clock.now_ms())
         self.placed.append(placed)
         self.relays.note_placed((placed,))
 
@@ -300,7 +302,7 @@
         loads = PeerLoads(received_ms=self._last_exchange_ms, loads=other.loads.get_own_loads())
         router.loads.set_peer_loads(other.name, loads)
         for part in placed:
-            router.holdings.note(
+            router.cache_index.note(
                 part=part.part, upstream=part.upstream, now_ms=self._last_exchange_ms
             )
         refused = other.placer.health.list_refusals()
--- a/tests/peers/test_peers_relays.py
+++ b/tests/peers/test_peers_relays.py
@@ -13,7 +13,7 @@
 
 
 def has_cached_part(router: FleetRouter, part: int, upstream: str) -> bool:
-    held = router.holdings.list_cached(now_ms=router.app.clock.now_ms())
+    held = router.cache_index.list_cached(now_ms=router.app.clock.now_ms())
     return part in held.get(upstream, ())
 
 
