--- a/gypsumrouter/callers/__init__.py
+++ b/gypsumrouter/callers/__init__.py
@@ -29,11 +29,11 @@
     CallerConnection,
     CallerListener,
     CallerServer,
+    ConnectionLimits,
     Handler,
-    HeadLimits,
-    MintRequestId,
+    RequestIdGenerator,
 )
-from gypsumrouter.callers.memory import HeldBytes, MemoryBudget
+from gypsumrouter.callers.memory import MemoryBudget, MemoryReservation
 
 __all__ = [
     "CONTENT_TYPE_JSON",
@@ -46,12 +46,12 @@
     "CallerConnection",
     "CallerListener",
     "CallerServer",
+    "ConnectionLimits",
     "Handler",
-    "HeadLimits",
-    "HeldBytes",
     "MemoryBudget",
-    "MintRequestId",
+    "MemoryReservation",
     "Rejection",
+    "RequestIdGenerator",
     "abort_connection",
     "async_read_body",
     "count_head_bytes",
--- a/gypsumrouter/callers/body.py
+++ b/gypsumrouter/callers/body.py
@@ -9,7 +9,7 @@
 
 from gypsumrouter.callers.const import DEFAULT_RETRY_AFTER_MS
 from gypsumrouter.callers.errors import Rejection, reject, reject_field
-from gypsumrouter.callers.memory import HeldBytes
+from gypsumrouter.callers.memory import MemoryReservation
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.outcomes import Reason
 
@@ -17,7 +17,7 @@
 
 
 async def async_read_body(
-    *, request: web.BaseRequest, held: HeldBytes, max_bytes: int, idle_ms: int
+    *, request: web.BaseRequest, reservation: MemoryReservation, max_bytes: int, idle_ms: int
 ) -> bytes | Rejection:
     """Return the whole body; `idle_ms` bounds the time between two parts of it."""
     if (request.content_length or 0) > max_bytes:
@@ -25,7 +25,7 @@
     if request.headers.get("Expect", "").lower() == "100-continue":
         await request.writer.write(CONTINUE_LINE)
     try:
-        return await _async_read_parts(request, held, max_bytes, idle_ms)
+        return await _async_read_parts(request, reservation, max_bytes, idle_ms)
     except TimeoutError:
         return reject_field("body", "The body did not arrive in time", status=408)
     except (http_exceptions.HttpProcessingError, web.RequestPayloadError, ClientError):
@@ -33,16 +33,16 @@
 
 
 async def _async_read_parts(
-    request: web.BaseRequest, held: HeldBytes, max_bytes: int, idle_ms: int
+    request: web.BaseRequest, reservation: MemoryReservation, max_bytes: int, idle_ms: int
 ) -> bytes | Rejection:
     loop = asyncio.get_running_loop()
     idle_s = idle_ms / MS_PER_S
     parts: list[bytes] = []
     async with asyncio.timeout(idle_s) as scope:
         while part := await request.content.readany():
-            if held.size + len(part) > max_bytes:
+            if reservation.size + len(part) > max_bytes:
                 return _reject_size(max_bytes)
-            if not held.reserve(len(part)):
+            if not reservation.reserve(len(part)):
                 message = "Too many request bodies are held in memory"
                 return reject(Reason.QUEUE_FULL, message, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
             parts.append(part)
--- a/gypsumrouter/callers/errors.py
+++ b/gypsumrouter/callers/errors.py
@@ -35,7 +35,7 @@
 DEFAULT_STATUS_REFUSED: Final = 503
 DEFAULT_STATUS_FAILED: Final = 502
 
-MESSAGES: Final[Mapping[Reason, str]] = {
+DEFAULT_MESSAGES: Final[Mapping[Reason, str]] = {
     Reason.UNAUTHENTICATED: "Send a valid key as `Authorization: Bearer <key>`",
     Reason.WORKSPACE_LIMIT: "A limit of the workspace is reached",
     Reason.OVER_CAP: "Every instance that could take the request is at its load limit",
@@ -143,7 +143,9 @@
 
 
 def _format_message(failure: Failure) -> str:
-    text = failure.message or MESSAGES.get(failure.reason, failure.reason.value.replace("_", " "))
+    text = failure.message or DEFAULT_MESSAGES.get(
+        failure.reason, failure.reason.value.replace("_", " ")
+    )
     match failure:
         case Refused():
             return f"{text} ({NOT_RUN_TEXT})"
--- a/gypsumrouter/callers/listener.py
+++ b/gypsumrouter/callers/listener.py
@@ -30,36 +30,37 @@
 SHUTDOWN_TIMEOUT_S: Final = 0.5
 
 
-class MintRequestId(Protocol):
+class RequestIdGenerator(Protocol):
     """Gives each request its id."""
 
     def __call__(self) -> str:
         """Return a new id."""
 
 
-class HeadLimits(Struct, frozen=True, kw_only=True):
-    """What a connection of a caller may send and how long it may take; they hold while it is open.
+class ConnectionLimits(Struct, frozen=True, kw_only=True):
+    """Limits of one caller connection, fixed when the connection is opened.
 
-    `first_head_ms` bounds the time from its opening to its first byte, `head_ms` the time from the
-    first byte of a head to its end, `idle_ms` the time between an answer and the next request.
+    `first_byte_timeout_ms` limits the time from the opening to the first byte received.
+    `head_timeout_ms` limits the time from the first to the last byte of a request head.
+    `idle_timeout_ms` limits the time between the end of an answer and the next request.
     """
 
     max_bytes: int
-    first_head_ms: int
-    head_ms: int
-    idle_ms: int
+    first_byte_timeout_ms: int
+    head_timeout_ms: int
+    idle_timeout_ms: int
 
 
 class CallerConnection(web.RequestHandler):
     """One connection of a caller; whatever is wrong with its HTTP is answered as JSON."""
 
-    __slots__ = ("_head_begun", "_head_limits", "_head_timer", "_server")
+    __slots__ = ("_head_limits", "_head_started", "_head_timer", "_server")
 
-    def __init__(self, server: CallerServer, *, limits: HeadLimits, **options: Any) -> None:
-        super().__init__(server, keepalive_timeout=limits.idle_ms / MS_PER_S, **options)
+    def __init__(self, server: CallerServer, *, limits: ConnectionLimits, **options: Any) -> None:
+        super().__init__(server, keepalive_timeout=limits.idle_timeout_ms / MS_PER_S, **options)
         self._server = server
         self._head_limits = limits
-        self._head_begun = False
+        self._head_started = False
         self._head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -67,45 +68,45 @@
         super().connection_made(transport)
         if isinstance(transport, asyncio.WriteTransport):
             transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
-        self._close_after(self._head_limits.first_head_ms)
+        self._start_head_timer(self._head_limits.first_byte_timeout_ms)
 
     def data_received(self, data: bytes) -> None:
         """Bound the time that a head takes from its first byte; a slow one holds the connection."""
         super().data_received(data)
         # What comes while no request is awaited is the rest of a body.
-        if self._is_awaiting and not self._head_begun:
-            self._head_begun = True
-            self._close_after(self._head_limits.head_ms)
+        if self._is_awaiting_head and not self._head_started:
+            self._head_started = True
+            self._start_head_timer(self._head_limits.head_timeout_ms)
 
     @property
-    def _is_awaiting(self) -> bool:
+    def _is_awaiting_head(self) -> bool:
         """Return whether the next request is awaited and its head is not whole yet."""
         return self._waiter is not None and not self._waiter.done() and not self._messages
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Release the timer of the connection."""
-        self.note_request()
+        self.stop_head_timer()
         super().connection_lost(exc)
 
-    def note_request(self) -> None:
+    def stop_head_timer(self) -> None:
         """Note that a head has arrived whole."""
-        self._head_begun = False
+        self._head_started = False
         if self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _close_after(self, limit_ms: int) -> None:
+    def _start_head_timer(self, limit_ms: int) -> None:
         if self._head_timer is not None:
             self._head_timer.cancel()
         loop = asyncio.get_running_loop()
         self._head_timer = loop.call_later(limit_ms / MS_PER_S, self.force_close)
 
-    def close_politely(self) -> None:
+    def close_gracefully(self) -> None:
         """Close now if no request has arrived, or else after the answer.
 
         The library's own `close` leaves an idle connection open, on which nothing is served.
         """
-        idle = self._is_awaiting
+        idle = self._is_awaiting_head
         self.close()
         if idle and self.transport is not None:
             self.transport.close()
@@ -118,8 +119,8 @@
         message: str | None = None,
     ) -> web.StreamResponse:
         """Answer an error of the HTTP layer, or a fault of the gateway itself."""
-        self.note_request()
-        request_id = self._server.mint_request_id()
+        self.stop_head_timer()
+        request_id = self._server.generate_request_id()
         if status >= 500:
             _LOGGER.error("Request %s hit a fault of the router", request_id, exc_info=exc)
         else:
@@ -137,11 +138,11 @@
         self,
         handler: Handler,
         *,
-        get_limits: Callable[[], HeadLimits],
-        mint_request_id: MintRequestId,
+        get_limits: Callable[[], ConnectionLimits],
+        generate_request_id: RequestIdGenerator,
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
-        self.mint_request_id = mint_request_id
+        self.generate_request_id = generate_request_id
         self._get_limits = get_limits
 
     def __call__(self) -> CallerConnection:
--- a/gypsumrouter/callers/memory.py
+++ b/gypsumrouter/callers/memory.py
@@ -24,7 +24,7 @@
         self.used -= size
 
 
-class HeldBytes:
+class MemoryReservation:
     """What one request holds of a memory budget."""
 
     __slots__ = ("_budget", "size")
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from gypsumrouter.callers import CallerConnection, CallerListener, CallerServer, HeadLimits
+from gypsumrouter.callers import CallerConnection, CallerListener, CallerServer, ConnectionLimits
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
 from gypsumrouter.forwarding.budget import RetryBudget
@@ -179,20 +179,20 @@
         self._server = CallerServer(
             self._async_handle,
             get_limits=self._get_head_limits,
-            mint_request_id=self.handler.mint_request_id,
+            generate_request_id=self.handler.mint_request_id,
         )
         callers = parse_address(settings.callers)
         self._listener = CallerListener(
             settings=Listener(host=callers.host, port=callers.port), server=self._server, tls=None
         )
 
-    def _get_head_limits(self) -> HeadLimits:
+    def _get_head_limits(self) -> ConnectionLimits:
         limits = self._routing.limits
-        return HeadLimits(
+        return ConnectionLimits(
             max_bytes=limits.max_head_bytes,
-            first_head_ms=limits.idle_timeout_ms + CALLER_SPARE_MS,
-            head_ms=limits.head_timeout_ms + CALLER_SPARE_MS,
-            idle_ms=limits.idle_timeout_ms + CALLER_SPARE_MS,
+            first_byte_timeout_ms=limits.idle_timeout_ms + CALLER_SPARE_MS,
+            head_timeout_ms=limits.head_timeout_ms + CALLER_SPARE_MS,
+            idle_timeout_ms=limits.idle_timeout_ms + CALLER_SPARE_MS,
         )
 
     async def _async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -211,7 +211,7 @@
         assert self._server is not None
         for connection in tuple(self._server.connections):
             if isinstance(connection, CallerConnection):
-                connection.close_politely()
+                connection.close_gracefully()
         while self.handler.running:
             await self._app.clock.async_sleep(DRAIN_STEP_MS)
         assert self._listener is not None
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -11,8 +11,8 @@
 
 from gypsumrouter.callers import (
     CallerConnection,
-    HeldBytes,
     MemoryBudget,
+    MemoryReservation,
     Rejection,
     abort_connection,
     async_read_body,
@@ -109,8 +109,8 @@
         """Serve one request from its head to the end of its answer."""
         arrived_ms = self._parts.app.clock.now_ms()
         if isinstance(request.protocol, CallerConnection):
-            request.protocol.note_request()
-        held = HeldBytes(budget=self._bodies)
+            request.protocol.stop_head_timer()
+        held = MemoryReservation(budget=self._bodies)
         self._minted += 1
         number = self._minted
         self._running[number] = "unread"
@@ -125,14 +125,14 @@
         return response
 
     async def _async_serve(
-        self, request: web.BaseRequest, held: HeldBytes, arrived_ms: int, number: int
+        self, request: web.BaseRequest, held: MemoryReservation, arrived_ms: int, number: int
     ) -> web.StreamResponse:
         limits = self._routing.limits
         if count_head_bytes(request) > limits.max_head_bytes:
             return self._reject_unread(reject_head_size())
         body = await async_read_body(
             request=request,
-            held=held,
+            reservation=held,
             max_bytes=limits.max_body_bytes,
             idle_ms=limits.idle_timeout_ms,
         )
--- a/gypsumrouter/gateway/gateway.py
+++ b/gypsumrouter/gateway/gateway.py
@@ -10,7 +10,7 @@
     KEEPALIVE_TIMEOUT_MS,
     CallerListener,
     CallerServer,
-    HeadLimits,
+    ConnectionLimits,
 )
 from gypsumrouter.configuration import ConfigurationStore
 from gypsumrouter.configuration.models import Configuration
@@ -99,16 +99,16 @@
             running=self._running,
             watch=self._watch,
         )
-        head_limits = HeadLimits(
+        head_limits = ConnectionLimits(
             max_bytes=settings.limits.max_head_bytes,
-            first_head_ms=settings.limits.caller_idle_ms,
-            head_ms=settings.limits.caller_idle_ms,
-            idle_ms=KEEPALIVE_TIMEOUT_MS,
+            first_byte_timeout_ms=settings.limits.caller_idle_ms,
+            head_timeout_ms=settings.limits.caller_idle_ms,
+            idle_timeout_ms=KEEPALIVE_TIMEOUT_MS,
         )
         server = CallerServer(
             self._handler.async_handle,
             get_limits=lambda: head_limits,
-            mint_request_id=self._handler.mint_request_id,
+            generate_request_id=self._handler.generate_request_id,
         )
         self._tls_files: TlsFiles | None = None
         self._listener = CallerListener(
--- a/gypsumrouter/gateway/handler.py
+++ b/gypsumrouter/gateway/handler.py
@@ -10,8 +10,8 @@
 from gypsumrouter.callers import (
     DEFAULT_RETRY_AFTER_MS,
     CallerConnection,
-    HeldBytes,
     MemoryBudget,
+    MemoryReservation,
     Rejection,
     get_status,
     make_error_response,
@@ -86,7 +86,7 @@
         """Return what bodies and answers that are held back take in memory."""
         return {"bodies": self._bodies.used, "answers": self._answers.used}
 
-    def mint_request_id(self) -> str:
+    def generate_request_id(self) -> str:
         """Return an id that no other request of any process has."""
         self._minted += 1
         return f"{self._app.incarnation:016x}-{self._minted:x}"
@@ -94,24 +94,24 @@
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request from its head to the end of its answer."""
         if isinstance(request.protocol, CallerConnection):
-            request.protocol.note_request()
+            request.protocol.stop_head_timer()
         running = RunningRequest(
-            request_id=self.mint_request_id(), arrived_ms=self._app.clock.now_ms()
+            request_id=self.generate_request_id(), arrived_ms=self._app.clock.now_ms()
         )
         set_request_id(running.request_id)
         _log_begin(request, running.request_id)
         compiled = self._check_open()
         if isinstance(compiled, Rejection):
             return self._reject(running, compiled)
-        held = HeldBytes(budget=self._bodies)
+        reservation = MemoryReservation(budget=self._bodies)
         self._running.add(running)
         try:
-            return await self._async_serve(request, running, held, compiled)
+            return await self._async_serve(request, running, reservation, compiled)
         except asyncio.CancelledError:
             self._note_finish(running, Finish(failure=running.attempts.conclude_when_gone()))
             raise
         finally:
-            held.release()
+            reservation.release()
             self._running.remove(running)
 
     def _check_open(self) -> CompiledPolicy | Rejection:
@@ -129,11 +129,11 @@
         self,
         request: web.BaseRequest,
         running: RunningRequest,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         compiled: CompiledPolicy,
     ) -> web.StreamResponse:
         accepted = await self._intake.async_accept(
-            request=request, running=running, held=held, compiled=compiled
+            request=request, running=running, reservation=reservation, compiled=compiled
         )
         match accepted:
             case Rejection():
@@ -162,12 +162,12 @@
             scope=scope,
             deadline_at_ms=call.deadline_at_ms,
         )
-        held = HeldBytes(budget=self._answers)
+        reservation = MemoryReservation(budget=self._answers)
         reply = Reply(
             request=request,
             request_id=call.request_id,
             watched=watched,
-            held=held,
+            reservation=reservation,
             clock=self._app.clock,
             closes=self._readiness.leaving,
         )
@@ -180,7 +180,7 @@
             return await self._async_conclude(running, reply, failure)
         finally:
             self._watch.remove(watched)
-            held.release()
+            reservation.release()
 
     async def _async_dispatch(
         self, call: Call, running: RunningRequest, reply: Reply, scope: asyncio.Timeout
--- a/gypsumrouter/gateway/intake.py
+++ b/gypsumrouter/gateway/intake.py
@@ -8,7 +8,7 @@
 from aiohttp import hdrs, web
 
 from gypsumrouter.callers import (
-    HeldBytes,
+    MemoryReservation,
     Rejection,
     async_read_body,
     count_head_bytes,
@@ -54,7 +54,7 @@
         *,
         request: web.BaseRequest,
         running: RunningRequest,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         compiled: CompiledPolicy,
     ) -> Call | web.Response | Rejection:
         """Return the call to dispatch, the answer to a question of the router, or a rejection."""
@@ -72,11 +72,11 @@
                 return _answer_models(request, compiled, running.request_id)
             case str() as path if path == PATH_CHAT:
                 return await self._async_accept_chat(
-                    request, running, held, compiled, workspace, head
+                    request, running, reservation, compiled, workspace, head
                 )
             case str() as path if path.startswith(PATH_SERVICES):
                 return await self._async_accept_service_call(
-                    request, running, held, compiled, workspace, head
+                    request, running, reservation, compiled, workspace, head
                 )
         return reject(Reason.NOT_FOUND, "There is nothing at this path", param="path")
 
@@ -84,7 +84,7 @@
         self,
         request: web.BaseRequest,
         running: RunningRequest,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         compiled: CompiledPolicy,
         workspace: Workspace,
         head: CallerHead,
@@ -94,7 +94,7 @@
         if hdrs.CONTENT_ENCODING in request.headers:
             message = "The body must not be compressed"
             return reject_field(hdrs.CONTENT_ENCODING, message, status=STATUS_UNSUPPORTED_ENCODING)
-        body = await self._async_read(request, held)
+        body = await self._async_read(request, reservation)
         if isinstance(body, Rejection):
             return body
         return self._make_factory(compiled).make_chat(
@@ -109,7 +109,7 @@
         self,
         request: web.BaseRequest,
         running: RunningRequest,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         compiled: CompiledPolicy,
         workspace: Workspace,
         head: CallerHead,
@@ -125,7 +125,7 @@
             path = f"{path}?{request.rel_url.raw_query_string}"
         if PATH_AND_QUERY.fullmatch(path) is None:
             return reject_field("path", "The path and the query must be percent-encoded")
-        body = await self._async_read(request, held)
+        body = await self._async_read(request, reservation)
         if isinstance(body, Rejection):
             return body
         target = Target(kind=UpstreamKind.SERVICE, method=request.method, path=path, pool=service)
@@ -139,10 +139,12 @@
             arrived_ms=running.arrived_ms,
         )
 
-    async def _async_read(self, request: web.BaseRequest, held: HeldBytes) -> bytes | Rejection:
+    async def _async_read(
+        self, request: web.BaseRequest, reservation: MemoryReservation
+    ) -> bytes | Rejection:
         return await async_read_body(
             request=request,
-            held=held,
+            reservation=reservation,
             max_bytes=self._limits.max_body_bytes,
             idle_ms=self._limits.caller_idle_ms,
         )
--- a/gypsumrouter/gateway/reply.py
+++ b/gypsumrouter/gateway/reply.py
@@ -8,7 +8,12 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from gypsumrouter.callers import WRITE_BUFFER_BYTES, HeldBytes, abort_connection, render_error_event
+from gypsumrouter.callers import (
+    WRITE_BUFFER_BYTES,
+    MemoryReservation,
+    abort_connection,
+    render_error_event,
+)
 from gypsumrouter.const import HEADER_PLACEMENT, HEADER_REPLAYED, HEADER_REQUEST_ID
 from gypsumrouter.gateway.const import (
     CONTENT_TYPE_EVENTS,
@@ -68,14 +73,14 @@
         request: web.BaseRequest,
         request_id: str,
         watched: Watched,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         clock: Clock,
         closes: bool,
     ) -> None:
         self._request = request
         self._request_id = request_id
         self._watched = watched
-        self._held = held
+        self._held = reservation
         self._clock = clock
         self._cutter: EventCutter | None = None
         self._head: Head | None = None
