--- a/gypsumrouter/callers/listener.py
+++ b/gypsumrouter/callers/listener.py
@@ -54,12 +54,12 @@
 class CallerConnection(web.RequestHandler):
     """One connection of a caller; whatever is wrong with its HTTP is answered as JSON."""
 
-    __slots__ = ("_head_limits", "_head_started", "_head_timer", "_server")
+    __slots__ = ("_head_started", "_head_timer", "_limits", "_server")
 
     def __init__(self, server: CallerServer, *, limits: ConnectionLimits, **options: Any) -> None:
         super().__init__(server, keepalive_timeout=limits.idle_timeout_ms / MS_PER_S, **options)
         self._server = server
-        self._head_limits = limits
+        self._limits = limits
         self._head_started = False
         self._head_timer: asyncio.TimerHandle | None = None
 
@@ -68,7 +68,7 @@
         super().connection_made(transport)
         if isinstance(transport, asyncio.WriteTransport):
             transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
-        self._start_head_timer(self._head_limits.first_byte_timeout_ms)
+        self._start_head_timer(self._limits.first_byte_timeout_ms)
 
     def data_received(self, data: bytes) -> None:
         """Bound the time that a head takes from its first byte; a slow one holds the connection."""
@@ -76,7 +76,7 @@
         # What comes while no request is awaited is the rest of a body.
         if self._is_awaiting_head and not self._head_started:
             self._head_started = True
-            self._start_head_timer(self._head_limits.head_timeout_ms)
+            self._start_head_timer(self._limits.head_timeout_ms)
 
     @property
     def _is_awaiting_head(self) -> bool:
--- a/gypsumrouter/gateway/attempts.py
+++ b/gypsumrouter/gateway/attempts.py
@@ -10,7 +10,7 @@
 
 # Higher tells a caller more. What is missing ranks lowest; a refusal that no other instance can
 # change is final by itself.
-TELLING: Final[Mapping[Reason, int]] = {
+REFUSAL_PRECEDENCE: Final[Mapping[Reason, int]] = {
     Reason.UNREACHABLE: 1,
     Reason.NOT_READY: 2,
     Reason.LEAVING: 2,
@@ -36,45 +36,45 @@
 
     __slots__ = (
         "failed",
-        "given",
+        "failures",
+        "in_flight",
         "instance",
-        "last",
-        "open",
+        "last_failure",
+        "lost_upstreams",
         "refusals",
         "tried",
-        "upstreams_lost",
     )
 
     def __init__(self) -> None:
         self.failed: Failed | None = None
-        self.given = 0
+        self.failures = 0
         self.instance = ""
-        self.last: Failure | None = None
-        self.open = False
+        self.last_failure: Failure | None = None
+        self.in_flight = False
         self.refusals: list[Refused] = []
         self.tried: list[str] = []
-        self.upstreams_lost = 0
+        self.lost_upstreams = 0
 
-    def note_try(self, name: str) -> None:
+    def record_start(self, name: str) -> None:
         """Note that the request goes to an instance now."""
         self.instance = name
         self.tried.append(name)
-        self.open = True
+        self.in_flight = True
 
-    def note_failure(self, failure: Failure) -> None:
+    def record_failure(self, failure: Failure) -> None:
         """Note how the try at the present instance ended."""
-        self.open = False
-        self.last = failure
+        self.in_flight = False
+        self.last_failure = failure
         match failure:
             case Refused():
                 self.refusals.append(failure)
             case Failed(reason=reason):
                 self.failed = failure
-                self.given += 1
+                self.failures += 1
                 if reason is Reason.UPSTREAM_LOST:
-                    self.upstreams_lost += 1
+                    self.lost_upstreams += 1
 
-    def conclude(self) -> Failure:
+    def get_final_failure(self) -> Failure:
         """Return what the caller is told when no try is left.
 
         Once one try may have run, "not run" would be wrong.
@@ -85,29 +85,29 @@
             return Refused(reason=Reason.NO_INSTANCE, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
         if not self.refusals[-1].elsewhere:
             return self.refusals[-1]
-        return self._find_most_telling()
+        return self._select_refusal()
 
-    def conclude_at_deadline(self) -> Failure:
+    def get_deadline_failure(self) -> Failure:
         """Return what the caller is told when its time is over."""
-        if self.open or self.failed is not None:
+        if self.in_flight or self.failed is not None:
             return Failed(reason=Reason.DEADLINE)
         return Refused(reason=Reason.DEADLINE)
 
-    def conclude_when_gone(self) -> Failure:
+    def get_cancelled_failure(self) -> Failure:
         """Return how a request ended whose caller has closed the connection."""
-        if self.open or self.failed is not None:
+        if self.in_flight or self.failed is not None:
             return Failed(reason=Reason.CANCELLED)
         return Refused(reason=Reason.CANCELLED)
 
-    def _find_most_telling(self) -> Refused:
-        telling = max(self.refusals, key=lambda refused: TELLING.get(refused.reason, 0))
-        waits = [
+    def _select_refusal(self) -> Refused:
+        selected = max(self.refusals, key=lambda refused: REFUSAL_PRECEDENCE.get(refused.reason, 0))
+        delays = [
             refused.retry_after_ms
             for refused in self.refusals
             if refused.retry_after_ms is not None
         ]
         return Refused(
-            reason=telling.reason,
-            message=telling.message,
-            retry_after_ms=min(waits, default=DEFAULT_RETRY_AFTER_MS),
+            reason=selected.reason,
+            message=selected.message,
+            retry_after_ms=min(delays, default=DEFAULT_RETRY_AFTER_MS),
         )
--- a/gypsumrouter/gateway/budget.py
+++ b/gypsumrouter/gateway/budget.py
@@ -12,29 +12,29 @@
     and never holds more than `burst`.
     """
 
-    __slots__ = ("_burst", "_left", "_ratio", "spent", "starved")
+    __slots__ = ("_burst", "_ratio", "_tokens", "denied", "spent")
 
     def __init__(self, *, ratio: float, burst: float = RETRY_BURST) -> None:
         self._ratio = ratio
         self._burst = burst if ratio > 0 else 0.0
-        self._left = self._burst
+        self._tokens = self._burst
         self.spent = 0
-        self.starved = 0
+        self.denied = 0
 
     @property
-    def left(self) -> float:
+    def available(self) -> float:
         """Return how many retries may be made now."""
-        return self._left
+        return self._tokens
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Add the share of one request."""
-        self._left = min(self._burst, self._left + self._ratio)
+        self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one retry, or return False when the budget is spent."""
-        if self._left < 1.0:
-            self.starved += 1
+        if self._tokens < 1.0:
+            self.denied += 1
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         self.spent += 1
         return True
--- a/gypsumrouter/gateway/calls.py
+++ b/gypsumrouter/gateway/calls.py
@@ -13,7 +13,7 @@
 from gypsumrouter.core import Application
 from gypsumrouter.gateway.chats import derive_chat_id, has_assistant_message
 from gypsumrouter.gateway.checks import FIELDS_MAX_TOKENS, check_chat_body
-from gypsumrouter.gateway.limits import Limit, name_rule_limit, name_workspace_limit
+from gypsumrouter.gateway.limits import Limit, get_rule_limit_name, get_workspace_limit_name
 from gypsumrouter.gateway.models import Call, CallerHead, ChatBody, Target
 from gypsumrouter.gateway.policies import CompiledPolicy
 from gypsumrouter.outcomes import Reason
@@ -188,12 +188,12 @@
 def _make_limits(workspace: Workspace, decision: Decision) -> tuple[Limit, ...]:
     return (
         Limit(
-            name=name_workspace_limit(workspace.name),
+            name=get_workspace_limit_name(workspace.name),
             requests_per_s=workspace.requests_per_s,
             concurrent=workspace.concurrent,
         ),
         Limit(
-            name=name_rule_limit(decision.rule or ""),
+            name=get_rule_limit_name(decision.rule or ""),
             requests_per_s=decision.requests_per_s,
             concurrent=decision.concurrent,
         ),
@@ -206,6 +206,6 @@
     if limit is None or 0 < chat.max_output_tokens <= limit:
         return
     call.max_output_tokens = limit
-    given = [name for name in FIELDS_MAX_TOKENS if chat.document.get(name) is not None]
-    document = {**chat.document, **dict.fromkeys(given or FIELDS_MAX_TOKENS[1:], limit)}
+    present = [name for name in FIELDS_MAX_TOKENS if chat.document.get(name) is not None]
+    document = {**chat.document, **dict.fromkeys(present or FIELDS_MAX_TOKENS[1:], limit)}
     call.body = json.dumps(document).encode()
--- a/gypsumrouter/gateway/candidates.py
+++ b/gypsumrouter/gateway/candidates.py
@@ -8,7 +8,7 @@
 
 from gypsumrouter.configuration.models import Pool
 from gypsumrouter.fleet import Fleet
-from gypsumrouter.gateway.homes import Homes
+from gypsumrouter.gateway.key_owners import KeyOwners
 from gypsumrouter.gateway.models import Call
 from gypsumrouter.instances import Instance
 from gypsumrouter.placement import Placement, PlacementQuery
@@ -30,79 +30,79 @@
 class Candidates:
     """The candidates of one request; each instance is given once."""
 
-    __slots__ = ("_call", "_finder", "_given", "_usual")
+    __slots__ = ("_call", "_finder", "_ordered", "_returned")
 
     def __init__(self, *, finder: CandidateFinder, call: Call) -> None:
         self._finder = finder
         self._call = call
-        self._given: set[str] = set()
-        self._usual = finder.iterate(call)
+        self._returned: set[str] = set()
+        self._ordered = finder.iter_candidates(call)
 
-    def take(self, *, suspect: bool) -> Candidate | None:
+    def pop(self, *, suspect: bool) -> Candidate | None:
         """Return the next candidate, None when there is none left.
 
         A suspect goes to the places that run suspects alone, before the usual ones.
         """
         if suspect and self._call.repeatable:
-            for candidate in self._finder.iterate_places(self._call):
-                if self._is_new(candidate):
+            for candidate in self._finder.iter_isolation_instances(self._call):
+                if self._mark_returned(candidate):
                     return candidate
-        for candidate in self._usual:
-            if self._is_new(candidate):
+        for candidate in self._ordered:
+            if self._mark_returned(candidate):
                 return candidate
         return None
 
-    def _is_new(self, candidate: Candidate) -> bool:
-        if candidate.instance.name in self._given:
+    def _mark_returned(self, candidate: Candidate) -> bool:
+        if candidate.instance.name in self._returned:
             return False
-        self._given.add(candidate.instance.name)
+        self._returned.add(candidate.instance.name)
         return True
 
 
 class CandidateFinder:
     """Finds candidates by placement, by the homes of keys, and by the places for suspects."""
 
-    __slots__ = ("_fleet", "_homes", "_placement")
+    __slots__ = ("_fleet", "_key_owners", "_placement")
 
     def __init__(self, *, fleet: Fleet, placement: Placement) -> None:
         self._fleet = fleet
         self._placement = placement
-        self._homes = Homes(fleet=fleet)
+        self._key_owners = KeyOwners(fleet=fleet)
 
     def find(self, call: Call) -> Candidates:
         """Return the candidates of a request."""
         return Candidates(finder=self, call=call)
 
-    def iterate(self, call: Call) -> Iterator[Candidate]:
+    def iter_candidates(self, call: Call) -> Iterator[Candidate]:
         """Yield the usual candidates, best first; a pool is asked when its turn comes."""
         if not call.repeatable:
-            yield from self._iterate_homes(call)
+            yield from self._iter_key_owners(call)
             return
         for pool in (call.pool, call.next_pool):
             if pool is None:
                 continue
-            query = make_query(call, pool)
+            query = make_placement_query(call, pool)
             holders = self._placement.find_prefix_holders(query)
             for instance in self._placement.order(query):
                 yield Candidate(pool=pool, instance=instance, query=query, holders=holders)
 
-    def iterate_places(self, call: Call) -> Iterator[Candidate]:
+    def iter_isolation_instances(self, call: Call) -> Iterator[Candidate]:
         """Yield the instances of the pool that run suspects."""
-        query = make_query(call, call.pool)
+        query = make_placement_query(call, call.pool)
         members = self._fleet.members(call.pool.name)
         for instance in find_isolation_places(call.pool.name, members):
             yield Candidate(pool=call.pool, instance=instance, query=query)
 
-    def _iterate_homes(self, call: Call) -> Iterator[Candidate]:
-        query = make_query(call, call.pool)
-        homes = self._homes.order(
+    def _iter_key_owners(self, call: Call) -> Iterator[Candidate]:
+        query = make_placement_query(call, call.pool)
+        owners = self._key_owners.list_owners(
             pool=call.pool.name, workspace=call.workspace.name, key=call.idempotency_key
         )
-        for instance in homes:
+        for instance in owners:
             yield Candidate(pool=call.pool, instance=instance, query=query)
 
 
-def make_query(call: Call, pool: Pool) -> PlacementQuery:
+def make_placement_query(call: Call, pool: Pool) -> PlacementQuery:
     """Return what placement is asked for a request in a pool."""
     return PlacementQuery(
         pool=pool,
--- a/gypsumrouter/gateway/chats.py
+++ b/gypsumrouter/gateway/chats.py
@@ -17,8 +17,8 @@
 
     It covers everything up to the first message of the user, which each later turn repeats.
     """
-    beginning = _take_beginning(messages)
-    text = json.dumps([user, beginning], sort_keys=True, separators=(",", ":"))
+    prefix = _get_stable_prefix(messages)
+    text = json.dumps([user, prefix], sort_keys=True, separators=(",", ":"))
     return xxhash.xxh3_128_hexdigest(text.encode())
 
 
@@ -27,7 +27,7 @@
     return any(message.get("role") == ROLE_ASSISTANT for message in messages)
 
 
-def _take_beginning(messages: Sequence[Mapping[str, Any]]) -> Sequence[Mapping[str, Any]]:
+def _get_stable_prefix(messages: Sequence[Mapping[str, Any]]) -> Sequence[Mapping[str, Any]]:
     for index, message in enumerate(messages):
         if message.get("role") == ROLE_USER:
             return messages[: index + 1]
--- a/gypsumrouter/gateway/checks.py
+++ b/gypsumrouter/gateway/checks.py
@@ -17,14 +17,14 @@
     HEADER_PLACEMENT,
 )
 from gypsumrouter.gateway.const import (
-    DROPPED_HEADERS,
+    EXCLUDED_HEADERS,
     MAX_CHAT_ID_LENGTH,
     MAX_DEADLINE_MS,
     MAX_HINT_LENGTH,
     MAX_IDEMPOTENCY_KEY_LENGTH,
     MAX_OUTPUT_TOKENS,
     MAX_PATH_LENGTH,
-    OWN_HEADER_PREFIX,
+    ROUTER_HEADER_PREFIX,
 )
 from gypsumrouter.gateway.models import CallerHead, ChatBody
 from gypsumrouter.link.models import Headers
@@ -111,7 +111,7 @@
     if not isinstance(metadata, dict | None):
         return reject_field("metadata", "`metadata` must be a JSON object")
     chat = (metadata or {}).get("chat_id")
-    if chat is None or (isinstance(chat, str) and _is_plain(chat, MAX_CHAT_ID_LENGTH)):
+    if chat is None or (isinstance(chat, str) and _is_printable_ascii(chat, MAX_CHAT_ID_LENGTH)):
         return None
     return reject_field("metadata.chat_id", "`chat_id` must be a short string of plain characters")
 
@@ -130,47 +130,47 @@
     return str(chat_id)
 
 
-def check_head(headers: Iterable[tuple[str, str]]) -> CallerHead | Rejection:
+def parse_head(headers: Iterable[tuple[str, str]]) -> CallerHead | Rejection:
     """Return what the head says, and the headers that are passed on."""
-    own: dict[str, str] = {}
-    passed: list[tuple[str, str]] = []
+    values: dict[str, str] = {}
+    forwarded: list[tuple[str, str]] = []
     for name, value in headers:
-        if not _is_text(value) or not _is_text(name):
+        if not _is_encodable(value) or not _is_encodable(name):
             return reject_field(_to_ascii(name), "Headers must be valid UTF-8")
         lower = name.lower()
-        own.setdefault(lower, value)
-        if lower not in DROPPED_HEADERS and not lower.startswith(OWN_HEADER_PREFIX):
-            passed.append((name, value))
-    return _check_own_headers(own, drop_connection_headers(passed, own.get("connection", "")))
+        values.setdefault(lower, value)
+        if lower not in EXCLUDED_HEADERS and not lower.startswith(ROUTER_HEADER_PREFIX):
+            forwarded.append((name, value))
+    return _parse_head(values, drop_connection_headers(forwarded, values.get("connection", "")))
 
 
 def drop_connection_headers(headers: Iterable[tuple[str, str]], connection: str) -> Headers:
     """Return the headers without those that the `Connection` header names."""
-    named = {name.strip().lower() for name in connection.split(",")}
-    return tuple((name, value) for name, value in headers if name.lower() not in named)
+    excluded = {name.strip().lower() for name in connection.split(",")}
+    return tuple((name, value) for name, value in headers if name.lower() not in excluded)
 
 
-def _check_own_headers(own: dict[str, str], passed: Headers) -> CallerHead | Rejection:
-    chat = own.get(HEADER_CHAT.lower(), "")
-    if not _is_plain(chat, MAX_CHAT_ID_LENGTH):
+def _parse_head(values: dict[str, str], forwarded: Headers) -> CallerHead | Rejection:
+    chat = values.get(HEADER_CHAT.lower(), "")
+    if not _is_printable_ascii(chat, MAX_CHAT_ID_LENGTH):
         return reject_field(HEADER_CHAT, "A chat id must be short and of plain characters")
-    hint = own.get(HEADER_PLACEMENT.lower(), "")
-    key = own.get(HEADER_IDEMPOTENCY_KEY.lower(), "")
-    if not _is_plain(key, MAX_IDEMPOTENCY_KEY_LENGTH):
+    hint = values.get(HEADER_PLACEMENT.lower(), "")
+    key = values.get(HEADER_IDEMPOTENCY_KEY.lower(), "")
+    if not _is_printable_ascii(key, MAX_IDEMPOTENCY_KEY_LENGTH):
         message = f"A key has at most {MAX_IDEMPOTENCY_KEY_LENGTH} plain characters"
         return reject(Reason.KEY_INVALID, message, param=HEADER_IDEMPOTENCY_KEY)
-    deadline = own.get(HEADER_DEADLINE.lower())
+    deadline = values.get(HEADER_DEADLINE.lower())
     if deadline is not None and not _is_deadline(deadline):
         message = f"A deadline must be a whole number between 1 and {MAX_DEADLINE_MS}"
         return reject_field(HEADER_DEADLINE, message)
     return CallerHead(
-        caller_class=own.get(HEADER_CLASS.lower()),
+        caller_class=values.get(HEADER_CLASS.lower()),
         deadline_ms=None if deadline is None else int(deadline),
         chat=chat,
         # A hint that cannot be ours is ignored: hints are never trusted with more than placement.
-        hint=hint if _is_plain(hint, MAX_HINT_LENGTH) else "",
+        hint=hint if _is_printable_ascii(hint, MAX_HINT_LENGTH) else "",
         idempotency_key=key,
-        headers=passed,
+        headers=forwarded,
     )
 
 
@@ -197,11 +197,11 @@
     return 1 <= int(text) <= MAX_DEADLINE_MS
 
 
-def _is_plain(text: str, max_length: int) -> bool:
+def _is_printable_ascii(text: str, max_length: int) -> bool:
     return len(text) <= max_length and text.isascii() and text.isprintable()
 
 
-def _is_text(text: str) -> bool:
+def _is_encodable(text: str) -> bool:
     try:
         text.encode()
     except UnicodeEncodeError:
--- a/gypsumrouter/gateway/const.py
+++ b/gypsumrouter/gateway/const.py
@@ -10,9 +10,9 @@
 
 
 # An answer up to this size is held back whole, so that it can still be retried or refused cleanly.
-MAX_HELD_ANSWER_BYTES: Final = 256 * 1024
+MAX_BUFFER_BYTES: Final = 256 * 1024
 # An unfinished event above this size is passed on in pieces.
-MAX_HELD_EVENT_BYTES: Final = 64 * 1024
+MAX_BUFFERED_EVENT_BYTES: Final = 64 * 1024
 # What all request bodies together may take in memory.
 MAX_BODIES_BYTES: Final = 64 * 1024 * 1024
 
@@ -27,23 +27,23 @@
 # How many candidates may turn one request away before it is answered.
 MAX_REDIRECTS: Final = 16
 # The home of a key and the one that another view may name.
-MAX_HOMES: Final = 2
+MAX_KEY_OWNERS: Final = 2
 # A request is given to one more upstream at most after one was lost while running it.
-MAX_UPSTREAMS_LOST: Final = 2
+MAX_LOST_UPSTREAMS: Final = 2
 # Retries that a router may make at once before the ratio binds.
 RETRY_BURST: Final = 10.0
 
 # A side watches the deadline too and knows better whether the request ran.
 DEADLINE_GRACE_MS: Final = 250
-SWEEP_MS: Final = 100
-SILENCE_CHECK_MS: Final = 500
-SILENT_MS: Final = 2_400
+CHECK_INTERVAL_MS: Final = 100
+ACK_CHECK_INTERVAL_MS: Final = 500
+ACK_TIMEOUT_MS: Final = 2_400
 # How long a leaving router still takes requests, until balancers have seen its readiness.
-LEAVING_GRACE_MS: Final = 2_000
+DRAIN_DELAY_MS: Final = 2_000
 
 
 # Headers that belong to one connection (RFC 9110) or that the gateway answers for itself.
-DROPPED_HEADERS: Final = frozenset(
+EXCLUDED_HEADERS: Final = frozenset(
     {
         "authorization",
         "connection",
@@ -63,4 +63,4 @@
         "x-request-id",
     }
 )
-OWN_HEADER_PREFIX: Final = "x-gypsum-"
+ROUTER_HEADER_PREFIX: Final = "x-gypsum-"
--- a/gypsumrouter/gateway/diagnostics.py
+++ b/gypsumrouter/gateway/diagnostics.py
@@ -16,21 +16,21 @@
     running: RunningRequests,
     retries: RetryBudget,
     limits: FleetLimits,
-    held_bytes: Mapping[str, int],
-    cut: int,
+    buffered_bytes: Mapping[str, int],
+    aborted_callers: int,
     now_ms: int,
 ) -> dict[str, object]:
     """Return the state of the gateway as plain JSON data."""
     policy = readiness.policy
     return {
         "ready": readiness.ready,
-        "leaving": readiness.leaving,
+        "leaving": readiness.draining,
         "closed": readiness.closed,
         "configuration_version": 0 if policy is None else policy.configuration.version,
         "running": dump_running(running, now_ms=now_ms),
-        "held_bytes": dict(held_bytes),
-        "callers_cut": cut,
-        "retries": {"left": retries.left, "spent": retries.spent, "starved": retries.starved},
+        "held_bytes": dict(buffered_bytes),
+        "callers_cut": aborted_callers,
+        "retries": {"left": retries.available, "spent": retries.spent, "starved": retries.denied},
         "limits": {
             "routers": limits.share.routers,
             "position": limits.share.position,
--- a/gypsumrouter/gateway/dispatch.py
+++ b/gypsumrouter/gateway/dispatch.py
@@ -9,7 +9,7 @@
 from gypsumrouter.gateway.attempts import Attempts
 from gypsumrouter.gateway.budget import RetryBudget
 from gypsumrouter.gateway.candidates import Candidate, CandidateFinder
-from gypsumrouter.gateway.const import MAX_REDIRECTS, MAX_UPSTREAMS_LOST
+from gypsumrouter.gateway.const import MAX_LOST_UPSTREAMS, MAX_REDIRECTS
 from gypsumrouter.gateway.metrics import GatewayMetrics
 from gypsumrouter.gateway.models import Call
 from gypsumrouter.gateway.reply import Reply
@@ -24,7 +24,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 # Another try cannot help: the time is over, or the caller is gone.
-FINAL_REASONS: Final = frozenset({Reason.DEADLINE, Reason.CANCELLED})
+NON_RETRYABLE_REASONS: Final = frozenset({Reason.DEADLINE, Reason.CANCELLED})
 
 
 class Dispatcher:
@@ -64,43 +64,43 @@
 
     async def async_run(self, *, call: Call, reply: Reply, attempts: Attempts) -> Failure | None:
         """Try instance after instance; returns None after a whole answer."""
-        self._budget.note_request()
+        self._budget.record_request()
         candidates = self._finder.find(call)
         while True:
             if self._app.clock.now_ms() >= call.deadline_at_ms:
-                return attempts.conclude_at_deadline()
+                return attempts.get_deadline_failure()
             verdict = self._suspicion.check(call.digest)
             if isinstance(verdict, Refused):
                 return attempts.failed or verdict
             suspect = isinstance(verdict, Suspect)
-            candidate = candidates.take(suspect=suspect)
-            if candidate is None or not self._may_start(attempts):
-                return attempts.conclude()
-            failure = await self._async_try(call, reply, attempts, candidate, suspect)
+            candidate = candidates.pop(suspect=suspect)
+            if candidate is None or not self._may_attempt(attempts):
+                return attempts.get_final_failure()
+            failure = await self._async_attempt(call, reply, attempts, candidate, suspect)
             if failure is None:
                 self._placement.record_served(candidate.query, candidate.instance)
                 return None
-            attempts.note_failure(failure)
-            if not self._may_go_on(call, reply, attempts, failure):
-                return attempts.conclude()
+            attempts.record_failure(failure)
+            if not self._may_retry(call, reply, attempts, failure):
+                return attempts.get_final_failure()
             reply.discard()
 
-    def _may_start(self, attempts: Attempts) -> bool:
+    def _may_attempt(self, attempts: Attempts) -> bool:
         """Return whether the try is paid for: only one after a failure costs anything."""
-        if not isinstance(attempts.last, Failed):
+        if not isinstance(attempts.last_failure, Failed):
             return True
-        if not self._budget.take():
+        if not self._budget.try_acquire():
             return False
-        self._metrics.note_retry(attempts.last.reason)
+        self._metrics.record_retry(attempts.last_failure.reason)
         return True
 
-    async def _async_try(
+    async def _async_attempt(
         self, call: Call, reply: Reply, attempts: Attempts, candidate: Candidate, suspect: bool
     ) -> Failure | None:
         instance = candidate.instance
-        attempts.note_try(instance.name)
+        attempts.record_start(instance.name)
         if suspect:
-            await self._async_warn(call, candidate)
+            await self._async_send_strikes(call, candidate)
         request = self._make_open(call, attempts, candidate)
         opened = await self._links.async_open(instance=instance, request=request)
         if isinstance(opened, Refused):
@@ -117,49 +117,49 @@
             )
         return failure
 
-    async def _async_warn(self, call: Call, candidate: Candidate) -> None:
+    async def _async_send_strikes(self, call: Call, candidate: Candidate) -> None:
         """Tell a side what is known of a suspect before the request itself reaches it."""
-        for news in self._suspicion.list_news(call.digest):
-            await self._links.async_send(instance=candidate.instance, notice=news)
+        for strike in self._suspicion.list_news(call.digest):
+            await self._links.async_send(instance=candidate.instance, notice=strike)
 
     async def _async_relay(
         self, call: Call, reply: Reply, candidate: Candidate, exchange: Exchange
     ) -> Failure | None:
-        begun = False
+        head_received = False
         while True:
             match await exchange.async_next():
                 case Data(offset=offset, body=body):
-                    await reply.async_take(body)
+                    await reply.async_write(body)
                     exchange.confirm(offset + len(body))
                 case Head() as head:
                     hint = self._placement.make_hint(candidate.instance)
-                    if not reply.begin(head=head, hint=hint, cuts_events=call.stream):
+                    if not reply.start(head=head, hint=hint, buffers_events=call.stream):
                         exchange.cancel()
                         return Failed(reason=Reason.UPSTREAM_PROTOCOL)
-                    begun = True
-                    exchange.hand_to(reply.take_now)
+                    head_received = True
+                    exchange.hand_to(reply.write_nowait)
                 case End():
-                    if not begun:
+                    if not head_received:
                         return Failed(reason=Reason.CORRUPTED)
                     await reply.async_finish()
                     return None
-                case Refused(reason=reason) if begun:
+                case Refused(reason=reason) if head_received:
                     # An answer had begun, so the request ran whatever the side says now.
                     return Failed(reason=reason)
                 case Refused() | Failed() as failure:
                     return failure
 
-    def _may_go_on(self, call: Call, reply: Reply, attempts: Attempts, failure: Failure) -> bool:
+    def _may_retry(self, call: Call, reply: Reply, attempts: Attempts, failure: Failure) -> bool:
         match failure:
             case Refused(elsewhere=elsewhere, reason=reason):
-                self._metrics.note_redirect(reason)
+                self._metrics.record_redirect(reason)
                 return elsewhere and len(attempts.refusals) <= MAX_REDIRECTS
             case Failed(reason=reason):
-                if reply.sent or not call.repeatable or reason in FINAL_REASONS:
+                if reply.sent or not call.repeatable or reason in NON_RETRYABLE_REASONS:
                     return False
                 return (
-                    attempts.given < self._max_attempts
-                    and attempts.upstreams_lost < MAX_UPSTREAMS_LOST
+                    attempts.failures < self._max_attempts
+                    and attempts.lost_upstreams < MAX_LOST_UPSTREAMS
                 )
 
     def _make_open(self, call: Call, attempts: Attempts, candidate: Candidate) -> Open:
--- a/gypsumrouter/gateway/events.py
+++ b/gypsumrouter/gateway/events.py
@@ -3,38 +3,38 @@
 from __future__ import annotations
 
 from gypsumrouter.callers import EVENT_END
-from gypsumrouter.gateway.const import MAX_HELD_EVENT_BYTES
+from gypsumrouter.gateway.const import MAX_BUFFERED_EVENT_BYTES
 
 
-class EventCutter:
+class EventBuffer:
     """Holds back an unfinished event, so that an error event never lands inside another one."""
 
-    __slots__ = ("_tail",)
+    __slots__ = ("_pending",)
 
     def __init__(self) -> None:
-        self._tail = b""
+        self._pending = b""
 
-    def is_whole(self, body: bytes) -> bool:
+    def is_complete(self, body: bytes) -> bool:
         """Return whether `body` passes as it is, with nothing held back before or after it."""
-        return not self._tail and body.endswith(EVENT_END)
+        return not self._pending and body.endswith(EVENT_END)
 
-    def cut(self, body: bytes) -> bytes:
+    def feed(self, body: bytes) -> bytes:
         """Return all that ends with a whole event; a very long event is passed in pieces."""
-        if self._tail:
-            body = self._tail + body
-            self._tail = b""
+        if self._pending:
+            body = self._pending + body
+            self._pending = b""
         if body.endswith(EVENT_END):
             return body
         end = body.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
             end = 0
-        if len(body) - end > MAX_HELD_EVENT_BYTES:
+        if len(body) - end > MAX_BUFFERED_EVENT_BYTES:
             return body
-        self._tail = body[end:]
+        self._pending = body[end:]
         return body[:end]
 
     def flush(self) -> bytes:
         """Return what is held back at the end of the stream."""
-        tail = self._tail
-        self._tail = b""
-        return tail
+        pending = self._pending
+        self._pending = b""
+        return pending
--- a/gypsumrouter/gateway/gateway.py
+++ b/gypsumrouter/gateway/gateway.py
@@ -18,7 +18,7 @@
 from gypsumrouter.fleet import Fleet
 from gypsumrouter.gateway.budget import RetryBudget
 from gypsumrouter.gateway.candidates import CandidateFinder
-from gypsumrouter.gateway.const import LEAVING_GRACE_MS
+from gypsumrouter.gateway.const import DRAIN_DELAY_MS
 from gypsumrouter.gateway.diagnostics import dump_gateway, dump_running
 from gypsumrouter.gateway.dispatch import Dispatcher
 from gypsumrouter.gateway.handler import CallerHandler
@@ -26,8 +26,8 @@
 from gypsumrouter.gateway.metrics import GatewayMetrics
 from gypsumrouter.gateway.policies import PolicyHolder
 from gypsumrouter.gateway.readiness import Readiness
+from gypsumrouter.gateway.request_monitor import RequestMonitor
 from gypsumrouter.gateway.running import RunningRequests
-from gypsumrouter.gateway.watch import Watch
 from gypsumrouter.helpers.tls import TlsFiles, make_server_context
 from gypsumrouter.instances import Address
 from gypsumrouter.placement import Placement
@@ -51,12 +51,12 @@
         "_handler",
         "_limits",
         "_listener",
+        "_monitor",
         "_policies",
         "_readiness",
-        "_retries",
+        "_retry_budget",
         "_running",
         "_tls_files",
-        "_watch",
     )
 
     def __init__(
@@ -74,10 +74,10 @@
         self._fleet = fleet
         self._running = RunningRequests()
         self._limits = FleetLimits(clock=app.clock)
-        self._policies = PolicyHolder(app=app, store=store, on_change=self._note_configuration)
+        self._policies = PolicyHolder(app=app, store=store, on_change=self._handle_configuration)
         self._readiness = Readiness(app=app, fleet=fleet, policies=self._policies)
-        self._watch = Watch(app=app, caller_idle_ms=settings.limits.caller_idle_ms)
-        self._retries = RetryBudget(ratio=settings.limits.retry_ratio)
+        self._monitor = RequestMonitor(app=app, caller_idle_ms=settings.limits.caller_idle_ms)
+        self._retry_budget = RetryBudget(ratio=settings.limits.retry_ratio)
         metrics = GatewayMetrics(registry=app.metrics, count_running=lambda: len(self._running))
         dispatcher = Dispatcher(
             app=app,
@@ -86,7 +86,7 @@
             suspicion=suspicion,
             finder=CandidateFinder(fleet=fleet, placement=placement),
             metrics=metrics,
-            budget=self._retries,
+            budget=self._retry_budget,
             max_attempts=settings.limits.max_attempts,
         )
         self._handler = CallerHandler(
@@ -97,9 +97,9 @@
             limits=self._limits,
             metrics=metrics,
             running=self._running,
-            watch=self._watch,
+            monitor=self._monitor,
         )
-        head_limits = ConnectionLimits(
+        connection_limits = ConnectionLimits(
             max_bytes=settings.limits.max_head_bytes,
             first_byte_timeout_ms=settings.limits.caller_idle_ms,
             head_timeout_ms=settings.limits.caller_idle_ms,
@@ -107,7 +107,7 @@
         )
         server = CallerServer(
             self._handler.async_handle,
-            get_limits=lambda: head_limits,
+            get_limits=lambda: connection_limits,
             generate_request_id=self._handler.generate_request_id,
         )
         self._tls_files: TlsFiles | None = None
@@ -131,10 +131,10 @@
 
     async def async_start(self) -> Address:
         """Begin to take requests and return the address; until ready they are refused."""
-        self._fleet.on_change(self._note_fleet)
-        self._note_fleet()
+        self._fleet.on_change(self._update_fleet_share)
+        self._update_fleet_share()
         self._policies.async_start()
-        self._watch.async_start()
+        self._monitor.async_start()
         if self._tls_files is not None:
             self._tls_files.async_start()
         address = await self._listener.async_start()
@@ -153,24 +153,24 @@
 
     async def _async_drain(self) -> None:
         """Let balancers see that this router is leaving, then finish every answer."""
-        await self._app.clock.async_sleep(LEAVING_GRACE_MS)
+        await self._app.clock.async_sleep(DRAIN_DELAY_MS)
         self._readiness.closed = True
         _LOGGER.info("New requests are refused, %d still run", len(self._running))
         await self._running.async_wait_until_idle()
 
-    def _note_fleet(self) -> None:
+    def _update_fleet_share(self) -> None:
         self._limits.share = find_fleet_share(own_name=self._app.name, peers=self._fleet.peers())
 
-    def _note_configuration(self, configuration: Configuration) -> None:
-        self._limits.forget_all_but(list_limit_names(configuration))
+    def _handle_configuration(self, configuration: Configuration) -> None:
+        self._limits.retain(list_limit_names(configuration))
 
     def _dump(self) -> object:
         return dump_gateway(
             readiness=self._readiness,
             running=self._running,
-            retries=self._retries,
+            retries=self._retry_budget,
             limits=self._limits,
-            held_bytes=self._handler.held_bytes,
-            cut=self._watch.cut,
+            buffered_bytes=self._handler.buffered_bytes,
+            aborted_callers=self._monitor.aborted,
             now_ms=self._app.clock.now_ms(),
         )
--- a/gypsumrouter/gateway/handler.py
+++ b/gypsumrouter/gateway/handler.py
@@ -24,13 +24,13 @@
 from gypsumrouter.gateway.intake import Intake
 from gypsumrouter.gateway.limits import FleetLimits
 from gypsumrouter.gateway.metrics import GatewayMetrics, get_outcome
-from gypsumrouter.gateway.models import Call, Finish
+from gypsumrouter.gateway.models import Call, RequestResult
 from gypsumrouter.gateway.policies import CompiledPolicy
 from gypsumrouter.gateway.readiness import Readiness
-from gypsumrouter.gateway.reply import CallerGone, Reply
+from gypsumrouter.gateway.reply import CallerDisconnected, Reply
+from gypsumrouter.gateway.reported_failure import get_reported_failure
+from gypsumrouter.gateway.request_monitor import MonitoredRequest, RequestMonitor
 from gypsumrouter.gateway.running import RunningRequest, RunningRequests
-from gypsumrouter.gateway.truth import tell_failure
-from gypsumrouter.gateway.watch import Watch, Watched
 from gypsumrouter.helpers.logs import set_request_id
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 from gypsumrouter.settings import Limits
@@ -42,18 +42,18 @@
     """Serves every request of every caller."""
 
     __slots__ = (
-        "_answers",
+        "_answer_memory",
         "_app",
-        "_bodies",
+        "_body_memory",
         "_dispatcher",
         "_intake",
         "_limits",
         "_max_streams",
         "_metrics",
-        "_minted",
+        "_monitor",
         "_readiness",
+        "_request_count",
         "_running",
-        "_watch",
     )
 
     def __init__(
@@ -66,7 +66,7 @@
         limits: FleetLimits,
         metrics: GatewayMetrics,
         running: RunningRequests,
-        watch: Watch,
+        monitor: RequestMonitor,
     ) -> None:
         self._app = app
         self._readiness = readiness
@@ -74,22 +74,22 @@
         self._limits = limits
         self._metrics = metrics
         self._running = running
-        self._watch = watch
+        self._monitor = monitor
         self._intake = Intake(app=app, limits=settings)
         self._max_streams = settings.max_streams
-        self._bodies = MemoryBudget(limit=MAX_BODIES_BYTES)
-        self._answers = MemoryBudget(limit=settings.answer_memory_bytes)
-        self._minted = 0
+        self._body_memory = MemoryBudget(limit=MAX_BODIES_BYTES)
+        self._answer_memory = MemoryBudget(limit=settings.answer_memory_bytes)
+        self._request_count = 0
 
     @property
-    def held_bytes(self) -> dict[str, int]:
+    def buffered_bytes(self) -> dict[str, int]:
         """Return what bodies and answers that are held back take in memory."""
-        return {"bodies": self._bodies.used, "answers": self._answers.used}
+        return {"bodies": self._body_memory.used, "answers": self._answer_memory.used}
 
     def generate_request_id(self) -> str:
         """Return an id that no other request of any process has."""
-        self._minted += 1
-        return f"{self._app.incarnation:016x}-{self._minted:x}"
+        self._request_count += 1
+        return f"{self._app.incarnation:016x}-{self._request_count:x}"
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request from its head to the end of its answer."""
@@ -99,22 +99,24 @@
             request_id=self.generate_request_id(), arrived_ms=self._app.clock.now_ms()
         )
         set_request_id(running.request_id)
-        _log_begin(request, running.request_id)
-        compiled = self._check_open()
+        _log_start(request, running.request_id)
+        compiled = self._check_accepting()
         if isinstance(compiled, Rejection):
             return self._reject(running, compiled)
-        reservation = MemoryReservation(budget=self._bodies)
+        reservation = MemoryReservation(budget=self._body_memory)
         self._running.add(running)
         try:
             return await self._async_serve(request, running, reservation, compiled)
         except asyncio.CancelledError:
-            self._note_finish(running, Finish(failure=running.attempts.conclude_when_gone()))
+            self._record_result(
+                running, RequestResult(failure=running.attempts.get_cancelled_failure())
+            )
             raise
         finally:
             reservation.release()
             self._running.remove(running)
 
-    def _check_open(self) -> CompiledPolicy | Rejection:
+    def _check_accepting(self) -> CompiledPolicy | Rejection:
         if self._readiness.closed:
             return reject(Reason.LEAVING, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
         compiled = self._readiness.policy
@@ -139,14 +141,16 @@
             case Rejection():
                 return self._reject(running, accepted)
             case web.Response():
-                self._note_finish(running, Finish(status=accepted.status))
-                return self._let_close(accepted)
+                self._record_result(running, RequestResult(status=accepted.status))
+                return self._close_if_draining(accepted)
         running.caller_class = accepted.caller_class
         running.streamed = accepted.stream
         permit = self._limits.acquire(accepted.limits)
         if isinstance(permit, Refused):
-            told = tell_failure(call=accepted, attempts=running.attempts, failure=permit)
-            return self._reject(running, Rejection(failure=told))
+            reported = get_reported_failure(
+                call=accepted, attempts=running.attempts, failure=permit
+            )
+            return self._reject(running, Rejection(failure=reported))
         try:
             return await self._async_answer(request, running, accepted)
         finally:
@@ -156,30 +160,32 @@
         self, request: web.BaseRequest, running: RunningRequest, call: Call
     ) -> web.StreamResponse:
         scope = asyncio.timeout(None)
-        watched = Watched(
+        monitored = MonitoredRequest(
             request_id=call.request_id,
             transport=request.transport,
             scope=scope,
             deadline_at_ms=call.deadline_at_ms,
         )
-        reservation = MemoryReservation(budget=self._answers)
+        reservation = MemoryReservation(budget=self._answer_memory)
         reply = Reply(
             request=request,
             request_id=call.request_id,
-            watched=watched,
+            monitored=monitored,
             reservation=reservation,
             clock=self._app.clock,
-            closes=self._readiness.leaving,
+            closes_connection=self._readiness.draining,
         )
-        self._watch.add(watched)
+        self._monitor.add(monitored)
         try:
             failure = await self._async_dispatch(call, running, reply, scope)
-            watched.scope = None
+            monitored.scope = None
             if failure is not None:
-                failure = tell_failure(call=call, attempts=running.attempts, failure=failure)
-            return await self._async_conclude(running, reply, failure)
+                failure = get_reported_failure(
+                    call=call, attempts=running.attempts, failure=failure
+                )
+            return await self._async_finish(running, reply, failure)
         finally:
-            self._watch.remove(watched)
+            self._monitor.remove(monitored)
             reservation.release()
 
     async def _async_dispatch(
@@ -191,58 +197,62 @@
                     call=call, reply=reply, attempts=running.attempts
                 )
         except TimeoutError:
-            return running.attempts.conclude_at_deadline()
-        except CallerGone:
+            return running.attempts.get_deadline_failure()
+        except CallerDisconnected:
             return Failed(reason=Reason.CANCELLED)
 
-    async def _async_conclude(
+    async def _async_finish(
         self, running: RunningRequest, reply: Reply, failure: Failure | None
     ) -> web.StreamResponse:
-        self._note_finish(running, _make_finish(running, reply, failure))
+        self._record_result(running, _make_result(running, reply, failure))
         response = reply.response
         if response is None:
-            return self._respond(running, Rejection(failure=failure or running.attempts.conclude()))
+            return self._respond(
+                running, Rejection(failure=failure or running.attempts.get_final_failure())
+            )
         if failure is not None:
             try:
-                await reply.async_break(failure)
-            except CallerGone:
+                await reply.async_fail(failure)
+            except CallerDisconnected:
                 reply.abort()
         return response
 
     def _reject(self, running: RunningRequest, rejection: Rejection) -> web.StreamResponse:
         response = self._respond(running, rejection)
-        self._note_finish(running, Finish(status=response.status, failure=rejection.failure))
+        self._record_result(
+            running, RequestResult(status=response.status, failure=rejection.failure)
+        )
         return response
 
     def _respond(self, running: RunningRequest, rejection: Rejection) -> web.StreamResponse:
         response = make_error_response(rejection=rejection, request_id=running.request_id)
-        return self._let_close(response)
+        return self._close_if_draining(response)
 
-    def _let_close(self, response: web.Response) -> web.Response:
+    def _close_if_draining(self, response: web.Response) -> web.Response:
         """Move the caller's next request to another router while this one is leaving."""
-        if self._readiness.leaving:
+        if self._readiness.draining:
             response.force_close()
         return response
 
-    def _note_finish(self, running: RunningRequest, finish: Finish) -> None:
-        finish.answer_ms = self._app.clock.now_ms() - running.arrived_ms
-        self._metrics.note_finish(caller_class=running.caller_class, finish=finish)
+    def _record_result(self, running: RunningRequest, result: RequestResult) -> None:
+        result.answer_ms = self._app.clock.now_ms() - running.arrived_ms
+        self._metrics.record_result(caller_class=running.caller_class, result=result)
         _LOGGER.debug(
             "Request %s of workspace %s ended at instance %s as %s, status %d, reason %s",
             running.request_id,
             running.workspace or "-",
             running.attempts.instance or "-",
-            get_outcome(finish),
-            finish.status,
-            "-" if finish.failure is None else finish.failure.reason.value,
+            get_outcome(result),
+            result.status,
+            "-" if result.failure is None else result.failure.reason.value,
         )
 
 
-def _make_finish(running: RunningRequest, reply: Reply, failure: Failure | None) -> Finish:
+def _make_result(running: RunningRequest, reply: Reply, failure: Failure | None) -> RequestResult:
     first_token_ms = None
     if running.streamed and reply.first_data_ms is not None:
         first_token_ms = reply.first_data_ms - running.arrived_ms
-    return Finish(
+    return RequestResult(
         status=reply.status if failure is None or reply.sent else get_status(failure),
         failure=failure,
         replayed=reply.replayed,
@@ -251,14 +261,14 @@
     )
 
 
-def _log_begin(request: web.BaseRequest, request_id: str) -> None:
+def _log_start(request: web.BaseRequest, request_id: str) -> None:
     if not _LOGGER.isEnabledFor(logging.DEBUG):
         return
-    callers_id = request.headers.get(HEADER_REQUEST_ID, "-")[:MAX_LOGGED_ID_LENGTH]
+    caller_request_id = request.headers.get(HEADER_REQUEST_ID, "-")[:MAX_LOGGED_ID_LENGTH]
     _LOGGER.debug(
         "Request %s: %s %s, caller's id %r",
         request_id,
         request.method,
         request.rel_url.raw_path,
-        callers_id,
+        caller_request_id,
     )
--- a/gypsumrouter/gateway/intake.py
+++ b/gypsumrouter/gateway/intake.py
@@ -26,7 +26,7 @@
 )
 from gypsumrouter.core import Application
 from gypsumrouter.gateway.calls import CallFactory
-from gypsumrouter.gateway.checks import check_head, check_service_path
+from gypsumrouter.gateway.checks import check_service_path, parse_head
 from gypsumrouter.gateway.const import BEARER_PREFIX, MODELS_OWNER
 from gypsumrouter.gateway.models import Call, CallerHead, Target
 from gypsumrouter.gateway.policies import CompiledPolicy
@@ -64,12 +64,12 @@
         if workspace is None:
             return reject(Reason.UNAUTHENTICATED, param=hdrs.AUTHORIZATION)
         running.workspace = workspace.name
-        head = check_head(request.headers.items())
+        head = parse_head(request.headers.items())
         if isinstance(head, Rejection):
             return head
         match request.rel_url.raw_path:
             case str() as path if path == PATH_MODELS:
-                return _answer_models(request, compiled, running.request_id)
+                return _make_models_response(request, compiled, running.request_id)
             case str() as path if path == PATH_CHAT:
                 return await self._async_accept_chat(
                     request, running, reservation, compiled, workspace, head
@@ -94,7 +94,7 @@
         if hdrs.CONTENT_ENCODING in request.headers:
             message = "The body must not be compressed"
             return reject_field(hdrs.CONTENT_ENCODING, message, status=STATUS_UNSUPPORTED_ENCODING)
-        body = await self._async_read(request, reservation)
+        body = await self._async_read_body(request, reservation)
         if isinstance(body, Rejection):
             return body
         return self._make_factory(compiled).make_chat(
@@ -116,8 +116,8 @@
     ) -> Call | Rejection:
         if METHOD.fullmatch(request.method) is None:
             return _reject_method("GET, POST")
-        service, _, rest = request.rel_url.raw_path.removeprefix(PATH_SERVICES).partition("/")
-        path = f"/{rest}"
+        service, _, subpath = request.rel_url.raw_path.removeprefix(PATH_SERVICES).partition("/")
+        path = f"/{subpath}"
         decoded_path = check_service_path(path)
         if isinstance(decoded_path, Rejection):
             return decoded_path
@@ -125,7 +125,7 @@
             path = f"{path}?{request.rel_url.raw_query_string}"
         if PATH_AND_QUERY.fullmatch(path) is None:
             return reject_field("path", "The path and the query must be percent-encoded")
-        body = await self._async_read(request, reservation)
+        body = await self._async_read_body(request, reservation)
         if isinstance(body, Rejection):
             return body
         target = Target(kind=UpstreamKind.SERVICE, method=request.method, path=path, pool=service)
@@ -139,7 +139,7 @@
             arrived_ms=running.arrived_ms,
         )
 
-    async def _async_read(
+    async def _async_read_body(
         self, request: web.BaseRequest, reservation: MemoryReservation
     ) -> bytes | Rejection:
         return await async_read_body(
@@ -159,13 +159,13 @@
 
 def find_workspace(request: web.BaseRequest, compiled: CompiledPolicy) -> Workspace | None:
     """Return the workspace whose key the caller shows."""
-    given = request.headers.get(hdrs.AUTHORIZATION, "")
-    if not given.startswith(BEARER_PREFIX) or not given.isascii():
+    authorization = request.headers.get(hdrs.AUTHORIZATION, "")
+    if not authorization.startswith(BEARER_PREFIX) or not authorization.isascii():
         return None
-    return compiled.policy.find_workspace(given.removeprefix(BEARER_PREFIX).strip())
+    return compiled.policy.find_workspace(authorization.removeprefix(BEARER_PREFIX).strip())
 
 
-def _answer_models(
+def _make_models_response(
     request: web.BaseRequest, compiled: CompiledPolicy, request_id: str
 ) -> web.Response | Rejection:
     if request.method not in (hdrs.METH_GET, hdrs.METH_HEAD):
--- a/gypsumrouter/gateway/limits.py
+++ b/gypsumrouter/gateway/limits.py
@@ -28,7 +28,7 @@
     concurrent: int | None
 
     @property
-    def binds(self) -> bool:
+    def is_enforced(self) -> bool:
         """Return whether there is anything to enforce."""
         return self.requests_per_s is not None or self.concurrent is not None
 
@@ -50,8 +50,8 @@
         higher.
         """
         base, extra = divmod(limit, self.routers)
-        turned = (self.position + xxhash.xxh32_intdigest(name.encode())) % self.routers
-        return max(1, base + (1 if turned < extra else 0))
+        offset = (self.position + xxhash.xxh32_intdigest(name.encode())) % self.routers
+        return max(1, base + (1 if offset < extra else 0))
 
 
 def find_fleet_share(*, own_name: str, peers: Iterable[Instance]) -> FleetShare:
@@ -101,18 +101,18 @@
 
     def acquire(self, limits: Iterable[Limit]) -> Permit | Refused:
         """Return the permit to run under all limits, or the refusal by one that is reached."""
-        binding = [(limit, self._find_usage(limit)) for limit in limits if limit.binds]
-        for limit, usage in binding:
+        enforced = [(limit, self._find_usage(limit)) for limit in limits if limit.is_enforced]
+        for limit, usage in enforced:
             refused = self._check(limit, usage)
             if refused is not None:
                 return refused
-        for limit, usage in binding:
+        for limit, usage in enforced:
             usage.running += 1
             if limit.requests_per_s is not None:
                 usage.tokens -= 1.0
-        return Permit([usage for _, usage in binding])
+        return Permit([usage for _, usage in enforced])
 
-    def forget_all_but(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Drop the limits that are no longer configured and that no request holds."""
         self._usages = {
             name: usage for name, usage in self._usages.items() if usage.running or name in names
@@ -149,25 +149,25 @@
 
     def _refill(self, usage: _Usage, *, rate: float, burst: float) -> None:
         now_ms = self._clock.now_ms()
-        gained = (now_ms - usage.updated_ms) * rate / MS_PER_S
-        usage.tokens = min(burst, usage.tokens + gained)
+        refill = (now_ms - usage.updated_ms) * rate / MS_PER_S
+        usage.tokens = min(burst, usage.tokens + refill)
         usage.updated_ms = now_ms
 
 
-def name_workspace_limit(workspace: str) -> str:
+def get_workspace_limit_name(workspace: str) -> str:
     """Return the name under which a workspace's limits are counted."""
     return f"workspace {workspace}"
 
 
-def name_rule_limit(rule: str) -> str:
+def get_rule_limit_name(rule: str) -> str:
     """Return the name under which a rule's limits are counted, for all that it matches."""
     return f"rule {rule}"
 
 
 def list_limit_names(configuration: Configuration) -> set[str]:
     """Return the names of all limits of a configuration."""
-    workspaces = {name_workspace_limit(entry.name) for entry in configuration.workspaces}
-    return workspaces | {name_rule_limit(rule.name) for rule in configuration.rules}
+    workspaces = {get_workspace_limit_name(entry.name) for entry in configuration.workspaces}
+    return workspaces | {get_rule_limit_name(rule.name) for rule in configuration.rules}
 
 
 def _refuse(retry_after_ms: int) -> Refused:
--- a/gypsumrouter/gateway/metrics.py
+++ b/gypsumrouter/gateway/metrics.py
@@ -7,7 +7,7 @@
 
 from gypsumrouter.configuration.models import CallerClass
 from gypsumrouter.const import MS_PER_S
-from gypsumrouter.gateway.models import Finish
+from gypsumrouter.gateway.models import RequestResult
 from gypsumrouter.helpers.metrics import NO_LABELS, Labels, MetricRegistry
 from gypsumrouter.outcomes import Failure, Reason, Refused
 
@@ -24,7 +24,7 @@
 NO_CLASS: Final = ""
 
 # The caller's own mistakes and wishes: no target counts for them.
-OUTSIDE_TARGETS: Final = frozenset(
+REASONS_WITHOUT_TARGETS: Final = frozenset(
     {
         Reason.BAD_REQUEST,
         Reason.UNAUTHENTICATED,
@@ -86,51 +86,53 @@
             lambda: {NO_LABELS: count_running()},
         )
 
-    def note_retry(self, reason: Reason) -> None:
+    def record_retry(self, reason: Reason) -> None:
         """Count a try after one that failed."""
         self._retries.inc(labels=(("reason", reason.value),))
 
-    def note_redirect(self, reason: Reason) -> None:
+    def record_redirect(self, reason: Reason) -> None:
         """Count a refusal by a side."""
         self._redirects.inc(labels=(("reason", reason.value),))
 
-    def note_finish(self, *, caller_class: CallerClass | None, finish: Finish) -> None:
+    def record_result(self, *, caller_class: CallerClass | None, result: RequestResult) -> None:
         """Count one request and its targets."""
         name = NO_CLASS if caller_class is None else caller_class.name
-        reason = "" if finish.failure is None else finish.failure.reason.value
+        reason = "" if result.failure is None else result.failure.reason.value
         self._requests.inc(
-            labels=(("class", name), ("outcome", get_outcome(finish)), ("reason", reason))
+            labels=(("class", name), ("outcome", get_outcome(result)), ("reason", reason))
         )
-        if caller_class is None or _is_outside_targets(finish.failure):
+        if caller_class is None or _is_excluded_from_targets(result.failure):
             return
         labels = (("class", name),)
-        if finish.failure is None:
-            self._answer.observe(finish.answer_ms / MS_PER_S, labels)
-        if finish.first_token_ms is not None:
-            self._first_token.observe(finish.first_token_ms / MS_PER_S, labels)
-        self._note_targets(caller_class, finish, labels)
-
-    def _note_targets(self, caller_class: CallerClass, finish: Finish, labels: Labels) -> None:
-        answer_met = finish.failure is None and finish.answer_ms <= caller_class.answer_ms
-        self._note_target(labels, TARGET_ANSWER, answer_met)
+        if result.failure is None:
+            self._answer.observe(result.answer_ms / MS_PER_S, labels)
+        if result.first_token_ms is not None:
+            self._first_token.observe(result.first_token_ms / MS_PER_S, labels)
+        self._record_targets(caller_class, result, labels)
+
+    def _record_targets(
+        self, caller_class: CallerClass, result: RequestResult, labels: Labels
+    ) -> None:
+        answer_met = result.failure is None and result.answer_ms <= caller_class.answer_ms
+        self._record_target(labels, TARGET_ANSWER, answer_met)
         first_met = True
-        if finish.streamed:
-            first_token_ms = finish.first_token_ms
+        if result.streamed:
+            first_token_ms = result.first_token_ms
             first_met = first_token_ms is not None and first_token_ms <= caller_class.first_token_ms
-            self._note_target(labels, TARGET_FIRST_TOKEN, first_met)
+            self._record_target(labels, TARGET_FIRST_TOKEN, first_met)
         if not (answer_met and first_met):
             self._penalty.inc(caller_class.penalty, labels)
 
-    def _note_target(self, labels: Labels, target: str, met: bool) -> None:
+    def _record_target(self, labels: Labels, target: str, met: bool) -> None:
         self._targets.inc(labels=(*labels, ("target", target), ("met", str(met).lower())))
 
 
-def get_outcome(finish: Finish) -> str:
+def get_outcome(result: RequestResult) -> str:
     """Return the one word for how a request ended."""
-    if finish.failure is None:
-        return OUTCOME_REPLAYED if finish.replayed else OUTCOME_ANSWERED
-    return OUTCOME_NOT_RUN if isinstance(finish.failure, Refused) else OUTCOME_UNKNOWN
+    if result.failure is None:
+        return OUTCOME_REPLAYED if result.replayed else OUTCOME_ANSWERED
+    return OUTCOME_NOT_RUN if isinstance(result.failure, Refused) else OUTCOME_UNKNOWN
 
 
-def _is_outside_targets(failure: Failure | None) -> bool:
-    return failure is not None and failure.reason in OUTSIDE_TARGETS
+def _is_excluded_from_targets(failure: Failure | None) -> bool:
+    return failure is not None and failure.reason in REASONS_WITHOUT_TARGETS
--- a/gypsumrouter/gateway/models.py
+++ b/gypsumrouter/gateway/models.py
@@ -79,7 +79,7 @@
         return not self.idempotency_key
 
 
-class Finish(Struct, kw_only=True):
+class RequestResult(Struct, kw_only=True):
     """How a request ended, for metrics and logs; no failure is a whole answer.
 
     `first_token_ms` and `answer_ms` count from the arrival of the request.
--- a/gypsumrouter/gateway/policies.py
+++ b/gypsumrouter/gateway/policies.py
@@ -36,7 +36,7 @@
 class PolicyHolder:
     """Holds the newest policy; `current` is None before the first configuration."""
 
-    __slots__ = ("_app", "_on_change", "_store", "_wake", "current")
+    __slots__ = ("_app", "_changed", "_on_change", "_store", "current")
 
     def __init__(
         self,
@@ -48,19 +48,19 @@
         self._app = app
         self._store = store
         self._on_change = on_change
-        self._wake = asyncio.Event()
+        self._changed = asyncio.Event()
         self.current: CompiledPolicy | None = None
 
     def async_start(self) -> None:
         """Begin to follow the configuration."""
-        self._store.on_change(lambda configuration: self._wake.set())
-        self._wake.set()
-        self._app.async_create_task(self._async_follow(), "gateway policy")
+        self._store.on_change(lambda configuration: self._changed.set())
+        self._changed.set()
+        self._app.async_create_task(self._async_compile_changes(), "gateway policy")
 
-    async def _async_follow(self) -> None:
+    async def _async_compile_changes(self) -> None:
         while True:
-            await self._wake.wait()
-            self._wake.clear()
+            await self._changed.wait()
+            self._changed.clear()
             configuration = self._store.current
             if configuration.version == 0:
                 continue
--- a/gypsumrouter/gateway/readiness.py
+++ b/gypsumrouter/gateway/readiness.py
@@ -23,14 +23,14 @@
         self.closed = False
 
     @property
-    def leaving(self) -> bool:
+    def draining(self) -> bool:
         """Return whether a stop has begun."""
         return self._app.stopping.is_set()
 
     @property
     def ready(self) -> bool:
         """Return whether the balancer should send new requests."""
-        return not self.leaving and self.policy is not None
+        return not self.draining and self.policy is not None
 
     @property
     def policy(self) -> CompiledPolicy | None:
--- a/gypsumrouter/gateway/reply.py
+++ b/gypsumrouter/gateway/reply.py
@@ -17,12 +17,12 @@
 from gypsumrouter.const import HEADER_PLACEMENT, HEADER_REPLAYED, HEADER_REQUEST_ID
 from gypsumrouter.gateway.const import (
     CONTENT_TYPE_EVENTS,
-    DROPPED_HEADERS,
-    MAX_HELD_ANSWER_BYTES,
-    OWN_HEADER_PREFIX,
+    EXCLUDED_HEADERS,
+    MAX_BUFFER_BYTES,
+    ROUTER_HEADER_PREFIX,
 )
-from gypsumrouter.gateway.events import EventCutter
-from gypsumrouter.gateway.watch import Watched
+from gypsumrouter.gateway.events import EventBuffer
+from gypsumrouter.gateway.request_monitor import MonitoredRequest
 from gypsumrouter.link.models import Head
 from gypsumrouter.outcomes import Failure
 from gypsumrouter.util.clock import Clock
@@ -37,7 +37,7 @@
 CHUNK_OVERHEAD_BYTES: Final = 20
 
 
-class CallerGone(ConnectionError):
+class CallerDisconnected(ConnectionError):
     """The caller closed its connection while its answer was written."""
 
 
@@ -49,20 +49,20 @@
     """
 
     __slots__ = (
+        "_can_write_directly",
         "_chunked",
         "_clock",
-        "_cutter",
+        "_event_buffer",
         "_head",
-        "_held",
-        "_hint",
+        "_memory",
+        "_monitored",
         "_parts",
+        "_placement_hint",
         "_request",
         "_request_id",
         "_response",
         "_streamed",
-        "_takes_now",
-        "_watched",
-        "closes",
+        "closes_connection",
         "first_data_ms",
         "status",
     )
@@ -72,25 +72,25 @@
         *,
         request: web.BaseRequest,
         request_id: str,
-        watched: Watched,
+        monitored: MonitoredRequest,
         reservation: MemoryReservation,
         clock: Clock,
-        closes: bool,
+        closes_connection: bool,
     ) -> None:
         self._request = request
         self._request_id = request_id
-        self._watched = watched
-        self._held = reservation
+        self._monitored = monitored
+        self._memory = reservation
         self._clock = clock
-        self._cutter: EventCutter | None = None
+        self._event_buffer: EventBuffer | None = None
         self._head: Head | None = None
-        self._hint = ""
+        self._placement_hint = ""
         self._parts: list[bytes] = []
         self._response: web.StreamResponse | None = None
         self._streamed = False
         self._chunked = False
-        self._takes_now = False
-        self.closes = closes
+        self._can_write_directly = False
+        self.closes_connection = closes_connection
         self.first_data_ms: int | None = None
         self.status = 0
 
@@ -109,7 +109,7 @@
         """Return whether the answer comes from a side's memory."""
         return self._head is not None and self._head.replayed
 
-    def begin(self, *, head: Head, hint: str, cuts_events: bool) -> bool:
+    def start(self, *, head: Head, hint: str, buffers_events: bool) -> bool:
         """Take the head of an answer; returns False where it cannot be one.
 
         With `cuts_events` a stream of events that breaks off is ended by an error event.
@@ -117,10 +117,10 @@
         if not STATUS_MIN <= head.status <= STATUS_MAX or self._head is not None:
             return False
         self._head = head
-        self._hint = hint
+        self._placement_hint = hint
         self.status = head.status
         self._streamed = _is_event_stream(head.headers)
-        self._cutter = EventCutter() if self._streamed and cuts_events else None
+        self._event_buffer = EventBuffer() if self._streamed and buffers_events else None
         return True
 
     def discard(self) -> None:
@@ -128,31 +128,31 @@
         self._head = None
         self.status = 0
         self._parts.clear()
-        self._held.release()
+        self._memory.release()
         self.first_data_ms = None
 
-    async def async_take(self, body: bytes) -> None:
+    async def async_write(self, body: bytes) -> None:
         """Take a part of the body; returns when the caller has room for more."""
         if self.first_data_ms is None:
             self.first_data_ms = self._clock.now_ms()
-        if self._response is None and not self._streamed and self._hold(body):
+        if self._response is None and not self._streamed and self._buffer(body):
             return
-        if self._cutter is not None:
-            body = self._cutter.cut(body)
+        if self._event_buffer is not None:
+            body = self._event_buffer.feed(body)
         if self._response is None:
-            await self._async_send_held()
+            await self._async_send_buffered()
         await self._async_write(body)
 
-    def take_now(self, body: bytes) -> bool:
+    def write_nowait(self, body: bytes) -> bool:
         """Take a part of the body without waiting; returns False where that takes `async_take`.
 
         The chunk is written as the HTTP library would once the head is out, but without its
         layers, which cost more than all else that a token takes. A part that could fill the
         connection's buffer is left to `async_take`, which waits for the caller.
         """
-        if not self._takes_now or not body:
+        if not self._can_write_directly or not body:
             return False
-        if self._cutter is not None and not self._cutter.is_whole(body):
+        if self._event_buffer is not None and not self._event_buffer.is_complete(body):
             return False
         transport = self._request.transport
         if transport is None or transport.is_closing() or self._request.protocol.writing_paused:
@@ -166,18 +166,18 @@
     async def async_finish(self) -> None:
         """End a whole answer."""
         if self._response is None:
-            await self._async_send_whole()
+            await self._async_send_complete()
             return
-        if self._cutter is not None:
-            await self._async_write(self._cutter.flush())
+        if self._event_buffer is not None:
+            await self._async_write(self._event_buffer.flush())
         await self._async_end(self._response)
 
-    async def async_break(self, failure: Failure) -> None:
+    async def async_fail(self, failure: Failure) -> None:
         """End an answer that was begun and cannot be finished, so that the caller notices."""
         response = self._response
         if response is None:
             return
-        if self._cutter is None or self._watched.blocked_since_ms is not None:
+        if self._event_buffer is None or self._monitored.blocked_since_ms is not None:
             self.abort()
             return
         await self._async_write(render_error_event(failure=failure, request_id=self._request_id))
@@ -187,79 +187,79 @@
         """Reset the caller's connection."""
         abort_connection(self._request.transport)
 
-    def _hold(self, body: bytes) -> bool:
-        if self._held.size + len(body) > MAX_HELD_ANSWER_BYTES or not self._held.reserve(len(body)):
+    def _buffer(self, body: bytes) -> bool:
+        if self._memory.size + len(body) > MAX_BUFFER_BYTES or not self._memory.reserve(len(body)):
             return False
         self._parts.append(body)
         return True
 
-    async def _async_send_whole(self) -> None:
+    async def _async_send_complete(self) -> None:
         headers = self._make_headers()
         has_body = self._request.method != METHOD_HEAD and self.status not in BODILESS_STATUSES
         body = b"".join(self._parts) if has_body else None
         response = web.Response(status=self.status, headers=headers, body=body)
         if self._request.method == METHOD_HEAD:
-            _copy_length(self._head, response)
+            _copy_content_length(self._head, response)
         await self._async_prepare(response)
         await self._async_end(response)
 
-    async def _async_send_held(self) -> None:
+    async def _async_send_buffered(self) -> None:
         response = web.StreamResponse(status=self.status, headers=self._make_headers())
         await self._async_prepare(response)
-        held = b"".join(self._parts)
+        buffered = b"".join(self._parts)
         self._parts.clear()
-        self._held.release()
-        await self._async_write(held)
+        self._memory.release()
+        await self._async_write(buffered)
 
     async def _async_prepare(self, response: web.StreamResponse) -> None:
-        if self.closes:
+        if self.closes_connection:
             response.force_close()
         self._response = response
         try:
             await response.prepare(self._request)
         except ConnectionError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
         self._chunked = response.headers.get(TRANSFER_ENCODING) == CHUNKED
 
     async def _async_write(self, body: bytes) -> None:
         response = self._response
         if response is None or not body:
             return
-        self._watched.block(self._clock.now_ms())
+        self._monitored.start_write(self._clock.now_ms())
         try:
             await response.write(body)
             if self._request.protocol.writing_paused:
                 await self._request.writer.drain()
         except ConnectionError:
-            raise CallerGone from None
-        self._watched.unblock()
-        self._takes_now = self._chunked
+            raise CallerDisconnected from None
+        self._monitored.finish_write()
+        self._can_write_directly = self._chunked
 
     async def _async_end(self, response: web.StreamResponse) -> None:
-        self._watched.block(self._clock.now_ms())
+        self._monitored.start_write(self._clock.now_ms())
         try:
             await response.write_eof()
         except ConnectionError:
-            raise CallerGone from None
-        self._watched.unblock()
+            raise CallerDisconnected from None
+        self._monitored.finish_write()
 
     def _make_headers(self) -> CIMultiDict[str]:
         headers: CIMultiDict[str] = CIMultiDict()
         head = self._head
         for name, value in head.headers if head is not None else ():
-            if _is_passed(name):
+            if _is_forwarded(name):
                 headers.add(name, value)
         headers[HEADER_REQUEST_ID] = self._request_id
-        if self._hint:
-            headers[HEADER_PLACEMENT] = self._hint
+        if self._placement_hint:
+            headers[HEADER_PLACEMENT] = self._placement_hint
         if self.replayed:
             headers[HEADER_REPLAYED] = "true"
         return headers
 
 
-def _is_passed(name: str) -> bool:
+def _is_forwarded(name: str) -> bool:
     lower = name.lower()
-    return lower not in DROPPED_HEADERS and not lower.startswith(OWN_HEADER_PREFIX)
+    return lower not in EXCLUDED_HEADERS and not lower.startswith(ROUTER_HEADER_PREFIX)
 
 
 def _is_event_stream(headers: Iterable[tuple[str, str]]) -> bool:
@@ -269,7 +269,7 @@
     )
 
 
-def _copy_length(head: Head | None, response: web.Response) -> None:
+def _copy_content_length(head: Head | None, response: web.Response) -> None:
     for name, value in head.headers if head is not None else ():
         if name.lower() == "content-length" and value.isdecimal():
             response.headers["Content-Length"] = value
--- a/gypsumrouter/gateway/truth.py
+++ b/gypsumrouter/gateway/reported_failure.py
@@ -8,7 +8,7 @@
 from gypsumrouter.outcomes import Failure
 
 
-def tell_failure(*, call: Call, attempts: Attempts, failure: Failure) -> Failure:
+def get_reported_failure(*, call: Call, attempts: Attempts, failure: Failure) -> Failure:
     """Return the failure as the caller may hear it.
 
     A refusal by this router, or by a side that is not the key's home, leaves open whether an
