--- a/gypsumrouter/callers/__init__.py
+++ b/gypsumrouter/callers/__init__.py
@@ -1,4 +1,4 @@
-"""Callers: their HTTP as both kinds of router speak it: connections, bodies, errors."""
+"""HTTP server for callers, shared by the router and the forwarder: connections, bodies, errors."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/callers/abort.py
+++ b/gypsumrouter/callers/abort.py
@@ -1,4 +1,4 @@
-"""Resetting a caller's connection."""
+"""Reset of a caller's TCP connection."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 import struct
 from typing import Final
 
+# SO_LINGER with a timeout of 0: closing the socket sends RST instead of FIN.
 LINGER_RESET: Final = struct.pack("ii", 1, 0)
 
 
 def abort_connection(transport: asyncio.Transport | None) -> None:
-    """Reset a connection, so that its caller cannot take what it got for a whole answer."""
+    """Reset a connection, so that a truncated answer cannot look complete to the caller."""
     if transport is None:
         return
-    # The descriptor of a closed connection may already belong to another one.
+    # After a close, the file descriptor may have been reused by another connection.
     connection = None if transport.is_closing() else transport.get_extra_info("socket")
     if connection is not None:
         try:
--- a/gypsumrouter/callers/body.py
+++ b/gypsumrouter/callers/body.py
@@ -1,4 +1,4 @@
-"""Request bodies, read within bounds of size, memory and time."""
+"""Reading of request bodies with limits on size, memory and time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def async_read_body(
     *, request: web.BaseRequest, reservation: MemoryReservation, max_bytes: int, idle_ms: int
 ) -> bytes | Rejection:
-    """Return the whole body; `idle_ms` bounds the time between two parts of it."""
+    """Return the complete body; `idle_ms` limits the time between two received parts."""
     if (request.content_length or 0) > max_bytes:
         return _reject_size(max_bytes)
     if request.headers.get("Expect", "").lower() == "100-continue":
--- a/gypsumrouter/callers/const.py
+++ b/gypsumrouter/callers/const.py
@@ -1,4 +1,4 @@
-"""Constants of the callers' side."""
+"""Constants of the HTTP server for callers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 CONTENT_TYPE_JSON: Final = "application/json"
 ERROR_TYPE: Final = "gypsumrouter_error"
-# The end of one server-sent event.
+# Separator after a server-sent event.
 EVENT_END: Final = b"\n\n"
 KEEPALIVE_TIMEOUT_MS: Final = 75_000
 MAX_HEADERS: Final = 128
--- a/gypsumrouter/callers/errors.py
+++ b/gypsumrouter/callers/errors.py
@@ -1,4 +1,4 @@
-"""Errors towards callers: status, body and headers of each way in which a request can end."""
+"""Error responses for callers: status, headers and body for each kind of failure."""
 
 from __future__ import annotations
 
@@ -53,9 +53,9 @@
 
 
 class Rejection(Struct, frozen=True, kw_only=True):
-    """A failure as it is told to the caller; `param` names the wrong field.
+    """A failure to be sent to the caller; `param` names the invalid field or header.
 
-    `status` is set only where one reason has several statuses.
+    `status` overrides the status of the reason, for reasons that have more than one.
     """
 
     failure: Failure
@@ -64,7 +64,7 @@
 
 
 def reject_field(param: str, message: str, *, status: int | None = None) -> Rejection:
-    """Return the rejection of a request whose field `param` is wrong."""
+    """Return the rejection of a request whose field or header `param` is invalid."""
     failure = Refused(reason=Reason.BAD_REQUEST, message=message)
     return Rejection(failure=failure, param=param, status=status)
 
@@ -76,7 +76,7 @@
     param: str | None = None,
     retry_after_ms: int | None = None,
 ) -> Rejection:
-    """Return the rejection of a request that was never given to anyone."""
+    """Return the rejection of a request that has not been sent to any instance."""
     failure = Refused(reason=reason, message=message, retry_after_ms=retry_after_ms)
     return Rejection(failure=failure, param=param)
 
@@ -93,12 +93,12 @@
         case Refused(reason=reason):
             return STATUS_REFUSED.get(reason, DEFAULT_STATUS_REFUSED)
         case Failed(reason=reason):
-            # A refusal that cannot say "not run" keeps its status.
+            # A refusal reported as a failure, because the request may have run, keeps its status.
             return STATUS_FAILED.get(reason, STATUS_REFUSED.get(reason, DEFAULT_STATUS_FAILED))
 
 
 def render_error(*, rejection: Rejection, request_id: str) -> bytes:
-    """Return the JSON body of an error, in the form that chat-completions clients know."""
+    """Return the JSON body of an error, in the format of the chat-completions API."""
     failure = rejection.failure
     error = {
         "message": _format_message(failure),
@@ -113,13 +113,13 @@
 
 
 def render_error_event(*, failure: Failure, request_id: str) -> bytes:
-    """Return the event that ends a stream which cannot be finished."""
+    """Return the server-sent event that reports an error in the middle of a stream."""
     body = render_error(rejection=Rejection(failure=failure), request_id=request_id)
     return b"data: " + body + EVENT_END
 
 
 def make_error_response(*, rejection: Rejection, request_id: str) -> web.Response:
-    """Return the whole HTTP answer for an error."""
+    """Return the HTTP response for an error."""
     failure = rejection.failure
     headers = {
         HEADER_REQUEST_ID: request_id,
@@ -138,7 +138,7 @@
 
 
 def round_up_seconds(milliseconds: int) -> int:
-    """Return whole seconds, rounded up; at least one."""
+    """Convert milliseconds to whole seconds, rounded up; the minimum is 1."""
     return max(1, -(-milliseconds // MS_PER_S))
 
 
--- a/gypsumrouter/callers/listener.py
+++ b/gypsumrouter/callers/listener.py
@@ -1,4 +1,4 @@
-"""The listener for callers: connections, their limits, and errors of the HTTP layer."""
+"""Listener for caller connections: connection limits, and error responses of the HTTP layer."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class RequestIdGenerator(Protocol):
-    """Gives each request its id."""
+    """Generates an id for each request."""
 
     def __call__(self) -> str:
         """Return a new id."""
@@ -52,7 +52,7 @@
 
 
 class CallerConnection(web.RequestHandler):
-    """One connection of a caller; whatever is wrong with its HTTP is answered as JSON."""
+    """One connection of a caller; invalid HTTP is answered with a JSON error."""
 
     __slots__ = ("_head_started", "_head_timer", "_limits", "_server")
 
@@ -64,32 +64,32 @@
         self._head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Bound what the connection buffers and how long its first head may take."""
+        """Set the write buffer limit and start the timeout for the first byte."""
         super().connection_made(transport)
         if isinstance(transport, asyncio.WriteTransport):
             transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._start_head_timer(self._limits.first_byte_timeout_ms)
 
     def data_received(self, data: bytes) -> None:
-        """Bound the time that a head takes from its first byte; a slow one holds the connection."""
+        """Start the head timeout at the first byte of a request head."""
         super().data_received(data)
-        # What comes while no request is awaited is the rest of a body.
+        # Data received while no head is awaited belongs to a request body.
         if self._is_awaiting_head and not self._head_started:
             self._head_started = True
             self._start_head_timer(self._limits.head_timeout_ms)
 
     @property
     def _is_awaiting_head(self) -> bool:
-        """Return whether the next request is awaited and its head is not whole yet."""
+        """Return whether the connection waits for a request head or has received part of one."""
         return self._waiter is not None and not self._waiter.done() and not self._messages
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Release the timer of the connection."""
+        """Cancel the timer of the connection."""
         self.stop_head_timer()
         super().connection_lost(exc)
 
     def stop_head_timer(self) -> None:
-        """Note that a head has arrived whole."""
+        """Cancel the head timeout after a complete head, or when the connection ends."""
         self._head_started = False
         if self._head_timer is not None:
             self._head_timer.cancel()
@@ -102,9 +102,9 @@
         self._head_timer = loop.call_later(limit_ms / MS_PER_S, self.force_close)
 
     def close_gracefully(self) -> None:
-        """Close now if no request has arrived, or else after the answer.
+        """Close an idle connection now, or a busy one after its current answer.
 
-        The library's own `close` leaves an idle connection open, on which nothing is served.
+        `close` of the HTTP library leaves the transport of an idle connection open.
         """
         idle = self._is_awaiting_head
         self.close()
@@ -118,13 +118,21 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer an error of the HTTP layer, or a fault of the gateway itself."""
+        """Return the response to invalid HTTP or to an exception in the request handler."""
         self.stop_head_timer()
         request_id = self._server.generate_request_id()
         if status >= 500:
-            _LOGGER.error("Request %s hit a fault of the router", request_id, exc_info=exc)
+            _LOGGER.error(
+                "Request %s failed with an unexpected exception; responding with an error",
+                request_id,
+                exc_info=exc,
+            )
         else:
-            _LOGGER.debug("Request %s is not valid HTTP: %s", request_id, message or exc)
+            _LOGGER.debug(
+                "Request %s is invalid HTTP (%s); responding with an error and closing",
+                request_id,
+                message or exc,
+            )
         rejection = _reject_http(status, exc)
         response = make_error_response(rejection=rejection, request_id=request_id)
         response.force_close()
@@ -132,7 +140,7 @@
 
 
 class CallerServer(web.Server):
-    """Makes a connection object for each connection of a caller, with the limits of that moment."""
+    """Creates the protocol object of each new connection, with the limits in force at that time."""
 
     def __init__(
         self,
@@ -146,7 +154,7 @@
         self._get_limits = get_limits
 
     def __call__(self) -> CallerConnection:
-        """Return the protocol of a new connection."""
+        """Return the protocol object for a new connection."""
         limits = self._get_limits()
         return CallerConnection(
             self,
@@ -161,7 +169,7 @@
 
 
 class CallerListener:
-    """Listens for callers until it is closed."""
+    """Accepts caller connections until it is closed."""
 
     __slots__ = ("_runner", "_settings", "_site", "_tls")
 
@@ -174,7 +182,7 @@
         self._site: web.SockSite | None = None
 
     async def async_start(self) -> Address:
-        """Begin to listen and return the address."""
+        """Start listening and return the bound address."""
         listening = make_listening_socket(host=self._settings.host, port=self._settings.port)
         await self._runner.setup()
         site = web.SockSite(self._runner, listening, ssl_context=self._tls, backlog=BACKLOG)
@@ -184,7 +192,7 @@
         return Address(host=host, port=port)
 
     async def async_stop_listening(self) -> None:
-        """Take no new connections; those that are open stay."""
+        """Stop accepting new connections; open connections are kept."""
         site, self._site = self._site, None
         if site is not None:
             await site.stop()
--- a/gypsumrouter/callers/memory.py
+++ b/gypsumrouter/callers/memory.py
@@ -1,10 +1,10 @@
-"""Bounds on the memory that bodies and answers take together."""
+"""Limits on the memory used for buffered bodies and answers."""
 
 from __future__ import annotations
 
 
 class MemoryBudget:
-    """Bounds the bytes that many requests hold together."""
+    """Limits the total number of bytes that all requests buffer."""
 
     __slots__ = ("limit", "used")
 
@@ -13,19 +13,19 @@
         self.used = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve `size` bytes, or return False when there is no room."""
+        """Reserve `size` bytes; return False if that would exceed the limit."""
         if self.used + size > self.limit:
             return False
         self.used += size
         return True
 
     def release(self, size: int) -> None:
-        """Give `size` bytes back."""
+        """Release `size` bytes."""
         self.used -= size
 
 
 class MemoryReservation:
-    """What one request holds of a memory budget."""
+    """The bytes that one request has reserved from a memory budget."""
 
     __slots__ = ("_budget", "size")
 
@@ -34,13 +34,13 @@
         self.size = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve `size` bytes more, or return False when there is no room."""
+        """Reserve `size` more bytes; return False if that would exceed the limit of the budget."""
         if not self._budget.reserve(size):
             return False
         self.size += size
         return True
 
     def release(self) -> None:
-        """Give everything back; safe to call more than once."""
+        """Release all reserved bytes; further calls have no effect."""
         self._budget.release(self.size)
         self.size = 0
--- a/gypsumrouter/gateway/__init__.py
+++ b/gypsumrouter/gateway/__init__.py
@@ -1,4 +1,7 @@
-"""The gateway: callers' HTTP at a router, and the way of their requests to sides."""
+"""The gateway of a router: serves callers over HTTP and dispatches their requests to sides.
+
+A side is the process that runs next to an upstream and executes requests on it.
+"""
 
 from __future__ import annotations
 
--- a/gypsumrouter/gateway/attempts.py
+++ b/gypsumrouter/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""What has been tried for one request, and what its caller is told in the end."""
+"""The attempts of one request, and the failure that is reported if none succeeds."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from gypsumrouter.callers import DEFAULT_RETRY_AFTER_MS
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
-# Higher tells a caller more. What is missing ranks lowest; a refusal that no other instance can
-# change is final by itself.
+# When several instances refused a request, the refusal with the highest value is reported; 0 is the
+# default. A refusal with `elsewhere` unset ends the attempts and is reported itself.
 REFUSAL_PRECEDENCE: Final[Mapping[Reason, int]] = {
     Reason.UNREACHABLE: 1,
     Reason.NOT_READY: 2,
@@ -28,10 +28,10 @@
 
 
 class Attempts:
-    """The tries of one request.
+    """The attempts of one request.
 
-    `open` is true while a side may have the request. `given` counts the tries that ran or may have
-    run.
+    `in_flight` is true while an instance may have the request. `failed` is the latest attempt that
+    ran or may have run, and `failures` counts these; `last_failure` includes refusals.
     """
 
     __slots__ = (
@@ -56,13 +56,13 @@
         self.lost_upstreams = 0
 
     def record_start(self, name: str) -> None:
-        """Note that the request goes to an instance now."""
+        """Record the start of an attempt at an instance."""
         self.instance = name
         self.tried.append(name)
         self.in_flight = True
 
     def record_failure(self, failure: Failure) -> None:
-        """Note how the try at the present instance ended."""
+        """Record how the current attempt ended."""
         self.in_flight = False
         self.last_failure = failure
         match failure:
@@ -75,9 +75,9 @@
                     self.lost_upstreams += 1
 
     def get_final_failure(self) -> Failure:
-        """Return what the caller is told when no try is left.
+        """Return the failure to report when there is no further attempt.
 
-        Once one try may have run, "not run" would be wrong.
+        A refusal is only returned if no attempt may have run.
         """
         if self.failed is not None:
             return self.failed
@@ -88,13 +88,13 @@
         return self._select_refusal()
 
     def get_deadline_failure(self) -> Failure:
-        """Return what the caller is told when its time is over."""
+        """Return the failure to report when the deadline has passed."""
         if self.in_flight or self.failed is not None:
             return Failed(reason=Reason.DEADLINE)
         return Refused(reason=Reason.DEADLINE)
 
     def get_cancelled_failure(self) -> Failure:
-        """Return how a request ended whose caller has closed the connection."""
+        """Return the failure to record when the caller has disconnected."""
         if self.in_flight or self.failed is not None:
             return Failed(reason=Reason.CANCELLED)
         return Refused(reason=Reason.CANCELLED)
--- a/gypsumrouter/gateway/budget.py
+++ b/gypsumrouter/gateway/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of one router: a share of its traffic."""
+"""The retry budget of one router, proportional to its traffic."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RetryBudget:
-    """Bounds retries to a share of the requests, so that failures do not multiply the load.
+    """Token bucket that limits retries to a ratio of the requests, to avoid retry storms.
 
-    Each request adds `ratio` to the budget and each retry takes 1 from it. The budget starts full
-    and never holds more than `burst`.
+    Each request adds `ratio` tokens and each retry takes one. The bucket starts full and holds at
+    most `burst` tokens; it is always empty if `ratio` is 0.
     """
 
     __slots__ = ("_burst", "_ratio", "_tokens", "denied", "spent")
@@ -23,15 +23,15 @@
 
     @property
     def available(self) -> float:
-        """Return how many retries may be made now."""
+        """Return the number of tokens: retries that may be made now."""
         return self._tokens
 
     def record_request(self) -> None:
-        """Add the share of one request."""
+        """Add the tokens for one request."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def try_acquire(self) -> bool:
-        """Take one retry, or return False when the budget is spent."""
+        """Take the token for one retry; return False if there is none."""
         if self._tokens < 1.0:
             self.denied += 1
             return False
--- a/gypsumrouter/gateway/calls.py
+++ b/gypsumrouter/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Decisions about one request: its class, its pool, its limits, or its rejection."""
+"""Creation of calls: applies the policy to a validated request, or rejects it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class CallFactory:
-    """Makes calls from checked requests by the policy that is in force at that moment."""
+    """Creates calls from validated requests with the policy currently in force."""
 
     __slots__ = ("_app", "_compiled", "_default_deadline_ms")
 
@@ -48,7 +48,7 @@
         body: bytes,
         arrived_ms: int,
     ) -> Call | Rejection:
-        """Return the call that a chat-completions request asks for."""
+        """Return the call for a chat-completions request."""
         chat = check_chat_body(body)
         if isinstance(chat, Rejection):
             return chat
@@ -85,7 +85,7 @@
         body: bytes,
         arrived_ms: int,
     ) -> Call | Rejection:
-        """Return the call of a service; `decoded_path` is what patterns are matched with."""
+        """Return the call for a service request; path patterns are matched with `decoded_path`."""
         pool = self._compiled.policy.get_pool(target.pool)
         if pool is None or pool.kind is not UpstreamKind.SERVICE:
             message = f"There is no service `{target.pool}`"
@@ -95,7 +95,8 @@
         )
         if isinstance(decision, Rejection):
             return decision
-        # A rule may change between two tries, so it never moves a protected call elsewhere.
+        # Rules do not move a protected call to another pool: they may change between two requests
+        # with the same key, and the call could then run in both pools.
         is_pinned = self._must_not_repeat(pool, target, decoded_path)
         decided = pool if is_pinned else decision.pool or pool
         call = self._make_call(
@@ -171,7 +172,7 @@
         )
 
     def _must_not_repeat(self, pool: Pool, target: Target, decoded_path: str) -> bool:
-        """Return whether the call is protected, however its path is spelled."""
+        """Return whether the call must run at most once, by its decoded or its raw path."""
         return any(
             self._compiled.policy.must_not_repeat(pool=pool.name, method=target.method, path=path)
             for path in (decoded_path, target.path.partition("?")[0])
@@ -179,7 +180,7 @@
 
 
 def make_digest(*, method: str, path: str, body: bytes) -> int:
-    """Return what identifies requests of the same content, whoever sends them."""
+    """Return a digest of the content of a request, which is the same for all callers."""
     digest = xxhash.xxh3_64(f"{method} {path}\n".encode())
     digest.update(body)
     return digest.intdigest()
@@ -201,7 +202,7 @@
 
 
 def _limit_output(call: Call, chat: ChatBody, limit: int | None) -> None:
-    """Write the rule's bound into the body where the caller asks for more or for no bound."""
+    """Set the output limit of the rule in the body unless the caller asks for less."""
     call.max_output_tokens = chat.max_output_tokens
     if limit is None or 0 < chat.max_output_tokens <= limit:
         return
--- a/gypsumrouter/gateway/candidates.py
+++ b/gypsumrouter/gateway/candidates.py
@@ -1,4 +1,4 @@
-"""Which instances are tried for a request, one after the other."""
+"""Selection of the instances at which a request is tried, in order."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class Candidate(Struct, frozen=True, kw_only=True):
-    """An instance that may take a request, and what it was found by.
+    """An instance for a request, with the placement query that selected it.
 
-    `holders` are the instances that may hold the chat's prefix.
+    `holders` names the instances that may have the prefix of the chat in their cache.
     """
 
     pool: Pool
@@ -28,7 +28,7 @@
 
 
 class Candidates:
-    """The candidates of one request; each instance is given once."""
+    """The candidates of one request; each instance is returned once."""
 
     __slots__ = ("_call", "_finder", "_ordered", "_returned")
 
@@ -39,9 +39,9 @@
         self._ordered = finder.iter_candidates(call)
 
     def pop(self, *, suspect: bool) -> Candidate | None:
-        """Return the next candidate, None when there is none left.
+        """Return the next candidate, None if there is none left.
 
-        A suspect goes to the places that run suspects alone, before the usual ones.
+        A repeatable suspect request is tried first at the instances that run suspects in isolation.
         """
         if suspect and self._call.repeatable:
             for candidate in self._finder.iter_isolation_instances(self._call):
@@ -60,7 +60,7 @@
 
 
 class CandidateFinder:
-    """Finds candidates by placement, by the homes of keys, and by the places for suspects."""
+    """Finds candidates by placement, by ownership of an idempotency key, and for isolation."""
 
     __slots__ = ("_fleet", "_key_owners", "_placement")
 
@@ -74,7 +74,7 @@
         return Candidates(finder=self, call=call)
 
     def iter_candidates(self, call: Call) -> Iterator[Candidate]:
-        """Yield the usual candidates, best first; a pool is asked when its turn comes."""
+        """Yield the regular candidates, best first; the second pool is queried only when needed."""
         if not call.repeatable:
             yield from self._iter_key_owners(call)
             return
@@ -87,7 +87,7 @@
                 yield Candidate(pool=pool, instance=instance, query=query, holders=holders)
 
     def iter_isolation_instances(self, call: Call) -> Iterator[Candidate]:
-        """Yield the instances of the pool that run suspects."""
+        """Yield the instances of the pool that run suspect requests in isolation."""
         query = make_placement_query(call, call.pool)
         members = self._fleet.members(call.pool.name)
         for instance in find_isolation_places(call.pool.name, members):
@@ -103,7 +103,7 @@
 
 
 def make_placement_query(call: Call, pool: Pool) -> PlacementQuery:
-    """Return what placement is asked for a request in a pool."""
+    """Return the placement query of a request for a pool."""
     return PlacementQuery(
         pool=pool,
         workspace=call.workspace.name,
--- a/gypsumrouter/gateway/chats.py
+++ b/gypsumrouter/gateway/chats.py
@@ -1,4 +1,4 @@
-"""Names of chats: callers' own, or derived from the part of a conversation that stays the same."""
+"""Ids of chats, derived from the first messages of a conversation."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def derive_chat_id(*, messages: Sequence[Mapping[str, Any]], user: str) -> str:
-    """Return a name that stays the same through all turns of a conversation.
+    """Return an id that is the same for all requests of a conversation.
 
-    It covers everything up to the first message of the user, which each later turn repeats.
+    It is a hash of the messages up to the first one of the user, which each request repeats.
     """
     prefix = _get_stable_prefix(messages)
     text = json.dumps([user, prefix], sort_keys=True, separators=(",", ":"))
@@ -23,7 +23,7 @@
 
 
 def has_assistant_message(messages: Sequence[Mapping[str, Any]]) -> bool:
-    """Return whether the conversation already holds an answer."""
+    """Return whether the conversation already contains an answer."""
     return any(message.get("role") == ROLE_ASSISTANT for message in messages)
 
 
--- a/gypsumrouter/gateway/checks.py
+++ b/gypsumrouter/gateway/checks.py
@@ -1,4 +1,4 @@
-"""Checks of what callers send; each rejection names the wrong field."""
+"""Validation of requests; each rejection names the invalid field or header."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def check_chat_body(body: bytes) -> ChatBody | Rejection:
-    """Return the fields of a chat-completions body that the gateway needs."""
+    """Validate a chat-completions body and return the fields that the gateway uses."""
     try:
         document = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
@@ -131,7 +131,7 @@
 
 
 def parse_head(headers: Iterable[tuple[str, str]]) -> CallerHead | Rejection:
-    """Return what the head says, and the headers that are passed on."""
+    """Return the values of the router's own headers, and the headers to forward."""
     values: dict[str, str] = {}
     forwarded: list[tuple[str, str]] = []
     for name, value in headers:
@@ -145,7 +145,7 @@
 
 
 def drop_connection_headers(headers: Iterable[tuple[str, str]], connection: str) -> Headers:
-    """Return the headers without those that the `Connection` header names."""
+    """Remove the headers that the `Connection` header names."""
     excluded = {name.strip().lower() for name in connection.split(",")}
     return tuple((name, value) for name, value in headers if name.lower() not in excluded)
 
@@ -167,7 +167,7 @@
         caller_class=values.get(HEADER_CLASS.lower()),
         deadline_ms=None if deadline is None else int(deadline),
         chat=chat,
-        # A hint that cannot be ours is ignored: hints are never trusted with more than placement.
+        # An invalid hint is ignored, because hints only affect placement.
         hint=hint if _is_printable_ascii(hint, MAX_HINT_LENGTH) else "",
         idempotency_key=key,
         headers=forwarded,
@@ -177,8 +177,8 @@
 def check_service_path(raw_path: str) -> str | Rejection:
     """Return the decoded path of a service call, which rules and call patterns are matched with.
 
-    Paths that an upstream could read as another one are rejected, so that no spelling of a call
-    slips past a pattern.
+    Rejects paths that an upstream could normalise to another path, because these could bypass a
+    pattern.
     """
     decoded = unquote(raw_path)
     if len(raw_path) > MAX_PATH_LENGTH:
--- a/gypsumrouter/gateway/const.py
+++ b/gypsumrouter/gateway/const.py
@@ -8,12 +8,12 @@
 CONTENT_TYPE_EVENTS: Final = "text/event-stream"
 MODELS_OWNER: Final = "gypsumrouter"
 
-
-# An answer up to this size is held back whole, so that it can still be retried or refused cleanly.
+# An answer that is not streamed is buffered up to this size, so that it can still be retried or
+# replaced by an error.
 MAX_BUFFER_BYTES: Final = 256 * 1024
-# An unfinished event above this size is passed on in pieces.
+# An incomplete server-sent event above this size is forwarded in parts.
 MAX_BUFFERED_EVENT_BYTES: Final = 64 * 1024
-# What all request bodies together may take in memory.
+# Memory limit for the bodies of all running requests.
 MAX_BODIES_BYTES: Final = 64 * 1024 * 1024
 
 MAX_CHAT_ID_LENGTH: Final = 256
@@ -24,25 +24,27 @@
 MAX_DEADLINE_MS: Final = 24 * 3_600_000
 MAX_PATH_LENGTH: Final = 8_000
 
-# How many candidates may turn one request away before it is answered.
+# A request is redirected to another instance after up to this number of refusals.
 MAX_REDIRECTS: Final = 16
-# The home of a key and the one that another view may name.
+# The owner of an idempotency key, and the owner if that instance is missing from the list.
 MAX_KEY_OWNERS: Final = 2
-# A request is given to one more upstream at most after one was lost while running it.
+# A request is not retried after this number of upstreams were lost while running it.
 MAX_LOST_UPSTREAMS: Final = 2
-# Retries that a router may make at once before the ratio binds.
+# Capacity of the retry budget: retries that can be made in a burst above the retry ratio.
 RETRY_BURST: Final = 10.0
 
-# A side watches the deadline too and knows better whether the request ran.
+# The side enforces the deadline as well and can report whether the request ran, so it goes first.
 DEADLINE_GRACE_MS: Final = 250
 CHECK_INTERVAL_MS: Final = 100
+# Limits for connections whose sent data is not acknowledged (TCP).
 ACK_CHECK_INTERVAL_MS: Final = 500
 ACK_TIMEOUT_MS: Final = 2_400
-# How long a leaving router still takes requests, until balancers have seen its readiness.
+# How long a draining router still accepts requests, so that load balancers can see that it is not
+# ready.
 DRAIN_DELAY_MS: Final = 2_000
 
-
-# Headers that belong to one connection (RFC 9110) or that the gateway answers for itself.
+# Headers that are not forwarded: those of one connection (RFC 9110) and those that the gateway
+# sets or consumes itself.
 EXCLUDED_HEADERS: Final = frozenset(
     {
         "authorization",
--- a/gypsumrouter/gateway/diagnostics.py
+++ b/gypsumrouter/gateway/diagnostics.py
@@ -1,4 +1,4 @@
-"""What the gateway adds to the state dump; no bodies, no keys."""
+"""The section of the gateway in the state dump; it contains no bodies and no keys."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def dump_running(running: Iterable[RunningRequest], *, now_ms: int) -> list[dict[str, object]]:
-    """Return the requests that run now, oldest first."""
+    """Return the running requests, oldest first."""
     return [
         {
             "request_id": request.request_id,
--- a/gypsumrouter/gateway/dispatch.py
+++ b/gypsumrouter/gateway/dispatch.py
@@ -1,4 +1,4 @@
-"""Tries of one request: at which instances, in which order, and when there is no further one."""
+"""Dispatch of one request: attempts at one instance after another, within the retry limits."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# Another try cannot help: the time is over, or the caller is gone.
+# The deadline has passed or the caller has disconnected.
 NON_RETRYABLE_REASONS: Final = frozenset({Reason.DEADLINE, Reason.CANCELLED})
 
 
 class Dispatcher:
-    """Gives requests to sides until one answers or no further try is allowed."""
+    """Sends requests to instances until one answers or no further attempt is allowed."""
 
     __slots__ = (
         "_app",
@@ -63,7 +63,7 @@
         self._max_attempts = max_attempts
 
     async def async_run(self, *, call: Call, reply: Reply, attempts: Attempts) -> Failure | None:
-        """Try instance after instance; returns None after a whole answer."""
+        """Try one instance after another; return None after a complete answer."""
         self._budget.record_request()
         candidates = self._finder.find(call)
         while True:
@@ -86,7 +86,7 @@
             reply.discard()
 
     def _may_attempt(self, attempts: Attempts) -> bool:
-        """Return whether the try is paid for: only one after a failure costs anything."""
+        """Return whether an attempt may start; after a failure it takes a retry from the budget."""
         if not isinstance(attempts.last_failure, Failed):
             return True
         if not self._budget.try_acquire():
@@ -108,17 +108,20 @@
         try:
             failure = await self._async_relay(call, reply, candidate, opened)
         except BaseException:
-            # The caller is gone or its time is over: the work must not go on for nobody.
+            # The caller disconnected or the deadline passed: stop the work at the instance.
             opened.cancel()
             raise
         if failure is not None:
             _LOGGER.debug(
-                "Request %s failed at %s: %s", call.request_id, instance.name, failure.reason
+                "Request %s failed at instance %s: %s",
+                call.request_id,
+                instance.name,
+                failure.reason,
             )
         return failure
 
     async def _async_send_strikes(self, call: Call, candidate: Candidate) -> None:
-        """Tell a side what is known of a suspect before the request itself reaches it."""
+        """Send the strikes of a suspect request to the instance, ahead of the request."""
         for strike in self._suspicion.list_news(call.digest):
             await self._links.async_send(instance=candidate.instance, notice=strike)
 
@@ -144,7 +147,7 @@
                     await reply.async_finish()
                     return None
                 case Refused(reason=reason) if head_received:
-                    # An answer had begun, so the request ran whatever the side says now.
+                    # The answer had started, so the request did run.
                     return Failed(reason=reason)
                 case Refused() | Failed() as failure:
                     return failure
--- a/gypsumrouter/gateway/events.py
+++ b/gypsumrouter/gateway/events.py
@@ -1,4 +1,4 @@
-"""Whole server-sent events cut from a stream of bytes."""
+"""Splitting of a byte stream at the boundaries of server-sent events."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EventBuffer:
-    """Holds back an unfinished event, so that an error event never lands inside another one."""
+    """Buffers an incomplete event, so that an error event is never sent inside another event."""
 
     __slots__ = ("_pending",)
 
@@ -15,11 +15,11 @@
         self._pending = b""
 
     def is_complete(self, body: bytes) -> bool:
-        """Return whether `body` passes as it is, with nothing held back before or after it."""
+        """Return whether `body` can be sent unchanged, with no data buffered before or after it."""
         return not self._pending and body.endswith(EVENT_END)
 
     def feed(self, body: bytes) -> bytes:
-        """Return all that ends with a whole event; a very long event is passed in pieces."""
+        """Add data and return the complete events; a very long event is returned in parts."""
         if self._pending:
             body = self._pending + body
             self._pending = b""
@@ -34,7 +34,7 @@
         return body[:end]
 
     def flush(self) -> bytes:
-        """Return what is held back at the end of the stream."""
+        """Return the buffered data at the end of the stream."""
         pending = self._pending
         self._pending = b""
         return pending
--- a/gypsumrouter/gateway/gateway.py
+++ b/gypsumrouter/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway of a router: it wires the aggregate and owns its life cycle."""
+"""Construction, start and drain of the gateway."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Gateway:
-    """Takes callers' requests and gives them to sides."""
+    """Accepts requests of callers and dispatches them to sides."""
 
     __slots__ = (
         "_app",
@@ -117,20 +117,20 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer should send new requests."""
+        """Return whether load balancers should send new requests."""
         return self._readiness.ready
 
     @property
     def running(self) -> int:
-        """Return how many requests run now."""
+        """Return the number of running requests."""
         return len(self._running)
 
     def list_running(self) -> list[dict[str, object]]:
-        """Return the requests that run now, as plain data."""
+        """Return the running requests as plain JSON data."""
         return dump_running(self._running, now_ms=self._app.clock.now_ms())
 
     async def async_start(self) -> Address:
-        """Begin to take requests and return the address; until ready they are refused."""
+        """Start listening and return the address; rejects requests until the gateway is ready."""
         self._fleet.on_change(self._update_fleet_share)
         self._update_fleet_share()
         self._policies.async_start()
@@ -141,7 +141,7 @@
         self._app.on_drain(self._async_drain)
         self._app.on_stop(self._listener.async_close)
         self._app.add_dump_section(DUMP_SECTION, self._dump)
-        _LOGGER.info("Callers are served at %s", address)
+        _LOGGER.info("Listening for callers at %s", address)
         return address
 
     def _make_tls(self, tls: Tls | None) -> ssl.SSLContext | None:
@@ -152,10 +152,13 @@
         return context
 
     async def _async_drain(self) -> None:
-        """Let balancers see that this router is leaving, then finish every answer."""
+        """Wait for load balancers to react, reject new requests, finish the running ones."""
         await self._app.clock.async_sleep(DRAIN_DELAY_MS)
         self._readiness.closed = True
-        _LOGGER.info("New requests are refused, %d still run", len(self._running))
+        _LOGGER.info(
+            "Draining: rejecting new requests, waiting for %d running requests to finish",
+            len(self._running),
+        )
         await self._running.async_wait_until_idle()
 
     def _update_fleet_share(self) -> None:
--- a/gypsumrouter/gateway/handler.py
+++ b/gypsumrouter/gateway/handler.py
@@ -1,4 +1,4 @@
-"""The way of one request: intake, limits, dispatch, and its end."""
+"""Handling of one request: intake, limits, dispatch, response and metrics."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class CallerHandler:
-    """Serves every request of every caller."""
+    """Handles all requests of all callers."""
 
     __slots__ = (
         "_answer_memory",
@@ -83,16 +83,16 @@
 
     @property
     def buffered_bytes(self) -> dict[str, int]:
-        """Return what bodies and answers that are held back take in memory."""
+        """Return the memory used by buffered request bodies and answers."""
         return {"bodies": self._body_memory.used, "answers": self._answer_memory.used}
 
     def generate_request_id(self) -> str:
-        """Return an id that no other request of any process has."""
+        """Return a request id that is unique across all processes."""
         self._request_count += 1
         return f"{self._app.incarnation:016x}-{self._request_count:x}"
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request from its head to the end of its answer."""
+        """Handle one request, from its received head to the end of its answer."""
         if isinstance(request.protocol, CallerConnection):
             request.protocol.stop_head_timer()
         running = RunningRequest(
@@ -229,7 +229,7 @@
         return self._close_if_draining(response)
 
     def _close_if_draining(self, response: web.Response) -> web.Response:
-        """Move the caller's next request to another router while this one is leaving."""
+        """Close the connection while draining; the caller's next request goes to another router."""
         if self._readiness.draining:
             response.force_close()
         return response
@@ -238,7 +238,7 @@
         result.answer_ms = self._app.clock.now_ms() - running.arrived_ms
         self._metrics.record_result(caller_class=running.caller_class, result=result)
         _LOGGER.debug(
-            "Request %s of workspace %s ended at instance %s as %s, status %d, reason %s",
+            "Request %s of workspace %s ended at instance %s: outcome %s, status %d, reason %s",
             running.request_id,
             running.workspace or "-",
             running.attempts.instance or "-",
@@ -266,7 +266,7 @@
         return
     caller_request_id = request.headers.get(HEADER_REQUEST_ID, "-")[:MAX_LOGGED_ID_LENGTH]
     _LOGGER.debug(
-        "Request %s: %s %s, caller's id %r",
+        "Request %s received: %s %s, caller's request id %r",
         request_id,
         request.method,
         request.rel_url.raw_path,
--- a/gypsumrouter/gateway/intake.py
+++ b/gypsumrouter/gateway/intake.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked call: caller, path, head and body."""
+"""Authentication, routing by path and validation of an HTTP request, which give a call."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Intake:
-    """Checks requests and turns them into calls."""
+    """Validates HTTP requests and converts them to calls."""
 
     __slots__ = ("_app", "_limits")
 
@@ -57,7 +57,7 @@
         reservation: MemoryReservation,
         compiled: CompiledPolicy,
     ) -> Call | web.Response | Rejection:
-        """Return the call to dispatch, the answer to a question of the router, or a rejection."""
+        """Return the call to dispatch, a response of the router itself, or a rejection."""
         if count_head_bytes(request) > self._limits.max_head_bytes:
             return reject_head_size()
         workspace = find_workspace(request, compiled)
@@ -158,7 +158,7 @@
 
 
 def find_workspace(request: web.BaseRequest, compiled: CompiledPolicy) -> Workspace | None:
-    """Return the workspace whose key the caller shows."""
+    """Return the workspace of the bearer token, None if there is no valid one."""
     authorization = request.headers.get(hdrs.AUTHORIZATION, "")
     if not authorization.startswith(BEARER_PREFIX) or not authorization.isascii():
         return None
--- a/gypsumrouter/gateway/key_owners.py
+++ b/gypsumrouter/gateway/key_owners.py
@@ -1,4 +1,4 @@
-"""Where calls that must not be repeated go: the homes of their keys by the published list."""
+"""Routing of calls with an idempotency key to the instance that owns the key."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class KeyOwners:
-    """Keeps the newest published list, since sides decide by it and not by evidence of links."""
+    """Keeps the latest published list, since sides decide by it and not by the state of links."""
 
-    __slots__ = ("_fleet", "_instances")
+    __slots__ = ("_fleet", "_listed")
 
     def __init__(self, *, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._instances: tuple[Instance, ...] = ()
+        self._listed: tuple[Instance, ...] = ()
         fleet.on_list(self._set_list)
 
     def list_owners(self, *, pool: str, workspace: str, key: str) -> tuple[Instance, ...]:
-        """Return the home of a key, and the one that it has in a view without that home."""
-        remaining = {item.name: item for item in self._instances or self._fleet.members(pool)}
+        """Return the owner of a key, and the owner it has in a list without that instance."""
+        remaining = {item.name: item for item in self._listed or self._fleet.members(pool)}
         owners: list[Instance] = []
         while len(owners) < MAX_KEY_OWNERS:
             name = find_home(pool=pool, workspace=workspace, key=key, instances=remaining.values())
@@ -30,4 +30,4 @@
         return tuple(owners)
 
     def _set_list(self, listed: InstanceList) -> None:
-        self._instances = listed.instances
+        self._listed = listed.instances
--- a/gypsumrouter/gateway/limits.py
+++ b/gypsumrouter/gateway/limits.py
@@ -1,7 +1,7 @@
-"""Limits of workspaces and rules, kept across the fleet without shared state.
+"""Limits of workspaces and rules, enforced across all routers without shared state.
 
-Each router enforces its share of a limit: the limit divided by the routers that the instance list
-names as live. Whole units that do not divide go to some of the routers, chosen by name.
+Each router enforces its share of a limit: the limit divided by the number of live routers in the
+instance list. The remainder of a concurrency limit is assigned by a hash of the limit's name.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Limit(Struct, frozen=True, kw_only=True):
-    """What the fleet as a whole lets pass under one name."""
+    """A limit on the requests of all routers together; `name` identifies its counters."""
 
     name: str
     requests_per_s: float | None
@@ -29,12 +29,12 @@
 
     @property
     def is_enforced(self) -> bool:
-        """Return whether there is anything to enforce."""
+        """Return whether a rate or a concurrency limit is set."""
         return self.requests_per_s is not None or self.concurrent is not None
 
 
 class FleetShare(Struct, frozen=True, kw_only=True):
-    """Where this router stands among the live routers."""
+    """Position of this router among the live routers, and their number."""
 
     position: int = 0
     routers: int = 1
@@ -44,10 +44,9 @@
         return limit / self.routers
 
     def get_count(self, limit: int, name: str) -> int:
-        """Return this router's share of a count; at least 1, so that no router refuses always.
+        """Return this router's share of a concurrency limit, at least 1.
 
-        The shares of all routers sum up to the limit, or to the number of routers where that is
-        higher.
+        The shares add up to the limit, or to the number of routers if that is higher.
         """
         base, extra = divmod(limit, self.routers)
         offset = (self.position + xxhash.xxh32_intdigest(name.encode())) % self.routers
@@ -55,7 +54,7 @@
 
 
 def find_fleet_share(*, own_name: str, peers: Iterable[Instance]) -> FleetShare:
-    """Return this router's place among the live routers, by name."""
+    """Return this router's position among the live routers, ordered by name."""
     names = {
         peer.name for peer in peers if peer.role is Role.ROUTER and peer.state is InstanceState.LIVE
     }
@@ -64,7 +63,7 @@
 
 
 class _Usage:
-    """What runs now under one limit, and its token bucket."""
+    """Number of running requests and token bucket of one limit."""
 
     __slots__ = ("running", "tokens", "updated_ms")
 
@@ -75,7 +74,7 @@
 
 
 class Permit:
-    """Allows one request to run; released once."""
+    """Permit for one request under all its limits."""
 
     __slots__ = ("_usages",)
 
@@ -83,7 +82,7 @@
         self._usages = usages
 
     def release(self) -> None:
-        """Give the place back; safe to call more than once."""
+        """Release the permit; further calls have no effect."""
         for usage in self._usages:
             usage.running -= 1
         self._usages = []
@@ -100,7 +99,7 @@
         self.share = FleetShare()
 
     def acquire(self, limits: Iterable[Limit]) -> Permit | Refused:
-        """Return the permit to run under all limits, or the refusal by one that is reached."""
+        """Return a permit under all limits, or a refusal if one of them is exceeded."""
         enforced = [(limit, self._find_usage(limit)) for limit in limits if limit.is_enforced]
         for limit, usage in enforced:
             refused = self._check(limit, usage)
@@ -113,13 +112,13 @@
         return Permit([usage for _, usage in enforced])
 
     def retain(self, names: set[str]) -> None:
-        """Drop the limits that are no longer configured and that no request holds."""
+        """Remove the limits that are not among `names` and have no running requests."""
         self._usages = {
             name: usage for name, usage in self._usages.items() if usage.running or name in names
         }
 
     def count_running(self) -> dict[str, int]:
-        """Return how many requests run under each limit."""
+        """Return the number of running requests by limit."""
         return {name: usage.running for name, usage in self._usages.items() if usage.running}
 
     def _find_usage(self, limit: Limit) -> _Usage:
@@ -155,12 +154,12 @@
 
 
 def get_workspace_limit_name(workspace: str) -> str:
-    """Return the name under which a workspace's limits are counted."""
+    """Return the name of the limit of a workspace."""
     return f"workspace {workspace}"
 
 
 def get_rule_limit_name(rule: str) -> str:
-    """Return the name under which a rule's limits are counted, for all that it matches."""
+    """Return the name of the limit of a rule, shared by all requests that the rule matches."""
     return f"rule {rule}"
 
 
--- a/gypsumrouter/gateway/metrics.py
+++ b/gypsumrouter/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the gateway: how requests end, how long they take, what missed targets cost."""
+"""Metrics of the gateway: outcomes, latencies, targets and penalties."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 OUTCOME_UNKNOWN: Final = "unknown"
 TARGET_FIRST_TOKEN: Final = "first_token"
 TARGET_ANSWER: Final = "answer"
-# Requests that end before their class is known.
+# Label for requests that end before their class is determined.
 NO_CLASS: Final = ""
 
-# The caller's own mistakes and wishes: no target counts for them.
+# Requests that fail for these reasons, caused by the caller, are not counted against targets.
 REASONS_WITHOUT_TARGETS: Final = frozenset(
     {
         Reason.BAD_REQUEST,
@@ -42,7 +42,7 @@
 
 
 class GatewayMetrics:
-    """Counts requests once each, when they end."""
+    """Counts each request when it ends."""
 
     __slots__ = (
         "_answer",
@@ -87,11 +87,11 @@
         )
 
     def record_retry(self, reason: Reason) -> None:
-        """Count a try after one that failed."""
+        """Count a retry by the reason of the failure before it."""
         self._retries.inc(labels=(("reason", reason.value),))
 
     def record_redirect(self, reason: Reason) -> None:
-        """Count a refusal by a side."""
+        """Count a refusal by an instance."""
         self._redirects.inc(labels=(("reason", reason.value),))
 
     def record_result(self, *, caller_class: CallerClass | None, result: RequestResult) -> None:
@@ -128,7 +128,7 @@
 
 
 def get_outcome(result: RequestResult) -> str:
-    """Return the one word for how a request ended."""
+    """Return the value of the outcome label."""
     if result.failure is None:
         return OUTCOME_REPLAYED if result.replayed else OUTCOME_ANSWERED
     return OUTCOME_NOT_RUN if isinstance(result.failure, Refused) else OUTCOME_UNKNOWN
--- a/gypsumrouter/gateway/models.py
+++ b/gypsumrouter/gateway/models.py
@@ -1,4 +1,4 @@
-"""What the gateway knows of one request."""
+"""Data of one request in the gateway."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ChatBody(Struct, frozen=True, kw_only=True):
-    """A checked body of a chat-completions request; `document` is the whole JSON object."""
+    """A validated body of a chat-completions request; `document` is the complete JSON object."""
 
     document: dict[str, Any]
     model: str
@@ -26,7 +26,7 @@
 
 
 class CallerHead(Struct, frozen=True, kw_only=True):
-    """What a caller may say in the head of a request, checked."""
+    """The validated headers of a request; `headers` are the ones to forward."""
 
     caller_class: str | None = None
     deadline_ms: int | None = None
@@ -37,7 +37,7 @@
 
 
 class Target(Struct, frozen=True, kw_only=True):
-    """What a request asks for: a chat, or a call of the service that `pool` names."""
+    """The target of a request: a chat completion, or a call of the service in `pool`."""
 
     kind: UpstreamKind
     method: str
@@ -47,10 +47,10 @@
 
 
 class Call(Struct, kw_only=True):
-    """One request that may be given to a side.
+    """One accepted request, to be dispatched to an instance.
 
-    `deadline_at_ms` and `arrived_ms` are monotonic times. A call with an `idempotency_key` must
-    not be repeated.
+    `deadline_at_ms` and `arrived_ms` are monotonic times. A call with an `idempotency_key` must run
+    at most once.
     """
 
     request_id: str
@@ -75,14 +75,14 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether the call may run again where its first outcome is unknown."""
+        """Return whether the call may be retried if the outcome of an attempt is unknown."""
         return not self.idempotency_key
 
 
 class RequestResult(Struct, kw_only=True):
-    """How a request ended, for metrics and logs; no failure is a whole answer.
+    """How a request ended, for metrics and logs; `failure` is None after a complete answer.
 
-    `first_token_ms` and `answer_ms` count from the arrival of the request.
+    `first_token_ms` and `answer_ms` are measured from the arrival of the request.
     """
 
     status: int = 0
--- a/gypsumrouter/gateway/policies.py
+++ b/gypsumrouter/gateway/policies.py
@@ -1,4 +1,4 @@
-"""The policy in force: compiled from each new configuration without stalling the loop."""
+"""The policy in force, compiled from each new configuration without blocking the event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CompiledPolicy:
-    """A policy with what the gateway looks up for each request."""
+    """A policy with the names that the gateway looks up for each request."""
 
     __slots__ = ("class_names", "configuration", "model_names", "policy")
 
@@ -24,7 +24,7 @@
         self.configuration = configuration
         self.policy = policy
         self.class_names = frozenset(entry.name for entry in configuration.classes)
-        # A dict keeps the order of the configuration.
+        # A dict, because it preserves the order of the configuration.
         self.model_names = dict.fromkeys(
             model
             for pool in configuration.pools
@@ -34,7 +34,7 @@
 
 
 class PolicyHolder:
-    """Holds the newest policy; `current` is None before the first configuration."""
+    """Holds the latest compiled policy; `current` is None before the first configuration."""
 
     __slots__ = ("_app", "_changed", "_on_change", "_store", "current")
 
@@ -52,7 +52,7 @@
         self.current: CompiledPolicy | None = None
 
     def async_start(self) -> None:
-        """Begin to follow the configuration."""
+        """Compile the current configuration and every later one."""
         self._store.on_change(lambda configuration: self._changed.set())
         self._changed.set()
         self._app.async_create_task(self._async_compile_changes(), "gateway policy")
@@ -67,4 +67,6 @@
             policy = await Policy.async_compile(configuration)
             self.current = CompiledPolicy(configuration=configuration, policy=policy)
             self._on_change(configuration)
-            _LOGGER.debug("Configuration version %d decides now", configuration.version)
+            _LOGGER.debug(
+                "Configuration version %d is compiled and in force", configuration.version
+            )
--- a/gypsumrouter/gateway/readiness.py
+++ b/gypsumrouter/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this router may get new requests, and whether it still takes them."""
+"""Readiness of the router for load balancers, and whether it accepts requests."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Readiness:
-    """What the balancer and new requests are told.
+    """Readiness state of the gateway.
 
-    A leaving router is not ready at once, but takes requests until it is `closed`, so that
-    balancers have time to see it.
+    A draining router reports that it is not ready immediately, but accepts requests until `closed`
+    is set, so that load balancers have time to react.
     """
 
     __slots__ = ("_app", "_fleet", "_policies", "closed")
@@ -24,17 +24,17 @@
 
     @property
     def draining(self) -> bool:
-        """Return whether a stop has begun."""
+        """Return whether the process is stopping."""
         return self._app.stopping.is_set()
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer should send new requests."""
+        """Return whether load balancers should send new requests."""
         return not self.draining and self.policy is not None
 
     @property
     def policy(self) -> CompiledPolicy | None:
-        """Return the policy in force, None until the configuration and the list are there."""
+        """Return the policy in force, None without a configuration or an instance list."""
         if self._fleet.list_age_ms() is None:
             return None
         return self._policies.current
--- a/gypsumrouter/gateway/reply.py
+++ b/gypsumrouter/gateway/reply.py
@@ -1,4 +1,4 @@
-"""The answer to one caller: held back while it can still be retried, then written as it comes."""
+"""The answer to one caller: buffered while it can still be retried, then written as received."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 METHOD_HEAD: Final = "HEAD"
 TRANSFER_ENCODING: Final = "Transfer-Encoding"
 CHUNKED: Final = "chunked"
-# Length in hexadecimal and two line ends.
+# Hexadecimal length and two line ends of a chunk.
 CHUNK_OVERHEAD_BYTES: Final = 20
 
 
 class CallerDisconnected(ConnectionError):
-    """The caller closed its connection while its answer was written."""
+    """The caller closed the connection while the answer was being written."""
 
 
 class Reply:
     """Writes one answer to its caller.
 
-    Nothing reaches the caller before `sent` is true. A streamed answer is sent from its first
-    bytes on, any other one when it is whole or when it outgrows what is held back.
+    Nothing is sent to the caller before `sent` is true. A streamed answer is sent from its first
+    part on, any other one when it is complete or exceeds the buffer.
     """
 
     __slots__ = (
@@ -96,23 +96,24 @@
 
     @property
     def sent(self) -> bool:
-        """Return whether the caller may have got anything of the answer."""
+        """Return whether any part of the answer may have reached the caller."""
         return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """Return the answer that was begun, for the HTTP library."""
+        """Return the response object if the answer has been started."""
         return self._response
 
     @property
     def replayed(self) -> bool:
-        """Return whether the answer comes from a side's memory."""
+        """Return whether the instance replayed a stored answer to an idempotency key."""
         return self._head is not None and self._head.replayed
 
     def start(self, *, head: Head, hint: str, buffers_events: bool) -> bool:
-        """Take the head of an answer; returns False where it cannot be one.
+        """Start an answer with its head; return False if the head is invalid or not the first.
 
-        With `cuts_events` a stream of events that breaks off is ended by an error event.
+        With `buffers_events`, only complete server-sent events are sent, so that an interrupted
+        stream can be ended by an error event.
         """
         if not STATUS_MIN <= head.status <= STATUS_MAX or self._head is not None:
             return False
@@ -124,7 +125,7 @@
         return True
 
     def discard(self) -> None:
-        """Forget an answer of which nothing was sent, before another try."""
+        """Discard a buffered answer before a retry."""
         self._head = None
         self.status = 0
         self._parts.clear()
@@ -132,7 +133,7 @@
         self.first_data_ms = None
 
     async def async_write(self, body: bytes) -> None:
-        """Take a part of the body; returns when the caller has room for more."""
+        """Buffer or send a part of the body; wait until the connection accepts more data."""
         if self.first_data_ms is None:
             self.first_data_ms = self._clock.now_ms()
         if self._response is None and not self._streamed and self._buffer(body):
@@ -144,11 +145,11 @@
         await self._async_write(body)
 
     def write_nowait(self, body: bytes) -> bool:
-        """Take a part of the body without waiting; returns False where that takes `async_take`.
+        """Send a part of the body without waiting; return False if it needs `async_write`.
 
-        The chunk is written as the HTTP library would once the head is out, but without its
-        layers, which cost more than all else that a token takes. A part that could fill the
-        connection's buffer is left to `async_take`, which waits for the caller.
+        Writes the chunk to the transport directly: the overhead of the HTTP library would be the
+        largest cost of a token. A part that could fill the buffer of the connection is left to
+        `async_write`, which waits for the caller.
         """
         if not self._can_write_directly or not body:
             return False
@@ -164,7 +165,7 @@
         return True
 
     async def async_finish(self) -> None:
-        """End a whole answer."""
+        """Finish a complete answer."""
         if self._response is None:
             await self._async_send_complete()
             return
@@ -173,7 +174,7 @@
         await self._async_end(self._response)
 
     async def async_fail(self, failure: Failure) -> None:
-        """End an answer that was begun and cannot be finished, so that the caller notices."""
+        """End a started answer with an error event, or reset the connection otherwise."""
         response = self._response
         if response is None:
             return
--- a/gypsumrouter/gateway/reported_failure.py
+++ b/gypsumrouter/gateway/reported_failure.py
@@ -1,4 +1,4 @@
-"""What a caller may be told of a call that must not be repeated."""
+"""The failure that is reported to the caller of a call with an idempotency key."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def get_reported_failure(*, call: Call, attempts: Attempts, failure: Failure) -> Failure:
-    """Return the failure as the caller may hear it.
+    """Return the failure to report to the caller.
 
-    A refusal by this router, or by a side that is not the key's home, leaves open whether an
-    earlier request with the same key has run. Only the home may say that none has.
+    An earlier request with the same key may have run. Only a refusal by the instance that owns the
+    key excludes this; any other refusal is reported as an unknown outcome.
     """
     if call.repeatable:
         return failure
--- a/gypsumrouter/gateway/request_monitor.py
+++ b/gypsumrouter/gateway/request_monitor.py
@@ -1,4 +1,4 @@
-"""Watch over the requests that run: deadlines, callers that take nothing, silent connections."""
+"""Monitoring of running requests: deadlines, stalled callers, dead connections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# Of Linux's struct tcp_info: what is unacknowledged, and how long the last acknowledgement is ago.
+# Fields of Linux's struct tcp_info: number of unacknowledged segments, and milliseconds since the
+# last acknowledgement.
 TCP_INFO_BYTES: Final = 60
 UNACKED_OFFSET: Final = 24
 LAST_ACK_OFFSET: Final = 56
@@ -27,7 +28,10 @@
 
 
 class MonitoredRequest:
-    """One request that runs; `blocked_since_ms` is set while the caller takes nothing."""
+    """A monitored request; its `scope` is cancelled at the deadline.
+
+    `blocked_since_ms` is set while a write waits for the caller, to the time of the last progress.
+    """
 
     __slots__ = (
         "blocked_since_ms",
@@ -54,17 +58,17 @@
         self.buffered = 0
 
     def start_write(self, now_ms: int) -> None:
-        """Note that the caller has to take something before more is written."""
+        """Record the start of a write that waits until the caller reads."""
         self.blocked_since_ms = now_ms
         self.buffered = 0 if self.transport is None else self.transport.get_write_buffer_size()
 
     def finish_write(self) -> None:
-        """Note that the caller took it."""
+        """Record that the write has completed."""
         self.blocked_since_ms = None
 
 
 class RequestMonitor:
-    """Checks every running request in fixed steps of the application's clock."""
+    """Checks all running requests periodically, and aborts connections of unresponsive callers."""
 
     __slots__ = ("_app", "_caller_idle_ms", "_monitored", "_next_ack_check_ms", "aborted")
 
@@ -76,15 +80,15 @@
         self.aborted = 0
 
     def async_start(self) -> None:
-        """Begin to watch."""
+        """Start the periodic checks."""
         self._app.async_create_task(self._async_run(), "gateway watch")
 
     def add(self, monitored: MonitoredRequest) -> None:
-        """Watch a request until it is removed."""
+        """Monitor a request until it is removed."""
         self._monitored.add(monitored)
 
     def remove(self, monitored: MonitoredRequest) -> None:
-        """Watch a request no longer."""
+        """Stop monitoring a request."""
         self._monitored.discard(monitored)
 
     async def _async_run(self) -> None:
@@ -119,17 +123,19 @@
         return now_ms - monitored.blocked_since_ms >= self._caller_idle_ms
 
     def _abort(self, monitored: MonitoredRequest) -> None:
-        _LOGGER.debug("Request %s: its caller takes nothing, cut", monitored.request_id)
+        _LOGGER.debug(
+            "Request %s: caller reads no data or does not acknowledge it; resetting the connection",
+            monitored.request_id,
+        )
         self.remove(monitored)
         self.aborted += 1
         abort_connection(monitored.transport)
 
 
 def is_unacknowledged(monitored: MonitoredRequest) -> bool:
-    """Return whether sent bytes have gone without any acknowledgement for too long.
+    """Return whether sent data has not been acknowledged within `ACK_TIMEOUT_MS`.
 
-    A caller that is only slow still acknowledges; nothing is unacknowledged while its window is
-    closed.
+    A slow caller still acknowledges data; with a closed receive window no data is outstanding.
     """
     if monitored.transport is None or monitored.transport.is_closing():
         return False
--- a/gypsumrouter/gateway/running.py
+++ b/gypsumrouter/gateway/running.py
@@ -1,4 +1,4 @@
-"""The requests that run now, and the wait for the last of them."""
+"""Registry of the running requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RunningRequest:
-    """One request from its head to its end; what is known of it grows."""
+    """A running request; the fields are filled in while it is processed."""
 
     __slots__ = ("arrived_ms", "attempts", "caller_class", "request_id", "streamed", "workspace")
 
@@ -24,7 +24,7 @@
 
 
 class RunningRequests:
-    """Every request that runs now."""
+    """All running requests of the router."""
 
     __slots__ = ("_by_id", "_idle")
 
@@ -40,16 +40,16 @@
         return iter(self._by_id.values())
 
     def add(self, running: RunningRequest) -> None:
-        """Note the beginning of a request."""
+        """Add a request at its start."""
         self._by_id[running.request_id] = running
         self._idle.clear()
 
     def remove(self, running: RunningRequest) -> None:
-        """Note the end of a request."""
+        """Remove a request at its end."""
         self._by_id.pop(running.request_id, None)
         if not self._by_id:
             self._idle.set()
 
     async def async_wait_until_idle(self) -> None:
-        """Wait until no request runs."""
+        """Wait until no request is running."""
         await self._idle.wait()
