--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -12,7 +12,7 @@
     FakePlacement,
     FakeStore,
     FakeSuspicion,
-    Router,
+    RouterHarness,
 )
 
 from gypsumrouter.configuration import Configuration
@@ -34,7 +34,7 @@
 
 
 @pytest.fixture
-async def router(limits: Limits, configuration: Configuration) -> AsyncIterator[Router]:
+async def router(limits: Limits, configuration: Configuration) -> AsyncIterator[RouterHarness]:
     clock = ManualClock()
     app = Application(
         name="router-1",
@@ -62,7 +62,9 @@
     gateway = Gateway(app=app, settings=settings, **parts)
     address = await gateway.async_start()
     async with aiohttp.ClientSession() as http:
-        router = Router(app=app, clock=clock, gateway=gateway, http=http, address=address, **parts)
+        router = RouterHarness(
+            app=app, clock=clock, gateway=gateway, http=http, address=address, **parts
+        )
         await router.async_wait_until(lambda: router.gateway.ready)
         yield router
     await app.async_stop()
--- a/tests/gateway/gateway_fakes.py
+++ b/tests/gateway/gateway_fakes.py
@@ -1,3 +1,5 @@
+"""Fake dependencies of the gateway."""
+
 from __future__ import annotations
 
 import asyncio
@@ -28,7 +30,7 @@
 from gypsumrouter.suspicion import Clear, Verdict
 from gypsumrouter.util.clock import ManualClock
 
-HANG_S = 20
+TIMEOUT_S = 20
 KEY = "caller-key"
 AUTHORIZED = {"Authorization": f"Bearer {KEY}"}
 MODEL = "inspector-7b"
@@ -37,7 +39,7 @@
 RECORDS = ("records-1", "records-2", "records-3")
 HEAD_JSON = Head(status=200, headers=(("Content-Type", "application/json"),))
 HEAD_EVENTS = Head(status=200, headers=(("Content-Type", "text/event-stream"),))
-FIELDS = ("message", "type", "code", "param", "executed", "request_id", "retry_after_ms")
+ERROR_FIELDS = ("message", "type", "code", "param", "executed", "request_id", "retry_after_ms")
 
 CONFIGURATION = Configuration(
     version=1,
@@ -66,21 +68,21 @@
     )
 
 
-def whole(body: bytes, head: Head = HEAD_JSON) -> list[AnswerEvent]:
-    """Return the events of a whole answer."""
+def complete_answer(body: bytes, head: Head = HEAD_JSON) -> list[AnswerEvent]:
+    """Return the events of a complete answer."""
     return [head, Data(offset=0, body=body), End(length=len(body), checksum=0)]
 
 
 @dataclass
 class FakeExchange:
-    """Plays events; a script that ends early leaves the exchange waiting."""
+    """Exchange with scripted events; after an incomplete script it waits for further events."""
 
     events: asyncio.Queue[AnswerEvent] = field(default_factory=asyncio.Queue)
     confirmed: int = 0
     cancelled: asyncio.Event = field(default_factory=asyncio.Event)
-    taker: Callable[[bytes], bool] | None = None
+    writer: Callable[[bytes], bool] | None = None
     awaited: bool = False
-    handed: int = 0
+    delivered: int = 0
 
     async def async_next(self) -> AnswerEvent:
         self.awaited = True
@@ -88,8 +90,8 @@
         self.awaited = False
         return event
 
-    def hand_to(self, taker: Callable[[bytes], bool]) -> None:
-        self.taker = taker
+    def hand_to(self, writer: Callable[[bytes], bool]) -> None:
+        self.writer = writer
 
     def confirm(self, offset: int) -> None:
         self.confirmed = offset
@@ -99,16 +101,16 @@
 
     def play(self, events: Iterable[AnswerEvent]) -> None:
         for event in events:
-            if not self._hand_over(event):
+            if not self._deliver(event):
                 self.events.put_nowait(event)
 
-    def _hand_over(self, event: AnswerEvent) -> bool:
-        """Give a part to the taker as a real exchange does."""
-        if not isinstance(event, Data) or self.taker is None:
+    def _deliver(self, event: AnswerEvent) -> bool:
+        """Pass a part to the writer under the same conditions as a real exchange."""
+        if not isinstance(event, Data) or self.writer is None:
             return False
-        if not self.awaited or not self.events.empty() or not self.taker(event.body):
+        if not self.awaited or not self.events.empty() or not self.writer(event.body):
             return False
-        self.handed += 1
+        self.delivered += 1
         self.confirm(event.offset + len(event.body))
         return True
 
@@ -117,12 +119,12 @@
 
 
 class FakeLinks:
-    """Gives each instance's next script to each request; the last one is played again."""
+    """Answers each request with the next script of its instance; the last script is repeated."""
 
     def __init__(self) -> None:
         self.scripts: dict[str, list[Script]] = {}
         self.opened: list[tuple[str, Open]] = []
-        self.noticed: list[tuple[str, SuspectNews]] = []
+        self.sent_notices: list[tuple[str, SuspectNews]] = []
         self.exchanges: list[FakeExchange] = []
         self.was_opened = asyncio.Event()
 
@@ -139,7 +141,7 @@
         return exchange
 
     async def async_send(self, *, instance: Instance, notice: SuspectNews) -> bool:
-        self.noticed.append((instance.name, notice))
+        self.sent_notices.append((instance.name, notice))
         return True
 
     def script(self, *names: str, with_: Script) -> None:
@@ -210,13 +212,13 @@
 class FakeSuspicion:
     def __init__(self) -> None:
         self.verdict: Verdict = Clear()
-        self.news: tuple[SuspectNews, ...] = ()
+        self.strikes: tuple[SuspectNews, ...] = ()
 
     def check(self, digest: int) -> Verdict:
         return self.verdict
 
     def list_news(self, digest: int) -> tuple[SuspectNews, ...]:
-        return self.news
+        return self.strikes
 
 
 class FakeStore:
@@ -235,8 +237,8 @@
 
 
 @dataclass
-class Router:
-    """A gateway with fakes around it."""
+class RouterHarness:
+    """A running gateway with its fake dependencies, and an HTTP client."""
 
     app: Application
     clock: ManualClock
@@ -253,24 +255,24 @@
     def url(self) -> str:
         return f"http://{self.address}"
 
-    async def async_wait_until(self, holds: Callable[[], bool], *, step_ms: int = 0) -> None:
-        """Let the loop run until a condition holds; each round moves the clock by `step_ms`."""
-        async with asyncio.timeout(HANG_S):
+    async def async_wait_until(self, condition: Callable[[], bool], *, step_ms: int = 0) -> None:
+        """Run the event loop until `condition` is true; advances the clock by `step_ms` per round."""
+        async with asyncio.timeout(TIMEOUT_S):
             for _ in itertools.repeat(None):
-                if holds():
+                if condition():
                     return
                 self.clock.advance(step_ms)
                 await asyncio.sleep(0)
 
     def use_links(self, links: LinkPool) -> None:
-        """Send further requests over real links."""
+        """Send later requests over real links."""
         self.links.async_open = links.async_open  # type: ignore[assignment, method-assign]
 
     def async_request(self, path: str, **options: Any) -> Any:
         return self.http.post(self.url + path, headers=AUTHORIZED, **options)
 
     async def async_post(self, path: str, **options: Any) -> tuple[aiohttp.ClientResponse, Any]:
-        """Return the answer with its JSON body."""
+        """Return the response and its JSON body."""
         headers = {**AUTHORIZED, **options.pop("headers", {})}
         async with self.http.post(self.url + path, headers=headers, **options) as answer:
             return answer, await answer.json()
--- a/tests/gateway/test_gateway_answers.py
+++ b/tests/gateway/test_gateway_answers.py
@@ -1,3 +1,5 @@
+"""Answers of the gateway: complete, streamed, interrupted and stalled ones."""
+
 from __future__ import annotations
 
 import asyncio
@@ -16,8 +18,8 @@
     KEY,
     MODEL,
     RECORDS,
-    Router,
-    whole,
+    RouterHarness,
+    complete_answer,
 )
 from openai.types.chat import ChatCompletionChunk
 from yarl import URL
@@ -55,7 +57,7 @@
     return b"data: " + json.dumps(event).encode() + b"\n\n"
 
 
-async def async_take_words(
+async def async_read_words(
     stream: openai.AsyncStream[ChatCompletionChunk], words: list[str | None]
 ) -> None:
     async for event in stream:
@@ -63,17 +65,17 @@
 
 
 @pytest.fixture
-async def client(router: Router) -> AsyncIterator[openai.AsyncOpenAI]:
+async def client(router: RouterHarness) -> AsyncIterator[openai.AsyncOpenAI]:
     async with openai.AsyncOpenAI(
         base_url=f"{router.url}/v1", api_key=KEY, max_retries=0
     ) as client:
         yield client
 
 
-async def test_openai_client_gets_a_whole_answer_with_placement_hint(
-    router: Router, client: openai.AsyncOpenAI
+async def test_openai_client_gets_a_complete_answer_with_placement_hint(
+    router: RouterHarness, client: openai.AsyncOpenAI
 ) -> None:
-    router.links.script(ENGINES[0], with_=whole(COMPLETION))
+    router.links.script(ENGINES[0], with_=complete_answer(COMPLETION))
     raw = await client.chat.completions.with_raw_response.create(**CHAT)
     assert raw.parse().choices[0].message.content == "close it"
     assert raw.headers["X-Gypsum-Placement"] == "hint-engine-1"
@@ -81,8 +83,8 @@
     assert "X-Gypsum-Executed" not in raw.headers
 
 
-async def test_openai_client_gets_a_stream_whose_events_arrive_in_pieces(
-    router: Router, client: openai.AsyncOpenAI
+async def test_openai_client_gets_a_stream_whose_events_arrive_in_parts(
+    router: RouterHarness, client: openai.AsyncOpenAI
 ) -> None:
     body = chunk("close ") + chunk("it") + DONE
     parts: list[AnswerEvent] = [
@@ -95,8 +97,8 @@
     assert router.links.exchanges[0].confirmed == len(body)
 
 
-async def test_openai_client_raises_on_a_stream_that_breaks_off_inside_an_event(
-    router: Router, client: openai.AsyncOpenAI
+async def test_openai_client_raises_on_a_stream_interrupted_inside_an_event(
+    router: RouterHarness, client: openai.AsyncOpenAI
 ) -> None:
     body = chunk("close ") + chunk("it")[:20]
     failed = Failed(reason=Reason.LINK_LOST)
@@ -104,12 +106,12 @@
     stream = await client.chat.completions.create(**CHAT, stream=True)
     words: list[str | None] = []
     with pytest.raises(openai.APIError) as caught:
-        await async_take_words(stream, words)
+        await async_read_words(stream, words)
     assert words == ["close "]
     assert caught.value.code == "link_lost"
 
 
-async def test_broken_stream_never_says_done(router: Router) -> None:
+async def test_interrupted_stream_has_no_done_event(router: RouterHarness) -> None:
     failed = Failed(reason=Reason.UPSTREAM_LOST)
     script: list[AnswerEvent] = [HEAD_EVENTS, Data(offset=0, body=chunk("a")), failed]
     router.links.script(ENGINES[0], with_=script)
@@ -123,7 +125,7 @@
 
 
 async def test_openai_client_sees_status_and_code_of_a_refusal(
-    router: Router, client: openai.AsyncOpenAI
+    router: RouterHarness, client: openai.AsyncOpenAI
 ) -> None:
     refused = Refused(reason=Reason.OVER_CAP, retry_after_ms=1_500, elsewhere=True)
     router.links.script(*ENGINES, with_=refused)
@@ -140,11 +142,11 @@
     assert [model.id async for model in client.models.list()] == [MODEL]
 
 
-async def test_service_call_passes_path_and_headers_but_not_the_callers_key(
-    router: Router,
+async def test_service_call_forwards_path_and_headers_but_not_the_api_key(
+    router: RouterHarness,
 ) -> None:
     head = Head(status=201, headers=(("X-Record", "7"), ("Connection", "close")), replayed=True)
-    router.links.script(RECORDS[0], with_=whole(b"stored", head))
+    router.links.script(RECORDS[0], with_=complete_answer(b"stored", head))
     async with router.http.put(
         URL(f"{router.url}/services/records/vessels/a%20b?x=1&y=%2F", encoded=True),
         headers={**AUTHORIZED, "X-Plant": "Sisak", "X-Gypsum-Deadline-Ms": "700"},
@@ -161,7 +163,7 @@
     assert not names & {"authorization", "host", "content-length", "x-gypsum-deadline-ms"}
 
 
-async def test_large_answer_that_breaks_off_is_cut_and_never_looks_whole(router: Router) -> None:
+async def test_interrupted_large_answer_resets_the_connection(router: RouterHarness) -> None:
     parts: list[AnswerEvent] = [
         Data(offset=at, body=b"x" * 100_000) for at in range(0, 400_000, 100_000)
     ]
@@ -175,27 +177,31 @@
     assert router.links.tried == [RECORDS[0]]
 
 
-async def test_deadline_ends_an_answer_that_does_not_come_as_unknown(router: Router) -> None:
+async def test_missing_answer_ends_at_the_deadline_with_unknown_outcome(
+    router: RouterHarness,
+) -> None:
     router.links.script(ENGINES[0], with_=[])
-    asked = asyncio.create_task(router.async_chat(headers={"X-Gypsum-Deadline-Ms": "900"}))
+    request_task = asyncio.create_task(router.async_chat(headers={"X-Gypsum-Deadline-Ms": "900"}))
     await router.links.was_opened.wait()
-    await router.async_wait_until(asked.done, step_ms=100)
-    answer, body = await asked
+    await router.async_wait_until(request_task.done, step_ms=100)
+    answer, body = await request_task
     assert (answer.status, body["error"]["code"]) == (504, "deadline_exceeded")
     assert body["error"]["executed"] == "unknown"
     assert router.links.exchanges[0].cancelled.is_set()
 
 
-async def test_exchange_is_cancelled_when_the_caller_goes(router: Router) -> None:
+async def test_exchange_is_cancelled_when_the_caller_disconnects(router: RouterHarness) -> None:
     router.links.script(ENGINES[0], with_=[])
-    asked = asyncio.create_task(router.async_chat())
+    request_task = asyncio.create_task(router.async_chat())
     await router.links.was_opened.wait()
-    asked.cancel()
+    request_task.cancel()
     await asyncio.wait_for(router.links.exchanges[0].cancelled.wait(), timeout=5)
     await router.async_wait_until(lambda: not router.gateway.running)
 
 
-async def test_caller_that_takes_nothing_is_cut_and_costs_bounded_memory(router: Router) -> None:
+async def test_stalled_caller_is_disconnected_and_uses_bounded_memory(
+    router: RouterHarness,
+) -> None:
     router.links.script(ENGINES[0], with_=[HEAD_EVENTS])
     reader, writer = await asyncio.open_connection(
         router.address.host, router.address.port, limit=1
@@ -214,8 +220,8 @@
     del reader
 
 
-async def test_parts_reach_the_caller_as_whole_events_and_an_error_event_after_them(
-    router: Router,
+async def test_interrupted_stream_sends_complete_events_and_then_an_error_event(
+    router: RouterHarness,
 ) -> None:
     router.links.script(ENGINES[0], with_=[HEAD_EVENTS, Data(offset=0, body=chunk("a"))])
     answer = await router.http.post(
@@ -225,20 +231,20 @@
     await router.async_wait_until(lambda: exchange.awaited and exchange.confirmed > 0)
     words = [chunk(text) for text in "bcdefg"]
     exchange.play([Data(offset=0, body=word) for word in words])
-    assert exchange.handed == len(words)
-    # Half an event is held back, what follows it goes the same way, in order.
+    assert exchange.delivered == len(words)
+    # An incomplete event and the data after it are sent through the buffer, in order.
     half = len(words[0]) // 2
     exchange.play([Data(offset=0, body=words[0][:half]), Data(offset=0, body=words[0][half:])])
     exchange.play([Data(offset=0, body=words[1][:half]), Failed(reason=Reason.LINK_LOST)])
     body = await answer.read()
-    whole_events = b"".join([chunk("a"), *words, words[0]])
-    assert body.startswith(whole_events)
-    assert body[len(whole_events) :].startswith((b"data: {", b"event: error"))
-    assert exchange.handed == len(words)
+    complete_events = b"".join([chunk("a"), *words, words[0]])
+    assert body.startswith(complete_events)
+    assert body[len(complete_events) :].startswith((b"data: {", b"event: error"))
+    assert exchange.delivered == len(words)
 
 
-async def test_caller_that_stalls_later_takes_no_more_parts_than_its_connection_holds(
-    router: Router,
+async def test_caller_that_stalls_during_a_stream_is_sent_no_more_than_its_buffers_hold(
+    router: RouterHarness,
 ) -> None:
     router.links.script(ENGINES[0], with_=[HEAD_EVENTS, Data(offset=0, body=chunk("a"))])
     reader, writer = await asyncio.open_connection(
@@ -253,20 +259,22 @@
     event = b"data: " + b"x" * 1_000 + b"\n\n"
     first = exchange.confirmed
     exchange.play(Data(offset=first + at * len(event), body=event) for at in range(20_000))
-    # What the sockets and the connection's buffer hold, and not the 20 MB that are there.
-    assert 0 < exchange.handed < 5_000
+    # Limited by the buffers of the socket and the connection, out of 20 MB available.
+    assert 0 < exchange.delivered < 5_000
     await router.async_wait_until(exchange.cancelled.is_set, step_ms=100)
     assert exchange.confirmed < 5_000 * len(event)
     writer.close()
     del reader
 
 
-async def test_planned_stop_ends_no_answer_and_turns_new_requests_away(router: Router) -> None:
+async def test_drain_finishes_running_answers_and_rejects_new_requests(
+    router: RouterHarness,
+) -> None:
     router.links.script(ENGINES[0], with_=[HEAD_EVENTS, Data(offset=0, body=chunk("a"))])
     answer = await router.http.post(
         f"{router.url}/v1/chat/completions", json={**CHAT, "stream": True}, headers=AUTHORIZED
     )
-    stopping = asyncio.create_task(router.app.async_drain())
+    drain_task = asyncio.create_task(router.app.async_drain())
     await asyncio.sleep(0)
     assert not router.gateway.ready
     router.clock.advance(2_000)
@@ -274,13 +282,13 @@
     refused, body = await router.async_chat()
     assert (refused.status, body["error"]["code"]) == (503, "leaving")
     assert refused.headers["Connection"] == "close"
-    assert not stopping.done()
+    assert not drain_task.done()
     router.links.exchanges[0].play([Data(offset=0, body=DONE), End(length=0, checksum=0)])
     assert (await answer.read()).endswith(DONE)
-    await asyncio.wait_for(stopping, timeout=5)
+    await asyncio.wait_for(drain_task, timeout=5)
 
 
-async def test_router_without_list_refuses_as_not_ready(router: Router) -> None:
+async def test_router_without_instance_list_rejects_as_not_ready(router: RouterHarness) -> None:
     router.fleet.age_ms = None
     assert not router.gateway.ready
     answer, body = await router.async_chat()
--- a/tests/gateway/test_gateway_checks.py
+++ b/tests/gateway/test_gateway_checks.py
@@ -1,3 +1,5 @@
+"""Validation of requests: invalid ones are rejected with a JSON error and never dispatched."""
+
 from __future__ import annotations
 
 import asyncio
@@ -6,7 +8,16 @@
 
 import pytest
 from aiohttp import hdrs
-from gateway_fakes import CHAT, ENGINES, FIELDS, HANG_S, KEY, RECORDS, Router, whole
+from gateway_fakes import (
+    CHAT,
+    ENGINES,
+    ERROR_FIELDS,
+    KEY,
+    RECORDS,
+    TIMEOUT_S,
+    RouterHarness,
+    complete_answer,
+)
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
@@ -14,7 +25,7 @@
 from gypsumrouter.settings import Limits
 
 MESSAGE = {"role": "user", "content": "hello"}
-WRONG_BODIES: list[tuple[Any, str, int]] = [
+INVALID_BODIES: list[tuple[Any, str, int]] = [
     ([], "body", 400),
     ({}, "model", 400),
     ({**CHAT, "model": 7}, "model", 400),
@@ -30,7 +41,7 @@
     ({**CHAT, "metadata": {"chat_id": "\u017d"}}, "metadata.chat_id", 400),
     ({**CHAT, "padding": "x" * 70_000}, "body", 413),
 ]
-WRONG_HEADERS = [
+INVALID_HEADERS = [
     ("X-Gypsum-Class", "nobody", 400),
     ("X-Gypsum-Deadline-Ms", "soon", 400),
     ("X-Gypsum-Deadline-Ms", "0", 400),
@@ -42,14 +53,14 @@
 
 
 def assert_is_error(body: Any, param: str | None) -> None:
-    assert set(body["error"]) == set(FIELDS)
+    assert set(body["error"]) == set(ERROR_FIELDS)
     assert body["error"]["param"] == param
     assert body["error"]["executed"] == "not_run"
 
 
-@pytest.mark.parametrize(("document", "param", "status"), WRONG_BODIES)
-async def test_wrong_body_is_refused_by_the_name_of_its_field(
-    router: Router, document: Any, param: str, status: int
+@pytest.mark.parametrize(("document", "param", "status"), INVALID_BODIES)
+async def test_invalid_body_is_rejected_with_the_field_name(
+    router: RouterHarness, document: Any, param: str, status: int
 ) -> None:
     answer, body = await router.async_post("/v1/chat/completions", json=document)
     assert answer.status == status
@@ -58,9 +69,9 @@
     assert router.links.opened == []
 
 
-@pytest.mark.parametrize(("name", "value", "status"), WRONG_HEADERS)
-async def test_wrong_header_is_refused_by_its_name(
-    router: Router, name: str, value: str, status: int
+@pytest.mark.parametrize(("name", "value", "status"), INVALID_HEADERS)
+async def test_invalid_header_is_rejected_with_the_header_name(
+    router: RouterHarness, name: str, value: str, status: int
 ) -> None:
     headers = {name: value, "X-Long-Too": "x" * 8_000} if status == 431 else {name: value}
     data = json.dumps(CHAT).encode()
@@ -72,7 +83,7 @@
 @pytest.mark.parametrize(
     "given_key", ["", "Bearer", "Bearer wrong", f"Basic {KEY}", "Bearer \u017d"]
 )
-async def test_unknown_key_is_refused(router: Router, given_key: str) -> None:
+async def test_invalid_api_key_is_rejected(router: RouterHarness, given_key: str) -> None:
     answer, body = await router.async_chat(headers={"Authorization": given_key})
     assert answer.status == 401
     assert_is_error(body, "Authorization")
@@ -90,7 +101,9 @@
         ("/services/records/%ff", 400, "path"),
     ],
 )
-async def test_wrong_path_is_refused(router: Router, path: str, status: int, param: str) -> None:
+async def test_invalid_path_is_rejected(
+    router: RouterHarness, path: str, status: int, param: str
+) -> None:
     reader, writer = await asyncio.open_connection(router.address.host, router.address.port)
     head = f"POST {path} HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {KEY}\r\n"
     writer.write(f"{head}Content-Length: 0\r\nConnection: close\r\n\r\n".encode())
@@ -101,8 +114,8 @@
 
 
 @pytest.mark.parametrize("limits", [Limits(caller_idle_ms=200, max_streams=1)])
-async def test_caller_that_does_not_send_its_body_is_told_and_blocks_others_only_until_then(
-    router: Router,
+async def test_incomplete_body_occupies_its_stream_until_it_is_answered_with_408(
+    router: RouterHarness,
 ) -> None:
     reader, writer = await asyncio.open_connection(router.address.host, router.address.port)
     head = f"POST /services/records/a HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer {KEY}\r\n"
@@ -110,25 +123,25 @@
     await router.async_wait_until(lambda: router.gateway.running == 1)
     answer, body = await router.async_chat()
     assert (answer.status, body["error"]["code"]) == (503, "queue_full")
-    told = await reader.read()
+    timed_out = await reader.read()
     writer.close()
-    assert told.startswith(b"HTTP/1.1 408")
-    assert_is_error(json.loads(told.split(b"\r\n\r\n")[1]), "body")
+    assert timed_out.startswith(b"HTTP/1.1 408")
+    assert_is_error(json.loads(timed_out.split(b"\r\n\r\n")[1]), "body")
 
 
 @pytest.mark.parametrize("limits", [Limits(caller_idle_ms=100)])
-async def test_connection_that_never_sends_its_head_is_closed(router: Router) -> None:
+async def test_connection_with_an_incomplete_head_is_closed(router: RouterHarness) -> None:
     reader, writer = await asyncio.open_connection(router.address.host, router.address.port)
     writer.write(b"GET /v1/models HTTP/1.1\r\nHost")
-    async with asyncio.timeout(HANG_S):
+    async with asyncio.timeout(TIMEOUT_S):
         assert await reader.read() == b""
     writer.close()
 
 
-async def test_same_chat_keeps_its_name_through_its_turns_and_another_has_another(
-    router: Router,
+async def test_derived_chat_id_is_stable_within_a_conversation_and_differs_between_them(
+    router: RouterHarness,
 ) -> None:
-    router.links.script(ENGINES[0], with_=whole(b"{}"))
+    router.links.script(ENGINES[0], with_=complete_answer(b"{}"))
     later = [MESSAGE, {"role": "assistant", "content": "yes?"}, {"role": "user", "content": "b"}]
     other = [{"role": "user", "content": "another"}]
     for messages in ([MESSAGE], later, other):
@@ -138,16 +151,16 @@
     assert [first.returning, second.returning, third.returning] == [False, True, False]
 
 
-async def test_own_chat_id_and_hint_reach_placement(router: Router) -> None:
-    router.links.script(ENGINES[0], with_=whole(b"{}"))
+async def test_chat_id_and_hint_headers_reach_placement(router: RouterHarness) -> None:
+    router.links.script(ENGINES[0], with_=complete_answer(b"{}"))
     headers = {"X-Gypsum-Chat": "chat-7", "X-Gypsum-Placement": "hint-engine-3"}
     await router.async_chat(headers=headers)
     query = router.placement.queries[0]
     assert (query.chat, query.hint, query.returning) == ("chat-7", "hint-engine-3", True)
 
 
-async def async_send_raw(router: Router, data: bytes) -> bytes:
-    """Return all that comes back; never waits for longer than a hang would take."""
+async def async_send_raw(router: RouterHarness, data: bytes) -> bytes:
+    """Send raw bytes and return all bytes received, with a timeout of 10 s."""
     reader, writer = await asyncio.open_connection(router.address.host, router.address.port)
     try:
         writer.write(data)
@@ -174,20 +187,26 @@
     max_leaves=6,
 )
 FIELD_NAMES = ("model", "messages", "stream", "max_tokens", "metadata", "user")
-OWN_NAMES = [value for name, value in vars(const).items() if name.startswith("HEADER_")]
-HTTP_NAMES = [hdrs.CONNECTION, hdrs.EXPECT, hdrs.UPGRADE, hdrs.TRANSFER_ENCODING, "Content-Length"]
+ROUTER_HEADERS = [value for name, value in vars(const).items() if name.startswith("HEADER_")]
+HTTP_HEADERS = [
+    hdrs.CONNECTION,
+    hdrs.EXPECT,
+    hdrs.UPGRADE,
+    hdrs.TRANSFER_ENCODING,
+    "Content-Length",
+]
 
 
 @FUZZ
 @given(
     changes=st.dictionaries(st.sampled_from(FIELD_NAMES), JSON, max_size=3),
-    nonsense=st.none() | st.binary(max_size=30),
+    raw_body=st.none() | st.binary(max_size=30),
 )
-async def test_any_body_gets_its_answer_or_a_clear_error(
-    router: Router, changes: dict[str, Any], nonsense: bytes | None
+async def test_arbitrary_body_gets_an_answer_or_a_validation_error(
+    router: RouterHarness, changes: dict[str, Any], raw_body: bytes | None
 ) -> None:
-    router.links.script(*ENGINES, with_=whole(b"{}"))
-    data = nonsense if nonsense is not None else json.dumps({**CHAT, **changes}).encode()
+    router.links.script(*ENGINES, with_=complete_answer(b"{}"))
+    data = raw_body if raw_body is not None else json.dumps({**CHAT, **changes}).encode()
     answer, body = await router.async_post("/v1/chat/completions", data=data)
     if answer.status != 200:
         assert answer.status in (400, 404)
@@ -204,7 +223,7 @@
     | st.binary(max_size=20).map(lambda raw: "/services/records/" + raw.decode("latin-1")),
     headers=st.lists(
         st.tuples(
-            st.sampled_from(OWN_NAMES + HTTP_NAMES) | st.text(max_size=5),
+            st.sampled_from(ROUTER_HEADERS + HTTP_HEADERS) | st.text(max_size=5),
             st.binary(max_size=20).map(lambda raw: raw.decode("latin-1"))
             | st.sampled_from(["chunked", "100-continue", "close", "websocket", "3"]),
         ),
@@ -212,10 +231,10 @@
     ),
     body=st.binary(max_size=30),
 )
-async def test_any_bytes_get_http_with_json_errors_and_no_fault(
-    router: Router, method: str, path: str, headers: list[tuple[str, str]], body: bytes
+async def test_arbitrary_request_gets_a_json_error_and_never_status_500(
+    router: RouterHarness, method: str, path: str, headers: list[tuple[str, str]], body: bytes
 ) -> None:
-    router.links.script(*RECORDS, with_=whole(b"{}"))
+    router.links.script(*RECORDS, with_=complete_answer(b"{}"))
     lines = [f"{method} {path} HTTP/1.1", "Host: a", f"Authorization: Bearer {KEY}"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     head = "\r\n".join(lines).encode("latin-1", "replace") + b"\r\n\r\n"
--- a/tests/gateway/test_gateway_limits.py
+++ b/tests/gateway/test_gateway_limits.py
@@ -1,10 +1,12 @@
+"""Limits of workspaces, divided among routers."""
+
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
 
 import pytest
-from gateway_fakes import CONFIGURATION, ENGINES, Router, make_instance, whole
+from gateway_fakes import CONFIGURATION, ENGINES, RouterHarness, complete_answer, make_instance
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from msgspec.structs import replace
@@ -22,13 +24,13 @@
     return replace(CONFIGURATION, workspaces=(workspace,))
 
 
-def count_allowed(limits: FleetLimits, limit: Limit, tries: int) -> int:
-    return sum(not isinstance(limits.acquire([limit]), Refused) for _ in range(tries))
+def count_allowed(limits: FleetLimits, limit: Limit, count: int) -> int:
+    return sum(not isinstance(limits.acquire([limit]), Refused) for _ in range(count))
 
 
 @settings(derandomize=True, deadline=None)
 @given(concurrent=st.integers(1, 60), routers=st.integers(1, 20), name=st.text(max_size=5))
-def test_shares_of_a_count_sum_up_to_the_limit_or_to_one_for_each_router(
+def test_concurrency_shares_add_up_to_the_limit_or_the_number_of_routers(
     concurrent: int, routers: int, name: str
 ) -> None:
     names = [f"router-{number:02}" for number in range(routers)]
@@ -45,7 +47,7 @@
     routers=st.integers(1, 8),
     steps=st.lists(st.integers(0, 400), min_size=1, max_size=40),
 )
-def test_rate_over_the_whole_fleet_exceeds_the_limit_by_no_more_than_its_bursts(
+def test_total_rate_of_all_routers_exceeds_the_limit_by_at_most_the_bursts(
     rate: float, routers: int, steps: list[int]
 ) -> None:
     clock = ManualClock()
@@ -61,8 +63,8 @@
     assert allowed <= rate * sum(steps) / 1_000 + burst + 1e-6
 
 
-async def test_workspace_over_its_rate_is_told_when_to_come_back(router: Router) -> None:
-    router.links.script(ENGINES[0], with_=whole(b"{}"))
+async def test_workspace_over_its_rate_is_rejected_with_retry_after(router: RouterHarness) -> None:
+    router.links.script(ENGINES[0], with_=complete_answer(b"{}"))
     statuses = Counter([(await router.async_chat())[0].status for _ in range(5)])
     assert statuses == {200: 4, 429: 1}
     answer, body = await router.async_chat()
@@ -72,17 +74,17 @@
     assert (await router.async_chat())[0].status == 200
 
 
-async def test_concurrent_requests_are_divided_by_the_live_routers(router: Router) -> None:
+async def test_concurrency_limit_is_divided_among_live_routers(router: RouterHarness) -> None:
     router.fleet.add_routers("router-2")
     router.links.script(ENGINES[0], with_=[])
-    asked = [asyncio.create_task(router.async_chat()) for _ in range(2)]
+    request_tasks = [asyncio.create_task(router.async_chat()) for _ in range(2)]
     await router.async_wait_until(lambda: len(router.links.exchanges) == 2)
     router.clock.advance(1_000)
     answer, body = await router.async_chat()
     assert (answer.status, body["error"]["code"]) == (429, "workspace_limit")
     for exchange in router.links.exchanges:
-        exchange.play(whole(b"{}"))
-    await asyncio.gather(*asked)
-    router.links.scripts[ENGINES[0]] = [whole(b"{}")]
+        exchange.play(complete_answer(b"{}"))
+    await asyncio.gather(*request_tasks)
+    router.links.scripts[ENGINES[0]] = [complete_answer(b"{}")]
     router.clock.advance(1_000)
     assert (await router.async_chat())[0].status == 200
--- a/tests/gateway/test_gateway_with_links.py
+++ b/tests/gateway/test_gateway_with_links.py
@@ -1,8 +1,10 @@
+"""The gateway over real links: answers of concurrent requests must not be mixed up."""
+
 from __future__ import annotations
 
 import asyncio
 
-from gateway_fakes import ENGINES, RECORDS, Router
+from gateway_fakes import ENGINES, RECORDS, RouterHarness
 from msgspec.structs import replace
 
 from gypsumrouter.const import Role
@@ -17,7 +19,7 @@
 
 
 async def async_echo(hello: Hello, request: Open, answer: Answer) -> None:
-    """Give the request back in pieces, out of step with all other answers."""
+    """Echo the body in parts, interleaved with the other answers."""
     answer.head(Head(status=200, headers=(("Content-Type", "text/plain"),)))
     for at in range(0, len(request.body), 1_000):
         await answer.async_write(request.body[at : at + 1_000])
@@ -29,7 +31,7 @@
     answer.fail(Refused(reason=Reason.OVER_CAP, retry_after_ms=700, elsewhere=True))
 
 
-async def async_add_side(router: Router, name: str, *, refuses: bool) -> Application:
+async def async_add_side(router: RouterHarness, name: str, *, refuses: bool) -> Application:
     app = Application(name=name, role=Role.SIDE, data_centre="dc-1", region="here")
     server = LinkServer(
         app=app,
@@ -47,8 +49,8 @@
     return app
 
 
-async def test_each_of_many_callers_gets_its_own_whole_answer_over_real_links(
-    router: Router,
+async def test_concurrent_callers_get_their_own_answers_over_real_links(
+    router: RouterHarness,
 ) -> None:
     app = Application(name="pool", role=Role.ROUTER, data_centre="dc-1", region="here")
     pool = LinkPool(app=app, settings=Link(), key=KEY, notices=NoticeHub(app=app))
@@ -67,8 +69,8 @@
 
     answers = await asyncio.gather(*(async_call(body) for body in bodies))
     assert answers == bodies
-    answer, told = await router.async_chat()
-    # The other engines do not listen at all.
-    assert (answer.status, told["error"]["code"]) == (503, "over_cap")
+    answer, error = await router.async_chat()
+    # No server listens at the addresses of the other engines.
+    assert (answer.status, error["error"]["code"]) == (503, "over_cap")
     for side in (app, *sides):
         await side.async_stop()
