--- a/gypsumrouter/gateway/attempts.py
+++ b/gypsumrouter/gateway/attempts.py
@@ -30,8 +30,8 @@
 class Attempts:
     """The attempts of one request.
 
-    `in_flight` is true while an instance may have the request. `failed` is the latest attempt that
-    ran or may have run, and `failures` counts these; `last_failure` includes refusals.
+    `in_flight` is true while an instance may have the request. `failed` is the latest failure after
+    which the request may have run, and `failures` counts these; `last_failure` includes refusals.
     """
 
     __slots__ = (
--- a/gypsumrouter/gateway/candidates.py
+++ b/gypsumrouter/gateway/candidates.py
@@ -41,7 +41,8 @@
     def pop(self, *, suspect: bool) -> Candidate | None:
         """Return the next candidate, None if there is none left.
 
-        A repeatable suspect request is tried first at the instances that run suspects in isolation.
+        A suspect request was running when an upstream crashed. If it is repeatable, it is tried
+        first at the instances that run such requests in isolation.
         """
         if suspect and self._call.repeatable:
             for candidate in self._finder.iter_isolation_instances(self._call):
--- a/gypsumrouter/gateway/const.py
+++ b/gypsumrouter/gateway/const.py
@@ -33,10 +33,11 @@
 # Capacity of the retry budget: retries that can be made in a burst above the retry ratio.
 RETRY_BURST: Final = 10.0
 
-# The side enforces the deadline as well and can report whether the request ran, so it goes first.
+# Delay after the deadline before the router ends a request. The side enforces the deadline as well
+# and can report whether the request ran.
 DEADLINE_GRACE_MS: Final = 250
-CHECK_INTERVAL_MS: Final = 100
-# Limits for connections whose sent data is not acknowledged (TCP).
+MONITOR_INTERVAL_MS: Final = 100
+# How often TCP acknowledgements are checked, and when a caller is considered unreachable.
 ACK_CHECK_INTERVAL_MS: Final = 500
 ACK_TIMEOUT_MS: Final = 2_400
 # How long a draining router still accepts requests, so that load balancers can see that it is not
--- a/gypsumrouter/gateway/dispatch.py
+++ b/gypsumrouter/gateway/dispatch.py
@@ -121,7 +121,7 @@
         return failure
 
     async def _async_send_strikes(self, call: Call, candidate: Candidate) -> None:
-        """Send the strikes of a suspect request to the instance, ahead of the request."""
+        """Send the recorded crashes (strikes) of a suspect request ahead of the request itself."""
         for strike in self._suspicion.list_news(call.digest):
             await self._links.async_send(instance=candidate.instance, notice=strike)
 
--- a/gypsumrouter/gateway/intake.py
+++ b/gypsumrouter/gateway/intake.py
@@ -1,4 +1,4 @@
-"""Authentication, routing by path and validation of an HTTP request, which give a call."""
+"""Conversion of HTTP requests to calls: authentication, routing by path, validation."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/gateway/models.py
+++ b/gypsumrouter/gateway/models.py
@@ -50,7 +50,8 @@
     """One accepted request, to be dispatched to an instance.
 
     `deadline_at_ms` and `arrived_ms` are monotonic times. A call with an `idempotency_key` must run
-    at most once.
+    at most once. `digest` identifies the content, and `returning` marks a request that continues an
+    earlier chat. `next_pool` is tried after `pool`.
     """
 
     request_id: str
--- a/gypsumrouter/gateway/reply.py
+++ b/gypsumrouter/gateway/reply.py
@@ -174,7 +174,7 @@
         await self._async_end(self._response)
 
     async def async_fail(self, failure: Failure) -> None:
-        """End a started answer with an error event, or reset the connection otherwise."""
+        """End a started answer with an error event if possible, else reset the connection."""
         response = self._response
         if response is None:
             return
--- a/gypsumrouter/gateway/request_monitor.py
+++ b/gypsumrouter/gateway/request_monitor.py
@@ -13,8 +13,8 @@
 from gypsumrouter.gateway.const import (
     ACK_CHECK_INTERVAL_MS,
     ACK_TIMEOUT_MS,
-    CHECK_INTERVAL_MS,
     DEADLINE_GRACE_MS,
+    MONITOR_INTERVAL_MS,
 )
 
 _LOGGER = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
 
     __slots__ = (
         "blocked_since_ms",
-        "buffered",
+        "buffered_bytes",
         "deadline_at_ms",
         "request_id",
         "scope",
@@ -55,12 +55,14 @@
         self.scope: asyncio.Timeout | None = scope
         self.deadline_at_ms = deadline_at_ms
         self.blocked_since_ms: int | None = None
-        self.buffered = 0
+        self.buffered_bytes = 0
 
     def start_write(self, now_ms: int) -> None:
         """Record the start of a write that waits until the caller reads."""
         self.blocked_since_ms = now_ms
-        self.buffered = 0 if self.transport is None else self.transport.get_write_buffer_size()
+        self.buffered_bytes = (
+            0 if self.transport is None else self.transport.get_write_buffer_size()
+        )
 
     def finish_write(self) -> None:
         """Record that the write has completed."""
@@ -93,7 +95,7 @@
 
     async def _async_run(self) -> None:
         while True:
-            await self._app.clock.async_sleep(CHECK_INTERVAL_MS)
+            await self._app.clock.async_sleep(MONITOR_INTERVAL_MS)
             self._check_all(self._app.clock.now_ms())
 
     def _check_all(self, now_ms: int) -> None:
@@ -117,9 +119,9 @@
         if monitored.blocked_since_ms is None or monitored.transport is None:
             return False
         buffered = monitored.transport.get_write_buffer_size()
-        if buffered < monitored.buffered:
+        if buffered < monitored.buffered_bytes:
             monitored.blocked_since_ms = now_ms
-        monitored.buffered = buffered
+        monitored.buffered_bytes = buffered
         return now_ms - monitored.blocked_since_ms >= self._caller_idle_ms
 
     def _abort(self, monitored: MonitoredRequest) -> None:
--- a/tests/gateway/gateway_fakes.py
+++ b/tests/gateway/gateway_fakes.py
@@ -256,7 +256,7 @@
         return f"http://{self.address}"
 
     async def async_wait_until(self, condition: Callable[[], bool], *, step_ms: int = 0) -> None:
-        """Run the event loop until `condition` is true; advances the clock by `step_ms` per round."""
+        """Run the event loop until `condition` is true; each round advances the clock."""
         async with asyncio.timeout(TIMEOUT_S):
             for _ in itertools.repeat(None):
                 if condition():
