--- a/gypsumrouter/gateway/budget.py
+++ b/gypsumrouter/gateway/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of one router: a share of its traffic."""
+"""The retry budget of one router, proportional to its traffic."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 
 class RetryBudget:
-    """Bounds retries to a share of the requests, so that failures do not multiply the load.
+    """Token bucket that limits retries to a ratio of the requests, to avoid retry storms.
 
-    Each request adds `ratio` to the budget and each retry takes 1 from it. The budget starts full
-    and never holds more than `burst`.
+    Each request adds `ratio` tokens and each retry takes one. The bucket starts full and holds at
+    most `burst` tokens; it is always empty if `ratio` is 0.
     """
 
-    __slots__ = ("_burst", "_left", "_ratio", "spent", "starved")
+    __slots__ = ("_burst", "_ratio", "_tokens", "denied", "spent")
 
     def __init__(self, *, ratio: float, burst: float = RETRY_BURST) -> None:
         self._ratio = ratio
         self._burst = burst if ratio > 0 else 0.0
-        self._left = self._burst
+        self._tokens = self._burst
         self.spent = 0
-        self.starved = 0
+        self.denied = 0
 
     @property
-    def left(self) -> float:
-        """Return how many retries may be made now."""
-        return self._left
-
-    def note_request(self) -> None:
-        """Add the share of one request."""
-        self._left = min(self._burst, self._left + self._ratio)
-
-    def take(self) -> bool:
-        """Take one retry, or return False when the budget is spent."""
-        if self._left < 1.0:
-            self.starved += 1
+    def available(self) -> float:
+        """Return the number of tokens: retries that may be made now."""
+        return self._tokens
+
+    def record_request(self) -> None:
+        """Add the tokens for one request."""
+        self._tokens = min(self._burst, self._tokens + self._ratio)
+
+    def try_acquire(self) -> bool:
+        """Take the token for one retry; return False if there is none."""
+        if self._tokens < 1.0:
+            self.denied += 1
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         self.spent += 1
         return True
