--- a/bench/faults_network.py
+++ b/bench/faults_network.py
@@ -7,7 +7,7 @@
 
 from bench.faults_rig import Group
 from bench.faults_stage import Stage
-from gypsumrouter.standins import BOTH_WAYS, OutageKind, Way
+from gypsumrouter.standins import BOTH_DIRECTIONS, Direction, OutageKind
 
 SOME_SIDES: Final = 5
 CUTS: Final = 3
@@ -23,7 +23,7 @@
     """Reset the links of some sides a few times."""
     for _ in range(CUTS):
         for name in stage.choose_sides(randomness, SOME_SIDES):
-            stage.rig.proxies[name].cut()
+            stage.rig.proxies[name].reset_connections()
         await stage.clock.async_sleep(BETWEEN_CUTS_MS)
 
 
@@ -31,18 +31,20 @@
     """Cut the links of some sides and refuse new ones for a while."""
     proxies = [stage.rig.proxies[name] for name in stage.choose_sides(randomness, SOME_SIDES)]
     for proxy in proxies:
-        proxy.refuse()
-        proxy.cut()
+        proxy.refuse_connections()
+        proxy.reset_connections()
     await stage.async_pause(randomness, *BRIEF_MS)
     for proxy in proxies:
-        await proxy.async_accept()
+        await proxy.async_accept_connections()
 
 
 async def async_silence_links(stage: Stage, randomness: random.Random) -> None:
     """Let the open links of some sides go silent for good, one way or both; new ones work."""
-    ways = randomness.choice((BOTH_WAYS, frozenset({Way.FORWARD}), frozenset({Way.BACK})))
+    ways = randomness.choice(
+        (BOTH_DIRECTIONS, frozenset({Direction.FORWARD}), frozenset({Direction.BACK}))
+    )
     for name in stage.choose_sides(randomness, SOME_SIDES):
-        stage.rig.proxies[name].silence(ways=ways)
+        stage.rig.proxies[name].blackhole(directions=ways)
     await stage.clock.async_sleep(SILENT_MS)
 
 
@@ -94,5 +96,5 @@
 async def async_silence_upstream(stage: Stage, randomness: random.Random) -> None:
     """Let the open connections to some upstreams go silent for good; new ones work."""
     for name in stage.choose_sides(randomness, SOME_SIDES):
-        stage.rig.upstream_proxies[name].silence()
+        stage.rig.upstream_proxies[name].blackhole()
     await stage.clock.async_sleep(SILENT_MS)
--- a/bench/faults_probes.py
+++ b/bench/faults_probes.py
@@ -13,7 +13,7 @@
 from bench.faults_stage import Stage
 from gypsumrouter.const import HEADER_CHAT, HEADER_REQUEST_ID, MS_PER_S, PATH_CHAT
 from gypsumrouter.instances import Address
-from gypsumrouter.standins import BOTH_WAYS, Deployment, FaultProxy, Way
+from gypsumrouter.standins import BOTH_DIRECTIONS, Deployment, Direction, FaultProxy
 from gypsumrouter.standins.tokens import Message, digest_prompt, make_text, render_prompt
 
 TOKENS: Final = 1_200
@@ -31,7 +31,7 @@
 
     leg: str
     choose: ChooseProxy
-    ways: frozenset[Way]
+    ways: frozenset[Direction]
 
 
 class Found(Struct, frozen=True, kw_only=True):
@@ -53,7 +53,7 @@
 PROBES: Final = tuple(
     Probe(leg=leg, choose=choose, ways=ways)
     for leg, choose in (("link", _choose_link), ("upstream", _choose_upstream))
-    for ways in (BOTH_WAYS, frozenset({Way.BACK}))
+    for ways in (BOTH_DIRECTIONS, frozenset({Direction.BACK}))
 )
 
 
@@ -96,7 +96,7 @@
             times_ms.append(stage.clock.now_ms())
             if len(events) == SILENT_AFTER_TOKENS:
                 side = _find_side(stage, response.headers[HEADER_REQUEST_ID])
-                probe.choose(stage, side).silence(ways=probe.ways)
+                probe.choose(stage, side).blackhole(directions=probe.ways)
                 silent_ms = stage.clock.now_ms()
     messages = [Message(role="user", content=content)]
     expected = make_text(digest_prompt(render_prompt(messages), model=deployment.model), TOKENS)
--- a/bench/metered_platform.py
+++ b/bench/metered_platform.py
@@ -10,7 +10,13 @@
 from bench.two_year import make_configuration, make_deployment
 from gypsumrouter.const import Role, UpstreamKind
 from gypsumrouter.instances import Address
-from gypsumrouter.standins import FaultProxy, InstanceListService, SidePlan, StandinPlatform, Way
+from gypsumrouter.standins import (
+    Direction,
+    FaultProxy,
+    InstanceListService,
+    SidePlan,
+    StandinPlatform,
+)
 from gypsumrouter.util.clock import SystemClock
 
 FIRST_CONFIGURATION: Final = 2
@@ -86,7 +92,7 @@
         """Let every process read another list service from now on."""
         for proxy in self._instances.values():
             proxy.target = service.address
-            proxy.cut()
+            proxy.reset_connections()
 
     def count_bytes(self, role: Role) -> PlatformBytes:
         """Return what the processes of a role have exchanged so far."""
@@ -123,4 +129,4 @@
 
 
 def _count(proxy: FaultProxy) -> int:
-    return sum(proxy.get_passed_bytes(way) for way in Way)
+    return sum(proxy.get_forwarded_bytes(way) for way in Direction)
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from bench.soak_rig import DATA_CENTRES, FORWARDERS, RUNNERS, SoakRig
-from gypsumrouter.standins import BOTH_WAYS, RunnerTrouble, StoreTrouble, Way
+from gypsumrouter.standins import BOTH_DIRECTIONS, Direction, RunnerTrouble, StoreTrouble
 
 MIN_GAP_S: Final = 0.05
 MAX_GAP_S: Final = 0.4
@@ -188,9 +188,9 @@
     async def _async_store_path(self) -> None:
         proxy = self._rng.choice(self._rig.store_proxies)
         if self._rng.random() < 0.5:
-            proxy.silence(ways=self._draw_ways())
+            proxy.blackhole(directions=self._draw_ways())
         else:
-            proxy.cut()
+            proxy.reset_connections()
 
     async def _async_runner(self) -> None:
         service = self._rng.choice(tuple(self._rig.runners))
@@ -203,9 +203,9 @@
         proxy = self._rng.choice(self._rig.runner_proxies)
         draw = self._rng.random()
         if draw < 0.4:
-            proxy.cut()
+            proxy.reset_connections()
         elif draw < 0.7:
-            proxy.silence(ways=self._draw_ways())
+            proxy.blackhole(directions=self._draw_ways())
         else:
             proxy.set_delay(DELAY_MS)
             await self._async_last()
@@ -227,8 +227,8 @@
         await self._rig.async_reopen(name)
         self._evacuated.discard(name)
 
-    def _draw_ways(self) -> tuple[Way, ...]:
-        return self._rng.choice((tuple(BOTH_WAYS), (Way.FORWARD,), (Way.BACK,)))
+    def _draw_ways(self) -> tuple[Direction, ...]:
+        return self._rng.choice((tuple(BOTH_DIRECTIONS), (Direction.FORWARD,), (Direction.BACK,)))
 
     async def _async_last(self) -> None:
         await asyncio.sleep(self._rng.uniform(0.1, MAX_FAULT_S))
--- a/bench/soak_rig.py
+++ b/bench/soak_rig.py
@@ -16,7 +16,7 @@
 from gypsumrouter.instances import Address
 from gypsumrouter.platform import names
 from gypsumrouter.standins import FaultProxy, PlatformRunner, PublishedStoreStandin
-from gypsumrouter.standins.listener import PortHolder
+from gypsumrouter.standins.listener import PortReservation
 from gypsumrouter.standins.platform_runner import Arrival
 
 ENV_KEY: Final = "GYPSUMROUTER_LINK_KEY"
@@ -64,7 +64,7 @@
         # Bound for the whole run: another run's listener on a port that is free for a moment would
         # be called by forwarders that mean this one.
         self._held = [
-            (PortHolder(host="127.0.0.1", port=0), PortHolder(host="127.0.0.1", port=0))
+            (PortReservation(host="127.0.0.1", port=0), PortReservation(host="127.0.0.1", port=0))
             for _ in range(FORWARDERS)
         ]
         self._ports = [(c.address.port, link.address.port) for c, link in self._held]
--- a/gypsumrouter/standins/__init__.py
+++ b/gypsumrouter/standins/__init__.py
@@ -17,16 +17,17 @@
 from gypsumrouter.standins.instance_list import InstanceListService
 from gypsumrouter.standins.models import EngineSettings
 from gypsumrouter.standins.partition import Partition
-from gypsumrouter.standins.pipes import BOTH_WAYS, Way
+from gypsumrouter.standins.pipes import BOTH_DIRECTIONS, Direction
 from gypsumrouter.standins.platform_runner import PlatformRunner, RunnerTrouble
 from gypsumrouter.standins.published_store import PublishedStoreStandin, StoreCopy, StoreTrouble
 from gypsumrouter.standins.service import Service
 from gypsumrouter.standins.weight_store import WeightStore
 
 __all__ = [
-    "BOTH_WAYS",
+    "BOTH_DIRECTIONS",
     "ConfigurationService",
     "Deployment",
+    "Direction",
     "Engine",
     "EngineSettings",
     "FaultProxy",
@@ -41,7 +42,6 @@
     "StandinPlatform",
     "StoreCopy",
     "StoreTrouble",
-    "Way",
     "WeightStore",
     "WorkspacePlan",
     "chapin",
--- a/gypsumrouter/standins/fault_proxy.py
+++ b/gypsumrouter/standins/fault_proxy.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Collection
 
 from gypsumrouter.instances import Address
-from gypsumrouter.standins.listener import PortHolder
-from gypsumrouter.standins.pipes import BOTH_WAYS, End, Pipe, Way, WayConditions
+from gypsumrouter.standins.listener import PortReservation
+from gypsumrouter.standins.pipes import BOTH_DIRECTIONS, Direction, Endpoint, Pipe, TrafficShaper
 from gypsumrouter.util.clock import Clock, SystemClock
 
 
 class Connection:
-    """One proxied connection: a caller's end, a target's end, and a task for each way."""
+    """One proxied connection: a caller's end, a target's end, and a task for each direction."""
 
     __slots__ = ("_pipes", "_tasks", "caller", "target")
 
@@ -20,23 +20,33 @@
         self,
         *,
         clock: Clock,
-        conditions: dict[Way, WayConditions],
-        on_made: Callable[[], None],
+        shapers: dict[Direction, TrafficShaper],
+        on_connected: Callable[[], None],
     ) -> None:
-        self._pipes = {way: Pipe(clock=clock, conditions=conditions[way]) for way in Way}
+        self._pipes = {
+            direction: Pipe(clock=clock, shaper=shapers[direction]) for direction in Direction
+        }
         self._tasks: list[asyncio.Task[None]] = []
-        self.caller = End(pipe=self._pipes[Way.FORWARD], on_made=on_made, on_lost=self._end_lost)
-        self.target = End(pipe=self._pipes[Way.BACK], on_made=lambda: None, on_lost=self._end_lost)
+        self.caller = Endpoint(
+            pipe=self._pipes[Direction.FORWARD],
+            on_connected=on_connected,
+            on_lost=self._stop_when_closed,
+        )
+        self.target = Endpoint(
+            pipe=self._pipes[Direction.BACK],
+            on_connected=lambda: None,
+            on_lost=self._stop_when_closed,
+        )
 
     @property
-    def is_over(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether both ends are gone."""
         return self.caller.lost and (self.target.lost or self.target.transport is None)
 
-    async def async_run(self, target: Address, gates: Collection[WayConditions]) -> None:
-        """Connect to the target once both ways are passable, and carry data until the end."""
-        for conditions in gates:
-            await conditions.gate.async_pass()
+    async def async_run(self, target: Address, shapers: Collection[TrafficShaper]) -> None:
+        """Connect to the target once both directions are passable, and carry data until the end."""
+        for shaper in shapers:
+            await shaper.gate.async_pass()
         loop = asyncio.get_running_loop()
         try:
             await loop.create_connection(lambda: self.target, target.host, target.port)
@@ -46,19 +56,19 @@
         if self.caller.lost:
             self.target.reset()
             return
-        forward = self._pipes[Way.FORWARD].async_run(source=self.caller, sink=self.target)
-        back = self._pipes[Way.BACK].async_run(source=self.target, sink=self.caller)
+        forward = self._pipes[Direction.FORWARD].async_run(source=self.caller, sink=self.target)
+        back = self._pipes[Direction.BACK].async_run(source=self.target, sink=self.caller)
         self._tasks = [loop.create_task(forward), loop.create_task(back)]
-        for end in (self.caller, self.target):
-            end.set_reading(not end.pipe.is_full)
+        for endpoint in (self.caller, self.target):
+            endpoint.set_reading(not endpoint.pipe.is_full)
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def fall_silent(self, ways: Collection[Way]) -> None:
-        """Pass nothing any more in the given ways, not even the end of the connection."""
-        for way in ways:
-            self._pipes[way].fall_silent()
-            end = self.caller if way is Way.FORWARD else self.target
-            end.set_reading(False)
+    def blackhole(self, directions: Collection[Direction]) -> None:
+        """Pass nothing any more in the given directions, not even the end of the connection."""
+        for direction in directions:
+            self._pipes[direction].blackhole()
+            endpoint = self.caller if direction is Direction.FORWARD else self.target
+            endpoint.set_reading(False)
 
     def reset(self) -> None:
         """Reset both ends."""
@@ -67,8 +77,8 @@
         self.caller.reset()
         self.target.reset()
 
-    def _end_lost(self) -> None:
-        if self.is_over:
+    def _stop_when_closed(self) -> None:
+        if self.is_closed:
             for task in self._tasks:
                 task.cancel()
 
@@ -77,18 +87,18 @@
     """Stand between callers and one target, and pass everything on until told otherwise.
 
     Times are whole milliseconds. A proxy holds a bounded number of bytes for each connection and
-    way; beyond it, it reads no more.
+    direction; beyond it, it reads no more.
     """
 
     __slots__ = (
         "_clock",
-        "_conditions",
         "_connections",
-        "_holder",
         "_host",
-        "_new_silent",
+        "_new_blackholed",
         "_port",
+        "_reservation",
         "_server",
+        "_shapers",
         "_tasks",
         "accepted",
         "target",
@@ -106,20 +116,20 @@
         self._clock = clock or SystemClock()
         self._host = host
         self._port = port
-        self._conditions = {way: WayConditions(clock=self._clock) for way in Way}
+        self._shapers = {direction: TrafficShaper(clock=self._clock) for direction in Direction}
         self._connections: set[Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._holder: PortHolder | None = None
+        self._reservation: PortReservation | None = None
         self._server: asyncio.Server | None = None
-        self._new_silent: frozenset[Way] = frozenset()
+        self._new_blackholed: frozenset[Direction] = frozenset()
         self.accepted = 0
 
     @property
     def address(self) -> Address:
         """Return where it listens."""
-        if self._holder is None:
+        if self._reservation is None:
             raise RuntimeError("the proxy was not started")
-        return self._holder.address
+        return self._reservation.address
 
     @property
     def connections(self) -> int:
@@ -128,91 +138,97 @@
 
     async def async_start(self) -> Address:
         """Start to listen and return the address."""
-        self._holder = PortHolder(host=self._host, port=self._port)
-        await self.async_accept()
-        return self._holder.address
+        self._reservation = PortReservation(host=self._host, port=self._port)
+        await self.async_accept_connections()
+        return self._reservation.address
 
     async def async_stop(self) -> None:
         """Reset everything and stop to listen."""
-        self.refuse()
-        self.cut()
+        self.refuse_connections()
+        self.reset_connections()
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        if self._holder is not None:
-            self._holder.close()
+        if self._reservation is not None:
+            self._reservation.close()
 
-    def get_passed_bytes(self, way: Way) -> int:
-        """Return how many bytes have gone one way."""
-        return self._conditions[way].passed_bytes
+    def get_forwarded_bytes(self, direction: Direction) -> int:
+        """Return how many bytes have gone one direction."""
+        return self._shapers[direction].forwarded_bytes
 
-    def set_delay(self, delay_ms: int, *, ways: Collection[Way] = BOTH_WAYS) -> None:
+    def set_delay(
+        self, delay_ms: int, *, directions: Collection[Direction] = BOTH_DIRECTIONS
+    ) -> None:
         """Delay all that comes from now on."""
-        for way in ways:
-            self._conditions[way].delay_ms = delay_ms
+        for direction in directions:
+            self._shapers[direction].delay_ms = delay_ms
 
     def set_bandwidth(
-        self, bytes_per_s: float | None, *, ways: Collection[Way] = BOTH_WAYS
+        self, bytes_per_s: float | None, *, directions: Collection[Direction] = BOTH_DIRECTIONS
     ) -> None:
         """Limit the bytes a second of all connections together; None ends it."""
-        for way in ways:
-            self._conditions[way].bytes_per_s = bytes_per_s
+        for direction in directions:
+            self._shapers[direction].bytes_per_s = bytes_per_s
 
-    def cut(self) -> int:
+    def reset_connections(self) -> int:
         """Reset every connection; returns how many there were."""
         connections = tuple(self._connections)
         for connection in connections:
             connection.reset()
         return len(connections)
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         """Refuse new connections; open ones go on."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
-    async def async_accept(self) -> None:
+    async def async_accept_connections(self) -> None:
         """Take new connections again, on the same port."""
-        if self._server is not None or self._holder is None:
+        if self._server is not None or self._reservation is None:
             return
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._accept, sock=self._holder.open_listener())
+        self._server = await loop.create_server(
+            self._accept_connection, sock=self._reservation.open_listener()
+        )
 
-    def silence(self, *, ways: Collection[Way] = BOTH_WAYS, new: bool = False) -> None:
+    def blackhole(
+        self, *, directions: Collection[Direction] = BOTH_DIRECTIONS, include_new: bool = False
+    ) -> None:
         """Let open connections pass nothing any more, for good and without any sign of it.
 
         With `new`, connections that come before the proxy is healed are silent too.
         """
         for connection in self._connections:
-            connection.fall_silent(ways)
-        if new:
-            self._new_silent = frozenset(ways)
+            connection.blackhole(directions)
+        if include_new:
+            self._new_blackholed = frozenset(directions)
 
-    def block(self, *, ways: Collection[Way] = BOTH_WAYS) -> None:
+    def block(self, *, directions: Collection[Direction] = BOTH_DIRECTIONS) -> None:
         """Hold all data, of open and new connections, until `unblock`."""
-        for way in ways:
-            self._conditions[way].gate.close()
+        for direction in directions:
+            self._shapers[direction].gate.close()
 
     def unblock(self) -> None:
         """Let the data that was held go on, as after a partition."""
-        for conditions in self._conditions.values():
-            conditions.gate.open()
+        for shaper in self._shapers.values():
+            shaper.gate.open()
 
-    async def async_heal(self) -> None:
+    async def async_clear_faults(self) -> None:
         """End every fault; only connections that fell silent stay so."""
         self.set_delay(0)
         self.set_bandwidth(None)
-        self._new_silent = frozenset()
+        self._new_blackholed = frozenset()
         self.unblock()
-        await self.async_accept()
+        await self.async_accept_connections()
 
-    def _accept(self) -> End:
+    def _accept_connection(self) -> Endpoint:
         connection = Connection(
             clock=self._clock,
-            conditions=self._conditions,
-            on_made=lambda: self._serve(connection),
+            shapers=self._shapers,
+            on_connected=lambda: self._serve(connection),
         )
-        connection.fall_silent(self._new_silent)
+        connection.blackhole(self._new_blackholed)
         return connection.caller
 
     def _serve(self, connection: Connection) -> None:
@@ -224,7 +240,7 @@
 
     async def _async_serve(self, connection: Connection) -> None:
         try:
-            await connection.async_run(self.target, self._conditions.values())
+            await connection.async_run(self.target, self._shapers.values())
         finally:
             connection.reset()
             self._connections.discard(connection)
--- a/gypsumrouter/standins/listener.py
+++ b/gypsumrouter/standins/listener.py
@@ -17,7 +17,7 @@
 SHUTDOWN_S: Final = 0.1
 
 
-class PortHolder:
+class PortReservation:
     """A bound socket that never listens, so that nobody else gets the port meanwhile."""
 
     __slots__ = ("_socket", "address")
@@ -40,26 +40,26 @@
 class StandinListener:
     """Serve an aiohttp application; closing and opening keeps the port."""
 
-    __slots__ = ("_app", "_holder", "_host", "_port", "_runner", "_server")
+    __slots__ = ("_app", "_host", "_port", "_reservation", "_runner", "_server")
 
     def __init__(self, *, app: web.Application, host: str, port: int) -> None:
         self._app = app
         self._host = host
         self._port = port
-        self._holder: PortHolder | None = None
+        self._reservation: PortReservation | None = None
         self._runner: web.AppRunner | None = None
         self._server: asyncio.Server | None = None
 
     @property
     def address(self) -> Address:
         """Return where it listens; raises InvariantBroken before the start."""
-        if self._holder is None:
+        if self._reservation is None:
             raise InvariantBroken("the stand-in was not started")
-        return self._holder.address
+        return self._reservation.address
 
     async def async_start(self) -> Address:
         """Start to listen and return the address."""
-        self._holder = PortHolder(host=self._host, port=self._port)
+        self._reservation = PortReservation(host=self._host, port=self._port)
         self._runner = web.AppRunner(
             self._app,
             access_log=None,
@@ -69,16 +69,16 @@
         )
         await self._runner.setup()
         await self.async_open()
-        return self._holder.address
+        return self._reservation.address
 
     async def async_open(self) -> None:
         """Listen again on the same port; does nothing while it listens."""
-        if self._server is not None or self._holder is None or self._runner is None:
+        if self._server is not None or self._reservation is None or self._runner is None:
             return
         factory = self._runner.server
         if factory is None:
             raise InvariantBroken("the runner has no server")
-        listener = self._holder.open_listener()
+        listener = self._reservation.open_listener()
         self._server = await asyncio.get_running_loop().create_server(factory, sock=listener)
 
     def close(self) -> None:
@@ -102,8 +102,8 @@
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
-        if self._holder is not None:
-            self._holder.close()
+        if self._reservation is not None:
+            self._reservation.close()
 
 
 def reset_transport(transport: asyncio.BaseTransport) -> None:
--- a/gypsumrouter/standins/partition.py
+++ b/gypsumrouter/standins/partition.py
@@ -33,11 +33,11 @@
         for proxy in self._find_between(left, right):
             proxy.unblock()
 
-    async def async_heal(self) -> None:
+    async def async_clear_faults(self) -> None:
         """End every fault of every proxy."""
         for proxies in self._proxies.values():
             for proxy in proxies:
-                await proxy.async_heal()
+                await proxy.async_clear_faults()
 
     def _find_between(
         self, left: Collection[str], right: Collection[str]
--- a/gypsumrouter/standins/pipes.py
+++ b/gypsumrouter/standins/pipes.py
@@ -15,24 +15,24 @@
 from gypsumrouter.standins.listener import reset_transport
 from gypsumrouter.util.clock import Clock
 
-HELD_BYTES_MAX: Final = 256 * 1024
-PIECE_BYTES: Final = 16 * 1024
+MAX_BUFFERED_BYTES: Final = 256 * 1024
+CHUNK_BYTES: Final = 16 * 1024
 
 
-class Way(StrEnum):
+class Direction(StrEnum):
     """A direction through the proxy."""
 
     FORWARD = "forward"
     BACK = "back"
 
 
-BOTH_WAYS: Final = frozenset(Way)
+BOTH_DIRECTIONS: Final = frozenset(Direction)
 
 
-class WayConditions:
+class TrafficShaper:
     """What happens to all data that goes one way through a proxy."""
 
-    __slots__ = ("_clock", "_free_at_ms", "bytes_per_s", "delay_ms", "gate", "passed_bytes")
+    __slots__ = ("_clock", "_free_at_ms", "bytes_per_s", "delay_ms", "forwarded_bytes", "gate")
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
@@ -40,11 +40,11 @@
         self.delay_ms = 0
         self.bytes_per_s: float | None = None
         self.gate = Gate()
-        self.passed_bytes = 0
+        self.forwarded_bytes = 0
 
-    async def async_take_turn(self, size: int) -> None:
+    async def async_throttle(self, size: int) -> None:
         """Wait as long as the bandwidth asks for `size` bytes."""
-        self.passed_bytes += size
+        self.forwarded_bytes += size
         if self.bytes_per_s is None:
             return
         now_ms = self._clock.now_ms()
@@ -58,25 +58,25 @@
     """The sender has closed its half."""
 
 
-class Lost(Struct, frozen=True, kw_only=True):
+class ConnectionLost(Struct, frozen=True, kw_only=True):
     """The sender's connection is gone."""
 
     reset: bool
 
 
-Part = bytes | Eof | Lost
+PipeItem = bytes | Eof | ConnectionLost
 
 
-class End(asyncio.Protocol):
+class Endpoint(asyncio.Protocol):
     """One end of a proxied connection: it fills the pipe that leads away from it."""
 
-    __slots__ = ("_on_lost", "_on_made", "lost", "pipe", "transport", "writable")
+    __slots__ = ("_on_connected", "_on_lost", "lost", "pipe", "transport", "writable")
 
     def __init__(
-        self, *, pipe: Pipe, on_made: Callable[[], None], on_lost: Callable[[], None]
+        self, *, pipe: Pipe, on_connected: Callable[[], None], on_lost: Callable[[], None]
     ) -> None:
         self.pipe = pipe
-        self._on_made = on_made
+        self._on_connected = on_connected
         self._on_lost = on_lost
         self.transport: asyncio.Transport | None = None
         self.lost = False
@@ -87,7 +87,7 @@
         """Keep the transport; nothing is read until the other end is there too."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.pause_reading()
-        self._on_made()
+        self._on_connected()
 
     def data_received(self, data: bytes) -> None:
         """Put data into the pipe."""
@@ -104,7 +104,7 @@
         """Put the loss into the pipe."""
         self.lost = True
         self.writable.set()
-        self.pipe.put(Lost(reset=exc is not None))
+        self.pipe.put(ConnectionLost(reset=exc is not None))
         self._on_lost()
 
     def pause_writing(self) -> None:
@@ -131,88 +131,96 @@
 
 
 class Pipe:
-    """What is under way from one end to the other; a silent pipe swallows everything."""
-
-    __slots__ = ("_clock", "_conditions", "_held_bytes", "_queue", "_wake", "ended", "silent")
-
-    def __init__(self, *, clock: Clock, conditions: WayConditions) -> None:
+    """What is under way from one end to the other; a blackholed pipe swallows everything."""
+
+    __slots__ = (
+        "_buffered_bytes",
+        "_clock",
+        "_queue",
+        "_shaper",
+        "_wake",
+        "blackholed",
+        "eof_sent",
+    )
+
+    def __init__(self, *, clock: Clock, shaper: TrafficShaper) -> None:
         self._clock = clock
-        self._conditions = conditions
-        self._queue: deque[tuple[int, Part]] = deque()
-        self._held_bytes = 0
+        self._shaper = shaper
+        self._queue: deque[tuple[int, PipeItem]] = deque()
+        self._buffered_bytes = 0
         self._wake = asyncio.Event()
-        self.ended = False
-        self.silent = False
+        self.eof_sent = False
+        self.blackholed = False
 
     @property
     def is_full(self) -> bool:
         """Return whether no more should be read into it."""
-        return self.silent or self._held_bytes >= HELD_BYTES_MAX
+        return self.blackholed or self._buffered_bytes >= MAX_BUFFERED_BYTES
 
-    def put(self, part: Part) -> None:
+    def put(self, item: PipeItem) -> None:
         """Send something on its way."""
-        if self.silent:
+        if self.blackholed:
             return
-        due_ms = self._clock.now_ms() + self._conditions.delay_ms
-        self._queue.append((due_ms, part))
-        self._held_bytes += len(part) if isinstance(part, bytes) else 0
+        due_ms = self._clock.now_ms() + self._shaper.delay_ms
+        self._queue.append((due_ms, item))
+        self._buffered_bytes += len(item) if isinstance(item, bytes) else 0
         self._wake.set()
 
-    def fall_silent(self) -> None:
+    def blackhole(self) -> None:
         """Swallow what is under way and all that comes."""
-        self.silent = True
+        self.blackholed = True
         self._queue.clear()
 
-    async def async_run(self, *, source: End, sink: End) -> None:
+    async def async_run(self, *, source: Endpoint, sink: Endpoint) -> None:
         """Carry everything to the sink until the source is lost."""
         while True:
             while not self._queue:
                 self._wake.clear()
                 await self._wake.wait()
-            due_ms, part = self._queue.popleft()
+            due_ms, item = self._queue.popleft()
             delay_ms = due_ms - self._clock.now_ms()
             if delay_ms > 0:
                 await self._clock.async_sleep(delay_ms)
-            await self._conditions.gate.async_pass()
-            if self.silent:
+            await self._shaper.gate.async_pass()
+            if self.blackholed:
                 continue
-            match part:
+            match item:
                 case bytes():
-                    await self._async_write(part, sink)
-                    self._held_bytes -= len(part)
+                    await self._async_write(item, sink)
+                    self._buffered_bytes -= len(item)
                     source.set_reading(not self.is_full)
                 case Eof():
-                    self._end_half(source, sink)
-                case Lost(reset=reset):
-                    _end(sink, reset)
+                    self._forward_eof(source, sink)
+                case ConnectionLost(reset=reset):
+                    _close_endpoint(sink, reset)
                     return
 
-    async def _async_write(self, data: bytes, sink: End) -> None:
-        for begin in range(0, len(data), PIECE_BYTES):
-            piece = data[begin : begin + PIECE_BYTES]
-            await self._conditions.async_take_turn(len(piece))
-            await self._conditions.gate.async_pass()
+    async def _async_write(self, data: bytes, sink: Endpoint) -> None:
+        for begin in range(0, len(data), CHUNK_BYTES):
+            chunk = data[begin : begin + CHUNK_BYTES]
+            await self._shaper.async_throttle(len(chunk))
+            await self._shaper.gate.async_pass()
             await sink.writable.wait()
-            if self.silent or sink.lost or sink.transport is None:
+            if self.blackholed or sink.lost or sink.transport is None:
                 return
-            sink.transport.write(piece)
+            sink.transport.write(chunk)
 
-    def _end_half(self, source: End, sink: End) -> None:
-        self.ended = True
+    def _forward_eof(self, source: Endpoint, sink: Endpoint) -> None:
+        self.eof_sent = True
         if sink.transport is None or sink.lost:
             return
-        if sink.pipe.ended:
-            _end(sink, reset=False)
-            _end(source, reset=False)
+        if sink.pipe.eof_sent:
+            _close_endpoint(sink, reset=False)
+            _close_endpoint(source, reset=False)
             return
         if sink.transport.can_write_eof():
             sink.transport.write_eof()
 
 
-def _end(end: End, reset: bool) -> None:
-    if end.transport is None or end.lost:
+def _close_endpoint(endpoint: Endpoint, reset: bool) -> None:
+    if endpoint.transport is None or endpoint.lost:
         return
     if reset:
-        end.reset()
+        endpoint.reset()
     else:
-        end.transport.close()
+        endpoint.transport.close()
--- a/tests/integration/test_integration_connections.py
+++ b/tests/integration/test_integration_connections.py
@@ -8,7 +8,7 @@
 from integration_fleet import IntegrationFleet, assert_whole, async_until
 
 from bench.faults_rig import Group
-from gypsumrouter.standins import BOTH_WAYS, OutageKind, Way
+from gypsumrouter.standins import BOTH_DIRECTIONS, Direction, OutageKind
 
 pytestmark = pytest.mark.asyncio(loop_scope="module")
 
@@ -17,14 +17,16 @@
 
 
 @pytest.mark.parametrize("leg", ["link", "upstream"])
-@pytest.mark.parametrize("ways", [BOTH_WAYS, frozenset({Way.BACK})], ids=["both", "back"])
+@pytest.mark.parametrize(
+    "ways", [BOTH_DIRECTIONS, frozenset({Direction.BACK})], ids=["both", "back"]
+)
 async def test_an_answer_whose_connection_goes_silent_for_good_comes_whole_over_a_new_one(
-    fleet: IntegrationFleet, leg: str, ways: frozenset[Way]
+    fleet: IntegrationFleet, leg: str, ways: frozenset[Direction]
 ) -> None:
     answer = await fleet.async_start_long_chat(Group.LEFT, tokens=TOKENS)
     name = fleet.find_busy()
     proxies = fleet.rig.proxies if leg == "link" else fleet.rig.upstream_proxies
-    proxies[name].silence(ways=ways)
+    proxies[name].blackhole(directions=ways)
     assert_whole(await answer)
 
 
@@ -35,8 +37,8 @@
     name = fleet.find_busy()
     engine = fleet.platform.engines[name]
     before = engine.requests
-    fleet.rig.proxies[name].cut()
-    fleet.rig.upstream_proxies[name].silence()
+    fleet.rig.proxies[name].reset_connections()
+    fleet.rig.upstream_proxies[name].blackhole()
     assert_whole(await answer)
     # It was resumed and not run again.
     assert engine.requests == before
--- a/tests/standins/test_standins_fault_proxy.py
+++ b/tests/standins/test_standins_fault_proxy.py
@@ -9,8 +9,8 @@
 from driven_clock import HANG_S, async_drive, async_until
 
 from gypsumrouter.instances import Address
-from gypsumrouter.standins import FaultProxy, Partition, Way
-from gypsumrouter.standins.pipes import HELD_BYTES_MAX
+from gypsumrouter.standins import Direction, FaultProxy, Partition
+from gypsumrouter.standins.pipes import MAX_BUFFERED_BYTES
 from gypsumrouter.util.clock import ManualClock
 
 QUIET_ROUNDS = 200
@@ -114,7 +114,7 @@
     caller = await bench.async_connect_through()
     data = bytes(range(256)) * 4_096
     assert await caller.async_echo(data) == data
-    assert bench.proxy.get_passed_bytes(Way.BACK) == len(data) + 5
+    assert bench.proxy.get_forwarded_bytes(Direction.BACK) == len(data) + 5
 
 
 async def test_the_end_of_one_half_passes_and_the_other_half_goes_on(bench: Bench) -> None:
@@ -135,8 +135,8 @@
 
 async def test_a_delay_holds_each_way_back_by_its_time(bench: Bench) -> None:
     caller = await bench.async_connect_through()
-    bench.proxy.set_delay(30, ways={Way.FORWARD})
-    bench.proxy.set_delay(20, ways={Way.BACK})
+    bench.proxy.set_delay(30, directions={Direction.FORWARD})
+    bench.proxy.set_delay(20, directions={Direction.BACK})
     caller.writer.write(b"x")
     began_ms = bench.clock.now_ms()
     assert await caller.async_is_quiet()
@@ -148,7 +148,7 @@
     bench: Bench,
 ) -> None:
     caller = await bench.async_connect_through()
-    bench.proxy.set_delay(100, ways={Way.FORWARD})
+    bench.proxy.set_delay(100, directions={Direction.FORWARD})
     began_ms = bench.clock.now_ms()
     for part in (b"a", b"b", b"c"):
         caller.writer.write(part)
@@ -162,7 +162,7 @@
 
 async def test_bandwidth_is_shared_by_all_connections(bench: Bench) -> None:
     callers = [await bench.async_connect_through() for _ in range(2)]
-    bench.proxy.set_bandwidth(100_000, ways={Way.FORWARD})
+    bench.proxy.set_bandwidth(100_000, directions={Direction.FORWARD})
     began_ms = bench.clock.now_ms()
     echoes = [caller.async_echo(b"x" * 50_000) for caller in callers]
     await async_drive(bench.clock, asyncio.gather(*echoes))
@@ -171,7 +171,7 @@
 
 async def test_a_cut_resets_open_connections_and_new_ones_work(bench: Bench) -> None:
     caller = await bench.async_connect_through()
-    assert bench.proxy.cut() == 1
+    assert bench.proxy.reset_connections() == 1
     with pytest.raises(ConnectionResetError):
         await caller.reader.read(1)
     await async_until(lambda: bench.target.ended == 1)
@@ -181,11 +181,11 @@
 async def test_a_refusing_proxy_keeps_open_connections_and_its_port(bench: Bench) -> None:
     caller = await bench.async_connect_through()
     address = bench.proxy.address
-    bench.proxy.refuse()
+    bench.proxy.refuse_connections()
     with pytest.raises(ConnectionRefusedError):
         await bench.async_connect()
     assert await caller.async_echo(b"still here") == b"still here"
-    await bench.proxy.async_heal()
+    await bench.proxy.async_clear_faults()
     await bench.async_connect_through()
     assert bench.proxy.address == address
 
@@ -201,11 +201,11 @@
     bench: Bench,
 ) -> None:
     caller = await bench.async_connect_through()
-    bench.proxy.silence()
+    bench.proxy.blackhole()
     caller.writer.write(b"lost")
     assert await caller.async_is_quiet()
     await bench.async_connect_through()
-    await bench.proxy.async_heal()
+    await bench.proxy.async_clear_faults()
     caller.writer.write(b"lost too")
     assert await caller.async_is_quiet()
     assert bytes(bench.target.received) == b"hello" * 2
@@ -216,7 +216,7 @@
 ) -> None:
     caller = await bench.async_connect_through()
     other = await bench.async_connect_through()
-    bench.proxy.silence()
+    bench.proxy.blackhole()
     caller.writer.close()
     assert await other.async_is_quiet()
     assert bench.target.ended == 0
@@ -226,18 +226,18 @@
 
 async def test_silence_of_one_way_leaves_the_other_way(bench: Bench) -> None:
     caller = await bench.async_connect_through()
-    bench.proxy.silence(ways={Way.BACK})
+    bench.proxy.blackhole(directions={Direction.BACK})
     caller.writer.write(b"one way")
     await async_until(lambda: bytes(bench.target.received) == b"helloone way")
     assert await caller.async_is_quiet()
 
 
 async def test_silence_of_new_connections_ends_when_the_proxy_is_healed(bench: Bench) -> None:
-    bench.proxy.silence(new=True)
+    bench.proxy.blackhole(include_new=True)
     caller = await bench.async_connect()
     caller.writer.write(b"lost")
     assert await caller.async_is_quiet()
-    await bench.proxy.async_heal()
+    await bench.proxy.async_clear_faults()
     await bench.async_connect_through()
     assert bytes(bench.target.received) == b"hello"
 
@@ -260,8 +260,8 @@
 
 async def test_a_blocked_proxy_holds_a_bounded_number_of_bytes(bench: Bench) -> None:
     caller = await bench.async_connect_through()
-    bench.proxy.block(ways={Way.FORWARD})
-    flood = b"x" * (HELD_BYTES_MAX * 128)
+    bench.proxy.block(directions={Direction.FORWARD})
+    flood = b"x" * (MAX_BUFFERED_BYTES * 128)
     caller.writer.write(flood)
     for _ in range(QUIET_ROUNDS):
         await asyncio.sleep(0)
@@ -287,7 +287,7 @@
     for name in ("a-b", "b-a"):
         callers[name].writer.write(b"shut")
         assert await callers[name].async_is_quiet()
-    await partition.async_heal()
+    await partition.async_clear_faults()
     async with asyncio.timeout(HANG_S):
         for name in ("a-b", "b-a"):
             assert await callers[name].reader.readexactly(4) == b"shut"
--- a/tests/upstream/test_upstream_engine.py
+++ b/tests/upstream/test_upstream_engine.py
@@ -64,7 +64,7 @@
 async def test_refused_connection_is_refused_as_not_run(
     engine_caller: Caller, engine_proxy: FaultProxy
 ) -> None:
-    engine_proxy.refuse()
+    engine_proxy.refuse_connections()
 
     outcome = await engine_caller.async_run(make_chat())
 
@@ -97,9 +97,9 @@
     run = asyncio.ensure_future(engine_caller.async_run(make_chat()))
     await engine_caller.answer.async_wait_body(400)
     if silent:
-        engine_proxy.silence()
+        engine_proxy.blackhole()
     else:
-        engine_proxy.cut()
+        engine_proxy.reset_connections()
 
     assert await run is None
     assert len(engine_caller.answer.heads) == 1
@@ -114,7 +114,7 @@
     expected = await async_get_contents(engine_caller)
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(stream=False)))
     await async_until(lambda: engine.requests == 2)
-    engine_proxy.cut()
+    engine_proxy.reset_connections()
 
     assert await run is None
     message = json.loads(engine_caller.answer.body)["choices"][0]["message"]
@@ -128,7 +128,7 @@
     engine.batch.pause()
     run = asyncio.ensure_future(engine_caller.async_run(make_chat()))
     await async_until(lambda: engine.requests == 2)
-    engine_proxy.silence()
+    engine_proxy.blackhole()
     engine.batch.resume()
 
     assert await run is None
@@ -143,7 +143,7 @@
         request=make_chat(),
         answer=engine_caller.answer,
         priority=0,
-        handed_over=engine_proxy.silence,
+        handed_over=engine_proxy.blackhole,
     )
 
     assert outcome is None
@@ -207,7 +207,7 @@
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
     await engine_caller.answer.async_wait_body()
     engine.streams.clear()
-    engine_proxy.cut()
+    engine_proxy.reset_connections()
 
     outcome = await run
 
@@ -266,7 +266,7 @@
     )
     await engine_caller.answer.async_wait_body(400)
     await other.answer.async_wait_body(400)
-    engine_proxy.cut()
+    engine_proxy.reset_connections()
 
     assert [outcome for outcome in await runs if outcome is not None] == []
     assert engine_caller.answer.body.endswith(DONE)
--- a/tests/upstream/test_upstream_service.py
+++ b/tests/upstream/test_upstream_service.py
@@ -35,7 +35,7 @@
 async def test_refused_connection_is_refused_as_not_run(
     service_caller: Caller, service_proxy: FaultProxy
 ) -> None:
-    service_proxy.refuse()
+    service_proxy.refuse_connections()
 
     outcome = await service_caller.async_run(make_call(key="key-1"))
 
@@ -56,7 +56,7 @@
     service.delay_ms = 60_000
     run = asyncio.ensure_future(service_caller.async_run(make_call(key=key, method=method)))
     await async_until(lambda: bool(service.executions))
-    service_proxy.cut()
+    service_proxy.reset_connections()
 
     outcome = await run
 
@@ -71,7 +71,7 @@
     service.delay_ms = 100
     run = asyncio.ensure_future(service_caller.async_run(make_call()))
     await async_until(lambda: bool(service.executions))
-    service_proxy.silence()
+    service_proxy.blackhole()
 
     assert await run is None
     assert len(service_caller.answer.heads) == 1
@@ -159,9 +159,9 @@
 ) -> None:
     changes: asyncio.Queue[bool] = asyncio.Queue()
     service_caller.client.on_up(changes.put_nowait)
-    service_proxy.refuse()
+    service_proxy.refuse_connections()
     async with asyncio.timeout(10):
         assert await changes.get() is False
-    await service_proxy.async_accept()
+    await service_proxy.async_accept_connections()
     async with asyncio.timeout(10):
         assert await changes.get() is True
