--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -109,7 +109,7 @@
 def check_cold(runners: Iterable[PlatformRunner]) -> Iterator[Violation]:
     """Check that no runner got more than it bears after its start."""
     for runner in runners:
-        densest = runner.count_densest_cold()
+        densest = runner.get_peak_slow_start_rate()
         if densest > MAX_COLD:
             yield Violation(promise="too much while cold", detail=f"{runner.name} {densest}")
 
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from bench.soak_rig import DATA_CENTRES, FORWARDERS, RUNNERS, SoakRig
-from gypsumrouter.standins import BOTH_DIRECTIONS, Direction, RunnerTrouble, StoreTrouble
+from gypsumrouter.standins import BOTH_DIRECTIONS, Direction, RunnerFault, StoreFault
 
 MIN_GAP_S: Final = 0.05
 MAX_GAP_S: Final = 0.4
@@ -21,14 +21,14 @@
 MAX_UNLISTED_S: Final = 5.0
 MIN_REST_S: Final = 0.7
 MAX_REST_S: Final = 2.0
-RUNNER_TROUBLES: Final = (
-    RunnerTrouble.SHED,
-    RunnerTrouble.ERROR,
-    RunnerTrouble.RESET,
-    RunnerTrouble.HANG,
-    RunnerTrouble.BREAK_STREAM,
-    RunnerTrouble.STRANGER_FIRST,
-    RunnerTrouble.FALSE_PROMISE,
+RUNNER_FAULTS: Final = (
+    RunnerFault.SHED,
+    RunnerFault.ERROR,
+    RunnerFault.RESET,
+    RunnerFault.HANG,
+    RunnerFault.RESET_STREAM,
+    RunnerFault.FOREIGN_RESPONSE_FIRST,
+    RunnerFault.UNMARKED_REJECTION,
 )
 
 Fault = Callable[[], Awaitable[None]]
@@ -135,12 +135,12 @@
         self._busy.discard(number)
 
     async def _async_store(self) -> None:
-        trouble = self._rng.choice((StoreTrouble.BUSY, StoreTrouble.RESET, StoreTrouble.SILENT))
-        await self._rig.store.async_fail(trouble)
+        trouble = self._rng.choice((StoreFault.BUSY, StoreFault.RESET, StoreFault.SILENT))
+        await self._rig.store.async_set_fault(trouble)
         await self._async_last()
         if self._rng.random() < 0.3:
-            self._rig.store.forget_history()
-        await self._rig.store.async_fail(StoreTrouble.NONE)
+            self._rig.store.compact_history()
+        await self._rig.store.async_set_fault(StoreFault.NONE)
 
     async def _async_restore(self) -> None:
         """Let the store come back from a copy, and its writers write again what it lost.
@@ -152,20 +152,20 @@
             return
         self._restoring = True
         store = self._rig.store
-        copy = store.make_copy()
+        copy = store.make_snapshot()
         await self._rig.async_list_all()
         await self._async_last()
-        trouble = self._rng.choice((StoreTrouble.NONE, StoreTrouble.BUSY, StoreTrouble.RESET))
-        await store.async_fail(trouble)
-        if trouble is not StoreTrouble.NONE:
+        trouble = self._rng.choice((StoreFault.NONE, StoreFault.BUSY, StoreFault.RESET))
+        await store.async_set_fault(trouble)
+        if trouble is not StoreFault.NONE:
             await self._async_last()
         lost = await store.async_restore(copy)
         service = self._rng.choice(tuple(self._rig.runners))
         place = self._rng.randrange(RUNNERS)
         await self._rig.async_replace_runner(service, place, says_so=False)
-        await store.async_fail(StoreTrouble.NONE)
+        await store.async_set_fault(StoreFault.NONE)
         await self._async_last()
-        await store.async_write_again(copy=copy, lost=lost)
+        await store.async_replay_lost_writes(snapshot=copy, lost=lost)
         self._restoring = False
 
     async def _async_leave_unlisted(self) -> None:
@@ -179,11 +179,11 @@
         """Let a runner turn requests away and name a time to come back."""
         service = self._rng.choice(tuple(self._rig.runners))
         runner = self._rng.choice(self._rig.runners[service])
-        runner.rest_s = self._rng.uniform(MIN_REST_S, MAX_REST_S)
-        runner.always = RunnerTrouble.SHED
+        runner.retry_after_s = self._rng.uniform(MIN_REST_S, MAX_REST_S)
+        runner.default_fault = RunnerFault.SHED
         await self._async_last()
-        runner.always = RunnerTrouble.NONE
-        runner.rest_s = None
+        runner.default_fault = RunnerFault.NONE
+        runner.retry_after_s = None
 
     async def _async_store_path(self) -> None:
         proxy = self._rng.choice(self._rig.store_proxies)
@@ -195,9 +195,9 @@
     async def _async_runner(self) -> None:
         service = self._rng.choice(tuple(self._rig.runners))
         runner = self._rng.choice(self._rig.runners[service])
-        runner.always = self._rng.choice(RUNNER_TROUBLES)
+        runner.default_fault = self._rng.choice(RUNNER_FAULTS)
         await self._async_last()
-        runner.always = RunnerTrouble.NONE
+        runner.default_fault = RunnerFault.NONE
 
     async def _async_runner_path(self) -> None:
         proxy = self._rng.choice(self._rig.runner_proxies)
--- a/bench/soak_rig.py
+++ b/bench/soak_rig.py
@@ -102,7 +102,7 @@
     async def async_list_runner(self, service: str, runner: PlatformRunner, *, state: str) -> None:
         """Write a runner's entry."""
         address = self._runner_addresses[runner.name]
-        cold_ms = max(0, round((runner.cold_until_s - time.monotonic()) * MS_PER_S))
+        cold_ms = max(0, round((runner.slow_start_until_s - time.monotonic()) * MS_PER_S))
         await self.store.async_put_runner(
             runner.name,
             service=service,
@@ -144,9 +144,9 @@
         self.retired.append(old)
         self._locate(new, place)
         if self._places and service == "models":
-            new.cold_until_s = time.monotonic() + COLD_S
+            new.slow_start_until_s = time.monotonic() + COLD_S
         await self.async_add_runner(service, new)
-        old.leaving = says_so
+        old.draining = says_so
         await asyncio.sleep(listed_after_s)
         await self.async_list_runner(service, old, state="draining")
 
--- a/bench/soak_words.py
+++ b/bench/soak_words.py
@@ -45,7 +45,7 @@
     """Check that a forwarder leaves alone a runner that told it to, for as long as it said."""
     by_id = {record.request_id: record for record in records}
     for runner in runners:
-        for rest in runner.rests:
+        for rest in runner.back_offs:
             asker = by_id.get(rest.request_id)
             if asker is None:
                 continue
--- a/gypsumrouter/standins/__init__.py
+++ b/gypsumrouter/standins/__init__.py
@@ -18,8 +18,8 @@
 from gypsumrouter.standins.models import EngineSettings
 from gypsumrouter.standins.partition import Partition
 from gypsumrouter.standins.pipes import BOTH_DIRECTIONS, Direction
-from gypsumrouter.standins.platform_runner import PlatformRunner, RunnerTrouble
-from gypsumrouter.standins.published_store import PublishedStoreStandin, StoreCopy, StoreTrouble
+from gypsumrouter.standins.platform_runner import PlatformRunner, RunnerFault
+from gypsumrouter.standins.published_store import PublishedStoreStandin, StoreFault, StoreSnapshot
 from gypsumrouter.standins.service import Service
 from gypsumrouter.standins.weight_store import WeightStore
 
@@ -36,12 +36,12 @@
     "Partition",
     "PlatformRunner",
     "PublishedStoreStandin",
-    "RunnerTrouble",
+    "RunnerFault",
     "Service",
     "SidePlan",
     "StandinPlatform",
-    "StoreCopy",
-    "StoreTrouble",
+    "StoreFault",
+    "StoreSnapshot",
     "WeightStore",
     "WorkspacePlan",
     "chapin",
--- a/gypsumrouter/standins/platform_runner.py
+++ b/gypsumrouter/standins/platform_runner.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's runners: whole answers and streams, and its kinds of trouble."""
+"""A stand-in of the platform's runners: whole answers and streams, and its kinds of fault."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 STAMP: Final = "3e1b.07.5a2.600.0.c9f2a4d1"
 
 
-class RunnerTrouble(StrEnum):
+class RunnerFault(StrEnum):
     """What a runner does with one request."""
 
     NONE = "none"
@@ -28,11 +28,11 @@
     ERROR = "error"
     RESET = "reset"
     HANG = "hang"
-    UNSIGNED = "unsigned"
+    NO_STAMP = "unsigned"
     ENCODED = "encoded"
-    FALSE_PROMISE = "false_promise"
-    STRANGER_FIRST = "stranger_first"
-    BREAK_STREAM = "break_stream"
+    UNMARKED_REJECTION = "false_promise"
+    FOREIGN_RESPONSE_FIRST = "stranger_first"
+    RESET_STREAM = "break_stream"
 
 
 class Arrival(Struct, kw_only=True):
@@ -45,10 +45,10 @@
     body: bytes
     at_s: float = 0.0
     ran: bool = False
-    left: bool = False
+    cancelled: bool = False
 
 
-class Rest(Struct, frozen=True, kw_only=True):
+class BackOff(Struct, frozen=True, kw_only=True):
     """A time for which a runner wants nothing from who sent this request (monotonic seconds)."""
 
     request_id: str
@@ -59,31 +59,32 @@
 class PlatformRunner:
     """One incarnation of a runner.
 
-    `troubles` are used up one for each request, `on_run` is called as one begins to run, and no
-    request goes on while the `gate` is closed. While `leaving` all its answers say so; `rest_s` is
-    for how long it wants nothing from whom it turns away.
+    Each request takes one entry of `next_faults`, or `default_fault` once they are used up.
+    `on_run` is called when a request starts to run; running requests wait while `gate` is cleared.
+    While `draining` every response carries the draining header. Rejections ask the sender to back
+    off for `retry_after_s`, if it is set.
     """
 
     def __init__(self, *, name: str, events: int = 4) -> None:
         self.name = name
         self.events = events
-        self.troubles: deque[RunnerTrouble] = deque()
-        self.always = RunnerTrouble.NONE
+        self.next_faults: deque[RunnerFault] = deque()
+        self.default_fault = RunnerFault.NONE
         self.arrivals: list[Arrival] = []
-        self.held: list[tuple[str, str, int, str]] = []
-        self.listed = 0
+        self.inventory: list[tuple[str, str, int, str]] = []
+        self.inventory_calls = 0
         # Until when it bears few requests a second after its start; monotonic seconds.
-        self.cold_until_s = 0.0
+        self.slow_start_until_s = 0.0
         self.on_run: Callable[[], None] = lambda: None
-        self.leaving = False
-        self.rest_s: float | None = None
-        self.rests: list[Rest] = []
+        self.draining = False
+        self.retry_after_s: float | None = None
+        self.back_offs: list[BackOff] = []
         self.gate = asyncio.Event()
         self.gate.set()
         routes = web.Application()
-        routes.router.add_get(names.CALL_HELD, self._async_list_held)
+        routes.router.add_get(names.CALL_HELD, self._async_get_inventory)
         routes.router.add_route("*", "/{path:.*}", self._async_serve)
-        routes.on_response_prepare.append(self._async_say_leaving)
+        routes.on_response_prepare.append(self._async_add_draining_header)
         self.listener = StandinListener(app=routes, host="127.0.0.1", port=0)
 
     async def async_start(self) -> Address:
@@ -94,9 +95,9 @@
         """Release everything."""
         await self.listener.async_stop()
 
-    def count_densest_cold(self) -> int:
+    def get_peak_slow_start_rate(self) -> int:
         """Return the most requests that came within a second while it was cold."""
-        times = [a.at_s for a in self.arrivals if a.at_s < self.cold_until_s and a.ran]
+        times = [a.at_s for a in self.arrivals if a.at_s < self.slow_start_until_s and a.ran]
         return max((sum(1 for t in times if at <= t < at + 1) for at in times), default=0)
 
     @property
@@ -104,9 +105,9 @@
         """Return the ids of the requests that it began to run."""
         return [arrival.request_id for arrival in self.arrivals if arrival.ran]
 
-    async def _async_list_held(self, request: web.Request) -> web.Response:
-        self.listed += 1
-        return web.json_response({"epoch": 1, "next": 1, "held": self.held})
+    async def _async_get_inventory(self, request: web.Request) -> web.Response:
+        self.inventory_calls += 1
+        return web.json_response({"epoch": 1, "next": 1, "held": self.inventory})
 
     async def _async_serve(self, request: web.Request) -> web.StreamResponse:
         arrival = Arrival(
@@ -121,76 +122,78 @@
         expected = request.headers.get(names.EXPECT_INSTANCE)
         if expected is not None and expected != self.name:
             return web.Response(status=421)
-        trouble = self.troubles.popleft() if self.troubles else self.always
-        if trouble is RunnerTrouble.SHED:
-            return self._turn_away(arrival)
+        fault = self.next_faults.popleft() if self.next_faults else self.default_fault
+        if fault is RunnerFault.SHED:
+            return self._reject(arrival)
         arrival.ran = True
         self.on_run()
         try:
             await self.gate.wait()
-            return await self._async_run(request, arrival, trouble)
+            return await self._async_run(request, arrival, fault)
         except asyncio.CancelledError:
-            arrival.left = True
+            arrival.cancelled = True
             raise
 
-    def _turn_away(self, arrival: Arrival) -> web.Response:
+    def _reject(self, arrival: Arrival) -> web.Response:
         response = web.Response(status=503, headers={names.NOT_RUN: "1"})
-        if self.rest_s is not None:
+        if self.retry_after_s is not None:
             now_s = time.monotonic()
-            rest = Rest(request_id=arrival.request_id, begins_s=now_s, ends_s=now_s + self.rest_s)
-            self.rests.append(rest)
-            response.headers[names.RETRY_AFTER] = f"{self.rest_s:g}"
+            back_off = BackOff(
+                request_id=arrival.request_id, begins_s=now_s, ends_s=now_s + self.retry_after_s
+            )
+            self.back_offs.append(back_off)
+            response.headers[names.RETRY_AFTER] = f"{self.retry_after_s:g}"
         return response
 
-    async def _async_say_leaving(
+    async def _async_add_draining_header(
         self, _request: web.BaseRequest, response: web.StreamResponse
     ) -> None:
-        if self.leaving:
+        if self.draining:
             response.headers[names.SERVER_LEAVING] = "1"
 
     async def _async_run(
-        self, request: web.Request, arrival: Arrival, trouble: RunnerTrouble
+        self, request: web.Request, arrival: Arrival, fault: RunnerFault
     ) -> web.StreamResponse:
         headers = {names.REQUEST_ID: arrival.request_id, names.STAMP: STAMP}
-        match trouble:
-            case RunnerTrouble.RESET:
-                _reset(request)
+        match fault:
+            case RunnerFault.RESET:
+                _reset_connection(request)
                 raise asyncio.CancelledError
-            case RunnerTrouble.HANG:
+            case RunnerFault.HANG:
                 await asyncio.Event().wait()
-            case RunnerTrouble.ERROR:
+            case RunnerFault.ERROR:
                 return web.Response(status=500, headers=headers, body=b"broken")
-            case RunnerTrouble.UNSIGNED:
+            case RunnerFault.NO_STAMP:
                 return web.Response(headers={names.REQUEST_ID: arrival.request_id}, body=b"x")
-            case RunnerTrouble.ENCODED:
+            case RunnerFault.ENCODED:
                 return web.Response(headers={**headers, "Content-Encoding": "gzip"}, body=b"x")
-            case RunnerTrouble.FALSE_PROMISE:
+            case RunnerFault.UNMARKED_REJECTION:
                 return web.Response(status=503, headers=headers)
-            case RunnerTrouble.STRANGER_FIRST if request.transport is not None:
+            case RunnerFault.FOREIGN_RESPONSE_FIRST if request.transport is not None:
                 request.transport.write(
                     f"HTTP/1.1 200 OK\r\n{names.REQUEST_ID}: other\r\n{names.STAMP}: {STAMP}\r\n"
                     "Content-Length: 5\r\n\r\nother".encode()
                 )
         if names.TOKEN_USAGE not in request.headers:
             return web.Response(headers=headers, body=f"{self.name} {arrival.path}".encode())
-        return await self._async_stream(request, headers, trouble)
+        return await self._async_stream(request, headers, fault)
 
     async def _async_stream(
-        self, request: web.Request, headers: dict[str, str], trouble: RunnerTrouble
+        self, request: web.Request, headers: dict[str, str], fault: RunnerFault
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         await response.prepare(request)
         first = int(request.headers.get(names.LAST_EVENT_ID, "0")) + 1
         for number in range(first, self.events + 1):
             await response.write(b"id: %d\ndata: piece %d\n\n" % (number, number))
-            if trouble is RunnerTrouble.BREAK_STREAM and number == first + 1:
+            if fault is RunnerFault.RESET_STREAM and number == first + 1:
                 await response.write(b"id: %d\ndata: ha" % (number + 1))
-                _reset(request)
+                _reset_connection(request)
                 raise asyncio.CancelledError
         await response.write_eof()
         return response
 
 
-def _reset(request: web.Request) -> None:
+def _reset_connection(request: web.Request) -> None:
     if request.transport is not None:
         reset_transport(request.transport)
--- a/gypsumrouter/standins/published_store.py
+++ b/gypsumrouter/standins/published_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: items, ranges, waiting watches, and its kinds of trouble."""
+"""A stand-in of the platform's store: items, ranges, waiting watches, and its kinds of fault."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 PAGE_ITEMS: Final = 50
 
 
-class StoreTrouble(StrEnum):
+class StoreFault(StrEnum):
     """How the store fails its readers."""
 
     NONE = "none"
@@ -27,8 +27,8 @@
     SILENT = "silent"
 
 
-class StoreCopy(Struct, frozen=True, kw_only=True):
-    """What the store held when the copy was made."""
+class StoreSnapshot(Struct, frozen=True, kw_only=True):
+    """What the store held when the snapshot was made."""
 
     items: dict[str, dict[str, Any]]
     history: list[dict[str, Any]]
@@ -38,22 +38,22 @@
 class PublishedStoreStandin:
     """Serves reads of items that a test writes directly.
 
-    Each of its answers names its `era`, which rises by one when it comes back from a copy.
+    Each of its answers names its `era`, which rises by one when it comes back from a snapshot.
     """
 
     def __init__(self, *, host: str = "127.0.0.1") -> None:
         routes = web.Application()
         routes.router.add_get(names.CALL_RANGE, self._async_range)
         routes.router.add_get(names.CALL_WATCH, self._async_watch)
-        routes.on_response_prepare.append(self._async_name_era)
+        routes.on_response_prepare.append(self._async_add_era_header)
         self._listener = StandinListener(app=routes, host=host, port=0)
         self._items: dict[str, dict[str, Any]] = {}
         self._history: list[dict[str, Any]] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._changed = asyncio.Condition()
         self.revision = 100
         self.era = 1
-        self.trouble = StoreTrouble.NONE
+        self.fault = StoreFault.NONE
         self.calls: list[str] = []
 
     async def async_start(self) -> Address:
@@ -67,11 +67,11 @@
     async def async_put(self, key: str, document: object) -> None:
         """Write an item."""
         value = base64.b64encode(json.dumps(document).encode()).decode()
-        await self._async_change({"key": key, "value": value, "created": self.revision, "lease": 0})
+        await self._async_write({"key": key, "value": value, "created": self.revision, "lease": 0})
 
     async def async_remove(self, key: str) -> None:
         """Remove an item."""
-        await self._async_change({"key": key, "tombstone": True})
+        await self._async_write({"key": key, "tombstone": True})
 
     async def async_put_configuration(self, document: dict[str, Any]) -> None:
         """Write the configuration."""
@@ -84,49 +84,51 @@
         entry = {"service": service, "address": str(address), "state": state, "zone": "dc-a"}
         await self.async_put(f"{names.PREFIX_SERVERS}{runner}", {"slots": 6, **entry, **more})
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Discard all changes up to now."""
         self._history.clear()
-        self._forgotten = self.revision
+        self._compacted_revision = self.revision
 
-    def make_copy(self) -> StoreCopy:
-        """Return a copy to come back from later."""
-        return StoreCopy(
+    def make_snapshot(self) -> StoreSnapshot:
+        """Return a snapshot to come back from later."""
+        return StoreSnapshot(
             items=dict(self._items), history=list(self._history), revision=self.revision
         )
 
-    async def async_restore(self, copy: StoreCopy) -> StoreCopy:
-        """Come back from a copy: revisions go back, and what was written since is lost.
+    async def async_restore(self, snapshot: StoreSnapshot) -> StoreSnapshot:
+        """Come back from a snapshot: revisions go back, and what was written since is lost.
 
         Return what was there before.
         """
-        lost = self.make_copy()
-        self._items = dict(copy.items)
-        self._history = list(copy.history)
-        self.revision = copy.revision
-        self._forgotten = min(self._forgotten, copy.revision)
+        lost = self.make_snapshot()
+        self._items = dict(snapshot.items)
+        self._history = list(snapshot.history)
+        self.revision = snapshot.revision
+        self._compacted_revision = min(self._compacted_revision, snapshot.revision)
         self.era += 1
         async with self._changed:
             self._changed.notify_all()
         return lost
 
-    async def async_write_again(self, *, copy: StoreCopy, lost: StoreCopy) -> None:
+    async def async_replay_lost_writes(
+        self, *, snapshot: StoreSnapshot, lost: StoreSnapshot
+    ) -> None:
         """Write again what was lost, as its writers do, unless they have written since."""
-        for key in sorted(copy.items.keys() | lost.items.keys()):
-            copied, wanted = copy.items.get(key), lost.items.get(key)
-            if wanted is copied or self._items.get(key) is not copied:
+        for key in sorted(snapshot.items.keys() | lost.items.keys()):
+            saved, wanted = snapshot.items.get(key), lost.items.get(key)
+            if wanted is saved or self._items.get(key) is not saved:
                 continue
-            await self._async_change(wanted or {"key": key, "tombstone": True})
+            await self._async_write(wanted or {"key": key, "tombstone": True})
 
-    async def async_fail(self, trouble: StoreTrouble) -> None:
-        """Begin or end trouble; waiting watches are cut."""
-        self.trouble = trouble
-        if trouble is StoreTrouble.RESET:
+    async def async_set_fault(self, fault: StoreFault) -> None:
+        """Begin or end fault; waiting watches are cut."""
+        self.fault = fault
+        if fault is StoreFault.RESET:
             self._listener.reset_connections()
         async with self._changed:
             self._changed.notify_all()
 
-    async def _async_change(self, item: dict[str, Any]) -> None:
+    async def _async_write(self, item: dict[str, Any]) -> None:
         self.revision += 1
         changed = {**item, "revision": self.revision}
         self._history.append(changed)
@@ -139,7 +141,7 @@
 
     async def _async_range(self, request: web.Request) -> web.Response:
         self.calls.append(request.path)
-        await self._async_suffer(request)
+        await self._async_apply_fault(request)
         prefix, after = request.query["prefix"], request.query.get("after", "")
         keys = sorted(key for key in self._items if key.startswith(prefix) and key > after)
         page = [self._items[key] for key in keys[:PAGE_ITEMS]]
@@ -148,26 +150,26 @@
 
     async def _async_watch(self, request: web.Request) -> web.Response:
         self.calls.append(request.path)
-        await self._async_suffer(request)
+        await self._async_apply_fault(request)
         prefix, after = request.query["prefix"], int(request.query["after"])
         if not self._has_history(after):
-            return self._make_forgotten()
+            return self._make_gone_response()
         era = self.era
         try:
             async with asyncio.timeout(int(request.query["wait_ms"]) / 1_000):
                 await self._async_wait(prefix, after, era)
         except TimeoutError:
             # What was forgotten while the watch waited would be hidden by an empty answer.
-            return self._make_events([]) if self._has_history(after) else self._make_forgotten()
-        await self._async_suffer(request)
+            return self._make_events([]) if self._has_history(after) else self._make_gone_response()
+        await self._async_apply_fault(request)
         if era != self.era or not self._has_history(after):
-            return self._make_forgotten()
+            return self._make_gone_response()
         return self._make_events(self._list_events(prefix, after))
 
     def _has_history(self, after: int) -> bool:
-        return self._forgotten <= after <= self.revision
+        return self._compacted_revision <= after <= self.revision
 
-    async def _async_name_era(
+    async def _async_add_era_header(
         self, _request: web.BaseRequest, response: web.StreamResponse
     ) -> None:
         response.headers[names.STORE_ERA] = str(self.era)
@@ -175,7 +177,7 @@
     def _make_events(self, events: list[dict[str, Any]]) -> web.Response:
         return web.json_response({"events": events, "as_of": self.revision})
 
-    def _make_forgotten(self) -> web.Response:
+    def _make_gone_response(self) -> web.Response:
         return web.json_response({"error": "gone"}, status=410)
 
     async def _async_wait(self, prefix: str, after: int, era: int) -> None:
@@ -183,7 +185,7 @@
             await self._changed.wait_for(
                 lambda: (
                     self._list_events(prefix, after)
-                    or self.trouble is not StoreTrouble.NONE
+                    or self.fault is not StoreFault.NONE
                     or era != self.era
                 )
             )
@@ -195,13 +197,13 @@
             if item["key"].startswith(prefix) and item["revision"] > after
         ]
 
-    async def _async_suffer(self, request: web.Request) -> None:
-        match self.trouble:
-            case StoreTrouble.BUSY:
+    async def _async_apply_fault(self, request: web.Request) -> None:
+        match self.fault:
+            case StoreFault.BUSY:
                 raise web.HTTPServiceUnavailable
-            case StoreTrouble.RESET:
+            case StoreFault.RESET:
                 if request.transport is not None:
                     reset_transport(request.transport)
                 raise asyncio.CancelledError
-            case StoreTrouble.SILENT:
+            case StoreFault.SILENT:
                 await asyncio.Event().wait()
--- a/tests/bench/test_bench_soak.py
+++ b/tests/bench/test_bench_soak.py
@@ -14,7 +14,7 @@
 from bench.soak_rig import ENV_KEY, KEY, MAX_COLD, WORKSPACE
 from bench.soak_words import LEAVING_S, MAX_IN_REST, check_leaving, check_rests, check_retired
 from gypsumrouter.standins import PlatformRunner
-from gypsumrouter.standins.platform_runner import Arrival, Rest
+from gypsumrouter.standins.platform_runner import Arrival, BackOff
 
 
 def make_record(kind: str = "reserve", **more: object) -> CallRecord:
@@ -113,14 +113,14 @@
 
 def test_more_than_a_cold_runner_bears_is_found() -> None:
     runner = PlatformRunner(name="i-1")
-    runner.cold_until_s = 10.0
+    runner.slow_start_until_s = 10.0
     bears = int(MAX_COLD)
     runner.arrivals = [make_arrival(at_s=8 + number / 100) for number in range(bears)]
     runner.arrivals.append(make_arrival(at_s=9.5))
     assert not list(check_cold([runner]))
     runner.arrivals.append(make_arrival(at_s=8.9))
     assert len(list(check_cold([runner]))) == 1
-    runner.cold_until_s = 8.05
+    runner.slow_start_until_s = 8.05
     assert not list(check_cold([runner]))
 
 
@@ -142,7 +142,7 @@
 
 def test_requests_to_a_runner_that_wants_a_rest_are_found() -> None:
     runner = PlatformRunner(name="i-1")
-    runner.rests = [Rest(request_id="r0", begins_s=10.0, ends_s=12.0)]
+    runner.back_offs = [BackOff(request_id="r0", begins_s=10.0, ends_s=12.0)]
     records = [make_record(request_id=f"r{number}") for number in range(9)]
     runner.arrivals = [
         make_arrival(request_id="r1", at_s=10.4),
--- a/tests/forwarding/test_forwarding_changes.py
+++ b/tests/forwarding/test_forwarding_changes.py
@@ -9,7 +9,7 @@
 from forwarding_world import PROMPT, ForwardingWorld, make_configuration, make_route
 
 from gypsumrouter.directory import directory
-from gypsumrouter.standins import PublishedStoreStandin, StoreTrouble
+from gypsumrouter.standins import PublishedStoreStandin, StoreFault
 
 Session = aiohttp.ClientSession
 
@@ -55,11 +55,11 @@
 async def test_a_list_that_lapsed_in_an_outage_is_used_until_it_is_back(
     world: ForwardingWorld, session: Session
 ) -> None:
-    await world.store.async_fail(StoreTrouble.RESET)
+    await world.store.async_set_fault(StoreFault.RESET)
     await world.async_until(lambda: _is_doubted(world))
     for runner in world.records:
         await world.store.async_remove(f"servers/{runner.name}")
-    await world.store.async_fail(StoreTrouble.NONE)
+    await world.store.async_set_fault(StoreFault.NONE)
     await world.async_until(lambda: len(_get_doubtful(world)) == 2)
     status, _, _ = await world.async_call(session, "GET", "/lookup/a", "r1")
     assert status == 200
@@ -69,18 +69,18 @@
 async def test_a_store_that_lost_its_history_is_read_anew(
     world: ForwardingWorld, session: Session
 ) -> None:
-    await world.store.async_fail(StoreTrouble.BUSY)
+    await world.store.async_set_fault(StoreFault.BUSY)
     await world.async_until(lambda: _is_doubted(world))
     await world.store.async_put_configuration(make_configuration(9))
-    world.store.forget_history()
-    await world.store.async_fail(StoreTrouble.NONE)
+    world.store.compact_history()
+    await world.store.async_set_fault(StoreFault.NONE)
     await world.async_until(lambda: get_section(world, "routing")["version"] == 9)
 
 
 async def test_a_router_that_the_store_turns_away_learns_from_a_peer(
     world: ForwardingWorld, session: Session
 ) -> None:
-    await world.store.async_fail(StoreTrouble.BUSY)
+    await world.store.async_set_fault(StoreFault.BUSY)
     link = world.product.addresses["link"]
     second = await world.async_start_forwarder("entry-2", seeds=(str(link),))
     await world.async_until(second.is_ready)
@@ -101,14 +101,14 @@
         "entry-2", seeds=(str(link),), store=str(own_address)
     )
     await world.async_until(second.is_ready)
-    await own_store.async_fail(StoreTrouble.RESET)
+    await own_store.async_set_fault(StoreFault.RESET)
     await world.async_until(lambda: get_section(world, "directory", 1)["list_away"])
     gone = world.records[0]
     # Other changes came between: the removal is newer here than at the peer.
     own_store.revision += 50
     for store in (world.store, own_store):
         await store.async_remove(f"servers/{gone.name}")
-    await own_store.async_fail(StoreTrouble.NONE)
+    await own_store.async_set_fault(StoreFault.NONE)
     await world.async_until(lambda: _get_state(world, gone.name, 1) == "gone")
     await own_store.async_stop()
 
@@ -116,7 +116,7 @@
 async def test_a_router_that_knows_nothing_refuses_as_not_run(
     world: ForwardingWorld, session: Session
 ) -> None:
-    await world.store.async_fail(StoreTrouble.BUSY)
+    await world.store.async_set_fault(StoreFault.BUSY)
     lonely = await world.async_start_forwarder("entry-2")
     assert not lonely.is_ready()
     status, body, headers = await world.async_call(
--- a/tests/forwarding/test_forwarding_evacuation.py
+++ b/tests/forwarding/test_forwarding_evacuation.py
@@ -5,7 +5,7 @@
 import aiohttp
 from forwarding_world import PROMPT, ForwardingWorld, make_configuration
 
-from gypsumrouter.standins import PublishedStoreStandin, StoreTrouble
+from gypsumrouter.standins import PublishedStoreStandin, StoreFault
 
 Session = aiohttp.ClientSession
 # The data centre of the forwarder itself, whose upstreams it prefers.
@@ -62,11 +62,11 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     await _async_evacuate(world)
-    await world.store.async_fail(StoreTrouble.RESET)
+    await world.store.async_set_fault(StoreFault.RESET)
     await world.store.async_put_configuration(make_configuration(9))
-    world.store.forget_history()
+    world.store.compact_history()
     await world.async_call(session, "GET", "/lookup/a", "r1")
-    await world.store.async_fail(StoreTrouble.NONE)
+    await world.store.async_set_fault(StoreFault.NONE)
     await world.async_until(lambda: _get_version(world) == 9)
     for number in range(6):
         await world.async_call(session, "GET", "/lookup/a", f"s{number}")
@@ -77,10 +77,10 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     await _async_evacuate(world)
-    await world.store.async_fail(StoreTrouble.BUSY)
+    await world.store.async_set_fault(StoreFault.BUSY)
     await world.store.async_remove(KEY)
-    world.store.forget_history()
-    await world.store.async_fail(StoreTrouble.NONE)
+    world.store.compact_history()
+    await world.store.async_set_fault(StoreFault.NONE)
     await world.async_until(lambda: not _is_evacuated(world))
 
 
@@ -101,7 +101,7 @@
     await _async_evacuate(world)
     elsewhere = PublishedStoreStandin()
     address = await elsewhere.async_start()
-    await elsewhere.async_fail(StoreTrouble.BUSY)
+    await elsewhere.async_set_fault(StoreFault.BUSY)
     seed = str(world.product.addresses["link"])
     product = await world.async_start_forwarder("entry-2", store=str(address), seeds=(seed,))
     await world.async_until(product.is_ready)
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -226,7 +226,7 @@
         session, "POST", "/quote/a", "r1", product=second, extra=PROMPT, body=b"{}"
     )
     assert _list_missing(caplog) == [1_200, 0]
-    assert [runner.listed for runner in world.models] == [0, 0]
+    assert [runner.inventory_calls for runner in world.models] == [0, 0]
 
 
 async def test_router_without_peers_queries_each_engine_once(
@@ -234,14 +234,14 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     for runner in world.models:
-        runner.held = [("", "a1", 800, "m"), ("", "b2", 400, "m")]
+        runner.inventory = [("", "a1", 800, "m"), ("", "b2", 400, "m")]
     second = await world.async_start_forwarder("entry-2", first_start=False)
     await world.async_until(second.is_ready)
     await world.async_call(
         session, "POST", "/quote/a", "r1", product=second, extra=PROMPT, body=b"{}"
     )
     assert _list_missing(caplog) == [0]
-    assert [runner.listed for runner in world.models] == [1, 1]
+    assert [runner.inventory_calls for runner in world.models] == [1, 1]
 
 
 def _list_missing(caplog: pytest.LogCaptureFixture) -> list[int]:
--- a/tests/forwarding/test_forwarding_requests.py
+++ b/tests/forwarding/test_forwarding_requests.py
@@ -8,7 +8,7 @@
 import pytest
 from forwarding_world import PROMPT, ForwardingWorld
 
-from gypsumrouter.standins import RunnerTrouble
+from gypsumrouter.standins import RunnerFault
 
 Session = aiohttp.ClientSession
 
@@ -79,7 +79,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.RESET
+        runner.default_fault = RunnerFault.RESET
     status, body, headers = await world.async_call(session, "POST", "/reserve/a", "r1", body=b"x")
     assert status == 502
     assert b'"executed": "unknown"' in body
@@ -90,7 +90,7 @@
 async def test_what_was_turned_away_runs_elsewhere(
     world: ForwardingWorld, session: Session
 ) -> None:
-    world.records[0].always = RunnerTrouble.SHED
+    world.records[0].default_fault = RunnerFault.SHED
     for number in range(4):
         request_id = f"r{number}"
         status, _, _ = await world.async_call(session, "POST", "/reserve/a", request_id, body=b"x")
@@ -102,7 +102,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.SHED
+        runner.default_fault = RunnerFault.SHED
     status, body, headers = await world.async_call(session, "POST", "/reserve/a", "r1", body=b"x")
     assert status == 503
     assert b'"executed": "not_run"' in body
@@ -114,7 +114,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.FALSE_PROMISE
+        runner.default_fault = RunnerFault.UNMARKED_REJECTION
     status, _, _ = await world.async_call(session, "POST", "/reserve/a", "r1", body=b"x")
     assert status == 502
     assert len(world.arrivals("r1")) == 1
@@ -122,12 +122,12 @@
 
 @pytest.mark.parametrize(
     "trouble",
-    [RunnerTrouble.RESET, RunnerTrouble.ERROR, RunnerTrouble.UNSIGNED, RunnerTrouble.ENCODED],
+    [RunnerFault.RESET, RunnerFault.ERROR, RunnerFault.NO_STAMP, RunnerFault.ENCODED],
 )
 async def test_what_may_be_repeated_is_run_again_elsewhere(
-    world: ForwardingWorld, session: Session, trouble: RunnerTrouble
+    world: ForwardingWorld, session: Session, trouble: RunnerFault
 ) -> None:
-    world.records[0].always = trouble
+    world.records[0].default_fault = trouble
     for number in range(4):
         status, _, _ = await world.async_call(session, "GET", "/lookup/a", f"r{number}")
         assert status == 200
@@ -136,7 +136,7 @@
 async def test_a_runner_that_says_nothing_is_given_up_for_another(
     world: ForwardingWorld, session: Session
 ) -> None:
-    world.records[0].always = RunnerTrouble.HANG
+    world.records[0].default_fault = RunnerFault.HANG
     for number in range(3):
         status, _, _ = await world.async_call(session, "GET", "/lookup/a", f"r{number}")
         assert status == 200
@@ -146,7 +146,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.ERROR
+        runner.default_fault = RunnerFault.ERROR
     status, body, headers = await world.async_call(session, "GET", "/lookup/a", "r1")
     assert (status, body) == (500, b"broken")
     assert headers["X-Server-Stamp"]
@@ -157,7 +157,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.STRANGER_FIRST
+        runner.default_fault = RunnerFault.FOREIGN_RESPONSE_FIRST
     status, body, _ = await world.async_call(session, "POST", "/reserve/mine", "r1", body=b"x")
     assert status == 200
     assert body.endswith(b"/reserve/mine")
@@ -177,7 +177,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.HANG
+        runner.default_fault = RunnerFault.HANG
     status, body, _ = await world.async_call(
         session, "POST", "/reserve/a", "r1", body=b"x", extra={"X-Deadline-Ms": "300"}
     )
@@ -206,8 +206,8 @@
     # Where the first half of the stream runs is the router's choice; the other engine is sound.
     for runner, other in zip(world.models, reversed(world.models), strict=True):
         runner.events = 6
-        runner.troubles.append(RunnerTrouble.BREAK_STREAM)
-        runner.on_run = other.troubles.clear
+        runner.next_faults.append(RunnerFault.RESET_STREAM)
+        runner.on_run = other.next_faults.clear
     status, body, _ = await world.async_call(
         session, "POST", "/quote/a", "r1", body=b"p", extra=_prompt()
     )
@@ -221,7 +221,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.models:
-        runner.always = RunnerTrouble.BREAK_STREAM
+        runner.default_fault = RunnerFault.RESET_STREAM
     with pytest.raises(aiohttp.ClientError):
         await world.async_call(session, "POST", "/draft/a", "r1", body=b"p", extra=_prompt())
     assert len(world.arrivals("r1")) == 1
@@ -235,7 +235,7 @@
     call = asyncio.create_task(world.async_call(session, "POST", "/reserve/a", "r1", body=b"x"))
     await world.async_until(lambda: world.arrivals("r1"))
     call.cancel()
-    await world.async_until(lambda: world.arrivals("r1")[0].left)
+    await world.async_until(lambda: world.arrivals("r1")[0].cancelled)
 
 
 async def test_a_prompt_goes_where_it_was_read(world: ForwardingWorld, session: Session) -> None:
--- a/tests/forwarding/test_forwarding_restored_store.py
+++ b/tests/forwarding/test_forwarding_restored_store.py
@@ -5,7 +5,7 @@
 import aiohttp
 from forwarding_world import ForwardingWorld, make_configuration
 
-from gypsumrouter.standins import StoreTrouble
+from gypsumrouter.standins import StoreFault
 
 Session = aiohttp.ClientSession
 
@@ -34,15 +34,15 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     """A watch from the old revision would bring only what was written above it."""
-    copy = world.store.make_copy()
+    copy = world.store.make_snapshot()
     await world.store.async_put_configuration(make_configuration(3))
     await world.async_until(lambda: get_version(world) == 3)
-    await world.store.async_fail(StoreTrouble.RESET)
+    await world.store.async_set_fault(StoreFault.RESET)
     await world.store.async_restore(copy)
     await async_leave(world, "i-records-1")
     for version in (3, 4, 5):
         await world.store.async_put_configuration(make_configuration(version))
-    await world.store.async_fail(StoreTrouble.NONE)
+    await world.store.async_set_fault(StoreFault.NONE)
     await world.async_until(lambda: get_state(world, "i-records-1") == "leaving")
     await world.async_until(lambda: get_version(world) == 5)
 
@@ -50,7 +50,7 @@
 async def test_a_store_restored_without_an_outage_is_read_anew(
     world: ForwardingWorld, session: Session
 ) -> None:
-    copy = world.store.make_copy()
+    copy = world.store.make_snapshot()
     await world.store.async_put_configuration(make_configuration(3))
     await world.async_until(lambda: get_version(world) == 3)
     await world.store.async_restore(copy)
@@ -62,7 +62,7 @@
 async def test_an_upstream_that_left_gets_nothing_by_the_word_of_the_copy(
     world: ForwardingWorld, session: Session
 ) -> None:
-    copy = world.store.make_copy()
+    copy = world.store.make_snapshot()
     await async_leave(world, "i-records-1")
     await world.async_until(lambda: get_state(world, "i-records-1") == "leaving")
     await world.store.async_remove("servers/i-records-1")
--- a/tests/forwarding/test_forwarding_upstream_words.py
+++ b/tests/forwarding/test_forwarding_upstream_words.py
@@ -18,7 +18,7 @@
 import pytest
 from forwarding_world import PROMPT, ForwardingWorld
 
-from gypsumrouter.standins import PlatformRunner, RunnerTrouble, StoreTrouble
+from gypsumrouter.standins import PlatformRunner, RunnerFault, StoreFault
 
 Session = aiohttp.ClientSession
 CALLS = 12
@@ -33,7 +33,7 @@
 
 def say_leaving(runner: PlatformRunner, runners: list[PlatformRunner]) -> None:
     """Let a runner leave unless another one does."""
-    runner.leaving = not any(other.leaving for other in runners if other is not runner)
+    runner.draining = not any(other.draining for other in runners if other is not runner)
 
 
 def get_state(world: ForwardingWorld, upstream: str) -> str:
@@ -73,25 +73,25 @@
 async def test_an_upstream_whose_answer_says_that_it_leaves_gets_no_new_work(
     world: ForwardingWorld, session: Session, method: str, path: str
 ) -> None:
-    await world.store.async_fail(StoreTrouble.SILENT)
+    await world.store.async_set_fault(StoreFault.SILENT)
     runners = world.models if path.startswith(("/draft", "/quote")) else world.records
     # Whichever is the first: a prompt goes to the same one again and again.
     for runner in runners:
         runner.on_run = partial(say_leaving, runner, runners)
     extra = PROMPT if runners is world.models else None
     await world.async_call(session, method, path, "first", extra=extra)
-    leaving = next(runner for runner in runners if runner.leaving)
+    leaving = next(runner for runner in runners if runner.draining)
     before = len(leaving.arrivals)
     assert set(await async_call_on(world, session, method, path)) == {200}
     assert len(leaving.arrivals) == before
 
 
-@pytest.mark.parametrize("trouble", [RunnerTrouble.ERROR, RunnerTrouble.SHED])
+@pytest.mark.parametrize("trouble", [RunnerFault.ERROR, RunnerFault.SHED])
 async def test_a_failure_says_it_as_well(
-    world: ForwardingWorld, session: Session, trouble: RunnerTrouble
+    world: ForwardingWorld, session: Session, trouble: RunnerFault
 ) -> None:
     for runner in world.records:
-        runner.leaving, runner.always = True, trouble
+        runner.draining, runner.default_fault = True, trouble
     for runner in world.records:
         await async_call_until_answered_by(world, session, runner.name, "POST", "/reserve/a")
     before = [len(runner.arrivals) for runner in world.records]
@@ -104,10 +104,10 @@
 ) -> None:
     """A router that has started after a failure asks the engines before it sends them anything."""
     for runner in world.models:
-        runner.leaving = True
+        runner.draining = True
     second = await world.async_start_forwarder("entry-2", first_start=False)
     await world.async_until(second.is_ready)
-    await world.async_until(lambda: all(runner.listed for runner in world.models))
+    await world.async_until(lambda: all(runner.inventory_calls for runner in world.models))
     status, _, _ = await world.async_call(
         session, "POST", "/draft/a", "r1", product=second, extra=PROMPT
     )
@@ -119,7 +119,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     leaving = world.records[0]
-    leaving.leaving = True
+    leaving.draining = True
     await async_call_until_answered_by(world, session, leaving.name, "GET", "/lookup/a")
     before = len(leaving.arrivals)
     address = world.addresses[leaving.name]
@@ -140,11 +140,11 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     resting, other = world.records
-    resting.troubles.append(RunnerTrouble.SHED)
-    resting.rest_s = REST_S
+    resting.next_faults.append(RunnerFault.SHED)
+    resting.retry_after_s = REST_S
     await async_call_until_answered_by(world, session, resting.name, "GET", "/lookup/a")
     assert set(await async_call_on(world, session, "GET", "/lookup/a")) == {200}
-    other.always = RunnerTrouble.ERROR
+    other.default_fault = RunnerFault.ERROR
     await async_call_on(world, session, "GET", "/lookup/a")
     assert len(resting.arrivals) == 1
 
@@ -153,7 +153,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always, runner.rest_s = RunnerTrouble.SHED, 0.6
+        runner.default_fault, runner.retry_after_s = RunnerFault.SHED, 0.6
     for runner in world.records:
         await async_call_until_answered_by(world, session, runner.name, "GET", "/lookup/a")
     before = [len(runner.arrivals) for runner in world.records]
@@ -171,11 +171,11 @@
     """On a kept connection such an answer is no answer to the request that waits there."""
     speaking, other = world.records
     await async_call_until_answered_by(world, session, speaking.name, "GET", "/lookup/a")
-    speaking.leaving, speaking.rest_s = leaving, None if leaving else REST_S
-    speaking.always = RunnerTrouble.SHED
+    speaking.draining, speaking.retry_after_s = leaving, None if leaving else REST_S
+    speaking.default_fault = RunnerFault.SHED
     before = len(speaking.arrivals)
     while len(speaking.arrivals) == before:
         await world.async_call(session, "GET", "/lookup/a", "second")
-    other.always = RunnerTrouble.ERROR
+    other.default_fault = RunnerFault.ERROR
     await async_call_on(world, session, "GET", "/lookup/a")
     assert len(speaking.arrivals) == before + 1
