--- a/bench/churn_faults.py
+++ b/bench/churn_faults.py
@@ -59,7 +59,7 @@
     async def _async_replace_instance_in(self, name: str, every_s: float) -> None:
         await self._stage.clock.async_sleep(round(FIRST_REPLACED * every_s * MS_PER_S))
         platform, rig = self._stage.platform, self._stage.rig
-        platform.instances.leave(name)
+        platform.instances.mark_leaving(name)
         await self._stage.clock.async_sleep(LEAVE_NOTICE_MS)
         await rig.sides.pop(name).async_stop()
         engine = platform.engines[name]
--- a/bench/config_fleet.py
+++ b/bench/config_fleet.py
@@ -183,9 +183,9 @@
         await probed.async_start()
         fleet.probed.append(probed)
         if role is Role.SIDE:
-            platform.list_side(side, probed.link)
+            platform.register_side(side, probed.link)
         else:
-            platform.list_router(name, probed.link, **place)
+            platform.register_router(name, probed.link, **place)
 
 
 def _average_bytes(spent: list[Spent]) -> float:
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -216,7 +216,7 @@
     print(
         f"{stage.clock.now_ms() / MS_PER_S - stage.began_s:4.0f} s, seed {seed}: "
         f"{len(journal.requests)} requests, {len(journal.tries)} tries, "
-        f"{stage.rig.platform.count_doubled()} calls doubled so far",
+        f"{stage.rig.platform.count_repeated_calls()} calls doubled so far",
         flush=True,
     )
 
--- a/bench/faults_report.py
+++ b/bench/faults_report.py
@@ -37,7 +37,7 @@
     def doubled(self) -> int:
         """Return how many calls ran twice, or answers came with surplus."""
         seen = sum(tally.doubled for tally in self.tallies)
-        return max(self.stage.rig.platform.count_doubled(), seen)
+        return max(self.stage.rig.platform.count_repeated_calls(), seen)
 
     def list_false_not_run(self) -> list[str]:
         """Return the requests that were told to be not run, and did run."""
--- a/bench/faults_rig.py
+++ b/bench/faults_rig.py
@@ -109,7 +109,7 @@
     def mark_leaving(self, name: str) -> None:
         """Mark an instance as leaving on both lists."""
         for service in self.lists.values():
-            service.leave(name)
+            service.mark_leaving(name)
 
     def _choose_list(self, settings: dict[str, Any], data_centre: str) -> dict[str, Any]:
         address = self.lists[self.get_group(data_centre)].address
@@ -169,7 +169,7 @@
         """List a running process again at its addresses, after it was taken off the lists."""
         plan = self.platform.get_plan(name)
         addresses = self._listed[plan.name]
-        self.platform.list_side(name, addresses[Group.LEFT])
+        self.platform.register_side(name, addresses[Group.LEFT])
         self.platform.copy_listing(name, addresses[Group.RIGHT])
 
     async def async_wait_until_ready(self, process: DaemonProcess, *, limit_ms: int) -> bool:
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -336,7 +336,7 @@
             "weight_store_fetches": {
                 name: len(store.fetched_ms) for name, store in run.stores.items()
             },
-            "weight_store_refused": sum(store.refused for store in run.stores.values()),
+            "weight_store_refused": sum(store.rejected for store in run.stores.values()),
             "target_met": {phase.name: round(phase.load.target_met, 4) for phase in run.phases},
             "target_met_quiet": round(run.quiet.target_met, 4),
             "lost_or_wrong": sum(count_wrong(load) for load in loads),
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -25,7 +25,7 @@
 from gypsumrouter.instances import Address
 from gypsumrouter.standins import EngineSettings, StandinPlatform, kotlovnica
 from gypsumrouter.standins.deployments import make_configuration
-from gypsumrouter.standins.fleet import SidePlan
+from gypsumrouter.standins.platform import SidePlan
 from gypsumrouter.util.clock import SystemClock
 
 TARGET_ROUTER_TOKENS_S: Final = 13_333
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -136,12 +136,12 @@
         self._scratch.cleanup()
 
     async def _async_list_side(self, name: str, address: Address) -> None:
-        self.platform.list_side(name, address)
+        self.platform.register_side(name, address)
 
     async def _async_list_router(
         self, name: str, address: Address, *, data_centre: str, region: str
     ) -> None:
-        self.platform.list_router(name, address, data_centre=data_centre, region=region)
+        self.platform.register_router(name, address, data_centre=data_centre, region=region)
 
     async def _async_start(self, role: Role, settings: Sections) -> tuple[DaemonProcess, Address]:
         name = settings["instance"]["name"]
--- a/gypsumrouter/demo/local_fleet.py
+++ b/gypsumrouter/demo/local_fleet.py
@@ -62,7 +62,7 @@
         settings = self.platform.make_side_settings(name, link={"key_env": ENV_LINK_KEY})
         product = await self._async_start(Role.SIDE, settings)
         self.sides[name] = product
-        self.platform.list_side(name, product.addresses[ADDRESS_LINK])
+        self.platform.register_side(name, product.addresses[ADDRESS_LINK])
         return product
 
     async def async_start_router(
@@ -74,7 +74,7 @@
         )
         product = await self._async_start(Role.ROUTER, settings)
         self.routers[name] = product
-        self.platform.list_router(
+        self.platform.register_router(
             name, product.addresses[ADDRESS_LINK], data_centre=data_centre, region=region
         )
         return product
@@ -89,7 +89,7 @@
         late = [product.app.name for product in products if not product.is_ready()]
         raise NotReady(f"not ready in time: {', '.join(late)}")
 
-    def list_callers(self) -> tuple[Address, ...]:
+    def list_caller_addresses(self) -> tuple[Address, ...]:
         """Return where the routers take callers' requests."""
         return tuple(product.addresses[ADDRESS_CALLERS] for product in self.routers.values())
 
--- a/gypsumrouter/demo/run.py
+++ b/gypsumrouter/demo/run.py
@@ -86,7 +86,7 @@
     await asyncio.gather(*tasks, return_exceptions=True)
     _print_figures(fleet, stages, (clock.now_ms() - began_ms) / MS_PER_S)
     return print_outcome(
-        [stage.tally for stage in stages], doubled_runs=fleet.platform.count_doubled()
+        [stage.tally for stage in stages], doubled_runs=fleet.platform.count_repeated_calls()
     )
 
 
@@ -99,7 +99,7 @@
         "stream": True,
     }
     print(
-        f"curl -N http://{fleet.list_callers()[0]}{PATH_CHAT}"
+        f"curl -N http://{fleet.list_caller_addresses()[0]}{PATH_CHAT}"
         f" -H 'Authorization: Bearer {deployment.workspaces[0].key}'"
         f" -H 'Content-Type: application/json' -H '{HEADER_CHAT}: vessel-7'"
         f" -d '{json.dumps(body)}'",
@@ -131,7 +131,7 @@
     session: aiohttp.ClientSession, fleet: LocalFleet, stage: Stage, clock: Clock
 ) -> CallerContext:
     return CallerContext(
-        session=session, routers=fleet.list_callers(), tally=stage.tally, clock=clock
+        session=session, routers=fleet.list_caller_addresses(), tally=stage.tally, clock=clock
     )
 
 
--- a/gypsumrouter/standins/__init__.py
+++ b/gypsumrouter/standins/__init__.py
@@ -13,11 +13,11 @@
 from gypsumrouter.standins.engine import Engine
 from gypsumrouter.standins.fault_proxy import FaultProxy
 from gypsumrouter.standins.faults import OutageKind
-from gypsumrouter.standins.fleet import SidePlan, StandinPlatform
 from gypsumrouter.standins.instance_list import InstanceListService
 from gypsumrouter.standins.models import EngineSettings
 from gypsumrouter.standins.partition import Partition
 from gypsumrouter.standins.pipes import BOTH_DIRECTIONS, Direction
+from gypsumrouter.standins.platform import SidePlan, StandinPlatform
 from gypsumrouter.standins.platform_runner import PlatformRunner, RunnerFault
 from gypsumrouter.standins.published_store import PublishedStoreStandin, StoreFault, StoreSnapshot
 from gypsumrouter.standins.service import Service
--- a/gypsumrouter/standins/configuration_service.py
+++ b/gypsumrouter/standins/configuration_service.py
@@ -49,7 +49,7 @@
         "_stale_version",
         "max_waiting",
         "reads",
-        "refused",
+        "rejected",
         "version",
         "watch_ms_total",
         "watches",
@@ -74,7 +74,7 @@
         self.version = 0
         self.reads = 0
         self.watches = 0
-        self.refused = 0
+        self.rejected = 0
         self.max_waiting = 0
         self.watch_ms_total = 0
         self._gate = Gate()
@@ -137,7 +137,7 @@
         if self._outage.kind is OutageKind.ERROR:
             return answer_error(status=503, code="outage")
         if not self._bucket.take(used_per_s=self.waiting):
-            self.refused += 1
+            self.rejected += 1
             return answer_error(status=429, code="read_limit")
         if "watch" not in request.query:
             self.reads += 1
@@ -195,7 +195,7 @@
                 "version": self.version,
                 "reads": self.reads,
                 "watches": self.watches,
-                "refused": self.refused,
+                "refused": self.rejected,
                 "waiting": self.waiting,
                 "max_waiting": self.max_waiting,
                 "watch_ms_total": self.watch_ms_total,
--- a/gypsumrouter/standins/deployments.py
+++ b/gypsumrouter/standins/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments that the stand-ins are sized for: their workspaces, classes and rules."""
+"""The two example deployments: their sizes, workspaces, caller classes and rules."""
 
 from __future__ import annotations
 
@@ -32,35 +32,36 @@
 
 
 class WorkspacePlan(Struct, frozen=True, kw_only=True):
-    """A workspace and its part of the traffic, relative to the others."""
+    """A workspace; `traffic` is its weight relative to the other workspaces."""
 
     name: str
     traffic: float = 1.0
 
     @property
     def key(self) -> str:
-        """Return the callers' key: a fixed one, for tests only."""
+        """Return the API key of the workspace's callers, derived from its name; for tests only."""
         secret = hashlib.sha256(f"gypsumrouter test key of {self.name}".encode()).hexdigest()
         return f"test-{self.name}-{secret[:KEY_CHARACTERS]}"
 
     @property
     def key_digest(self) -> str:
-        """Return what the configuration holds of the key."""
+        """Return the SHA-256 digest of the key, as the configuration stores it."""
         return hashlib.sha256(self.key.encode()).hexdigest()
 
 
 class Deployment(Struct, frozen=True, kw_only=True):
-    """One user's installation.
+    """The size and configuration of one installation.
 
-    `between_ms` is the one-way time between its data centres, `client_ms` that to its callers.
-    `interactive` are the classes of callers that wait for an answer, in falling share.
+    `data_centre_latency_ms` is the one-way latency between its data centres, and
+    `client_latency_ms` the one-way latency to its callers. `interactive` lists the caller classes
+    that are not batch classes, by decreasing share of the traffic.
     """
 
     name: str
     region: str
     data_centres: tuple[str, ...]
-    between_ms: float
-    client_ms: float
+    data_centre_latency_ms: float
+    client_latency_ms: float
     model: str
     engine_pool: str
     engines: int
@@ -72,22 +73,22 @@
 
     @property
     def classes(self) -> tuple[CallerClass, ...]:
-        """Return the interactive classes and the reports."""
+        """Return the interactive classes and the batch class."""
         return (*self.interactive, REPORTS)
 
     def get_data_centre(self, index: int) -> str:
-        """Return where the instance with a running number stands."""
+        """Return the data centre of the instance with this index, round robin."""
         return self.data_centres[index % len(self.data_centres)]
 
 
 def chapin() -> Deployment:
-    """Return the size of today of Consorcio Uniformes Escolares Chapín."""
+    """Return the current deployment of Consorcio Uniformes Escolares Chapín."""
     return Deployment(
         name="chapin",
         region="gt-central",
         data_centres=("gt-central-a", "gt-central-b", "gt-central-c"),
-        between_ms=1.5,
-        client_ms=1.0,
+        data_centre_latency_ms=1.5,
+        client_latency_ms=1.0,
         model="sizing-chat",
         engine_pool="chapin-models",
         engines=6,
@@ -103,13 +104,13 @@
 
 
 def kotlovnica() -> Deployment:
-    """Return the size of today of Kotlovnica Analitika d.o.o."""
+    """Return the current deployment of Kotlovnica Analitika d.o.o."""
     return Deployment(
         name="kotlovnica",
         region="hr-zagreb",
         data_centres=("hr-zagreb-a", "hr-zagreb-b", "hr-zagreb-c"),
-        between_ms=0.5,
-        client_ms=3.0,
+        data_centre_latency_ms=0.5,
+        client_latency_ms=3.0,
         model="inspection-chat",
         engine_pool="kotlovnica-models",
         engines=9,
@@ -124,7 +125,10 @@
 
 
 def make_configuration(*deployments: Deployment, version: int) -> Configuration:
-    """Return the configuration that holds for some deployments together."""
+    """Return one configuration with the workspaces, pools and rules of all deployments.
+
+    The default class is that of the first deployment.
+    """
     classes = {item.name: item for deployment in deployments for item in deployment.classes}
     return Configuration(
         version=version,
@@ -145,8 +149,8 @@
 ) -> tuple[WorkspacePlan, ...]:
     traffic = (*large, *(1.0 for _ in range(small)))
     return tuple(
-        WorkspacePlan(name=f"{name}-{index}", traffic=part)
-        for index, part in enumerate(traffic, start=1)
+        WorkspacePlan(name=f"{name}-{index}", traffic=weight)
+        for index, weight in enumerate(traffic, start=1)
     )
 
 
--- a/gypsumrouter/standins/instance_list.py
+++ b/gypsumrouter/standins/instance_list.py
@@ -124,7 +124,7 @@
             self._instances.pop(name, None)
         self._add_state()
 
-    def leave(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Mark an instance as leaving."""
         instance = self._instances.get(name)
         if instance is None:
@@ -244,7 +244,7 @@
         return answer_json({"revision": self.revision})
 
     async def _async_leave(self, request: web.Request) -> web.Response:
-        self.leave(request.match_info["name"])
+        self.mark_leaving(request.match_info["name"])
         return answer_json({"revision": self.revision})
 
     async def _async_lag(self, request: web.Request) -> web.Response:
--- a/gypsumrouter/standins/fleet.py
+++ b/gypsumrouter/standins/platform.py
@@ -1,4 +1,4 @@
-"""A whole platform of stand-ins for one or more deployments, in one process."""
+"""In-process stand-ins of the platform services and upstreams of some deployments."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class SidePlan(Struct, frozen=True, kw_only=True):
-    """One side that is to run beside an upstream of the platform."""
+    """The placement of one side, the router process that runs next to an upstream."""
 
     name: str
     pool: str
@@ -38,10 +38,11 @@
 
 
 class StandinPlatform:
-    """Both platform services, a weight store, and all upstreams of the deployments.
+    """The configuration service, instance list, weight store and upstreams of some deployments.
 
-    The list begins empty: whoever starts daemons lists them with `list_side` and `list_router`.
-    Engines and services are found by the name of the side that belongs to them.
+    The instance list is empty at first; the code that starts sides and routers adds them with
+    `register_side` and `register_router`. `engines` and `services` are keyed by the name of the
+    side next to them.
     """
 
     __slots__ = (
@@ -80,7 +81,7 @@
         self.plans: tuple[SidePlan, ...] = ()
 
     async def async_start(self) -> None:
-        """Start everything and publish the first configuration."""
+        """Start all stand-ins and publish the first version of the configuration."""
         await self.configuration.async_start()
         await self.instances.async_start()
         await self.weight_store.async_start()
@@ -90,7 +91,7 @@
         self.publish(make_configuration(*self.deployments, version=FIRST_VERSION))
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop all stand-ins."""
         for engine in self.engines.values():
             await engine.async_stop()
         for service in self.services.values():
@@ -104,14 +105,14 @@
         return self.configuration.publish(msgspec.json.encode(configuration))
 
     def get_plan(self, name: str) -> SidePlan:
-        """Return the plan of a side; raises InvariantBroken for an unknown name."""
+        """Return the plan of a side; raises InvariantBroken if the name is unknown."""
         for plan in self.plans:
             if plan.name == name:
                 return plan
-        raise InvariantBroken(f"no side is called {name}")
+        raise InvariantBroken(f"unknown side {name}")
 
-    def list_side(self, name: str, address: Address) -> None:
-        """List a running side by the address of its link."""
+    def register_side(self, name: str, address: Address) -> None:
+        """Add a running side to the instance list; `address` is that of its link listener."""
         plan = self.get_plan(name)
         self.instances.set(
             Instance(
@@ -125,8 +126,10 @@
             )
         )
 
-    def list_router(self, name: str, address: Address, *, data_centre: str, region: str) -> None:
-        """List a running router by the address of its link."""
+    def register_router(
+        self, name: str, address: Address, *, data_centre: str, region: str
+    ) -> None:
+        """Add a running router to the instance list; `address` is that of its link listener."""
         self.instances.set(
             Instance(
                 name=name,
@@ -138,7 +141,7 @@
         )
 
     def make_side_settings(self, name: str, *, link: dict[str, Any]) -> dict[str, Any]:
-        """Return the settings of a side; `link` goes in as it is, with the key's place."""
+        """Return the settings of a side; `link` is its link section, with the source of the key."""
         plan = self.get_plan(name)
         return {
             "instance": _make_identity(name, plan.data_centre, plan.region),
@@ -156,28 +159,28 @@
     def make_router_settings(
         self, name: str, *, data_centre: str, region: str, link: dict[str, Any]
     ) -> dict[str, Any]:
-        """Return the settings of a router."""
+        """Return the settings of a router; `link` is its link section."""
         return {
             "instance": _make_identity(name, data_centre, region),
             "link": link,
             "platform": self._make_platform(),
         }
 
-    def count_runs(self) -> Counter[str]:
-        """Return how often each call that must not be repeated has run, by its key."""
+    def count_executions(self) -> Counter[str]:
+        """Return the executions of each at-most-once call, by idempotency key."""
         paths = {path for deployment in self.deployments for path in deployment.at_most_once}
-        runs: Counter[str] = Counter()
+        executions: Counter[str] = Counter()
         for service in self.services.values():
-            runs.update(
+            executions.update(
                 execution.key
                 for execution in service.executions
                 if execution.path.partition("?")[0] in paths
             )
-        return runs
+        return executions
 
-    def count_doubled(self) -> int:
-        """Return how many calls that must not be repeated have run more than once."""
-        return sum(1 for count in self.count_runs().values() if count > 1)
+    def count_repeated_calls(self) -> int:
+        """Return the number of at-most-once calls that were executed more than once."""
+        return sum(1 for count in self.count_executions().values() if count > 1)
 
     async def _async_start_engines(self, deployment: Deployment) -> None:
         for index in range(deployment.engines):
--- a/gypsumrouter/standins/weight_store.py
+++ b/gypsumrouter/standins/weight_store.py
@@ -26,7 +26,7 @@
     `fetched_ms` holds the wall time at which each accepted fetch began.
     """
 
-    __slots__ = ("_bucket", "_clock", "_fetch_ms", "_listener", "_outage", "fetched_ms", "refused")
+    __slots__ = ("_bucket", "_clock", "_fetch_ms", "_listener", "_outage", "fetched_ms", "rejected")
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._fetch_ms = fetch_ms
         self._bucket = TokenBucket(clock=clock, rate_per_s=fetches_per_s, burst=burst)
         self.fetched_ms: deque[int] = deque(maxlen=FETCHES_KEPT)
-        self.refused = 0
+        self.rejected = 0
         gate = Gate()
         app = web.Application(middlewares=[gate.async_hold])
         self._listener = StandinListener(app=app, host=host, port=port)
@@ -75,7 +75,7 @@
         if self._outage.kind is OutageKind.ERROR:
             return answer_error(status=503, code="outage")
         if not self._bucket.take():
-            self.refused += 1
+            self.rejected += 1
             return answer_error(status=429, code="weight_store_rate")
         self.fetched_ms.append(self._clock.wall_ms())
         await self._clock.async_sleep(self._fetch_ms)
--- a/tests/daemon/daemon_fleet.py
+++ b/tests/daemon/daemon_fleet.py
@@ -46,13 +46,13 @@
     async def _async_start_side(self, plan: SidePlan) -> None:
         settings = self.platform.make_side_settings(plan.name, link=LINK)
         address = await self._async_start_daemon(Role.SIDE, plan.name, settings)
-        self.platform.list_side(plan.name, address)
+        self.platform.register_side(plan.name, address)
 
     async def _async_start_router(self) -> None:
         where = {"data_centre": "here-a", "region": "here"}
         settings = self.platform.make_router_settings(ROUTER, **where, link=LINK)
         address = await self._async_start_daemon(Role.ROUTER, ROUTER, settings)
-        self.platform.list_router(ROUTER, address, **where)
+        self.platform.register_router(ROUTER, address, **where)
 
     async def _async_start_daemon(self, role: Role, name: str, settings: dict[str, Any]) -> Address:
         settings["platform"].update(QUICK["platform"])
--- a/tests/orders/test_orders_sides.py
+++ b/tests/orders/test_orders_sides.py
@@ -40,7 +40,7 @@
     assert count_holders(world, CHAT) == 2
     # The second engine took the weights from the first, and not from the store.
     assert len(world.weights.fetched_ms) == 1
-    assert world.weights.refused == 0
+    assert world.weights.rejected == 0
 
 
 async def test_adapters_and_the_role_follow_the_model(world: World) -> None:
@@ -214,7 +214,7 @@
     world.weights.set_rate(0.0)
     await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="3"),)))
     await world.async_run(30_000)
-    assert 3 <= world.weights.refused <= 10
+    assert 3 <= world.weights.rejected <= 10
     world.weights.set_rate(STORE_PER_S)
     await world.async_run_until(lambda: all(side.held == {CHAT: "3"} for side in sides))
 
--- a/tests/sessions/test_crashing_requests.py
+++ b/tests/sessions/test_crashing_requests.py
@@ -22,7 +22,7 @@
     codes = []
     async with aiohttp.ClientSession() as session:
         for attempt in range(6):
-            router = fleet.list_callers()[attempt % 2]
+            router = fleet.list_caller_addresses()[attempt % 2]
             async with session.post(
                 f"http://{router}{PATH_CHAT}", json=make_chat(content=MARKER), headers=headers
             ) as response:
--- a/tests/sessions/test_golden_sessions.py
+++ b/tests/sessions/test_golden_sessions.py
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def recorder(product: LocalFleet, http: aiohttp.ClientSession) -> Recorder:
-    return Recorder(router=product.list_callers()[0], session=http)
+    return Recorder(router=product.list_caller_addresses()[0], session=http)
 
 
 @pytest.fixture
@@ -74,7 +74,7 @@
     for _ in range(2):
         await recorder.async_ask("POST", DEFECTS, headers=keyed, body=b'{"vessel": 7}')
     await recorder.async_ask("POST", DEFECTS, headers=keyed, body=b'{"vessel": 8}')
-    assert product.platform.count_doubled() == 0
+    assert product.platform.count_repeated_calls() == 0
     check_golden("service_call", recorder.make_text(), write=write_golden)
 
 
@@ -104,7 +104,7 @@
     start_product: StartProduct, http: aiohttp.ClientSession, write_golden: bool
 ) -> None:
     fleet = await start_product(engine_settings=EngineSettings(step_ms=200.0))
-    recorder = Recorder(router=fleet.list_callers()[0], session=http)
+    recorder = Recorder(router=fleet.list_caller_addresses()[0], session=http)
     headers = make_headers(fleet.platform.deployments[0].workspaces[0].key) | JSON
     body = write_json(make_chat(stream=True, max_tokens=20))
     answer = await recorder.async_send("POST", PATH_CHAT, headers=headers, body=body)
--- a/tests/sessions/test_openai_client.py
+++ b/tests/sessions/test_openai_client.py
@@ -19,7 +19,7 @@
 
 def make_client(fleet: LocalFleet) -> openai.AsyncOpenAI:
     return openai.AsyncOpenAI(
-        base_url=f"http://{fleet.list_callers()[0]}/v1",
+        base_url=f"http://{fleet.list_caller_addresses()[0]}/v1",
         api_key=fleet.platform.deployments[0].workspaces[0].key,
         max_retries=0,
     )
--- a/tests/standins/test_standins_configuration_service.py
+++ b/tests/standins/test_standins_configuration_service.py
@@ -94,7 +94,7 @@
 ) -> None:
     statuses = [(await reader.async_read())[0] for _ in range(READS_PER_S + 2)]
     assert statuses == [200] * READS_PER_S + [429] * 2
-    assert service.refused == 2
+    assert service.rejected == 2
     clock.advance(200)
     statuses = [(await reader.async_read())[0] for _ in range(3)]
     assert statuses == [200, 200, 429]
--- a/tests/standins/test_standins_instance_list.py
+++ b/tests/standins/test_standins_instance_list.py
@@ -80,8 +80,8 @@
 ) -> None:
     service.set(make_instance("a"), make_instance("b"))
     service.set(make_instance("a"))
-    service.leave("a")
-    service.leave("unknown")
+    service.mark_leaving("a")
+    service.mark_leaving("unknown")
     service.remove("b")
     assert service.revision == 3
     left = service.get("a")
--- a/tests/standins/test_standins_orders.py
+++ b/tests/standins/test_standins_orders.py
@@ -113,7 +113,7 @@
         clock, async_until(lambda: all(r.state is not OrderState.PENDING for r in records))
     )
     assert sorted(book.models) == ["m0", "m1"]
-    assert (len(store.fetched_ms), store.refused) == (2, 1)
+    assert (len(store.fetched_ms), store.rejected) == (2, 1)
 
 
 @pytest.mark.parametrize(
--- a/tests/standins/test_standins_platform.py
+++ b/tests/standins/test_standins_platform.py
@@ -93,8 +93,8 @@
 
 async def test_sides_and_routers_are_listed_by_their_links(platform: StandinPlatform) -> None:
     address = Address(host="127.0.0.1", port=7_000)
-    platform.list_side("records-2", address)
-    platform.list_router("router-1", address, data_centre="hr-zagreb-b", region="hr-zagreb")
+    platform.register_side("records-2", address)
+    platform.register_router("router-1", address, data_centre="hr-zagreb-b", region="hr-zagreb")
     side, router = platform.instances.get("records-2"), platform.instances.get("router-1")
     assert side is not None
     assert router is not None
@@ -246,8 +246,8 @@
     url = f"http://{platform.services['records-1'].address}/reports"
     for _ in range(2):
         await session.post(url, headers={"Idempotency-Key": "may-repeat"})
-    assert platform.count_doubled() == 1
-    assert platform.count_runs() == {"twice": 2}
+    assert platform.count_repeated_calls() == 1
+    assert platform.count_executions() == {"twice": 2}
 
 
 def test_accounts_follow_the_traffic_of_the_workspaces_the_same_for_the_same_seed() -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -73,7 +73,7 @@
 
 async def async_run_curl(fleet: LocalFleet, line: str) -> str:
     """Run a line of the README against the router of the test."""
-    line = line.replace("127.0.0.1:8080", str(fleet.list_callers()[0]))
+    line = line.replace("127.0.0.1:8080", str(fleet.list_caller_addresses()[0]))
     line = line.replace(".venv/bin/gypsumrouter", f"{sys.executable} -m gypsumrouter.cli")
     process = await asyncio.create_subprocess_exec(
         "/bin/sh",
