--- a/gypsumrouter/demo/__init__.py
+++ b/gypsumrouter/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: the whole product with stand-ins in one process on loopback."""
+"""The demo: the whole process with stand-ins in one process on loopback."""
--- a/gypsumrouter/demo/__main__.py
+++ b/gypsumrouter/demo/__main__.py
@@ -27,12 +27,12 @@
     """Run a fleet with stand-ins on loopback and play chats and service calls of two users."""
     remove_logging = configure_logging(settings=Log(level=LogLevel.WARNING), instance=DEMO)
     try:
-        held = uvloop.run(async_run_demo(stay=stay))
+        passed = uvloop.run(async_run_demo(stay=stay))
     except KeyboardInterrupt:
         sys.exit(EXIT_OK)
     finally:
         remove_logging()
-    sys.exit(EXIT_OK if held else EXIT_FAILED)
+    sys.exit(EXIT_OK if passed else EXIT_FAILED)
 
 
 if __name__ == "__main__":
--- a/gypsumrouter/demo/local_fleet.py
+++ b/gypsumrouter/demo/local_fleet.py
@@ -20,9 +20,9 @@
 ENV_LINK_KEY: Final = "GYPSUMROUTER_LOCAL_LINK_KEY"
 LINK_KEY_BYTES: Final = 32
 READY_POLL_MS: Final = 10
-READY_MS: Final = 15_000
+READY_TIMEOUT_MS: Final = 15_000
 
-SettingsPart = dict[str, Any]
+SettingsSections = dict[str, Any]
 
 
 class LocalFleet:
@@ -34,7 +34,7 @@
     __slots__ = ("_clock", "_extra", "platform", "routers", "sides")
 
     def __init__(
-        self, *, platform: StandinPlatform, clock: Clock, extra: SettingsPart | None = None
+        self, *, platform: StandinPlatform, clock: Clock, extra: SettingsSections | None = None
     ) -> None:
         self._clock = clock
         self._extra = extra or {}
@@ -60,10 +60,10 @@
     async def async_start_side(self, name: str) -> RunningProcess:
         """Start the side beside one upstream and put it on the instance list."""
         settings = self.platform.make_side_settings(name, link={"key_env": ENV_LINK_KEY})
-        product = await self._async_start(Role.SIDE, settings)
-        self.sides[name] = product
-        self.platform.register_side(name, product.addresses[ADDRESS_LINK])
-        return product
+        process = await self._async_start(Role.SIDE, settings)
+        self.sides[name] = process
+        self.platform.register_side(name, process.addresses[ADDRESS_LINK])
+        return process
 
     async def async_start_router(
         self, name: str, *, data_centre: str, region: str
@@ -72,34 +72,34 @@
         settings = self.platform.make_router_settings(
             name, data_centre=data_centre, region=region, link={"key_env": ENV_LINK_KEY}
         )
-        product = await self._async_start(Role.ROUTER, settings)
-        self.routers[name] = product
+        process = await self._async_start(Role.ROUTER, settings)
+        self.routers[name] = process
         self.platform.register_router(
-            name, product.addresses[ADDRESS_LINK], data_centre=data_centre, region=region
+            name, process.addresses[ADDRESS_LINK], data_centre=data_centre, region=region
         )
-        return product
+        return process
 
     async def async_wait_ready(self) -> None:
         """Wait until every process takes work; raises NotReady."""
-        products = (*self.sides.values(), *self.routers.values())
-        for _ in range(READY_MS // READY_POLL_MS):
-            if all(product.is_ready() for product in products):
+        processes = (*self.sides.values(), *self.routers.values())
+        for _ in range(READY_TIMEOUT_MS // READY_POLL_MS):
+            if all(process.is_ready() for process in processes):
                 return
             await self._clock.async_sleep(READY_POLL_MS)
-        late = [product.app.name for product in products if not product.is_ready()]
-        raise NotReady(f"not ready in time: {', '.join(late)}")
+        not_ready = [process.app.name for process in processes if not process.is_ready()]
+        raise NotReady(f"not ready in time: {', '.join(not_ready)}")
 
     def list_caller_addresses(self) -> tuple[Address, ...]:
         """Return where the routers take callers' requests."""
-        return tuple(product.addresses[ADDRESS_CALLERS] for product in self.routers.values())
+        return tuple(process.addresses[ADDRESS_CALLERS] for process in self.routers.values())
 
     async def async_stop(self) -> None:
         """Release everything, the routers first."""
-        for product in (*self.routers.values(), *self.sides.values()):
-            await product.app.async_stop()
+        for process in (*self.routers.values(), *self.sides.values()):
+            await process.app.async_stop()
         await self.platform.async_stop()
 
-    async def _async_start(self, role: Role, settings: SettingsPart) -> RunningProcess:
+    async def _async_start(self, role: Role, settings: SettingsSections) -> RunningProcess:
         merged = {
             name: {**settings.get(name, {}), **self._extra.get(name, {})}
             for name in settings.keys() | self._extra.keys()
--- a/gypsumrouter/demo/measure.py
+++ b/gypsumrouter/demo/measure.py
@@ -17,13 +17,13 @@
     Where no engine holds more than `floor` requests, a larger multiple of the mean does no harm.
     """
 
-    __slots__ = ("_ratios", "busiest", "engines", "floor")
+    __slots__ = ("_ratios", "engines", "floor", "peak_load")
 
     def __init__(self, *, engines: tuple[Engine, ...], floor: int) -> None:
         self._ratios: list[float] = []
         self.engines = engines
         self.floor = floor
-        self.busiest = 0
+        self.peak_load = 0
 
     async def async_run(self, clock: Clock) -> None:
         """Sample until cancelled."""
@@ -34,7 +34,7 @@
     def sample(self) -> None:
         """Take one sample."""
         loads = [engine.load for engine in self.engines]
-        self.busiest = max(self.busiest, *loads)
+        self.peak_load = max(self.peak_load, *loads)
         if max(loads) > self.floor:
             self._ratios.append(max(loads) / statistics.fmean(loads))
 
@@ -51,9 +51,9 @@
         return max(produced) / mean if mean else 0.0
 
 
-def sum_control_bytes(products: list[RunningProcess]) -> int:
+def sum_control_bytes(processes: list[RunningProcess]) -> int:
     """Return the bytes that some processes have sent and received to control each other."""
-    return sum(_get_control_bytes(product.app.dump()) for product in products)
+    return sum(_get_control_bytes(process.app.dump()) for process in processes)
 
 
 def _get_control_bytes(sections: dict[str, Any]) -> int:
--- a/gypsumrouter/demo/plan.py
+++ b/gypsumrouter/demo/plan.py
@@ -8,18 +8,18 @@
 
 ROUTERS: Final = 2
 FIRST_SEED: Final = 20260119
-SEEDS_FOR_ONE: Final = 1_000
+SEEDS_PER_DEPLOYMENT: Final = 1_000
 
 CHATS: Final = 32
 CHAT_SHAPE: Final = ChatShape(turns=6, first_bytes=2_000, turn_bytes=200, think_ms=400)
-CALLERS_OF_SERVICES: Final = 6
-CALLS: Final = 12
+SERVICE_CALLERS: Final = 6
+CALLS_PER_CALLER: Final = 12
 CALL_PAUSE_MS: Final = 300
-ARRIVAL_MS: Final = 3_000
+ARRIVAL_WINDOW_MS: Final = 3_000
 
 SAMPLE_MS: Final = 20
 PROGRESS_MS: Final = 1_000
-END_MS: Final = 24_000
+DURATION_MS: Final = 24_000
 
 # All clocks are one clock here, and a short lease lets new sides run keyed calls soon.
 LIST_LEASE_MS: Final = 1_500
@@ -27,4 +27,4 @@
     "platform": {"list_lease_ms": LIST_LEASE_MS, "clock_skew_ms": 0, "list_poll_ms": 200},
 }
 # A key that is younger than this after the start may have been run by an earlier home.
-CALLS_BEGIN_MS: Final = LIST_LEASE_MS + 500
+FIRST_CALL_MS: Final = LIST_LEASE_MS + 500
--- a/gypsumrouter/demo/report.py
+++ b/gypsumrouter/demo/report.py
@@ -12,8 +12,8 @@
 from gypsumrouter.demo.measure import SkewSampler
 
 PERCENTILES: Final = 100
-MEDIAN: Final = 50
-NEARLY_ALL: Final = 95
+P50: Final = 50
+P95: Final = 95
 NO_VALUE: Final = "-"
 
 
@@ -36,8 +36,8 @@
         (
             caller_class,
             len(times),
-            format_ms(find_percentile(times, MEDIAN)),
-            format_ms(find_percentile(times, NEARLY_ALL)),
+            format_ms(find_percentile(times, P50)),
+            format_ms(find_percentile(times, P95)),
         )
         for caller_class, times in sorted(tally.first_token_ms.items())
     ]
@@ -46,16 +46,16 @@
         columns=("class", "answers", "first token p50", "first token p95"),
         rows=rows,
     )
-    print_retried(tally)
+    print_failed_tries(tally)
     skew = NO_VALUE if sampler.load_skew is None else f"{sampler.load_skew:.2f}"
     print(
         f"answers {tally.whole} of {tally.requests}, cache reuse {tally.reuse:.1%}\n"
         f"skew (largest over mean): tokens produced {sampler.work_skew:.2f}, load above "
-        f"{sampler.floor} requests {skew}; busiest engine {sampler.busiest} requests"
+        f"{sampler.floor} requests {skew}; busiest engine {sampler.peak_load} requests"
     )
 
 
-def print_retried(tally: Tally) -> None:
+def print_failed_tries(tally: Tally) -> None:
     """Print why tries had to be repeated, if any had."""
     codes = {"not run": tally.refused, "unknown": tally.unknown}
     for executed, counts in codes.items():
@@ -64,7 +64,7 @@
             print(f"tries without an answer, {executed}: {reasons}")
 
 
-def print_control(*, router_bytes_s: float, side_bytes_s: float) -> None:
+def print_control_traffic(*, router_bytes_s: float, side_bytes_s: float) -> None:
     """Print the control traffic of one process."""
     print(
         f"\ncontrol traffic of one router {router_bytes_s:,.0f} bytes/s, "
@@ -72,7 +72,7 @@
     )
 
 
-def print_outcome(tallies: Sequence[Tally], *, doubled_runs: int) -> bool:
+def print_outcome(tallies: Sequence[Tally], *, repeated_executions: int) -> bool:
     """Print the outcome as the last line and return whether every promise held.
 
     A call that ran more than once counts as doubled, also where its callers did not see it.
@@ -80,7 +80,7 @@
     requests = sum(tally.requests for tally in tallies)
     whole = sum(tally.whole for tally in tallies)
     lost = sum(tally.lost + tally.not_run + tally.truncated for tally in tallies)
-    doubled = max(sum(tally.doubled for tally in tallies), doubled_runs)
+    doubled = max(sum(tally.doubled for tally in tallies), repeated_executions)
     crossed = sum(tally.crossed for tally in tallies)
     print_result(
         {
--- a/gypsumrouter/demo/run.py
+++ b/gypsumrouter/demo/run.py
@@ -15,26 +15,26 @@
 from gypsumrouter.demo.local_fleet import LocalFleet
 from gypsumrouter.demo.measure import SkewSampler, sum_control_bytes
 from gypsumrouter.demo.plan import (
-    END_MS,
+    DURATION_MS,
     EXTRA_SETTINGS,
     FIRST_SEED,
     PROGRESS_MS,
     ROUTERS,
-    SEEDS_FOR_ONE,
+    SEEDS_PER_DEPLOYMENT,
 )
-from gypsumrouter.demo.play import async_play
 from gypsumrouter.demo.report import (
-    print_control,
+    print_control_traffic,
     print_deployment,
     print_outcome,
     print_progress,
 )
+from gypsumrouter.demo.workload import async_run_workload
 from gypsumrouter.service import STOP_SIGNALS
 from gypsumrouter.standins import Deployment, StandinPlatform, chapin, kotlovnica
 from gypsumrouter.util.clock import Clock, SystemClock
 
 
-class Stage(Struct, frozen=True, kw_only=True):
+class DeploymentRun(Struct, frozen=True, kw_only=True):
     """One deployment while it is played: what its callers counted and how even its load was."""
 
     deployment: Deployment
@@ -58,35 +58,35 @@
             print_curl(fleet)
             await _async_wait_for_signal()
             return True
-        return await async_measure(fleet, clock)
+        return await async_run_workloads(fleet, clock)
     finally:
         await fleet.async_stop()
 
 
-async def async_measure(fleet: LocalFleet, clock: Clock) -> bool:
-    """Play both deployments, print the figures and return whether every promise held."""
-    stages = [_make_stage(fleet, item) for item in fleet.platform.deployments]
+async def async_run_workloads(fleet: LocalFleet, clock: Clock) -> bool:
+    """Workload both deployments, print the figures and return whether every promise held."""
+    runs = [_make_run(fleet, item) for item in fleet.platform.deployments]
     began_ms = clock.now_ms()
-    tasks = [asyncio.create_task(stage.sampler.async_run(clock)) for stage in stages]
-    tasks.append(asyncio.create_task(_async_show_progress(stages, clock)))
+    tasks = [asyncio.create_task(run.sampler.async_run(clock)) for run in runs]
+    tasks.append(asyncio.create_task(_async_print_progress(runs, clock)))
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         await asyncio.gather(
             *(
-                async_play(
-                    deployment=stage.deployment,
-                    context=_make_context(session, fleet, stage, clock),
-                    seed=FIRST_SEED + number * SEEDS_FOR_ONE,
-                    until_ms=began_ms + END_MS,
+                async_run_workload(
+                    deployment=run.deployment,
+                    context=_make_context(session, fleet, run, clock),
+                    seed=FIRST_SEED + number * SEEDS_PER_DEPLOYMENT,
+                    until_ms=began_ms + DURATION_MS,
                 )
-                for number, stage in enumerate(stages)
+                for number, run in enumerate(runs)
             )
         )
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    _print_figures(fleet, stages, (clock.now_ms() - began_ms) / MS_PER_S)
+    _print_figures(fleet, runs, (clock.now_ms() - began_ms) / MS_PER_S)
     return print_outcome(
-        [stage.tally for stage in stages], doubled_runs=fleet.platform.count_repeated_calls()
+        [run.tally for run in runs], repeated_executions=fleet.platform.count_repeated_calls()
     )
 
 
@@ -114,13 +114,13 @@
     await stopped.wait()
 
 
-def _make_stage(fleet: LocalFleet, deployment: Deployment) -> Stage:
+def _make_run(fleet: LocalFleet, deployment: Deployment) -> DeploymentRun:
     engines = tuple(
         fleet.platform.engines[plan.name]
         for plan in fleet.platform.plans
         if plan.pool == deployment.engine_pool
     )
-    return Stage(
+    return DeploymentRun(
         deployment=deployment,
         tally=Tally(),
         sampler=SkewSampler(engines=engines, floor=DEFAULT_FLOOR),
@@ -128,26 +128,26 @@
 
 
 def _make_context(
-    session: aiohttp.ClientSession, fleet: LocalFleet, stage: Stage, clock: Clock
+    session: aiohttp.ClientSession, fleet: LocalFleet, run: DeploymentRun, clock: Clock
 ) -> CallerContext:
     return CallerContext(
-        session=session, routers=fleet.list_caller_addresses(), tally=stage.tally, clock=clock
+        session=session, routers=fleet.list_caller_addresses(), tally=run.tally, clock=clock
     )
 
 
-async def _async_show_progress(stages: list[Stage], clock: Clock) -> None:
+async def _async_print_progress(runs: list[DeploymentRun], clock: Clock) -> None:
     began_ms = clock.now_ms()
     while True:
         await clock.async_sleep(PROGRESS_MS)
-        tallies = [stage.tally for stage in stages]
+        tallies = [run.tally for run in runs]
         print_progress(tallies, elapsed_ms=clock.now_ms() - began_ms)
 
 
-def _print_figures(fleet: LocalFleet, stages: list[Stage], elapsed_s: float) -> None:
-    for stage in stages:
-        print_deployment(stage.deployment.name, stage.tally, stage.sampler)
+def _print_figures(fleet: LocalFleet, runs: list[DeploymentRun], elapsed_s: float) -> None:
+    for run in runs:
+        print_deployment(run.deployment.name, run.tally, run.sampler)
     routers, sides = list(fleet.routers.values()), list(fleet.sides.values())
-    print_control(
+    print_control_traffic(
         router_bytes_s=sum_control_bytes(routers) / len(routers) / elapsed_s,
         side_bytes_s=sum_control_bytes(sides) / len(sides) / elapsed_s,
     )
--- a/gypsumrouter/demo/play.py
+++ b/gypsumrouter/demo/workload.py
@@ -10,38 +10,41 @@
 from bench.accounts import choose_accounts
 from bench.load import CallerContext, ChatCaller, ServiceCaller
 from gypsumrouter.demo.plan import (
-    ARRIVAL_MS,
+    ARRIVAL_WINDOW_MS,
     CALL_PAUSE_MS,
-    CALLERS_OF_SERVICES,
-    CALLS,
-    CALLS_BEGIN_MS,
+    CALLS_PER_CALLER,
     CHAT_SHAPE,
     CHATS,
+    FIRST_CALL_MS,
+    SERVICE_CALLERS,
 )
 from gypsumrouter.standins import Deployment
 
-Play = Coroutine[Any, Any, None]
+Workload = Coroutine[Any, Any, None]
 
 
-async def async_play(
+async def async_run_workload(
     *, deployment: Deployment, context: CallerContext, seed: int, until_ms: int
 ) -> None:
-    """Play one deployment; no request begins after `until_ms` of the clock.
+    """Workload one deployment; no request begins after `until_ms` of the clock.
 
     Deployments that are played at once need seeds of their own: keys are drawn from them.
     """
     arrivals = random.Random(seed)
-    chats = _list_chats(deployment, context, seed, until_ms)
-    calls = _list_calls(deployment, context, seed, until_ms)
+    chats = _make_chat_workloads(deployment, context, seed, until_ms)
+    calls = _make_call_workloads(deployment, context, seed, until_ms)
     await asyncio.gather(
-        *(_async_arrive(chat, context, arrivals.randrange(ARRIVAL_MS)) for chat in chats),
-        *(_async_arrive(call, context, CALLS_BEGIN_MS) for call in calls),
+        *(
+            _async_start_after(chat, context, arrivals.randrange(ARRIVAL_WINDOW_MS))
+            for chat in chats
+        ),
+        *(_async_start_after(call, context, FIRST_CALL_MS) for call in calls),
     )
 
 
-def _list_chats(
+def _make_chat_workloads(
     deployment: Deployment, context: CallerContext, seed: int, until_ms: int
-) -> list[Play]:
+) -> list[Workload]:
     return [
         ChatCaller(
             context=context,
@@ -55,10 +58,10 @@
     ]
 
 
-def _list_calls(
+def _make_call_workloads(
     deployment: Deployment, context: CallerContext, seed: int, until_ms: int
-) -> list[Play]:
-    accounts = choose_accounts(deployment, count=CALLERS_OF_SERVICES, seed=seed + 1)
+) -> list[Workload]:
+    accounts = choose_accounts(deployment, count=SERVICE_CALLERS, seed=seed + 1)
     return [
         ServiceCaller(
             context=context,
@@ -66,11 +69,11 @@
             seed=seed + CHATS + number,
             pool=deployment.service_pool,
             path=deployment.at_most_once[number % len(deployment.at_most_once)],
-        ).async_run(calls=CALLS, think_ms=CALL_PAUSE_MS, until_ms=until_ms)
+        ).async_run(calls=CALLS_PER_CALLER, think_ms=CALL_PAUSE_MS, until_ms=until_ms)
         for number, account in enumerate(accounts)
     ]
 
 
-async def _async_arrive(play: Play, context: CallerContext, delay_ms: int) -> None:
+async def _async_start_after(workload: Workload, context: CallerContext, delay_ms: int) -> None:
     await context.clock.async_sleep(delay_ms)
-    await play
+    await workload
--- a/gypsumrouter/standins/batch.py
+++ b/gypsumrouter/standins/batch.py
@@ -11,7 +11,7 @@
 from gypsumrouter.standins.cache import PrefixCache
 from gypsumrouter.standins.chat import ChatEncoder, ChatRequest
 from gypsumrouter.standins.models import EngineSettings
-from gypsumrouter.standins.streams import AnswerStream, StreamState
+from gypsumrouter.standins.streams import ResponseStream, StreamState
 from gypsumrouter.util.clock import Clock
 
 ROUNDING_MS: Final = 1
@@ -26,7 +26,7 @@
         "chat",
         "crashes",
         "encoder",
-        "prefill_left",
+        "prefill_remaining",
         "priority",
         "produced",
         "request",
@@ -38,7 +38,7 @@
         *,
         request: ChatRequest,
         encoder: ChatEncoder,
-        stream: AnswerStream,
+        stream: ResponseStream,
         chat: str,
         priority: int,
         crashes: bool,
@@ -51,13 +51,13 @@
         self.crashes = crashes
         self.blocks = request.hash_prompt()
         self.cached_tokens = 0
-        self.prefill_left = 0
+        self.prefill_remaining = 0
         self.produced = 0
 
     @property
     def ended(self) -> bool:
         """Return whether nothing is left to compute."""
-        return self.stream.state is not StreamState.GROWING
+        return self.stream.state is not StreamState.ACTIVE
 
     def produce(self) -> None:
         """Add one token to the answer, and its end after the last one."""
@@ -69,8 +69,8 @@
         if self.request.stream:
             self.stream.append(self.encoder.make_last_events(cached_tokens=self.cached_tokens))
         else:
-            self.stream.append(self.encoder.make_whole(cached_tokens=self.cached_tokens))
-        self.stream.end(StreamState.WHOLE)
+            self.stream.append(self.encoder.make_body(cached_tokens=self.cached_tokens))
+        self.stream.end(StreamState.COMPLETE)
 
 
 class Batch:
@@ -83,16 +83,16 @@
     __slots__ = (
         "_cache",
         "_clock",
-        "_due_ms",
         "_on_change",
         "_on_crash",
         "_on_end",
-        "_order",
         "_resumed",
         "_running",
         "_settings",
+        "_step_end_ms",
+        "_submitted",
         "_waiting",
-        "_work",
+        "_work_available",
         "cached_tokens",
         "produced_tokens",
         "prompt_tokens",
@@ -117,9 +117,9 @@
         self._on_crash = on_crash
         self._running: list[Sequence] = []
         self._waiting: list[tuple[int, int, Sequence]] = []
-        self._order = 0
-        self._due_ms = 0.0
-        self._work = asyncio.Event()
+        self._submitted = 0
+        self._step_end_ms = 0.0
+        self._work_available = asyncio.Event()
         self._resumed = asyncio.Event()
         self._resumed.set()
         self.steps = 0
@@ -139,19 +139,19 @@
 
     def submit(self, sequence: Sequence) -> None:
         """Take in a sequence."""
-        self._order += 1
-        heapq.heappush(self._waiting, (-sequence.priority, self._order, sequence))
-        self._work.set()
+        self._submitted += 1
+        heapq.heappush(self._waiting, (-sequence.priority, self._submitted, sequence))
+        self._work_available.set()
         self._on_change()
 
-    def drop_ended(self) -> None:
+    def remove_ended(self) -> None:
         """Forget the sequences whose answers have ended or were cancelled."""
         for _, _, sequence in self._waiting:
             if sequence.ended:
                 self._on_end(sequence.stream.state)
         self._waiting = [entry for entry in self._waiting if not entry[2].ended]
         heapq.heapify(self._waiting)
-        self._drop_ended_running()
+        self._remove_ended_running()
 
     def pause(self) -> None:
         """Stop before the next step."""
@@ -171,9 +171,9 @@
         """Run steps for as long as there is work, then wait for more."""
         while True:
             if not self._running and not self._waiting:
-                self._work.clear()
-                await self._work.wait()
-                self._due_ms = self._clock.now_ms()
+                self._work_available.clear()
+                await self._work_available.wait()
+                self._step_end_ms = self._clock.now_ms()
             await self._resumed.wait()
             self._cancel_abandoned()
             self._admit()
@@ -185,25 +185,25 @@
     def _cancel_abandoned(self) -> None:
         limit_ms = self._clock.now_ms() - self._settings.abandon_ms
         for sequence in self._running:
-            unread_since_ms = sequence.stream.unread_since_ms
-            if unread_since_ms is not None and unread_since_ms <= limit_ms:
+            no_reader_since_ms = sequence.stream.no_reader_since_ms
+            if no_reader_since_ms is not None and no_reader_since_ms <= limit_ms:
                 sequence.stream.end(StreamState.CANCELLED)
-        self._drop_ended_running()
+        self._remove_ended_running()
 
     def _admit(self) -> None:
         while self._waiting and len(self._running) < self._settings.slots:
             _, _, sequence = heapq.heappop(self._waiting)
             self._running.append(sequence)
-            self._look_up(sequence)
+            self._look_up_prefix(sequence)
             if sequence.crashes:
                 self._on_crash()
                 return
 
-    def _look_up(self, sequence: Sequence) -> None:
+    def _look_up_prefix(self, sequence: Sequence) -> None:
         prompt_tokens = sequence.request.prompt_tokens
-        held = self._cache.find_prefix(sequence.blocks)
-        sequence.cached_tokens = min(held, prompt_tokens - 1)
-        sequence.prefill_left = prompt_tokens - sequence.cached_tokens
+        cached = self._cache.find_prefix(sequence.blocks)
+        sequence.cached_tokens = min(cached, prompt_tokens - 1)
+        sequence.prefill_remaining = prompt_tokens - sequence.cached_tokens
         self.prompt_tokens += prompt_tokens
         self.cached_tokens += sequence.cached_tokens
 
@@ -211,33 +211,33 @@
         """Compute prompt tokens up to the chunk, and return the milliseconds that it takes."""
         left = self._settings.prefill_chunk_tokens
         for sequence in self._running:
-            if sequence.prefill_left == 0:
+            if sequence.prefill_remaining == 0:
                 continue
-            taken = min(left, sequence.prefill_left)
-            sequence.prefill_left -= taken
+            taken = min(left, sequence.prefill_remaining)
+            sequence.prefill_remaining -= taken
             left -= taken
-            if sequence.prefill_left == 0:
+            if sequence.prefill_remaining == 0:
                 self._cache.store(chat=sequence.chat, blocks=sequence.blocks)
         computed = self._settings.prefill_chunk_tokens - left
         return computed * self._settings.prefill_ms_per_token
 
     async def _async_wait_step(self, length_ms: float) -> None:
         now_ms = self._clock.now_ms()
-        self._due_ms = max(self._due_ms, now_ms - ROUNDING_MS) + length_ms
-        await self._clock.async_sleep(max(0, math.ceil(self._due_ms - now_ms)))
+        self._step_end_ms = max(self._step_end_ms, now_ms - ROUNDING_MS) + length_ms
+        await self._clock.async_sleep(max(0, math.ceil(self._step_end_ms - now_ms)))
 
     def _produce(self) -> None:
         self.steps += 1
         for sequence in self._running:
-            if sequence.prefill_left > 0 or sequence.ended:
+            if sequence.prefill_remaining > 0 or sequence.ended:
                 continue
             sequence.produce()
             self.produced_tokens += 1
             if sequence.ended:
-                self._cache.store(chat=sequence.chat, blocks=sequence.request.hash_whole())
-        self._drop_ended_running()
+                self._cache.store(chat=sequence.chat, blocks=sequence.request.hash_conversation())
+        self._remove_ended_running()
 
-    def _drop_ended_running(self) -> None:
+    def _remove_ended_running(self) -> None:
         for sequence in self._running:
             if sequence.ended:
                 self._on_end(sequence.stream.state)
--- a/gypsumrouter/standins/cache.py
+++ b/gypsumrouter/standins/cache.py
@@ -12,9 +12,9 @@
 from gypsumrouter.standins.tokens import TOKENS_PER_BLOCK
 from gypsumrouter.util.clock import Clock
 
-EVENTS_KEPT: Final = 4_096
-EVENTS_PER_ANSWER: Final = 1_024
-CHATS_KEPT: Final = 65_536
+MAX_EVENTS: Final = 4_096
+MAX_EVENTS_PER_RESPONSE: Final = 1_024
+MAX_CHATS: Final = 65_536
 
 
 class CacheEventKind(StrEnum):
@@ -44,10 +44,10 @@
         self._lag_ms = lag_ms
         self._loss = loss
         self._random = random.Random(seed)
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
         self._seq = 0
 
-    def note(self, *, kind: CacheEventKind, chat: str, tokens: int) -> None:
+    def record(self, *, kind: CacheEventKind, chat: str, tokens: int) -> None:
         """Add an event, or lose it."""
         self._seq += 1
         if self._random.random() < self._loss:
@@ -62,7 +62,7 @@
         """Return the visible events above a number, oldest first."""
         now_ms = self._clock.now_ms()
         found = [event for event in self._events if event.seq > seq and event.visible_ms <= now_ms]
-        return tuple(found[:EVENTS_PER_ANSWER])
+        return tuple(found[:MAX_EVENTS_PER_RESPONSE])
 
 
 class PrefixCache:
@@ -78,15 +78,15 @@
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens are held."""
+        """Return how many tokens are cached."""
         return len(self._blocks) * TOKENS_PER_BLOCK
 
     def find_prefix(self, blocks: tuple[int, ...]) -> int:
-        """Return how many tokens of a prompt are held, and mark them as used."""
-        held = self._count_held(blocks)
-        for block in reversed(blocks[:held]):
+        """Return how many tokens of a prompt are cached, and mark them as used."""
+        cached = self._count_cached(blocks)
+        for block in reversed(blocks[:cached]):
             self._blocks.move_to_end(block)
-        return held * TOKENS_PER_BLOCK
+        return cached * TOKENS_PER_BLOCK
 
     def store(self, *, chat: str, blocks: tuple[int, ...]) -> None:
         """Take in the blocks of a chat's prompt; a prefix beyond the memory is cut."""
@@ -96,32 +96,32 @@
             added += block not in self._blocks
             self._blocks[block] = chat
             self._blocks.move_to_end(block)
-        self._note_chat(chat, kept)
+        self._record_chat(chat, kept)
         if added:
             tokens = len(kept) * TOKENS_PER_BLOCK
-            self.events.note(kind=CacheEventKind.STORED, chat=chat, tokens=tokens)
+            self.events.record(kind=CacheEventKind.STORED, chat=chat, tokens=tokens)
         self._evict()
 
     def export(self, chat: str) -> tuple[int, ...]:
-        """Return the blocks that are held of a chat, from its beginning on."""
+        """Return the blocks that are cached of a chat, from its beginning on."""
         blocks = self._chats.get(chat, ())
-        return blocks[: self._count_held(blocks)]
+        return blocks[: self._count_cached(blocks)]
 
     def clear(self) -> None:
         """Forget everything, as a restart does."""
         self._blocks.clear()
         self._chats.clear()
 
-    def _count_held(self, blocks: tuple[int, ...]) -> int:
+    def _count_cached(self, blocks: tuple[int, ...]) -> int:
         for index, block in enumerate(blocks):
             if block not in self._blocks:
                 return index
         return len(blocks)
 
-    def _note_chat(self, chat: str, blocks: tuple[int, ...]) -> None:
+    def _record_chat(self, chat: str, blocks: tuple[int, ...]) -> None:
         self._chats[chat] = blocks
         self._chats.move_to_end(chat)
-        if len(self._chats) > CHATS_KEPT:
+        if len(self._chats) > MAX_CHATS:
             self._chats.popitem(last=False)
 
     def _evict(self) -> None:
@@ -130,4 +130,4 @@
             _, chat = self._blocks.popitem(last=False)
             evicted[chat] += TOKENS_PER_BLOCK
         for chat, tokens in evicted.items():
-            self.events.note(kind=CacheEventKind.EVICTED, chat=chat, tokens=tokens)
+            self.events.record(kind=CacheEventKind.EVICTED, chat=chat, tokens=tokens)
--- a/gypsumrouter/standins/changes.py
+++ b/gypsumrouter/standins/change_notifier.py
@@ -7,7 +7,7 @@
 from gypsumrouter.util.clock import Clock
 
 
-class Changes:
+class ChangeNotifier:
     """Wake whoever waits when something has changed."""
 
     __slots__ = ("_clock", "_waiters")
--- a/gypsumrouter/standins/chat.py
+++ b/gypsumrouter/standins/chat.py
@@ -25,7 +25,7 @@
 ROLE_ASSISTANT: Final = "assistant"
 
 
-class BadChat(Struct, frozen=True, kw_only=True):
+class InvalidRequest(Struct, frozen=True, kw_only=True):
     """What is wrong with a request."""
 
     param: str
@@ -41,7 +41,7 @@
     tokens: int
     stream: bool
     include_usage: bool
-    cut_by_limit: bool
+    has_token_limit: bool
     cache_key: str
 
     @property
@@ -63,29 +63,29 @@
         """Return the blocks of the prompt."""
         return hash_blocks(self.prompt, model=self.model)
 
-    def hash_whole(self) -> tuple[int, ...]:
+    def hash_conversation(self) -> tuple[int, ...]:
         """Return the blocks of the prompt and the answer, as the next turn will send them."""
         answer = Message(role=ROLE_ASSISTANT, content=self.text)
         return hash_blocks(self.prompt + render_prompt((answer,)), model=self.model)
 
 
-def parse_chat(body: bytes, settings: EngineSettings) -> ChatRequest | BadChat:
+def parse_chat(body: bytes, settings: EngineSettings) -> ChatRequest | InvalidRequest:
     """Return the request that a body holds."""
     try:
         payload = json.loads(body)
     except ValueError:
-        return BadChat(param="", message="the body is not JSON")
+        return InvalidRequest(param="", message="the body is not JSON")
     if not isinstance(payload, dict):
-        return BadChat(param="", message="the body must be an object")
+        return InvalidRequest(param="", message="the body must be an object")
     model = payload.get("model")
     if not isinstance(model, str):
-        return BadChat(param="model", message="a model is needed")
+        return InvalidRequest(param="model", message="a model is needed")
     messages = _parse_messages(payload.get("messages"))
     if messages is None:
-        return BadChat(param="messages", message="a list of messages is needed")
+        return InvalidRequest(param="messages", message="a list of messages is needed")
     limit = payload.get("max_completion_tokens", payload.get("max_tokens"))
     if limit is not None and (not isinstance(limit, int) or limit < 1):
-        return BadChat(param="max_tokens", message="a whole number above 0 is needed")
+        return InvalidRequest(param="max_tokens", message="a whole number above 0 is needed")
     options = payload.get("stream_options")
     return ChatRequest(
         model=model,
@@ -94,7 +94,7 @@
         tokens=min(limit or settings.default_tokens, settings.max_tokens),
         stream=payload.get("stream") is True,
         include_usage=isinstance(options, dict) and options.get("include_usage") is True,
-        cut_by_limit=limit is not None,
+        has_token_limit=limit is not None,
         cache_key=str(payload.get("prompt_cache_key") or ""),
     )
 
@@ -102,7 +102,7 @@
 class ChatEncoder:
     """Write one answer, streamed or whole."""
 
-    __slots__ = ("_created_s", "_event_begin", "_id", "_request", "_token_digest")
+    __slots__ = ("_created_s", "_event_prefix", "_id", "_request", "_token_digest")
 
     def __init__(self, *, request: ChatRequest, request_id: str, wall_ms: int) -> None:
         self._request = request
@@ -110,18 +110,18 @@
         self._created_s = wall_ms // MS_PER_S
         self._token_digest = request.digest
         head = self._make_head("chat.completion.chunk")
-        self._event_begin = f'data: {json.dumps(head)[:-1]}, "choices": [{{"index": 0, "delta": '
+        self._event_prefix = f'data: {json.dumps(head)[:-1]}, "choices": [{{"index": 0, "delta": '
 
     def make_event(self, index: int) -> bytes:
         """Return the event of one token."""
         token = make_token(self._token_digest, index)
         role = f'"role": "{ROLE_ASSISTANT}", ' if index == 0 else ""
         delta = f'{{{role}"content": "{token}"}}'
-        return f'{self._event_begin}{delta}, "finish_reason": null}}]}}\n\n'.encode()
+        return f'{self._event_prefix}{delta}, "finish_reason": null}}]}}\n\n'.encode()
 
     def make_last_events(self, *, cached_tokens: int) -> bytes:
         """Return what follows the last token: the reason, the usage and the end."""
-        choice = {"index": 0, "delta": {}, "finish_reason": self._get_reason()}
+        choice = {"index": 0, "delta": {}, "finish_reason": self._get_finish_reason()}
         usage = self._make_usage(cached_tokens)
         head = self._make_head("chat.completion.chunk")
         if not self._request.include_usage:
@@ -129,10 +129,10 @@
         last_choice = _make_event({**head, "choices": [choice]})
         return last_choice + _make_event({**head, "choices": [], "usage": usage}) + DONE_EVENT
 
-    def make_whole(self, *, cached_tokens: int) -> bytes:
+    def make_body(self, *, cached_tokens: int) -> bytes:
         """Return the answer that is not streamed."""
         message = {"role": ROLE_ASSISTANT, "content": self._request.text}
-        choice = {"index": 0, "message": message, "finish_reason": self._get_reason()}
+        choice = {"index": 0, "message": message, "finish_reason": self._get_finish_reason()}
         head = self._make_head("chat.completion")
         usage = self._make_usage(cached_tokens)
         return json.dumps({**head, "choices": [choice], "usage": usage}).encode()
@@ -145,8 +145,8 @@
             "model": self._request.model,
         }
 
-    def _get_reason(self) -> str:
-        return "length" if self._request.cut_by_limit else "stop"
+    def _get_finish_reason(self) -> str:
+        return "length" if self._request.has_token_limit else "stop"
 
     def _make_usage(self, cached_tokens: int) -> dict[str, object]:
         prompt_tokens = self._request.prompt_tokens
--- a/gypsumrouter/standins/configuration_service.py
+++ b/gypsumrouter/standins/configuration_service.py
@@ -10,23 +10,23 @@
 from aiohttp import web
 
 from gypsumrouter.instances import Address
-from gypsumrouter.standins.changes import Changes
+from gypsumrouter.standins.change_notifier import ChangeNotifier
 from gypsumrouter.standins.faults import Gate, Outage, OutageKind
-from gypsumrouter.standins.listener import StandinListener
-from gypsumrouter.standins.rate import TokenBucket
-from gypsumrouter.standins.replies import (
+from gypsumrouter.standins.json_responses import (
     MAX_BODY_BYTES,
-    answer_error,
-    answer_json,
-    async_read_object,
-    read_int,
+    async_read_json_object,
+    get_query_int,
+    make_error_response,
+    make_json_response,
 )
+from gypsumrouter.standins.listener import StandinListener
+from gypsumrouter.standins.token_bucket import TokenBucket
 from gypsumrouter.util.clock import Clock
 
 HEADER_VERSION: Final = "X-Version"
 DEFAULT_READS_PER_S: Final = 2_000
 DEFAULT_WATCH_MS: Final = 30_000
-VERSIONS_KEPT: Final = 32
+MAX_VERSIONS: Final = 32
 
 
 class ConfigurationService:
@@ -66,7 +66,7 @@
     ) -> None:
         self._clock = clock
         self._random = random.Random(seed)
-        self._changes = Changes(clock=clock)
+        self._changes = ChangeNotifier(clock=clock)
         self._bucket = TokenBucket(clock=clock, rate_per_s=reads_per_s, burst=reads_per_s)
         self._documents: OrderedDict[int, bytes] = OrderedDict()
         self._stale_version: int | None = None
@@ -78,10 +78,12 @@
         self.max_waiting = 0
         self.watch_ms_total = 0
         self._gate = Gate()
-        app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self._gate.async_hold])
+        app = web.Application(
+            client_max_size=MAX_BODY_BYTES, middlewares=[self._gate.async_middleware]
+        )
         self._listener = StandinListener(app=app, host=host, port=port)
         self._outage = Outage(
-            listener=self._listener, gate=self._gate, changed=self._changes.notify
+            listener=self._listener, gate=self._gate, on_change=self._changes.notify
         )
         self._add_routes(app)
 
@@ -111,7 +113,7 @@
         body = document.encode() if isinstance(document, str) else document
         self.version = int(json.loads(body)["version"])
         self._documents[self.version] = body
-        while len(self._documents) > VERSIONS_KEPT:
+        while len(self._documents) > MAX_VERSIONS:
             self._documents.popitem(last=False)
         self._changes.notify()
         return self.version
@@ -129,40 +131,40 @@
     def _add_routes(self, app: web.Application) -> None:
         app.router.add_get("/v1/configuration", self._async_get)
         app.router.add_put("/standin/configuration", self._async_put)
-        app.router.add_get("/standin/counts", self._async_counts)
+        app.router.add_get("/standin/counts", self._async_get_counts)
         app.router.add_post("/standin/outage", self._outage.async_post)
         app.router.add_post("/standin/stale", self._async_post_stale)
 
     async def _async_get(self, request: web.Request) -> web.StreamResponse:
         if self._outage.kind is OutageKind.ERROR:
-            return answer_error(status=503, code="outage")
-        if not self._bucket.take(used_per_s=self.waiting):
+            return make_error_response(status=503, code="outage")
+        if not self._bucket.try_acquire(reserved_per_s=self.waiting):
             self.rejected += 1
-            return answer_error(status=429, code="read_limit")
+            return make_error_response(status=429, code="read_limit")
         if "watch" not in request.query:
             self.reads += 1
-            return self._answer(self._choose_version())
+            return self._make_response(self._choose_version())
         self.watches += 1
         return await self._async_watch(
-            known=read_int(request, "watch", 0),
-            timeout_ms=read_int(request, "timeout_ms", DEFAULT_WATCH_MS),
+            after_version=get_query_int(request, "watch", 0),
+            timeout_ms=get_query_int(request, "timeout_ms", DEFAULT_WATCH_MS),
         )
 
-    async def _async_watch(self, *, known: int, timeout_ms: int) -> web.StreamResponse:
+    async def _async_watch(self, *, after_version: int, timeout_ms: int) -> web.StreamResponse:
         began_ms = self._clock.now_ms()
         try:
             while True:
                 if self._outage.kind is OutageKind.ERROR:
-                    return answer_error(status=503, code="outage")
-                await self._gate.async_pass()
+                    return make_error_response(status=503, code="outage")
+                await self._gate.async_wait_open()
                 version = self._choose_version()
-                if version > known:
-                    return self._answer(version)
-                left_ms = began_ms + timeout_ms - self._clock.now_ms()
-                if left_ms <= 0:
+                if version > after_version:
+                    return self._make_response(version)
+                remaining_ms = began_ms + timeout_ms - self._clock.now_ms()
+                if remaining_ms <= 0:
                     return web.Response(status=204, headers={HEADER_VERSION: str(version)})
                 self.max_waiting = max(self.max_waiting, self.waiting + 1)
-                await self._changes.async_wait(left_ms)
+                await self._changes.async_wait(remaining_ms)
         finally:
             self.watch_ms_total += self._clock.now_ms() - began_ms
 
@@ -172,10 +174,10 @@
             return self.version
         return stale if self._random.random() < self._stale_share else self.version
 
-    def _answer(self, version: int) -> web.Response:
+    def _make_response(self, version: int) -> web.Response:
         document = self._documents.get(version)
         if document is None:
-            return answer_error(status=404, code="nothing_published")
+            return make_error_response(status=404, code="nothing_published")
         return web.Response(
             body=document,
             content_type="application/json",
@@ -187,10 +189,10 @@
             version = self.publish(await request.read())
         except (ValueError, KeyError, TypeError):
             raise web.HTTPBadRequest(text="a JSON object with a version is needed") from None
-        return answer_json({"version": version})
+        return make_json_response({"version": version})
 
-    async def _async_counts(self, _request: web.Request) -> web.Response:
-        return answer_json(
+    async def _async_get_counts(self, _request: web.Request) -> web.Response:
+        return make_json_response(
             {
                 "version": self.version,
                 "reads": self.reads,
@@ -203,9 +205,9 @@
         )
 
     async def _async_post_stale(self, request: web.Request) -> web.Response:
-        payload = await async_read_object(request)
+        payload = await async_read_json_object(request)
         version = payload.get("version")
         self.serve_stale(
             None if version is None else int(version), share=float(payload.get("share", 1.0))
         )
-        return answer_json({})
+        return make_json_response({})
--- a/gypsumrouter/standins/engine.py
+++ b/gypsumrouter/standins/engine.py
@@ -17,11 +17,11 @@
 from gypsumrouter.standins.listener import StandinListener
 from gypsumrouter.standins.load_history import LoadHistory
 from gypsumrouter.standins.models import EngineSettings
-from gypsumrouter.standins.orders import OrderBook
-from gypsumrouter.standins.streams import AnswerStream, StreamState, StreamTable
+from gypsumrouter.standins.orders import OrderHandler
+from gypsumrouter.standins.streams import ResponseStream, StreamState, StreamTable
 from gypsumrouter.util.clock import Clock
 
-EXECUTIONS_KEPT: Final = 200_000
+MAX_EXECUTIONS: Final = 200_000
 
 
 class EngineCounts(Struct, frozen=True, kw_only=True):
@@ -51,21 +51,21 @@
         "_clock",
         "_gate",
         "_listener",
-        "_restart",
+        "_restart_task",
         "batch",
         "cache",
         "cancelled",
+        "completed",
         "crashes",
         "events",
         "executions",
         "history",
         "orders",
-        "refused",
+        "rejected",
         "requests",
         "settings",
         "start_id",
         "streams",
-        "whole",
     )
 
     def __init__(
@@ -79,12 +79,12 @@
         self._clock = clock
         self.settings = settings or EngineSettings()
         self._batch_task: asyncio.Task[None] | None = None
-        self._restart: asyncio.Task[None] | None = None
+        self._restart_task: asyncio.Task[None] | None = None
         self.start_id = 1
         self.requests = 0
-        self.whole = 0
+        self.completed = 0
         self.cancelled = 0
-        self.refused = 0
+        self.rejected = 0
         self.crashes = 0
         self.executions: OrderedDict[str, int] = OrderedDict()
         self.history = LoadHistory(clock=clock)
@@ -96,17 +96,19 @@
         )
         self.cache = PrefixCache(capacity_tokens=self.settings.cache_tokens, events=self.events)
         self.streams = StreamTable(
-            clock=clock, keep_ms=self.settings.stream_keep_ms, kept=self.settings.streams_kept
+            clock=clock,
+            retention_ms=self.settings.stream_keep_ms,
+            max_ended=self.settings.streams_kept,
         )
         self.batch = Batch(
             clock=clock,
             settings=self.settings,
             cache=self.cache,
-            on_change=self._note_load,
-            on_end=self._note_end,
+            on_change=self._record_load,
+            on_end=self._record_end,
             on_crash=self.crash,
         )
-        self.orders = OrderBook(clock=clock, settings=self.settings)
+        self.orders = OrderHandler(clock=clock, settings=self.settings)
         self._gate = Gate()
         api = EngineApi(engine=self, clock=clock)
         self._listener = StandinListener(app=api.make_app(self._gate), host=host, port=port)
@@ -126,9 +128,9 @@
         """Return what it has done so far."""
         return EngineCounts(
             requests=self.requests,
-            whole=self.whole,
+            whole=self.completed,
             cancelled=self.cancelled,
-            refused=self.refused,
+            refused=self.rejected,
             crashes=self.crashes,
             prompt_tokens=self.batch.prompt_tokens,
             cached_tokens=self.batch.cached_tokens,
@@ -145,8 +147,8 @@
 
     async def async_stop(self) -> None:
         """Release everything; what runs is cut off."""
-        if self._restart is not None:
-            self._restart.cancel()
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         self._stop_batch()
         self.orders.cancel_all()
         self.streams.clear()
@@ -154,11 +156,11 @@
 
     def submit(
         self, *, request: ChatRequest, request_id: str, chat: str, priority: int, crashes: bool
-    ) -> AnswerStream:
+    ) -> ResponseStream:
         """Take in a request; from here on it counts as executed."""
         self.requests += 1
         self._count_execution(request_id)
-        stream = AnswerStream(
+        stream = ResponseStream(
             clock=self._clock,
             request_id=request_id,
             content_type=TYPE_EVENTS if request.stream else TYPE_JSON,
@@ -179,10 +181,10 @@
     def cancel(self, request_id: str) -> bool:
         """Stop a request; returns whether it was there and had not ended."""
         stream = self.streams.get(request_id)
-        if stream is None or stream.state is not StreamState.GROWING:
+        if stream is None or stream.state is not StreamState.ACTIVE:
             return False
         stream.end(StreamState.CANCELLED)
-        self.batch.drop_ended()
+        self.batch.remove_ended()
         return True
 
     def crash(self) -> None:
@@ -194,8 +196,8 @@
         self.streams.clear()
         self.cache.clear()
         self.orders.restart()
-        if self._restart is None or self._restart.done():
-            self._restart = asyncio.get_running_loop().create_task(self._async_restart())
+        if self._restart_task is None or self._restart_task.done():
+            self._restart_task = asyncio.get_running_loop().create_task(self._async_restart())
 
     def freeze(self) -> None:
         """Accept connections, and neither answer nor compute."""
@@ -224,14 +226,14 @@
 
     def _count_execution(self, request_id: str) -> None:
         self.executions[request_id] = self.executions.get(request_id, 0) + 1
-        if len(self.executions) > EXECUTIONS_KEPT:
+        if len(self.executions) > MAX_EXECUTIONS:
             self.executions.popitem(last=False)
 
-    def _note_load(self) -> None:
-        self.history.note(running=self.batch.running, waiting=self.batch.waiting)
+    def _record_load(self) -> None:
+        self.history.record(running=self.batch.running, waiting=self.batch.waiting)
 
-    def _note_end(self, state: StreamState) -> None:
-        if state is StreamState.WHOLE:
-            self.whole += 1
+    def _record_end(self, state: StreamState) -> None:
+        if state is StreamState.COMPLETE:
+            self.completed += 1
         else:
             self.cancelled += 1
--- a/gypsumrouter/standins/fault_proxy.py
+++ b/gypsumrouter/standins/fault_proxy.py
@@ -46,7 +46,7 @@
     async def async_run(self, target: Address, shapers: Collection[TrafficShaper]) -> None:
         """Connect to the target once both directions are passable, and carry data until the end."""
         for shaper in shapers:
-            await shaper.gate.async_pass()
+            await shaper.gate.async_wait_open()
         loop = asyncio.get_running_loop()
         try:
             await loop.create_connection(lambda: self.target, target.host, target.port)
--- a/gypsumrouter/standins/faults.py
+++ b/gypsumrouter/standins/faults.py
@@ -9,8 +9,8 @@
 
 from aiohttp import web
 
+from gypsumrouter.standins.json_responses import async_read_json_object, make_json_response
 from gypsumrouter.standins.listener import StandinListener
-from gypsumrouter.standins.replies import answer_json, async_read_object
 
 CONTROL_PREFIX: Final = "/standin/"
 
@@ -48,12 +48,12 @@
         """Let all requests pass."""
         self._opened.set()
 
-    async def async_pass(self) -> None:
+    async def async_wait_open(self) -> None:
         """Wait until the gate is open."""
         await self._opened.wait()
 
     @web.middleware
-    async def async_hold(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def async_middleware(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         """Handle a request once the gate is open."""
         if not request.path.startswith(CONTROL_PREFIX):
             await self._opened.wait()
@@ -61,16 +61,16 @@
 
 
 class Outage:
-    """The outage of one platform service; `changed` is called at each change."""
+    """The outage of one platform service; `on_change` is called at each change."""
 
-    __slots__ = ("_changed", "_gate", "_listener", "kind")
+    __slots__ = ("_gate", "_listener", "_on_change", "kind")
 
     def __init__(
-        self, *, listener: StandinListener, gate: Gate, changed: Callable[[], None]
+        self, *, listener: StandinListener, gate: Gate, on_change: Callable[[], None]
     ) -> None:
         self._listener = listener
         self._gate = gate
-        self._changed = changed
+        self._on_change = on_change
         self.kind = OutageKind.NONE
 
     async def async_set(self, kind: OutageKind) -> None:
@@ -84,11 +84,11 @@
             self._listener.close()
         else:
             await self._listener.async_open()
-        self._changed()
+        self._on_change()
 
     async def async_post(self, request: web.Request) -> web.Response:
         """Answer `POST /standin/outage {"kind"}`; a listener that refuses can't be called back."""
-        payload = await async_read_object(request)
+        payload = await async_read_json_object(request)
         try:
             kind = OutageKind(str(payload.get("kind")))
         except ValueError:
@@ -96,4 +96,4 @@
         if kind is OutageKind.REFUSE:
             raise web.HTTPBadRequest(text="refuse can only be set from Python")
         await self.async_set(kind)
-        return answer_json({})
+        return make_json_response({})
--- a/gypsumrouter/standins/instance_list.py
+++ b/gypsumrouter/standins/instance_list.py
@@ -12,21 +12,21 @@
 
 from gypsumrouter.const import InstanceState, Role
 from gypsumrouter.instances import Address, Instance
-from gypsumrouter.standins.changes import Changes
+from gypsumrouter.standins.change_notifier import ChangeNotifier
 from gypsumrouter.standins.faults import Gate, Outage, OutageKind
-from gypsumrouter.standins.listener import StandinListener
-from gypsumrouter.standins.replies import (
+from gypsumrouter.standins.json_responses import (
     MAX_BODY_BYTES,
-    answer_error,
-    answer_json,
-    async_read_object,
-    read_int,
+    async_read_json_object,
+    get_query_int,
+    make_error_response,
+    make_json_response,
 )
+from gypsumrouter.standins.listener import StandinListener
 from gypsumrouter.util.clock import Clock
 
 HEADER_AS_OF: Final = "X-As-Of-Ms"
 DEFAULT_POLL_MS: Final = 30_000
-STATES_KEPT: Final = 1_024
+MAX_STATES: Final = 1_024
 
 
 class ListState(Struct, frozen=True, kw_only=True):
@@ -40,7 +40,7 @@
 class InstanceListService:
     """Serve the list of instances as it was `lag_ms` ago.
 
-    Changes are made from Python or over HTTP. `reads` counts answered calls.
+    ChangeNotifier are made from Python or over HTTP. `reads` counts answered calls.
     """
 
     __slots__ = (
@@ -69,19 +69,21 @@
     ) -> None:
         self._clock = clock
         self._random = random.Random(seed)
-        self._changes = Changes(clock=clock)
+        self._changes = ChangeNotifier(clock=clock)
         self._instances: dict[str, Instance] = {}
-        self._states: deque[ListState] = deque(maxlen=STATES_KEPT)
+        self._states: deque[ListState] = deque(maxlen=MAX_STATES)
         self._states.append(ListState(revision=0, since_ms=clock.wall_ms(), instances=()))
         self._stale_at_ms: int | None = None
         self._stale_share = 1.0
         self.lag_ms = lag_ms
         self.reads = 0
         self._gate = Gate()
-        app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self._gate.async_hold])
+        app = web.Application(
+            client_max_size=MAX_BODY_BYTES, middlewares=[self._gate.async_middleware]
+        )
         self._listener = StandinListener(app=app, host=host, port=port)
         self._outage = Outage(
-            listener=self._listener, gate=self._gate, changed=self._changes.notify
+            listener=self._listener, gate=self._gate, on_change=self._changes.notify
         )
         self._add_routes(app)
 
@@ -156,14 +158,14 @@
         self._states.append(state)
         self._changes.notify()
 
-    def _choose_time(self) -> int:
+    def _choose_state_time(self) -> int:
         """Return the wall time whose state the next answer tells of."""
         stale = self._stale_at_ms
         if stale is not None and self._random.random() < self._stale_share:
             return stale
         return self._clock.wall_ms() - self.lag_ms
 
-    def _find_newest(self, at_ms: int) -> ListState:
+    def _find_state_at(self, at_ms: int) -> ListState:
         for state in reversed(self._states):
             if state.since_ms <= at_ms:
                 return state
@@ -187,46 +189,48 @@
         app.router.add_get("/v1/instances", self._async_get)
         app.router.add_put("/standin/instances/{name}", self._async_put)
         app.router.add_delete("/standin/instances/{name}", self._async_delete)
-        app.router.add_post("/standin/instances/{name}/leave", self._async_leave)
-        app.router.add_post("/standin/lag", self._async_lag)
+        app.router.add_post("/standin/instances/{name}/leave", self._async_mark_leaving)
+        app.router.add_post("/standin/lag", self._async_set_lag)
         app.router.add_post("/standin/outage", self._outage.async_post)
 
     async def _async_get(self, request: web.Request) -> web.StreamResponse:
         if self._outage.kind is OutageKind.ERROR:
-            return answer_error(status=503, code="outage")
+            return make_error_response(status=503, code="outage")
         self.reads += 1
         if "after" not in request.query:
-            at_ms = self._choose_time()
-            return self._answer(self._find_newest(at_ms), at_ms)
+            at_ms = self._choose_state_time()
+            return self._make_response(self._find_state_at(at_ms), at_ms)
         return await self._async_poll(
-            after=read_int(request, "after", 0),
-            timeout_ms=read_int(request, "timeout_ms", DEFAULT_POLL_MS),
+            after=get_query_int(request, "after", 0),
+            timeout_ms=get_query_int(request, "timeout_ms", DEFAULT_POLL_MS),
         )
 
     async def _async_poll(self, *, after: int, timeout_ms: int) -> web.StreamResponse:
         ends_ms = self._clock.now_ms() + timeout_ms
         while True:
             if self._outage.kind is OutageKind.ERROR:
-                return answer_error(status=503, code="outage")
-            await self._gate.async_pass()
-            at_ms = self._choose_time()
-            newest = self._find_newest(at_ms)
+                return make_error_response(status=503, code="outage")
+            await self._gate.async_wait_open()
+            at_ms = self._choose_state_time()
+            newest = self._find_state_at(at_ms)
             if newest.revision > after:
-                return self._answer(self._find_next(after=after, newest=newest), at_ms)
-            left_ms = ends_ms - self._clock.now_ms()
-            if left_ms <= 0:
+                return self._make_response(self._find_next(after=after, newest=newest), at_ms)
+            remaining_ms = ends_ms - self._clock.now_ms()
+            if remaining_ms <= 0:
                 return web.Response(status=204, headers={HEADER_AS_OF: str(at_ms)})
-            await self._changes.async_wait(min(left_ms, self._get_visible_in(newest, at_ms)))
+            await self._changes.async_wait(
+                min(remaining_ms, self._get_visibility_delay(newest, at_ms))
+            )
 
-    def _get_visible_in(self, newest: ListState, at_ms: int) -> int:
+    def _get_visibility_delay(self, newest: ListState, at_ms: int) -> int:
         """Return in how many milliseconds the state after `newest` becomes visible."""
         for state in self._states:
             if state.revision == newest.revision + 1 and state.since_ms > at_ms:
                 return state.since_ms - at_ms
         return DEFAULT_POLL_MS
 
-    def _answer(self, state: ListState, at_ms: int) -> web.Response:
-        return answer_json(
+    def _make_response(self, state: ListState, at_ms: int) -> web.Response:
+        return make_json_response(
             {
                 "revision": state.revision,
                 "as_of_ms": self._get_as_of(state, at_ms),
@@ -235,22 +239,22 @@
         )
 
     async def _async_put(self, request: web.Request) -> web.Response:
-        payload = await async_read_object(request)
+        payload = await async_read_json_object(request)
         self.set(_parse_instance(request.match_info["name"], payload))
-        return answer_json({"revision": self.revision})
+        return make_json_response({"revision": self.revision})
 
     async def _async_delete(self, request: web.Request) -> web.Response:
         self.remove(request.match_info["name"])
-        return answer_json({"revision": self.revision})
+        return make_json_response({"revision": self.revision})
 
-    async def _async_leave(self, request: web.Request) -> web.Response:
+    async def _async_mark_leaving(self, request: web.Request) -> web.Response:
         self.mark_leaving(request.match_info["name"])
-        return answer_json({"revision": self.revision})
+        return make_json_response({"revision": self.revision})
 
-    async def _async_lag(self, request: web.Request) -> web.Response:
-        payload = await async_read_object(request)
+    async def _async_set_lag(self, request: web.Request) -> web.Response:
+        payload = await async_read_json_object(request)
         self.set_lag(int(payload.get("ms", 0)))
-        return answer_json({})
+        return make_json_response({})
 
 
 def _format_instance(instance: Instance) -> dict[str, object]:
--- a/gypsumrouter/standins/replies.py
+++ b/gypsumrouter/standins/json_responses.py
@@ -11,19 +11,19 @@
 RETRY_AFTER_S: Final = "1"
 
 
-def answer_json(payload: object, *, status: int = 200) -> web.Response:
+def make_json_response(payload: object, *, status: int = 200) -> web.Response:
     """Return a JSON answer."""
     return web.json_response(payload, status=status)
 
 
-def answer_error(*, status: int, code: str, message: str = "") -> web.Response:
+def make_error_response(*, status: int, code: str, message: str = "") -> web.Response:
     """Return an error in the form that chat-completions clients know."""
     error = {"message": message or code, "type": "standin_error", "code": code, "param": None}
     headers = {"Retry-After": RETRY_AFTER_S} if status in (429, 503) else None
     return web.json_response({"error": error}, status=status, headers=headers)
 
 
-async def async_read_object(request: web.Request) -> dict[str, Any]:
+async def async_read_json_object(request: web.Request) -> dict[str, Any]:
     """Return the request's JSON object; answers 400 when it has none."""
     try:
         payload = json.loads(await request.read())
@@ -34,7 +34,7 @@
     return payload
 
 
-def read_int(request: web.Request, name: str, default: int) -> int:
+def get_query_int(request: web.Request, name: str, default: int) -> int:
     """Return a whole number of the query; answers 400 when it is none."""
     text = request.query.get(name)
     if text is None:
--- a/gypsumrouter/standins/load_history.py
+++ b/gypsumrouter/standins/load_history.py
@@ -9,7 +9,7 @@
 
 from gypsumrouter.util.clock import Clock
 
-SAMPLES_KEPT: Final = 200_000
+MAX_SAMPLES: Final = 200_000
 
 
 class LoadSample(Struct, frozen=True, kw_only=True):
@@ -33,10 +33,10 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self.max_load = 0
-        self.samples: deque[LoadSample] = deque(maxlen=SAMPLES_KEPT)
-        self.note(running=0, waiting=0)
+        self.samples: deque[LoadSample] = deque(maxlen=MAX_SAMPLES)
+        self.record(running=0, waiting=0)
 
-    def note(self, *, running: int, waiting: int) -> None:
+    def record(self, *, running: int, waiting: int) -> None:
         """Keep the load if it has changed."""
         if self.samples and (self.samples[-1].running, self.samples[-1].waiting) == (
             running,
--- a/gypsumrouter/standins/orders.py
+++ b/gypsumrouter/standins/orders.py
@@ -13,7 +13,7 @@
 from gypsumrouter.standins.models import DEFAULT_VERSION, EngineSettings
 from gypsumrouter.util.clock import Clock
 
-RECORDS_KEPT: Final = 4_096
+MAX_RECORDS: Final = 4_096
 SOURCE_STORE: Final = ""
 FETCH_TIMEOUT_S: Final = 60.0
 
@@ -57,7 +57,7 @@
     reason: str = ""
 
 
-class OrderBook:
+class OrderHandler:
     """Carry out orders; loads run on beside the engine's steps."""
 
     __slots__ = (
@@ -76,7 +76,7 @@
         self._settings = settings
         self._loads: dict[str, OrderRecord] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self.records: deque[OrderRecord] = deque(maxlen=RECORDS_KEPT)
+        self.records: deque[OrderRecord] = deque(maxlen=MAX_RECORDS)
         self.highest_fence = 0
         self.models: dict[str, str] = {}
         self.role = ""
@@ -95,7 +95,7 @@
         for model in tuple(self._tasks):
             self.cancel(model)
 
-    def take(self, order: Order) -> OrderRecord:
+    def handle(self, order: Order) -> OrderRecord:
         """Refuse an order with an old fencing number, or carry it out or begin to."""
         record = OrderRecord(
             order=order,
@@ -109,7 +109,7 @@
             record.reason = "old_fence"
             return record
         self.highest_fence = max(self.highest_fence, order.fence)
-        self._carry_out(record)
+        self._execute(record)
         return record
 
     def cancel(self, model: str) -> bool:
@@ -122,15 +122,15 @@
         record.state = OrderState.CANCELLED
         return True
 
-    def holds(self, model: str, version: str) -> bool:
+    def has_model(self, model: str, version: str) -> bool:
         """Return whether a version of a model is held; an empty version means any."""
         return model in self.models and version in ("", self.models[model])
 
-    def _carry_out(self, record: OrderRecord) -> None:
+    def _execute(self, record: OrderRecord) -> None:
         order = record.order
         match order.kind:
             case OrderKind.LOAD:
-                self._begin_load(record)
+                self._start_load(record)
             case OrderKind.UNLOAD:
                 self.cancel(order.model)
                 self.models.pop(order.model, None)
@@ -139,9 +139,9 @@
                 self.role = order.role
                 record.state = OrderState.APPLIED
 
-    def _begin_load(self, record: OrderRecord) -> None:
+    def _start_load(self, record: OrderRecord) -> None:
         order = record.order
-        if self.holds(order.model, order.version):
+        if self.has_model(order.model, order.version):
             self.cancel(order.model)
             record.state = OrderState.APPLIED
             return
--- a/gypsumrouter/standins/pipes.py
+++ b/gypsumrouter/standins/pipes.py
@@ -181,7 +181,7 @@
             delay_ms = due_ms - self._clock.now_ms()
             if delay_ms > 0:
                 await self._clock.async_sleep(delay_ms)
-            await self._shaper.gate.async_pass()
+            await self._shaper.gate.async_wait_open()
             if self.blackholed:
                 continue
             match item:
@@ -199,7 +199,7 @@
         for begin in range(0, len(data), CHUNK_BYTES):
             chunk = data[begin : begin + CHUNK_BYTES]
             await self._shaper.async_throttle(len(chunk))
-            await self._shaper.gate.async_pass()
+            await self._shaper.gate.async_wait_open()
             await sink.writable.wait()
             if self.blackholed or sink.lost or sink.transport is None:
                 return
--- a/gypsumrouter/standins/service.py
+++ b/gypsumrouter/standins/service.py
@@ -14,15 +14,15 @@
 from gypsumrouter.const import HEADER_IDEMPOTENCY_KEY, HEADER_REQUEST_ID
 from gypsumrouter.instances import Address
 from gypsumrouter.standins.faults import Gate
+from gypsumrouter.standins.json_responses import MAX_BODY_BYTES, make_json_response
 from gypsumrouter.standins.listener import StandinListener
 from gypsumrouter.standins.load_history import LoadHistory
-from gypsumrouter.standins.replies import MAX_BODY_BYTES, answer_json
 from gypsumrouter.util.clock import Clock
 
 HEADER_DELAY: Final = "X-Standin-Delay-Ms"
 DEFAULT_RESTART_MS: Final = 1_000
 DEFAULT_LOAD_LAG_MS: Final = 500
-EXECUTIONS_KEPT: Final = 1_000_000
+MAX_EXECUTIONS: Final = 1_000_000
 
 
 class Execution(Struct, frozen=True, kw_only=True):
@@ -55,8 +55,8 @@
         "_gate",
         "_listener",
         "_load_lag_ms",
-        "_restart",
         "_restart_ms",
+        "_restart_task",
         "_running",
         "crashes",
         "delay_ms",
@@ -83,9 +83,9 @@
         self._restart_ms = restart_ms
         self._load_lag_ms = load_lag_ms
         self._running = 0
-        self._restart: asyncio.Task[None] | None = None
+        self._restart_task: asyncio.Task[None] | None = None
         self.crashes = 0
-        self.executions: deque[Execution] = deque(maxlen=EXECUTIONS_KEPT)
+        self.executions: deque[Execution] = deque(maxlen=MAX_EXECUTIONS)
         self.executions_by_key: Counter[str] = Counter()
         self.executions_by_request: Counter[str] = Counter()
         self.history = LoadHistory(clock=clock)
@@ -103,16 +103,16 @@
 
     async def async_stop(self) -> None:
         """Release everything."""
-        if self._restart is not None:
-            self._restart.cancel()
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         await self._listener.async_stop()
 
     def crash(self) -> None:
         """Reset every connection and listen again after the restart time."""
         self.crashes += 1
         self._listener.close()
-        if self._restart is None or self._restart.done():
-            self._restart = asyncio.get_running_loop().create_task(self._async_restart())
+        if self._restart_task is None or self._restart_task.done():
+            self._restart_task = asyncio.get_running_loop().create_task(self._async_restart())
 
     def freeze(self) -> None:
         """Accept connections and answer nothing."""
@@ -127,25 +127,27 @@
         await self._listener.async_open()
 
     def _make_app(self) -> web.Application:
-        app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[self._gate.async_hold])
-        app.router.add_get("/load", self._async_load)
-        app.router.add_get("/standin/executions", self._async_executions)
-        app.router.add_post("/standin/{command:crash|freeze|thaw}", self._async_command)
-        app.router.add_route("*", "/{path:.*}", self._async_call)
+        app = web.Application(
+            client_max_size=MAX_BODY_BYTES, middlewares=[self._gate.async_middleware]
+        )
+        app.router.add_get("/load", self._async_get_load)
+        app.router.add_get("/standin/executions", self._async_get_executions)
+        app.router.add_post("/standin/{command:crash|freeze|thaw}", self._async_post_command)
+        app.router.add_route("*", "/{path:.*}", self._async_execute)
         return app
 
-    async def _async_call(self, request: web.Request) -> web.StreamResponse:
+    async def _async_execute(self, request: web.Request) -> web.StreamResponse:
         body = await request.read()
-        execution = self._count(request, body)
+        execution = self._record_execution(request, body)
         if self._crash_marker and self._crash_marker in body:
             self.crash()
-        self._note_running(1)
+        self._record_running(1)
         try:
             await self._async_delay(request)
-            await self._gate.async_pass()
+            await self._gate.async_wait_open()
         finally:
-            self._note_running(-1)
-        return answer_json(
+            self._record_running(-1)
+        return make_json_response(
             {
                 "method": execution.method,
                 "path": execution.path,
@@ -155,7 +157,7 @@
             }
         )
 
-    def _count(self, request: web.Request, body: bytes) -> Execution:
+    def _record_execution(self, request: web.Request, body: bytes) -> Execution:
         key = request.headers.get(HEADER_IDEMPOTENCY_KEY, "")
         request_id = request.headers.get(HEADER_REQUEST_ID, "")
         self.executions_by_key[key] += 1
@@ -178,19 +180,21 @@
         if delay_ms > 0:
             await self._clock.async_sleep(delay_ms)
 
-    def _note_running(self, change: int) -> None:
+    def _record_running(self, change: int) -> None:
         self._running += change
-        self.history.note(running=self._running, waiting=0)
+        self.history.record(running=self._running, waiting=0)
 
-    async def _async_load(self, _request: web.Request) -> web.Response:
+    async def _async_get_load(self, _request: web.Request) -> web.Response:
         sample = self.history.get_lagged(self._load_lag_ms)
         as_of_ms = self._clock.wall_ms() - self._load_lag_ms
-        return answer_json({"running": sample.running, "as_of_ms": as_of_ms})
+        return make_json_response({"running": sample.running, "as_of_ms": as_of_ms})
 
-    async def _async_executions(self, _request: web.Request) -> web.Response:
-        return answer_json({"executions": [asdict(execution) for execution in self.executions]})
+    async def _async_get_executions(self, _request: web.Request) -> web.Response:
+        return make_json_response(
+            {"executions": [asdict(execution) for execution in self.executions]}
+        )
 
-    async def _async_command(self, request: web.Request) -> web.Response:
+    async def _async_post_command(self, request: web.Request) -> web.Response:
         match request.match_info["command"]:
             case "crash":
                 asyncio.get_running_loop().call_soon(self.crash)
@@ -198,4 +202,4 @@
                 self.freeze()
             case _:
                 self.thaw()
-        return answer_json({})
+        return make_json_response({})
--- a/gypsumrouter/standins/streams.py
+++ b/gypsumrouter/standins/streams.py
@@ -1,4 +1,4 @@
-"""Answers of the stand-in engine: kept while they grow and a while longer, to be resumed."""
+"""Answers of the stand-in engine: max_ended while they grow and a while longer, to be resumed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 class StreamState(StrEnum):
     """Where an answer stands."""
 
-    GROWING = "growing"
-    WHOLE = "whole"
+    ACTIVE = "growing"
+    COMPLETE = "whole"
     CANCELLED = "cancelled"
 
 
-class AnswerStream:
+class ResponseStream:
     """The body of one answer; any number of readers follow it from any byte on."""
 
     __slots__ = (
@@ -26,10 +26,10 @@
         "body",
         "content_type",
         "ended_ms",
+        "no_reader_since_ms",
         "readers",
         "request_id",
         "state",
-        "unread_since_ms",
     )
 
     def __init__(self, *, clock: Clock, request_id: str, content_type: str) -> None:
@@ -38,9 +38,9 @@
         self.request_id = request_id
         self.content_type = content_type
         self.body = bytearray()
-        self.state = StreamState.GROWING
+        self.state = StreamState.ACTIVE
         self.readers = 0
-        self.unread_since_ms: int | None = None
+        self.no_reader_since_ms: int | None = None
         self.ended_ms = 0
 
     def append(self, part: bytes) -> None:
@@ -50,7 +50,7 @@
 
     def end(self, state: StreamState) -> None:
         """End the answer, whole or cancelled; only the first end counts."""
-        if self.state is not StreamState.GROWING:
+        if self.state is not StreamState.ACTIVE:
             return
         self.state = state
         self.ended_ms = self._clock.now_ms()
@@ -59,25 +59,25 @@
     def attach(self) -> None:
         """Note that a reader follows."""
         self.readers += 1
-        self.unread_since_ms = None
+        self.no_reader_since_ms = None
 
     def detach(self) -> None:
         """Note that a reader has gone."""
         self.readers -= 1
         if self.readers == 0:
-            self.unread_since_ms = self._clock.now_ms()
+            self.no_reader_since_ms = self._clock.now_ms()
 
-    async def async_wait_beyond(self, offset: int) -> None:
+    async def async_wait_for_data(self, offset: int) -> None:
         """Wait until the body is longer than `offset` or has ended."""
-        while len(self.body) <= offset and self.state is StreamState.GROWING:
+        while len(self.body) <= offset and self.state is StreamState.ACTIVE:
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
             await waiter
 
     async def async_wait_end(self) -> None:
         """Wait until the answer has ended."""
-        while self.state is StreamState.GROWING:
-            await self.async_wait_beyond(len(self.body))
+        while self.state is StreamState.ACTIVE:
+            await self.async_wait_for_data(len(self.body))
 
     def _wake(self) -> None:
         waiters, self._waiters = self._waiters, []
@@ -89,23 +89,23 @@
 class StreamTable:
     """Answers by request id; ended ones are dropped after a time or beyond a number."""
 
-    __slots__ = ("_clock", "_keep_ms", "_kept", "_streams")
+    __slots__ = ("_clock", "_max_ended", "_retention_ms", "_streams")
 
-    def __init__(self, *, clock: Clock, keep_ms: int, kept: int) -> None:
+    def __init__(self, *, clock: Clock, retention_ms: int, max_ended: int) -> None:
         self._clock = clock
-        self._keep_ms = keep_ms
-        self._kept = kept
-        self._streams: OrderedDict[str, AnswerStream] = OrderedDict()
+        self._retention_ms = retention_ms
+        self._max_ended = max_ended
+        self._streams: OrderedDict[str, ResponseStream] = OrderedDict()
 
-    def add(self, stream: AnswerStream) -> None:
+    def add(self, stream: ResponseStream) -> None:
         """Keep an answer; one with the same request id is replaced."""
-        self._drop_old()
+        self._evict_ended()
         self._streams[stream.request_id] = stream
         self._streams.move_to_end(stream.request_id)
 
-    def get(self, request_id: str) -> AnswerStream | None:
-        """Return an answer that is still kept."""
-        self._drop_old()
+    def get(self, request_id: str) -> ResponseStream | None:
+        """Return an answer that is still max_ended."""
+        self._evict_ended()
         return self._streams.get(request_id)
 
     def clear(self) -> None:
@@ -114,12 +114,12 @@
             stream.end(StreamState.CANCELLED)
         self._streams.clear()
 
-    def _drop_old(self) -> None:
-        expired_ms = self._clock.now_ms() - self._keep_ms
+    def _evict_ended(self) -> None:
+        expired_ms = self._clock.now_ms() - self._retention_ms
         ended = [
-            stream for stream in self._streams.values() if stream.state is not StreamState.GROWING
+            stream for stream in self._streams.values() if stream.state is not StreamState.ACTIVE
         ]
-        surplus = len(ended) - self._kept
+        surplus = len(ended) - self._max_ended
         for index, stream in enumerate(ended):
             if index < surplus or stream.ended_ms <= expired_ms:
                 del self._streams[stream.request_id]
--- /dev/null
+++ b/gypsumrouter/standins/token_bucket.py
@@ -0,0 +1,31 @@
+"""A token bucket: how many calls a stand-in takes in a time."""
+
+from __future__ import annotations
+
+from gypsumrouter.const import MS_PER_S
+from gypsumrouter.util.clock import Clock
+
+
+class TokenBucket:
+    """Allow `rate_per_s` calls a second, and `burst` at once after a pause."""
+
+    __slots__ = ("_burst", "_clock", "_refilled_at_ms", "_tokens", "rate_per_s")
+
+    def __init__(self, *, clock: Clock, rate_per_s: float, burst: float) -> None:
+        self._clock = clock
+        self.rate_per_s = rate_per_s
+        self._burst = burst
+        self._tokens = burst
+        self._refilled_at_ms = clock.now_ms()
+
+    def try_acquire(self, *, reserved_per_s: float = 0) -> bool:
+        """Take one call, or return False; `reserved_per_s` of the rate are taken by others."""
+        now_ms = self._clock.now_ms()
+        rate = max(0.0, self.rate_per_s - reserved_per_s)
+        refill = (now_ms - self._refilled_at_ms) * rate / MS_PER_S
+        self._tokens = min(self._burst, self._tokens + refill)
+        self._refilled_at_ms = now_ms
+        if self._tokens < 1:
+            return False
+        self._tokens -= 1
+        return True
--- a/gypsumrouter/standins/weight_store.py
+++ b/gypsumrouter/standins/weight_store.py
@@ -9,15 +9,15 @@
 
 from gypsumrouter.instances import Address
 from gypsumrouter.standins.faults import Gate, Outage, OutageKind
+from gypsumrouter.standins.json_responses import make_error_response, make_json_response
 from gypsumrouter.standins.listener import StandinListener
-from gypsumrouter.standins.rate import TokenBucket
-from gypsumrouter.standins.replies import answer_error, answer_json
+from gypsumrouter.standins.token_bucket import TokenBucket
 from gypsumrouter.util.clock import Clock
 
 DEFAULT_FETCHES_PER_S: Final = 0.5
 DEFAULT_BURST: Final = 2
 DEFAULT_FETCH_MS: Final = 2_000
-FETCHES_KEPT: Final = 10_000
+MAX_FETCHES: Final = 10_000
 
 
 class WeightStore:
@@ -41,12 +41,12 @@
         self._clock = clock
         self._fetch_ms = fetch_ms
         self._bucket = TokenBucket(clock=clock, rate_per_s=fetches_per_s, burst=burst)
-        self.fetched_ms: deque[int] = deque(maxlen=FETCHES_KEPT)
+        self.fetched_ms: deque[int] = deque(maxlen=MAX_FETCHES)
         self.rejected = 0
         gate = Gate()
-        app = web.Application(middlewares=[gate.async_hold])
+        app = web.Application(middlewares=[gate.async_middleware])
         self._listener = StandinListener(app=app, host=host, port=port)
-        self._outage = Outage(listener=self._listener, gate=gate, changed=lambda: None)
+        self._outage = Outage(listener=self._listener, gate=gate, on_change=lambda: None)
         app.router.add_get("/v1/weights/{model}", self._async_get)
         app.router.add_post("/standin/outage", self._outage.async_post)
 
@@ -73,11 +73,11 @@
 
     async def _async_get(self, request: web.Request) -> web.Response:
         if self._outage.kind is OutageKind.ERROR:
-            return answer_error(status=503, code="outage")
-        if not self._bucket.take():
+            return make_error_response(status=503, code="outage")
+        if not self._bucket.try_acquire():
             self.rejected += 1
-            return answer_error(status=429, code="weight_store_rate")
+            return make_error_response(status=429, code="weight_store_rate")
         self.fetched_ms.append(self._clock.wall_ms())
         await self._clock.async_sleep(self._fetch_ms)
         version = request.query.get("version", "")
-        return answer_json({"model": request.match_info["model"], "version": version})
+        return make_json_response({"model": request.match_info["model"], "version": version})
--- a/tests/demo/test_demo_report.py
+++ b/tests/demo/test_demo_report.py
@@ -1,4 +1,4 @@
-"""The verdict of the demo: good only when every answer was whole."""
+"""The verdict of the demo: passed only when every answer was whole."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tallies", "doubled_runs", "good"),
+    ("tallies", "repeated_executions", "passed"),
     [
         ([Tally(requests=2, whole=2), Tally(requests=1, whole=1)], 0, True),
         ([Tally()], 0, False),
@@ -23,9 +23,9 @@
     ],
 )
 def test_the_demo_is_good_only_when_every_answer_was_whole(
-    tallies: list[Tally], doubled_runs: int, good: bool, capsys: pytest.CaptureFixture[str]
+    tallies: list[Tally], repeated_executions: int, passed: bool, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert print_outcome(tallies, doubled_runs=doubled_runs) is good
+    assert print_outcome(tallies, repeated_executions=repeated_executions) is passed
     figures = json.loads(capsys.readouterr().out.splitlines()[-1])
     assert figures.keys() == {"requests", "whole", "lost", "doubled", "crossed"}
-    assert figures["doubled"] == doubled_runs
+    assert figures["doubled"] == repeated_executions
--- a/tests/standins/test_standins_batch.py
+++ b/tests/standins/test_standins_batch.py
@@ -12,14 +12,14 @@
 from gypsumrouter.standins.cache import CacheEventLog, PrefixCache
 from gypsumrouter.standins.chat import ChatEncoder, ChatRequest, parse_chat
 from gypsumrouter.standins.models import EngineSettings
-from gypsumrouter.standins.streams import AnswerStream, StreamState
+from gypsumrouter.standins.streams import ResponseStream, StreamState
 from gypsumrouter.util.clock import ManualClock
 
 SETTINGS = EngineSettings(slots=2, step_ms_per_sequence=0.5, prefill_ms_per_token=0.1)
 SETTLE_ROUNDS = 10
 
 
-class Bench:
+class BatchHarness:
     """A batch alone, without HTTP."""
 
     def __init__(self, clock: ManualClock, settings: EngineSettings = SETTINGS) -> None:
@@ -33,7 +33,7 @@
             clock=clock,
             settings=settings,
             cache=PrefixCache(capacity_tokens=10_000, events=events),
-            on_change=self._note_ended,
+            on_change=self._record_ended,
             on_end=lambda state: None,
             on_crash=self._crash,
         )
@@ -52,7 +52,7 @@
         body["messages"] = [{"role": "user", "content": name.ljust(size, ".")}]
         request = parse_chat(json.dumps(body).encode(), self.settings)
         assert isinstance(request, ChatRequest)
-        stream = AnswerStream(clock=self.clock, request_id=name, content_type="")
+        stream = ResponseStream(clock=self.clock, request_id=name, content_type="")
         sequence = Sequence(
             request=request,
             encoder=ChatEncoder(request=request, request_id=name, wall_ms=0),
@@ -74,7 +74,7 @@
         for _ in range(SETTLE_ROUNDS):
             await asyncio.sleep(0)
 
-    def _note_ended(self) -> None:
+    def _record_ended(self) -> None:
         for name, sequence in self.sequences.items():
             if sequence.ended and name not in self.ended:
                 self.ended.append(name)
@@ -84,125 +84,125 @@
 
 
 @pytest.fixture
-async def bench(clock: ManualClock) -> AsyncIterator[Bench]:
-    made = Bench(clock)
+async def harness(clock: ManualClock) -> AsyncIterator[BatchHarness]:
+    made = BatchHarness(clock)
     yield made
     made.task.cancel()
 
 
 async def test_waiting_sequences_run_by_priority_and_then_by_arrival(clock: ManualClock) -> None:
-    bench = Bench(clock, EngineSettings(slots=1))
+    harness = BatchHarness(clock, EngineSettings(slots=1))
     for name, priority in (("a", 0), ("b", 0), ("c", 5), ("d", 5), ("e", 9)):
-        bench.submit(name, priority=priority)
-    await bench.async_advance(200)
-    assert bench.ended == ["e", "c", "d", "a", "b"]
-    bench.task.cancel()
+        harness.submit(name, priority=priority)
+    await harness.async_advance(200)
+    assert harness.ended == ["e", "c", "d", "a", "b"]
+    harness.task.cancel()
 
 
 async def test_a_running_sequence_keeps_its_slot_when_a_higher_priority_comes(
-    bench: Bench,
+    harness: BatchHarness,
 ) -> None:
-    bench.submit("a", tokens=20)
-    bench.submit("b", tokens=20)
-    await bench.async_advance(20)
-    bench.submit("late", priority=100)
-    await bench.async_settle()
-    assert (bench.batch.running, bench.batch.waiting) == (2, 1)
-    await bench.async_advance(300)
-    assert bench.ended == ["a", "b", "late"]
-
-
-async def test_each_running_sequence_gets_one_token_in_each_step(bench: Bench) -> None:
-    first = bench.submit("a", tokens=50)
-    second = bench.submit("b", tokens=50)
-    await bench.async_advance(100)
-    assert first.produced == second.produced == bench.batch.steps
+    harness.submit("a", tokens=20)
+    harness.submit("b", tokens=20)
+    await harness.async_advance(20)
+    harness.submit("late", priority=100)
+    await harness.async_settle()
+    assert (harness.batch.running, harness.batch.waiting) == (2, 1)
+    await harness.async_advance(300)
+    assert harness.ended == ["a", "b", "late"]
+
+
+async def test_each_running_sequence_gets_one_token_in_each_step(harness: BatchHarness) -> None:
+    first = harness.submit("a", tokens=50)
+    second = harness.submit("b", tokens=50)
+    await harness.async_advance(100)
+    assert first.produced == second.produced == harness.batch.steps
     assert 0 < first.produced < 50
 
 
 async def test_a_step_costs_its_base_its_sequences_and_its_prompt_tokens(
-    bench: Bench, clock: ManualClock
+    harness: BatchHarness, clock: ManualClock
 ) -> None:
-    sequence = bench.submit("a", tokens=2, size=391)
+    sequence = harness.submit("a", tokens=2, size=391)
     assert sequence.request.prompt_tokens == 100
-    await bench.async_settle()
-    await bench.async_advance(14)
+    await harness.async_settle()
+    await harness.async_advance(14)
     assert sequence.produced == 0
-    await bench.async_advance(1)
+    await harness.async_advance(1)
     assert sequence.produced == 1
-    await bench.async_advance(4)
+    await harness.async_advance(4)
     assert sequence.produced == 2
 
 
-async def test_a_step_that_begins_after_a_pause_is_not_shorter(bench: Bench) -> None:
-    bench.submit("a", tokens=1)
-    await bench.async_advance(1_000)
-    late = bench.submit("b", tokens=5, size=10)
-    await bench.async_settle()
-    await bench.async_advance(3)
+async def test_a_step_that_begins_after_a_pause_is_not_shorter(harness: BatchHarness) -> None:
+    harness.submit("a", tokens=1)
+    await harness.async_advance(1_000)
+    late = harness.submit("b", tokens=5, size=10)
+    await harness.async_settle()
+    await harness.async_advance(3)
     assert late.produced == 0
 
 
 async def test_a_long_prompt_is_computed_in_chunks_beside_other_sequences(
     clock: ManualClock,
 ) -> None:
-    bench = Bench(clock, EngineSettings(slots=2, prefill_chunk_tokens=16))
-    short = bench.submit("short", tokens=100, size=8)
-    await bench.async_advance(10)
+    harness = BatchHarness(clock, EngineSettings(slots=2, prefill_chunk_tokens=16))
+    short = harness.submit("short", tokens=100, size=8)
+    await harness.async_advance(10)
     produced = short.produced
-    long = bench.submit("long", size=640)
-    await bench.async_advance(30)
+    long = harness.submit("long", size=640)
+    await harness.async_advance(30)
     assert long.produced == 0
     assert short.produced > produced
-    await bench.async_advance(100)
+    await harness.async_advance(100)
     assert long.ended
-    bench.task.cancel()
+    harness.task.cancel()
 
 
-async def test_a_cancelled_sequence_leaves_the_queue_at_once(bench: Bench) -> None:
+async def test_a_cancelled_sequence_leaves_the_queue_at_once(harness: BatchHarness) -> None:
     for name in "abc":
-        bench.submit(name, tokens=50)
-    await bench.async_advance(10)
-    assert bench.batch.waiting == 1
-    bench.sequences["c"].stream.end(StreamState.CANCELLED)
-    bench.batch.drop_ended()
-    assert bench.batch.waiting == 0
-
-
-async def test_a_paused_batch_computes_nothing_until_it_goes_on(bench: Bench) -> None:
-    sequence = bench.submit("a", tokens=50)
-    await bench.async_advance(20)
-    bench.batch.pause()
-    await bench.async_advance(10)
+        harness.submit(name, tokens=50)
+    await harness.async_advance(10)
+    assert harness.batch.waiting == 1
+    harness.sequences["c"].stream.end(StreamState.CANCELLED)
+    harness.batch.remove_ended()
+    assert harness.batch.waiting == 0
+
+
+async def test_a_paused_batch_computes_nothing_until_it_goes_on(harness: BatchHarness) -> None:
+    sequence = harness.submit("a", tokens=50)
+    await harness.async_advance(20)
+    harness.batch.pause()
+    await harness.async_advance(10)
     held = sequence.produced
-    await bench.async_advance(200)
+    await harness.async_advance(200)
     assert sequence.produced == held
-    bench.batch.resume()
-    await bench.async_advance(300)
+    harness.batch.resume()
+    await harness.async_advance(300)
     assert sequence.ended
 
 
-async def test_an_abandoned_sequence_is_cancelled_after_the_set_time(bench: Bench) -> None:
-    sequence = bench.submit("a", tokens=8_000)
+async def test_an_abandoned_sequence_is_cancelled_after_the_set_time(harness: BatchHarness) -> None:
+    sequence = harness.submit("a", tokens=8_000)
     sequence.stream.attach()
-    await bench.async_advance(10)
+    await harness.async_advance(10)
     sequence.stream.detach()
-    await bench.async_advance(bench.settings.abandon_ms - 100)
+    await harness.async_advance(harness.settings.abandon_ms - 100)
     assert not sequence.ended
-    await bench.async_advance(200)
+    await harness.async_advance(200)
     assert sequence.stream.state is StreamState.CANCELLED
 
 
 async def test_the_marked_sequence_crashes_when_it_begins_to_run_and_not_before(
-    bench: Bench,
+    harness: BatchHarness,
 ) -> None:
     for name in "ab":
-        bench.submit(name, tokens=3)
-    bench.submit("bad", crashes=True)
-    await bench.async_advance(4)
-    assert bench.crashed == 0
-    await bench.async_advance(50)
-    assert bench.crashed == 1
+        harness.submit(name, tokens=3)
+    harness.submit("bad", crashes=True)
+    await harness.async_advance(4)
+    assert harness.crashed == 0
+    await harness.async_advance(50)
+    assert harness.crashed == 1
 
 
 def test_steps_below_four_milliseconds_are_refused() -> None:
--- a/tests/standins/test_standins_configuration_service.py
+++ b/tests/standins/test_standins_configuration_service.py
@@ -14,7 +14,7 @@
 from gypsumrouter.util.clock import ManualClock
 
 READS_PER_S = 10
-Told = tuple[int, int | None]
+ReadResult = tuple[int, int | None]
 
 
 def make_document(version: int) -> bytes:
@@ -37,10 +37,10 @@
         self.session = session
         self.origin = f"http://{service.address}"
 
-    async def async_read(self) -> Told:
+    async def async_read(self) -> ReadResult:
         return await self._async_get({})
 
-    def watch(self, known: int, timeout_ms: int = 1_000) -> asyncio.Future[Told]:
+    def watch(self, known: int, timeout_ms: int = 1_000) -> asyncio.Future[ReadResult]:
         query = {"watch": str(known), "timeout_ms": str(timeout_ms)}
         return asyncio.ensure_future(self._async_get(query))
 
@@ -48,7 +48,7 @@
         async with self.session.post(f"{self.origin}/standin/{path}", json=payload) as response:
             return response.status
 
-    async def _async_get(self, query: dict[str, str]) -> Told:
+    async def _async_get(self, query: dict[str, str]) -> ReadResult:
         url = f"{self.origin}/v1/configuration"
         async with self.session.get(url, params=query) as response:
             body = await response.read()
--- a/tests/standins/test_standins_engine.py
+++ b/tests/standins/test_standins_engine.py
@@ -20,7 +20,7 @@
 CHAT = "/v1/chat/completions"
 
 
-class Bench:
+class EngineHarness:
     """An engine, and a caller that moves its clock."""
 
     def __init__(self, clock: ManualClock, session: aiohttp.ClientSession) -> None:
@@ -66,15 +66,19 @@
 
 
 @pytest.fixture
-async def bench(clock: ManualClock, session: aiohttp.ClientSession) -> AsyncIterator[Bench]:
-    made = Bench(clock, session)
+async def harness(
+    clock: ManualClock, session: aiohttp.ClientSession
+) -> AsyncIterator[EngineHarness]:
+    made = EngineHarness(clock, session)
     await made.engine.async_start()
     yield made
     await made.engine.async_stop()
 
 
-async def test_a_whole_answer_begins_with_the_digest_of_its_own_request(bench: Bench) -> None:
-    status, body = await bench.async_chat("r1", content="where is my sweater", max_tokens=5)
+async def test_a_whole_answer_begins_with_the_digest_of_its_own_request(
+    harness: EngineHarness,
+) -> None:
+    status, body = await harness.async_chat("r1", content="where is my sweater", max_tokens=5)
     answer = json.loads(body)
     assert status == 200
     assert answer["choices"][0]["message"]["content"] == make_expected("where is my sweater", 5)
@@ -82,8 +86,8 @@
     assert answer["usage"]["completion_tokens"] == 5
 
 
-async def test_a_stream_says_the_same_and_ends_with_usage_and_done(bench: Bench) -> None:
-    _, body = await bench.async_chat("r1", max_tokens=5, stream=True)
+async def test_a_stream_says_the_same_and_ends_with_usage_and_done(harness: EngineHarness) -> None:
+    _, body = await harness.async_chat("r1", max_tokens=5, stream=True)
     events = parse_events(body)
     text = "".join(event["choices"][0]["delta"].get("content", "") for event in events)
     assert text == make_expected("hello", 5)
@@ -92,69 +96,73 @@
     assert events[-1]["usage"]["prompt_tokens_details"] == {"cached_tokens": 0}
 
 
-async def test_usage_has_an_event_of_its_own_where_the_caller_asks_for_it(bench: Bench) -> None:
+async def test_usage_has_an_event_of_its_own_where_the_caller_asks_for_it(
+    harness: EngineHarness,
+) -> None:
     options = {"include_usage": True}
-    _, body = await bench.async_chat("r1", max_tokens=2, stream=True, stream_options=options)
+    _, body = await harness.async_chat("r1", max_tokens=2, stream=True, stream_options=options)
     events = parse_events(body)
     assert "usage" not in events[-2]
     assert events[-1]["choices"] == []
     assert events[-1]["usage"]["completion_tokens"] == 2
 
 
-async def test_the_next_turn_reads_prompt_and_answer_from_the_cache(bench: Bench) -> None:
-    _, body = await bench.async_chat("r1", content="a" * 600, max_tokens=40)
+async def test_the_next_turn_reads_prompt_and_answer_from_the_cache(harness: EngineHarness) -> None:
+    _, body = await harness.async_chat("r1", content="a" * 600, max_tokens=40)
     text = json.loads(body)["choices"][0]["message"]["content"]
     turns = [*make_messages("a" * 600), {"role": "assistant", "content": text}]
-    _, body = await bench.async_chat("r2", messages=[*turns, *make_messages("more")])
+    _, body = await harness.async_chat("r2", messages=[*turns, *make_messages("more")])
     usage = json.loads(body)["usage"]
     assert usage["prompt_tokens_details"]["cached_tokens"] >= usage["prompt_tokens"] - 32
-    assert bench.engine.counts.cached_tokens == usage["prompt_tokens_details"]["cached_tokens"]
+    assert harness.engine.counts.cached_tokens == usage["prompt_tokens_details"]["cached_tokens"]
 
 
-async def test_resume_gives_the_same_bytes_from_every_offset(bench: Bench) -> None:
-    _, body = await bench.async_chat("r1", max_tokens=4, stream=True)
+async def test_resume_gives_the_same_bytes_from_every_offset(harness: EngineHarness) -> None:
+    _, body = await harness.async_chat("r1", max_tokens=4, stream=True)
     for offset in (0, 1, 17, len(body) // 2, len(body) - 1, len(body)):
         path = f"/v1/streams/r1/resume?offset={offset}"
-        status, rest, _ = await bench.async_drive(bench.async_call("POST", path))
+        status, rest, _ = await harness.async_drive(harness.async_call("POST", path))
         assert (status, rest) == (200, body[offset:])
-    beyond = bench.async_call("POST", f"/v1/streams/r1/resume?offset={len(body) + 1}")
-    assert (await bench.async_drive(beyond))[0] == 416
-    assert bench.engine.executions["r1"] == 1
+    beyond = harness.async_call("POST", f"/v1/streams/r1/resume?offset={len(body) + 1}")
+    assert (await harness.async_drive(beyond))[0] == 416
+    assert harness.engine.executions["r1"] == 1
 
 
-async def test_a_stream_whose_reader_was_cut_goes_on_and_is_resumed_whole(bench: Bench) -> None:
+async def test_a_stream_whose_reader_was_cut_goes_on_and_is_resumed_whole(
+    harness: EngineHarness,
+) -> None:
     body = {"model": MODEL, "messages": make_messages("x"), "max_tokens": 30, "stream": True}
-    url = f"http://{bench.engine.address}{CHAT}"
+    url = f"http://{harness.engine.address}{CHAT}"
     headers = {"X-Request-Id": "r1"}
-    post = bench.session.post(url, json=body, headers=headers)
-    response = await bench.async_drive(asyncio.ensure_future(post.__aenter__()))
-    got = await bench.async_drive(response.content.readany())
+    post = harness.session.post(url, json=body, headers=headers)
+    response = await harness.async_drive(asyncio.ensure_future(post.__aenter__()))
+    got = await harness.async_drive(response.content.readany())
     response.close()
     path = f"/v1/streams/r1/resume?offset={len(got)}"
-    _, rest, _ = await bench.async_drive(bench.async_call("POST", path))
+    _, rest, _ = await harness.async_drive(harness.async_call("POST", path))
     events = parse_events(got + rest)
     text = "".join(event["choices"][0]["delta"].get("content", "") for event in events)
     assert text == make_expected("x", 30)
-    assert bench.engine.executions["r1"] == 1
+    assert harness.engine.executions["r1"] == 1
 
 
-async def test_an_ended_stream_is_forgotten_after_a_while(bench: Bench) -> None:
-    await bench.async_chat("r1", max_tokens=2, stream=True)
-    bench.clock.advance(bench.engine.settings.stream_keep_ms)
-    status, _, _ = await bench.async_call("POST", "/v1/streams/r1/resume?offset=0")
+async def test_an_ended_stream_is_forgotten_after_a_while(harness: EngineHarness) -> None:
+    await harness.async_chat("r1", max_tokens=2, stream=True)
+    harness.clock.advance(harness.engine.settings.stream_keep_ms)
+    status, _, _ = await harness.async_call("POST", "/v1/streams/r1/resume?offset=0")
     assert status == 404
 
 
-async def test_a_cancelled_stream_ends_its_reader_without_done(bench: Bench) -> None:
-    chat = asyncio.ensure_future(bench.async_chat("r1", max_tokens=8_000, stream=True))
-    await async_until(lambda: bench.engine.load == 1)
-    status, _, _ = await bench.async_call("DELETE", "/v1/streams/r1")
+async def test_a_cancelled_stream_ends_its_reader_without_done(harness: EngineHarness) -> None:
+    chat = asyncio.ensure_future(harness.async_chat("r1", max_tokens=8_000, stream=True))
+    await async_until(lambda: harness.engine.load == 1)
+    status, _, _ = await harness.async_call("DELETE", "/v1/streams/r1")
     assert status == 200
     with pytest.raises(aiohttp.ClientError):
         await chat
-    assert bench.engine.load == 0
-    assert bench.engine.counts.cancelled == 1
-    again, _, _ = await bench.async_call("DELETE", "/v1/streams/r1")
+    assert harness.engine.load == 0
+    assert harness.engine.counts.cancelled == 1
+    again, _, _ = await harness.async_call("DELETE", "/v1/streams/r1")
     assert again == 404
 
 
@@ -169,82 +177,86 @@
     ],
 )
 async def test_wrong_requests_and_models_that_are_not_held_never_run(
-    bench: Bench, body: bytes, status: int
+    harness: EngineHarness, body: bytes, status: int
 ) -> None:
-    answered, error, _ = await bench.async_call("POST", CHAT, data=body)
+    answered, error, _ = await harness.async_call("POST", CHAT, data=body)
     assert answered == status
     assert "code" in json.loads(error)["error"]
-    assert not bench.engine.executions
+    assert not harness.engine.executions
 
 
 async def test_a_marked_request_kills_the_engine_and_its_innocent_neighbours(
-    bench: Bench,
+    harness: EngineHarness,
 ) -> None:
-    await bench.async_chat("warm", content="a" * 600)
-    address = bench.engine.address
-    innocent = asyncio.ensure_future(bench.async_chat("r1", max_tokens=8_000, stream=True))
-    await async_until(lambda: bench.engine.load == 1)
-    guilty = asyncio.ensure_future(bench.async_chat("r2", content=f"please {MARKER}"))
+    await harness.async_chat("warm", content="a" * 600)
+    address = harness.engine.address
+    innocent = asyncio.ensure_future(harness.async_chat("r1", max_tokens=8_000, stream=True))
+    await async_until(lambda: harness.engine.load == 1)
+    guilty = asyncio.ensure_future(harness.async_chat("r2", content=f"please {MARKER}"))
     for call in (innocent, guilty):
         with pytest.raises(aiohttp.ClientError):
             await call
-    assert bench.engine.counts.crashes == 1
-    assert bench.engine.load == 0
+    assert harness.engine.counts.crashes == 1
+    assert harness.engine.load == 0
     with pytest.raises(aiohttp.ClientConnectorError):
-        await bench.async_call("GET", "/v1/load")
-    crashed_ms = bench.clock.now_ms()
-    await bench.async_drive(async_until(lambda: bench.engine.start_id == 2))
-    assert bench.clock.now_ms() > crashed_ms
-    status, body = await bench.async_chat("r3", content="a" * 600)
-    assert bench.engine.address == address
+        await harness.async_call("GET", "/v1/load")
+    crashed_ms = harness.clock.now_ms()
+    await harness.async_drive(async_until(lambda: harness.engine.start_id == 2))
+    assert harness.clock.now_ms() > crashed_ms
+    status, body = await harness.async_chat("r3", content="a" * 600)
+    assert harness.engine.address == address
     assert status == 200
     assert json.loads(body)["usage"]["prompt_tokens_details"]["cached_tokens"] == 0
 
 
-async def test_an_ended_life_leaves_no_stream_to_resume(bench: Bench) -> None:
-    await bench.async_chat("r1", max_tokens=2, stream=True)
-    bench.engine.crash()
-    await bench.async_drive(async_until(lambda: bench.engine.start_id == 2))
-    status, _, _ = await bench.async_drive(
-        bench.async_call("POST", "/v1/streams/r1/resume?offset=0")
+async def test_an_ended_life_leaves_no_stream_to_resume(harness: EngineHarness) -> None:
+    await harness.async_chat("r1", max_tokens=2, stream=True)
+    harness.engine.crash()
+    await harness.async_drive(async_until(lambda: harness.engine.start_id == 2))
+    status, _, _ = await harness.async_drive(
+        harness.async_call("POST", "/v1/streams/r1/resume?offset=0")
     )
     assert status == 404
 
 
-async def test_a_frozen_engine_takes_connections_and_answers_nothing(bench: Bench) -> None:
-    bench.engine.freeze()
-    call = asyncio.ensure_future(bench.async_chat("r1"))
-    await async_until(lambda: bench.clock.now_ms() > 1_000)
+async def test_a_frozen_engine_takes_connections_and_answers_nothing(
+    harness: EngineHarness,
+) -> None:
+    harness.engine.freeze()
+    call = asyncio.ensure_future(harness.async_chat("r1"))
+    await async_until(lambda: harness.clock.now_ms() > 1_000)
     assert not call.done()
-    assert not bench.engine.executions
-    bench.engine.thaw()
+    assert not harness.engine.executions
+    harness.engine.thaw()
     status, _ = await call
     assert status == 200
 
 
-async def test_the_load_is_told_with_a_lag(bench: Bench) -> None:
-    call = asyncio.ensure_future(bench.async_chat("r1", max_tokens=8_000))
-    await async_until(lambda: bench.engine.batch.running == 1)
-    _, body, _ = await bench.async_call("GET", "/v1/load")
-    told = json.loads(body)
-    assert (told["running"], told["slots"]) == (0, 16)
-    assert told["as_of_ms"] <= bench.clock.wall_ms() - 500
-    began_ms = bench.clock.now_ms()
-    await async_until(lambda: bench.clock.now_ms() > began_ms + 1_000)
-    _, body, _ = await bench.async_call("GET", "/v1/load")
+async def test_the_load_is_told_with_a_lag(harness: EngineHarness) -> None:
+    call = asyncio.ensure_future(harness.async_chat("r1", max_tokens=8_000))
+    await async_until(lambda: harness.engine.batch.running == 1)
+    _, body, _ = await harness.async_call("GET", "/v1/load")
+    answer = json.loads(body)
+    assert (answer["running"], answer["slots"]) == (0, 16)
+    assert answer["as_of_ms"] <= harness.clock.wall_ms() - 500
+    began_ms = harness.clock.now_ms()
+    await async_until(lambda: harness.clock.now_ms() > began_ms + 1_000)
+    _, body, _ = await harness.async_call("GET", "/v1/load")
     assert json.loads(body)["running"] == 1
-    bench.engine.cancel("r1")
+    harness.engine.cancel("r1")
     with pytest.raises(aiohttp.ClientError):
         await call
 
 
-async def test_kv_cache_moves_from_one_engine_to_another(bench: Bench, clock: ManualClock) -> None:
+async def test_kv_cache_moves_from_one_engine_to_another(
+    harness: EngineHarness, clock: ManualClock
+) -> None:
     headers = {"X-Gypsum-Chat": "chat-1"}
     body = {"model": MODEL, "messages": make_messages("a" * 600)}
-    await bench.async_drive(bench.async_call("POST", CHAT, json=body, headers=headers))
-    export = bench.async_call("POST", "/v1/cache/export", json={"chat": "chat-1"})
-    _, held, _ = await bench.async_drive(export)
-    other = Bench(clock, bench.session)
+    await harness.async_drive(harness.async_call("POST", CHAT, json=body, headers=headers))
+    export = harness.async_call("POST", "/v1/cache/export", json={"chat": "chat-1"})
+    _, held, _ = await harness.async_drive(export)
+    other = EngineHarness(clock, harness.session)
     await other.engine.async_start()
     payload = {"chat": "chat-1", **json.loads(held)}
     await other.async_drive(other.async_call("POST", "/v1/cache/import", json=payload))
@@ -257,21 +269,21 @@
     await other.engine.async_stop()
 
 
-async def test_cache_events_are_paged_by_their_number(bench: Bench) -> None:
-    await bench.async_chat("r1", content="a" * 600)
-    _, body, _ = await bench.async_call("GET", "/v1/cache/events?after=0")
+async def test_cache_events_are_paged_by_their_number(harness: EngineHarness) -> None:
+    await harness.async_chat("r1", content="a" * 600)
+    _, body, _ = await harness.async_call("GET", "/v1/cache/events?after=0")
     assert json.loads(body) == {"events": [], "next": 0}
-    bench.clock.advance(500)
-    _, body, _ = await bench.async_call("GET", "/v1/cache/events?after=0")
-    told = json.loads(body)
-    assert [event["kind"] for event in told["events"]] == ["stored", "stored"]
-    _, body, _ = await bench.async_call("GET", f"/v1/cache/events?after={told['next']}")
+    harness.clock.advance(500)
+    _, body, _ = await harness.async_call("GET", "/v1/cache/events?after=0")
+    answer = json.loads(body)
+    assert [event["kind"] for event in answer["events"]] == ["stored", "stored"]
+    _, body, _ = await harness.async_call("GET", f"/v1/cache/events?after={answer['next']}")
     assert json.loads(body)["events"] == []
 
 
-async def test_the_engine_is_driven_over_http_too(bench: Bench) -> None:
-    await bench.async_chat("r1")
-    _, body, _ = await bench.async_call("GET", "/standin/executions")
+async def test_the_engine_is_driven_over_http_too(harness: EngineHarness) -> None:
+    await harness.async_chat("r1")
+    _, body, _ = await harness.async_call("GET", "/standin/executions")
     assert json.loads(body) == {"executions": {"r1": 1}}
-    await bench.async_call("POST", "/standin/crash")
-    await async_until(lambda: bench.engine.counts.crashes == 1)
+    await harness.async_call("POST", "/standin/crash")
+    await async_until(lambda: harness.engine.counts.crashes == 1)
--- a/tests/standins/test_standins_fault_proxy.py
+++ b/tests/standins/test_standins_fault_proxy.py
@@ -72,7 +72,7 @@
         return quiet
 
 
-class Bench:
+class ProxyHarness:
     """A target, a proxy before it, and callers."""
 
     def __init__(self, clock: ManualClock) -> None:
@@ -103,171 +103,173 @@
 
 
 @pytest.fixture
-async def bench(clock: ManualClock) -> AsyncIterator[Bench]:
-    made = Bench(clock)
+async def harness(clock: ManualClock) -> AsyncIterator[ProxyHarness]:
+    made = ProxyHarness(clock)
     await made.async_start()
     yield made
     await made.async_stop()
 
 
-async def test_without_faults_all_bytes_pass_both_ways(bench: Bench) -> None:
-    caller = await bench.async_connect_through()
+async def test_without_faults_all_bytes_pass_both_ways(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect_through()
     data = bytes(range(256)) * 4_096
     assert await caller.async_echo(data) == data
-    assert bench.proxy.get_forwarded_bytes(Direction.BACK) == len(data) + 5
+    assert harness.proxy.get_forwarded_bytes(Direction.BACK) == len(data) + 5
 
 
-async def test_the_end_of_one_half_passes_and_the_other_half_goes_on(bench: Bench) -> None:
-    caller = await bench.async_connect()
+async def test_the_end_of_one_half_passes_and_the_other_half_goes_on(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect()
     caller.writer.write(b"last words")
     caller.writer.write_eof()
     async with asyncio.timeout(HANG_S):
         assert await caller.reader.read() == b"last words"
-    await async_until(lambda: bench.proxy.connections == 0)
+    await async_until(lambda: harness.proxy.connections == 0)
 
 
-async def test_a_closed_target_closes_the_caller_too(bench: Bench) -> None:
-    caller = await bench.async_connect_through()
-    bench.target.writers[0].close()
+async def test_a_closed_target_closes_the_caller_too(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect_through()
+    harness.target.writers[0].close()
     async with asyncio.timeout(HANG_S):
         assert await caller.reader.read() == b""
 
 
-async def test_a_delay_holds_each_way_back_by_its_time(bench: Bench) -> None:
-    caller = await bench.async_connect_through()
-    bench.proxy.set_delay(30, directions={Direction.FORWARD})
-    bench.proxy.set_delay(20, directions={Direction.BACK})
+async def test_a_delay_holds_each_way_back_by_its_time(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect_through()
+    harness.proxy.set_delay(30, directions={Direction.FORWARD})
+    harness.proxy.set_delay(20, directions={Direction.BACK})
     caller.writer.write(b"x")
-    began_ms = bench.clock.now_ms()
+    began_ms = harness.clock.now_ms()
     assert await caller.async_is_quiet()
-    assert await async_drive(bench.clock, caller.reader.readexactly(1)) == b"x"
-    assert bench.clock.now_ms() - began_ms >= 50
+    assert await async_drive(harness.clock, caller.reader.readexactly(1)) == b"x"
+    assert harness.clock.now_ms() - began_ms >= 50
 
 
 async def test_delayed_parts_keep_their_order_and_are_not_delayed_by_one_another(
-    bench: Bench,
+    harness: ProxyHarness,
 ) -> None:
-    caller = await bench.async_connect_through()
-    bench.proxy.set_delay(100, directions={Direction.FORWARD})
-    began_ms = bench.clock.now_ms()
+    caller = await harness.async_connect_through()
+    harness.proxy.set_delay(100, directions={Direction.FORWARD})
+    began_ms = harness.clock.now_ms()
     for part in (b"a", b"b", b"c"):
         caller.writer.write(part)
         assert await caller.async_is_quiet()
-        bench.clock.advance(10)
-    bench.clock.advance(100)
+        harness.clock.advance(10)
+    harness.clock.advance(100)
     async with asyncio.timeout(HANG_S):
         assert await caller.reader.readexactly(3) == b"abc"
-    assert bench.clock.now_ms() - began_ms == 130
+    assert harness.clock.now_ms() - began_ms == 130
 
 
-async def test_bandwidth_is_shared_by_all_connections(bench: Bench) -> None:
-    callers = [await bench.async_connect_through() for _ in range(2)]
-    bench.proxy.set_bandwidth(100_000, directions={Direction.FORWARD})
-    began_ms = bench.clock.now_ms()
+async def test_bandwidth_is_shared_by_all_connections(harness: ProxyHarness) -> None:
+    callers = [await harness.async_connect_through() for _ in range(2)]
+    harness.proxy.set_bandwidth(100_000, directions={Direction.FORWARD})
+    began_ms = harness.clock.now_ms()
     echoes = [caller.async_echo(b"x" * 50_000) for caller in callers]
-    await async_drive(bench.clock, asyncio.gather(*echoes))
-    assert bench.clock.now_ms() - began_ms >= 999
+    await async_drive(harness.clock, asyncio.gather(*echoes))
+    assert harness.clock.now_ms() - began_ms >= 999
 
 
-async def test_a_cut_resets_open_connections_and_new_ones_work(bench: Bench) -> None:
-    caller = await bench.async_connect_through()
-    assert bench.proxy.reset_connections() == 1
+async def test_a_cut_resets_open_connections_and_new_ones_work(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect_through()
+    assert harness.proxy.reset_connections() == 1
     with pytest.raises(ConnectionResetError):
         await caller.reader.read(1)
-    await async_until(lambda: bench.target.ended == 1)
-    await bench.async_connect_through()
+    await async_until(lambda: harness.target.ended == 1)
+    await harness.async_connect_through()
 
 
-async def test_a_refusing_proxy_keeps_open_connections_and_its_port(bench: Bench) -> None:
-    caller = await bench.async_connect_through()
-    address = bench.proxy.address
-    bench.proxy.refuse_connections()
+async def test_a_refusing_proxy_keeps_open_connections_and_its_port(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect_through()
+    address = harness.proxy.address
+    harness.proxy.refuse_connections()
     with pytest.raises(ConnectionRefusedError):
-        await bench.async_connect()
+        await harness.async_connect()
     assert await caller.async_echo(b"still here") == b"still here"
-    await bench.proxy.async_clear_faults()
-    await bench.async_connect_through()
-    assert bench.proxy.address == address
+    await harness.proxy.async_clear_faults()
+    await harness.async_connect_through()
+    assert harness.proxy.address == address
 
 
-async def test_a_target_that_refuses_resets_the_caller(bench: Bench) -> None:
-    await bench.target.async_stop()
-    caller = await bench.async_connect()
+async def test_a_target_that_refuses_resets_the_caller(harness: ProxyHarness) -> None:
+    await harness.target.async_stop()
+    caller = await harness.async_connect()
     with pytest.raises(ConnectionResetError):
         await caller.reader.read(1)
 
 
 async def test_a_silent_connection_passes_nothing_for_good_while_new_ones_work(
-    bench: Bench,
+    harness: ProxyHarness,
 ) -> None:
-    caller = await bench.async_connect_through()
-    bench.proxy.blackhole()
+    caller = await harness.async_connect_through()
+    harness.proxy.blackhole()
     caller.writer.write(b"lost")
     assert await caller.async_is_quiet()
-    await bench.async_connect_through()
-    await bench.proxy.async_clear_faults()
+    await harness.async_connect_through()
+    await harness.proxy.async_clear_faults()
     caller.writer.write(b"lost too")
     assert await caller.async_is_quiet()
-    assert bytes(bench.target.received) == b"hello" * 2
+    assert bytes(harness.target.received) == b"hello" * 2
 
 
 async def test_neither_end_of_a_silent_connection_learns_that_the_other_has_gone(
-    bench: Bench,
+    harness: ProxyHarness,
 ) -> None:
-    caller = await bench.async_connect_through()
-    other = await bench.async_connect_through()
-    bench.proxy.blackhole()
+    caller = await harness.async_connect_through()
+    other = await harness.async_connect_through()
+    harness.proxy.blackhole()
     caller.writer.close()
     assert await other.async_is_quiet()
-    assert bench.target.ended == 0
-    bench.target.writers[1].close()
+    assert harness.target.ended == 0
+    harness.target.writers[1].close()
     assert await other.async_is_quiet()
 
 
-async def test_silence_of_one_way_leaves_the_other_way(bench: Bench) -> None:
-    caller = await bench.async_connect_through()
-    bench.proxy.blackhole(directions={Direction.BACK})
+async def test_silence_of_one_way_leaves_the_other_way(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect_through()
+    harness.proxy.blackhole(directions={Direction.BACK})
     caller.writer.write(b"one way")
-    await async_until(lambda: bytes(bench.target.received) == b"helloone way")
+    await async_until(lambda: bytes(harness.target.received) == b"helloone way")
     assert await caller.async_is_quiet()
 
 
-async def test_silence_of_new_connections_ends_when_the_proxy_is_healed(bench: Bench) -> None:
-    bench.proxy.blackhole(include_new=True)
-    caller = await bench.async_connect()
+async def test_silence_of_new_connections_ends_when_the_proxy_is_healed(
+    harness: ProxyHarness,
+) -> None:
+    harness.proxy.blackhole(include_new=True)
+    caller = await harness.async_connect()
     caller.writer.write(b"lost")
     assert await caller.async_is_quiet()
-    await bench.proxy.async_clear_faults()
-    await bench.async_connect_through()
-    assert bytes(bench.target.received) == b"hello"
+    await harness.proxy.async_clear_faults()
+    await harness.async_connect_through()
+    assert bytes(harness.target.received) == b"hello"
 
 
 async def test_a_block_holds_open_and_new_connections_and_then_lets_all_through(
-    bench: Bench,
+    harness: ProxyHarness,
 ) -> None:
-    opened = await bench.async_connect_through()
-    bench.proxy.block()
-    new = await bench.async_connect()
+    opened = await harness.async_connect_through()
+    harness.proxy.block()
+    new = await harness.async_connect()
     for caller in (opened, new):
         caller.writer.write(b"held")
         assert await caller.async_is_quiet()
-    assert bench.target.accepted == 1
-    bench.proxy.unblock()
+    assert harness.target.accepted == 1
+    harness.proxy.unblock()
     async with asyncio.timeout(HANG_S):
         for caller in (opened, new):
             assert await caller.reader.readexactly(4) == b"held"
 
 
-async def test_a_blocked_proxy_holds_a_bounded_number_of_bytes(bench: Bench) -> None:
-    caller = await bench.async_connect_through()
-    bench.proxy.block(directions={Direction.FORWARD})
+async def test_a_blocked_proxy_holds_a_bounded_number_of_bytes(harness: ProxyHarness) -> None:
+    caller = await harness.async_connect_through()
+    harness.proxy.block(directions={Direction.FORWARD})
     flood = b"x" * (MAX_BUFFERED_BYTES * 128)
     caller.writer.write(flood)
     for _ in range(QUIET_ROUNDS):
         await asyncio.sleep(0)
     buffered = caller.writer.transport.get_write_buffer_size()
     assert buffered > len(flood) // 4
-    bench.proxy.unblock()
+    harness.proxy.unblock()
     async with asyncio.timeout(HANG_S):
         assert await caller.reader.readexactly(len(flood)) == flood
 
@@ -276,12 +278,12 @@
     clock: ManualClock,
 ) -> None:
     partition = Partition()
-    benches = {name: Bench(clock) for name in ("a-b", "b-a", "a-c")}
-    for name, bench in benches.items():
-        await bench.async_start()
+    harnesses = {name: ProxyHarness(clock) for name in ("a-b", "b-a", "a-c")}
+    for name, harness in harnesses.items():
+        await harness.async_start()
         source, _, target = name.partition("-")
-        partition.add(source=source, target=target, proxy=bench.proxy)
-    callers = {name: await bench.async_connect_through() for name, bench in benches.items()}
+        partition.add(source=source, target=target, proxy=harness.proxy)
+    callers = {name: await harness.async_connect_through() for name, harness in harnesses.items()}
     partition.block(["a"], ["b"])
     assert await callers["a-c"].async_echo(b"open") == b"open"
     for name in ("a-b", "b-a"):
@@ -291,5 +293,5 @@
     async with asyncio.timeout(HANG_S):
         for name in ("a-b", "b-a"):
             assert await callers[name].reader.readexactly(4) == b"shut"
-    for bench in benches.values():
-        await bench.async_stop()
+    for harness in harnesses.values():
+        await harness.async_stop()
--- a/tests/standins/test_standins_instance_list.py
+++ b/tests/standins/test_standins_instance_list.py
@@ -17,7 +17,7 @@
 from gypsumrouter.util.clock import ManualClock
 
 
-class Told(Struct, frozen=True, kw_only=True):
+class ListResponse(Struct, frozen=True, kw_only=True):
     """What one call was answered."""
 
     status: int
@@ -52,22 +52,24 @@
         self.session = session
         self.origin = f"http://{service.address}"
 
-    async def async_read(self) -> Told:
+    async def async_read(self) -> ListResponse:
         return await self._async_get({})
 
-    def poll(self, after: int, timeout_ms: int = 1_000) -> asyncio.Future[Told]:
+    def poll(self, after: int, timeout_ms: int = 1_000) -> asyncio.Future[ListResponse]:
         query = {"after": str(after), "timeout_ms": str(timeout_ms)}
         return asyncio.ensure_future(self._async_get(query))
 
-    async def _async_get(self, query: dict[str, str]) -> Told:
+    async def _async_get(self, query: dict[str, str]) -> ListResponse:
         async with self.session.get(f"{self.origin}/v1/instances", params=query) as response:
             if response.status == 204:
-                return Told(status=204, as_of_ms=int(response.headers["X-As-Of-Ms"]))
+                return ListResponse(status=204, as_of_ms=int(response.headers["X-As-Of-Ms"]))
             if response.status != 200:
-                return Told(status=response.status)
+                return ListResponse(status=response.status)
             body: dict[str, Any] = await response.json()
         names = tuple(instance["name"] for instance in body["instances"])
-        return Told(status=200, revision=body["revision"], as_of_ms=body["as_of_ms"], names=names)
+        return ListResponse(
+            status=200, revision=body["revision"], as_of_ms=body["as_of_ms"], names=names
+        )
 
 
 @pytest.fixture
@@ -95,8 +97,10 @@
     service.set(make_instance("b"))
     service.set(make_instance("a"))
     clock.advance(700)
-    told = await reader.async_read()
-    assert told == Told(status=200, revision=2, as_of_ms=clock.wall_ms(), names=("a", "b"))
+    response = await reader.async_read()
+    assert response == ListResponse(
+        status=200, revision=2, as_of_ms=clock.wall_ms(), names=("a", "b")
+    )
 
 
 async def test_a_poll_gives_every_state_in_turn_with_the_last_time_it_held(
@@ -126,10 +130,10 @@
 ) -> None:
     service.set(make_instance("a"))
     began_ms = clock.wall_ms()
-    told = await async_drive(clock, reader.poll(1, timeout_ms=500))
-    assert told.status == 204
-    assert told.as_of_ms is not None
-    assert began_ms + 500 <= told.as_of_ms <= clock.wall_ms()
+    response = await async_drive(clock, reader.poll(1, timeout_ms=500))
+    assert response.status == 204
+    assert response.as_of_ms is not None
+    assert began_ms + 500 <= response.as_of_ms <= clock.wall_ms()
 
 
 async def test_a_lagging_list_tells_the_past_and_says_so(
@@ -139,14 +143,14 @@
     clock.advance(2_000)
     service.set_lag(1_500)
     service.set(make_instance("b"))
-    told = await reader.async_read()
-    assert (told.names, told.as_of_ms) == (("a",), clock.wall_ms() - 1_500)
+    response = await reader.async_read()
+    assert (response.names, response.as_of_ms) == (("a",), clock.wall_ms() - 1_500)
     changed_ms = clock.wall_ms()
-    told = await async_drive(clock, reader.poll(1, timeout_ms=60_000))
-    assert told.names == ("a", "b")
+    response = await async_drive(clock, reader.poll(1, timeout_ms=60_000))
+    assert response.names == ("a", "b")
     assert clock.wall_ms() >= changed_ms + 1_500
-    assert told.as_of_ms is not None
-    assert changed_ms <= told.as_of_ms <= clock.wall_ms() - 1_500
+    assert response.as_of_ms is not None
+    assert changed_ms <= response.as_of_ms <= clock.wall_ms() - 1_500
 
 
 async def test_a_stale_replica_stays_at_its_time(
@@ -157,11 +161,11 @@
     service.serve_stale(stale_ms)
     clock.advance(5_000)
     service.remove("a")
-    assert await reader.async_read() == Told(
+    assert await reader.async_read() == ListResponse(
         status=200, revision=1, as_of_ms=stale_ms, names=("a",)
     )
-    told = await async_drive(clock, reader.poll(1, timeout_ms=100))
-    assert (told.status, told.as_of_ms) == (204, stale_ms)
+    response = await async_drive(clock, reader.poll(1, timeout_ms=100))
+    assert (response.status, response.as_of_ms) == (204, stale_ms)
     service.serve_stale(None)
     assert (await reader.async_read()).revision == 2
 
--- a/tests/standins/test_standins_orders.py
+++ b/tests/standins/test_standins_orders.py
@@ -11,7 +11,7 @@
 from gypsumrouter.standins import Engine, EngineSettings, OutageKind, WeightStore
 from gypsumrouter.standins.orders import (
     Order,
-    OrderBook,
+    OrderHandler,
     OrderKind,
     OrderState,
     format_record,
@@ -24,8 +24,8 @@
     return Order(kind=OrderKind.LOAD, model=model, version=version, fence=fence, source=source)
 
 
-def make_book(clock: ManualClock, **settings: object) -> OrderBook:
-    return OrderBook(clock=clock, settings=EngineSettings(**settings))  # type: ignore[arg-type]
+def make_handler(clock: ManualClock, **settings: object) -> OrderHandler:
+    return OrderHandler(clock=clock, settings=EngineSettings(**settings))  # type: ignore[arg-type]
 
 
 @pytest.fixture
@@ -39,80 +39,80 @@
 async def test_an_old_fencing_number_is_refused_by_an_engine_that_checks(
     clock: ManualClock,
 ) -> None:
-    book = make_book(clock)
+    handler = make_handler(clock)
     role = Order(kind=OrderKind.SET_ROLE, role="prefill", fence=7)
-    assert book.take(role).state is OrderState.APPLIED
-    late = book.take(Order(kind=OrderKind.SET_ROLE, role="decode", fence=6))
+    assert handler.handle(role).state is OrderState.APPLIED
+    late = handler.handle(Order(kind=OrderKind.SET_ROLE, role="decode", fence=6))
     assert (late.state, late.highest_fence) == (OrderState.REFUSED, 7)
-    assert book.role == "prefill"
-    assert book.take(role).state is OrderState.APPLIED
+    assert handler.role == "prefill"
+    assert handler.handle(role).state is OrderState.APPLIED
 
 
 async def test_an_old_fencing_number_is_followed_by_an_engine_that_ignores_it(
     clock: ManualClock,
 ) -> None:
-    book = make_book(clock, checks_fence=False)
-    book.take(Order(kind=OrderKind.SET_ROLE, role="prefill", fence=7))
-    late = book.take(Order(kind=OrderKind.SET_ROLE, role="decode", fence=6))
+    handler = make_handler(clock, checks_fence=False)
+    handler.handle(Order(kind=OrderKind.SET_ROLE, role="prefill", fence=7))
+    late = handler.handle(Order(kind=OrderKind.SET_ROLE, role="decode", fence=6))
     assert (late.state, late.highest_fence) == (OrderState.APPLIED, 7)
-    assert book.role == "decode"
+    assert handler.role == "decode"
 
 
 @pytest.mark.parametrize("survives", [True, False])
 async def test_the_fencing_number_outlives_a_restart_where_it_is_set_so(
     clock: ManualClock, survives: bool
 ) -> None:
-    book = make_book(clock, fence_survives_restart=survives)
-    book.take(Order(kind=OrderKind.SET_ROLE, role="prefill", fence=7))
-    book.restart()
-    assert (book.highest_fence == 7) is survives
+    handler = make_handler(clock, fence_survives_restart=survives)
+    handler.handle(Order(kind=OrderKind.SET_ROLE, role="prefill", fence=7))
+    handler.restart()
+    assert (handler.highest_fence == 7) is survives
 
 
 async def test_a_load_takes_its_time_and_replaces_the_version_at_its_end(
     clock: ManualClock,
 ) -> None:
-    book = make_book(clock, models=("m",), load_ms=2_000)
-    record = book.take(make_load(version="2"))
+    handler = make_handler(clock, models=("m",), load_ms=2_000)
+    record = handler.handle(make_load(version="2"))
     assert record.state is OrderState.PENDING
-    assert book.holds("m", "1")
+    assert handler.has_model("m", "1")
     await async_drive(clock, async_until(lambda: record.state is OrderState.APPLIED))
-    assert book.models == {"m": "2"}
+    assert handler.models == {"m": "2"}
     assert clock.now_ms() >= 2_000
-    assert book.take(make_load(version="2")).state is OrderState.APPLIED
+    assert handler.handle(make_load(version="2")).state is OrderState.APPLIED
 
 
 async def test_a_new_wish_cancels_the_load_before_it(clock: ManualClock) -> None:
-    book = make_book(clock, models=())
-    first = book.take(make_load(version="1"))
-    second = book.take(make_load(version="2"))
+    handler = make_handler(clock, models=())
+    first = handler.handle(make_load(version="1"))
+    second = handler.handle(make_load(version="2"))
     assert first.state is OrderState.CANCELLED
     await async_drive(clock, async_until(lambda: second.state is OrderState.APPLIED))
-    assert book.models == {"m": "2"}
+    assert handler.models == {"m": "2"}
 
 
 async def test_an_engine_that_restarts_forgets_the_load_and_what_was_loaded(
     clock: ManualClock,
 ) -> None:
-    book = make_book(clock, models=("base",))
-    loaded = book.take(make_load("extra"))
+    handler = make_handler(clock, models=("base",))
+    loaded = handler.handle(make_load("extra"))
     await async_drive(clock, async_until(lambda: loaded.state is OrderState.APPLIED))
-    pending = book.take(make_load("more"))
-    book.restart()
+    pending = handler.handle(make_load("more"))
+    handler.restart()
     assert pending.state is OrderState.CANCELLED
-    assert book.models == {"base": "1"}
+    assert handler.models == {"base": "1"}
 
 
 async def test_the_weight_store_refuses_above_its_rate(
     clock: ManualClock, store: WeightStore
 ) -> None:
-    book = make_book(clock, models=(), weight_store=store.address)
-    records = [book.take(make_load(f"m{index}")) for index in range(3)]
+    handler = make_handler(clock, models=(), weight_store=store.address)
+    records = [handler.handle(make_load(f"m{index}")) for index in range(3)]
     await async_until(lambda: records[2].state is not OrderState.PENDING)
     assert (records[2].state, records[2].reason) == (OrderState.FAILED, "fetch_status_429")
     await async_drive(
         clock, async_until(lambda: all(r.state is not OrderState.PENDING for r in records))
     )
-    assert sorted(book.models) == ["m0", "m1"]
+    assert sorted(handler.models) == ["m0", "m1"]
     assert (len(store.fetched_ms), store.rejected) == (2, 1)
 
 
@@ -127,8 +127,8 @@
     clock: ManualClock, store: WeightStore, kind: OutageKind, reason: str
 ) -> None:
     await store.async_set_outage(kind)
-    book = make_book(clock, models=(), weight_store=store.address)
-    record = book.take(make_load())
+    handler = make_handler(clock, models=(), weight_store=store.address)
+    record = handler.handle(make_load())
     await async_until(lambda: record.state is not OrderState.PENDING)
     assert (record.state, record.reason) == (OrderState.FAILED, reason)
 
@@ -137,12 +137,12 @@
     clock: ManualClock, store: WeightStore
 ) -> None:
     await store.async_set_outage(OutageKind.HANG)
-    book = make_book(clock, models=(), weight_store=store.address)
-    record = book.take(make_load())
+    handler = make_handler(clock, models=(), weight_store=store.address)
+    record = handler.handle(make_load())
     for _ in range(50):
         await asyncio.sleep(0)
     assert format_record(record)["state"] == "pending"
-    assert book.cancel("m")
+    assert handler.cancel("m")
     assert record.state is OrderState.CANCELLED
 
 
@@ -151,9 +151,9 @@
 ) -> None:
     neighbour = Engine(clock=clock, settings=EngineSettings(models=("m",)))
     address = await neighbour.async_start()
-    book = make_book(clock, models=(), weight_store=store.address)
-    loaded = book.take(make_load("m", source=str(address)))
-    missing = book.take(make_load("other", source=str(address)))
+    handler = make_handler(clock, models=(), weight_store=store.address)
+    loaded = handler.handle(make_load("m", source=str(address)))
+    missing = handler.handle(make_load("other", source=str(address)))
     await async_drive(
         clock, async_until(lambda: OrderState.PENDING not in (loaded.state, missing.state))
     )
--- a/tests/standins/test_standins_platform.py
+++ b/tests/standins/test_standins_platform.py
@@ -48,7 +48,9 @@
     await made.async_stop()
 
 
-def make_chat(context: CallerContext, *, seed: int = 1, shape: ChatShape = SHAPE) -> ChatCaller:
+def make_chat_caller(
+    context: CallerContext, *, seed: int = 1, shape: ChatShape = SHAPE
+) -> ChatCaller:
     return ChatCaller(
         context=context,
         account=ACCOUNT,
@@ -112,7 +114,7 @@
         session=session, routers=[engine.address], tally=tally, clock=SystemClock()
     )
     shape = ChatShape(turns=3, think_ms=0, max_tokens=16, stream=stream)
-    chats = [make_chat(context, seed=seed, shape=shape) for seed in range(4)]
+    chats = [make_chat_caller(context, seed=seed, shape=shape) for seed in range(4)]
     await asyncio.gather(*(chat.async_run() for chat in chats))
     assert (tally.requests, tally.tries, tally.whole) == (12, 12, 12)
     assert (tally.lost, tally.doubled, tally.crossed, tally.truncated) == (0, 0, 0, 0)
@@ -120,7 +122,7 @@
     assert len(tally.first_token_ms["inspector"]) == 12
 
 
-class FalseEngine:
+class ScriptedEngine:
     """Answers each chat with a given status and body."""
 
     def __init__(self, *bodies: tuple[int, bytes]) -> None:
@@ -135,15 +137,15 @@
         return web.Response(status=status, body=body)
 
 
-async def async_play_against(session: aiohttp.ClientSession, *bodies: tuple[int, bytes]) -> Tally:
+async def async_run_against(session: aiohttp.ClientSession, *bodies: tuple[int, bytes]) -> Tally:
     clock = ManualClock()
     tally = Tally()
-    engine = FalseEngine(*bodies)
+    engine = ScriptedEngine(*bodies)
     routers = [await engine.listener.async_start()]
     context = CallerContext(
         session=session, routers=routers, tally=tally, clock=clock, tries=len(bodies)
     )
-    await async_drive(clock, make_chat(context).async_turn(), step_ms=50)
+    await async_drive(clock, make_chat_caller(context).async_turn(), step_ms=50)
     await engine.listener.async_stop()
     return tally
 
@@ -156,14 +158,14 @@
     return b"data: " + json.dumps(event).encode() + (b"\n\ndata: [DONE]\n\n" if done else b"\n\n")
 
 
-async def async_get_right_answer(session: aiohttp.ClientSession) -> tuple[str, int]:
+async def async_get_expected_answer(session: aiohttp.ClientSession) -> tuple[str, int]:
     """Return what the first turn of the test's chat must be answered, and its tokens."""
     context = CallerContext(
         session=session, routers=[], tally=Tally(), clock=ManualClock(), tries=0
     )
-    chat = make_chat(context)
+    chat = make_chat_caller(context)
     await chat.async_turn()
-    twin = make_chat(context)
+    twin = make_chat_caller(context)
     twin._write(SHAPE.first_bytes)
     tokens = twin.random.randint(SHAPE.min_tokens, SHAPE.max_tokens)
     prompt = render_prompt([Message(role="user", content=chat.messages[0].content)])
@@ -171,26 +173,26 @@
 
 
 async def test_the_right_answer_counts_as_whole(session: aiohttp.ClientSession) -> None:
-    text, tokens = await async_get_right_answer(session)
-    tally = await async_play_against(session, (200, make_stream(text, tokens=tokens)))
+    text, tokens = await async_get_expected_answer(session)
+    tally = await async_run_against(session, (200, make_stream(text, tokens=tokens)))
     assert tally.whole == 1
 
 
 async def test_the_answer_to_another_request_counts_as_crossed(
     session: aiohttp.ClientSession,
 ) -> None:
-    _, tokens = await async_get_right_answer(session)
+    _, tokens = await async_get_expected_answer(session)
     other = make_text("0" * 16, tokens)
-    tally = await async_play_against(session, (200, make_stream(other, tokens=tokens)))
+    tally = await async_run_against(session, (200, make_stream(other, tokens=tokens)))
     assert (tally.crossed, tally.whole) == (1, 0)
 
 
 async def test_surplus_counts_as_doubled_and_missing_parts_as_truncated(
     session: aiohttp.ClientSession,
 ) -> None:
-    text, tokens = await async_get_right_answer(session)
-    doubled = await async_play_against(session, (200, make_stream(text + " w1", tokens=tokens)))
-    cut = await async_play_against(session, (200, make_stream(text[:-1], tokens=tokens)))
+    text, tokens = await async_get_expected_answer(session)
+    doubled = await async_run_against(session, (200, make_stream(text + " w1", tokens=tokens)))
+    cut = await async_run_against(session, (200, make_stream(text[:-1], tokens=tokens)))
     assert (doubled.doubled, cut.truncated) == (1, 1)
     assert (doubled.whole, cut.whole) == (0, 0)
 
@@ -198,9 +200,9 @@
 async def test_a_stream_without_its_end_is_tried_again_and_then_counts_as_lost(
     session: aiohttp.ClientSession,
 ) -> None:
-    text, tokens = await async_get_right_answer(session)
+    text, tokens = await async_get_expected_answer(session)
     open_end = (200, make_stream(text, tokens=tokens, done=False))
-    tally = await async_play_against(session, open_end, open_end)
+    tally = await async_run_against(session, open_end, open_end)
     assert (tally.tries, tally.lost, tally.not_run) == (2, 1, 0)
 
 
@@ -209,10 +211,10 @@
 ) -> None:
     error = {"code": "over_cap", "executed": "not_run", "retry_after_ms": 100}
     refusal = (429, json.dumps({"error": error}).encode())
-    text, tokens = await async_get_right_answer(session)
-    tally = await async_play_against(session, refusal, (200, make_stream(text, tokens=tokens)))
+    text, tokens = await async_get_expected_answer(session)
+    tally = await async_run_against(session, refusal, (200, make_stream(text, tokens=tokens)))
     assert (tally.refused, tally.whole, tally.requests) == ({"over_cap": 1}, 1, 1)
-    tally = await async_play_against(session, refusal, refusal)
+    tally = await async_run_against(session, refusal, refusal)
     assert (tally.not_run, tally.lost) == (1, 0)
 
 
