--- a/gypsumrouter/standins/__init__.py
+++ b/gypsumrouter/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform and the upstreams, and a proxy that injects faults."""
+"""Test doubles of the platform services and upstreams, and a TCP proxy that injects faults."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/standins/batch.py
+++ b/gypsumrouter/standins/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching of the stand-in engine: one token a step for each running sequence."""
+"""Continuous batching of the stand-in engine: each running sequence gets one token per step."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Sequence:
-    """One request in the engine: what is computed of it and where its answer goes."""
+    """A request in the batch, its progress and the response that it writes."""
 
     __slots__ = (
         "blocks",
@@ -56,11 +56,11 @@
 
     @property
     def ended(self) -> bool:
-        """Return whether nothing is left to compute."""
+        """Return whether the response is complete or cancelled."""
         return self.stream.state is not StreamState.ACTIVE
 
     def produce(self) -> None:
-        """Add one token to the answer, and its end after the last one."""
+        """Generate one token, and end the response after the last one."""
         if self.request.stream:
             self.stream.append(self.encoder.make_event(self.produced))
         self.produced += 1
@@ -74,10 +74,10 @@
 
 
 class Batch:
-    """Run up to `slots` sequences in steps; the others wait by priority, then by arrival.
+    """Runs up to `slots` sequences in steps and queues the others by priority, then by arrival.
 
-    A running sequence keeps its slot to its end. `on_change` is told of each change of the load,
-    `on_end` of each end, `on_crash` of the first step of a sequence that crashes the engine.
+    Running sequences are not preempted. `on_change` is called when the load changes, `on_end` when
+    a sequence ends, and `on_crash` when a sequence that crashes the engine is admitted.
     """
 
     __slots__ = (
@@ -138,14 +138,14 @@
         return len(self._waiting)
 
     def submit(self, sequence: Sequence) -> None:
-        """Take in a sequence."""
+        """Add a sequence to the queue."""
         self._submitted += 1
         heapq.heappush(self._waiting, (-sequence.priority, self._submitted, sequence))
         self._work_available.set()
         self._on_change()
 
     def remove_ended(self) -> None:
-        """Forget the sequences whose answers have ended or were cancelled."""
+        """Remove the sequences whose responses are complete or cancelled."""
         for _, _, sequence in self._waiting:
             if sequence.ended:
                 self._on_end(sequence.stream.state)
@@ -154,21 +154,21 @@
         self._remove_ended_running()
 
     def pause(self) -> None:
-        """Stop before the next step."""
+        """Pause before the next step."""
         self._resumed.clear()
 
     def resume(self) -> None:
-        """Go on with the steps."""
+        """Resume the steps."""
         self._resumed.set()
 
     def clear(self) -> None:
-        """Forget every sequence, as a restart does."""
+        """Remove all sequences, as a restart does."""
         self._running.clear()
         self._waiting.clear()
         self._on_change()
 
     async def async_run(self) -> None:
-        """Run steps for as long as there is work, then wait for more."""
+        """Run steps while there are sequences, otherwise wait for one."""
         while True:
             if not self._running and not self._waiting:
                 self._work_available.clear()
@@ -208,7 +208,7 @@
         self.cached_tokens += sequence.cached_tokens
 
     def _prefill(self) -> float:
-        """Compute prompt tokens up to the chunk, and return the milliseconds that it takes."""
+        """Prefill up to one chunk of prompt tokens and return its duration in milliseconds."""
         left = self._settings.prefill_chunk_tokens
         for sequence in self._running:
             if sequence.prefill_remaining == 0:
--- a/gypsumrouter/standins/cache.py
+++ b/gypsumrouter/standins/cache.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's prefix cache: blocks in limited memory, the least recently used go."""
+"""The stand-in engine's prefix cache: a bounded LRU cache of prompt blocks."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class CacheEventKind(StrEnum):
-    """What happened to cached tokens of a chat."""
+    """The kind of a change of the cached tokens of a chat."""
 
     STORED = "stored"
     EVICTED = "evicted"
 
 
 class CacheEvent(Struct, frozen=True, kw_only=True):
-    """One change of the cache; readers see it from `visible_ms` (monotonic) on."""
+    """One change of the cache, reported from `visible_ms` (monotonic) on."""
 
     seq: int
     kind: CacheEventKind
@@ -35,7 +35,7 @@
 
 
 class CacheEventLog:
-    """Events of the cache, told late and with gaps: a lost one only uses up its number."""
+    """Cache events, reported with a delay; lost events leave gaps in the sequence numbers."""
 
     __slots__ = ("_clock", "_events", "_lag_ms", "_loss", "_random", "_seq")
 
@@ -48,7 +48,7 @@
         self._seq = 0
 
     def record(self, *, kind: CacheEventKind, chat: str, tokens: int) -> None:
-        """Add an event, or lose it."""
+        """Add an event, or drop it at the configured loss rate."""
         self._seq += 1
         if self._random.random() < self._loss:
             return
@@ -59,14 +59,14 @@
         self._events.append(event)
 
     def list_after(self, seq: int) -> tuple[CacheEvent, ...]:
-        """Return the visible events above a number, oldest first."""
+        """Return the reportable events after a sequence number, oldest first."""
         now_ms = self._clock.now_ms()
         found = [event for event in self._events if event.seq > seq and event.visible_ms <= now_ms]
         return tuple(found[:MAX_EVENTS_PER_RESPONSE])
 
 
 class PrefixCache:
-    """Which blocks of prompts the engine holds, and for which chat."""
+    """Cached prompt blocks, each with the chat that used it last."""
 
     __slots__ = ("_blocks", "_capacity", "_chats", "events")
 
@@ -78,18 +78,18 @@
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens are cached."""
+        """Return the number of cached tokens."""
         return len(self._blocks) * TOKENS_PER_BLOCK
 
     def find_prefix(self, blocks: tuple[int, ...]) -> int:
-        """Return how many tokens of a prompt are cached, and mark them as used."""
+        """Return the length of the longest cached prefix in tokens and mark it as used."""
         cached = self._count_cached(blocks)
         for block in reversed(blocks[:cached]):
             self._blocks.move_to_end(block)
         return cached * TOKENS_PER_BLOCK
 
     def store(self, *, chat: str, blocks: tuple[int, ...]) -> None:
-        """Take in the blocks of a chat's prompt; a prefix beyond the memory is cut."""
+        """Cache the blocks of a chat's prompt, at most as many as fit into the cache."""
         kept = blocks[: self._capacity]
         added = 0
         for block in reversed(kept):
@@ -103,12 +103,12 @@
         self._evict()
 
     def export(self, chat: str) -> tuple[int, ...]:
-        """Return the blocks that are cached of a chat, from its beginning on."""
+        """Return the longest cached prefix of a chat."""
         blocks = self._chats.get(chat, ())
         return blocks[: self._count_cached(blocks)]
 
     def clear(self) -> None:
-        """Forget everything, as a restart does."""
+        """Remove all blocks, as a restart does."""
         self._blocks.clear()
         self._chats.clear()
 
--- a/gypsumrouter/standins/change_notifier.py
+++ b/gypsumrouter/standins/change_notifier.py
@@ -1,4 +1,4 @@
-"""Waiting for a change, for a time that the stand-in's clock measures."""
+"""Notification of changes, with timeouts on the stand-in's clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ChangeNotifier:
-    """Wake whoever waits when something has changed."""
+    """Wakes waiting tasks on a change."""
 
     __slots__ = ("_clock", "_waiters")
 
@@ -18,17 +18,17 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many wait now."""
+        """Return the number of waiting tasks."""
         return len(self._waiters)
 
     def notify(self) -> None:
-        """Wake everyone that waits."""
+        """Wake all waiting tasks."""
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
     async def async_wait(self, timeout_ms: int) -> None:
-        """Wait for the next change, but not longer than `timeout_ms`."""
+        """Wait for the next change, for at most `timeout_ms`."""
         loop = asyncio.get_running_loop()
         waiter: asyncio.Future[None] = loop.create_future()
         timer = loop.create_task(self._clock.async_sleep(timeout_ms))
--- a/gypsumrouter/standins/chat.py
+++ b/gypsumrouter/standins/chat.py
@@ -1,4 +1,4 @@
-"""Chat-completions requests and answers, as the stand-in engine reads and writes them."""
+"""Parsing of chat-completions requests and encoding of responses for the stand-in engine."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class InvalidRequest(Struct, frozen=True, kw_only=True):
-    """What is wrong with a request."""
+    """Why a request is invalid; `param` names the invalid field."""
 
     param: str
     message: str
 
 
 class ChatRequest(Struct, frozen=True, kw_only=True):
-    """A request that was read whole; `tokens` is the length of its answer."""
+    """A parsed request; `tokens` is the length of its completion."""
 
     model: str
     messages: tuple[Message, ...]
@@ -46,31 +46,31 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Return the length of the prompt."""
+        """Return the number of prompt tokens."""
         return count_tokens(self.prompt)
 
     @property
     def digest(self) -> str:
-        """Return the digest that the answer begins with."""
+        """Return the prompt digest, the first token of the completion."""
         return digest_prompt(self.prompt, model=self.model)
 
     @property
     def text(self) -> str:
-        """Return the whole answer."""
+        """Return the text of the full completion."""
         return make_text(self.digest, self.tokens)
 
     def hash_prompt(self) -> tuple[int, ...]:
-        """Return the blocks of the prompt."""
+        """Return the block hashes of the prompt."""
         return hash_blocks(self.prompt, model=self.model)
 
     def hash_conversation(self) -> tuple[int, ...]:
-        """Return the blocks of the prompt and the answer, as the next turn will send them."""
+        """Return the block hashes of prompt and completion, as in the next turn's prompt."""
         answer = Message(role=ROLE_ASSISTANT, content=self.text)
         return hash_blocks(self.prompt + render_prompt((answer,)), model=self.model)
 
 
 def parse_chat(body: bytes, settings: EngineSettings) -> ChatRequest | InvalidRequest:
-    """Return the request that a body holds."""
+    """Parse a request body."""
     try:
         payload = json.loads(body)
     except ValueError:
@@ -100,7 +100,7 @@
 
 
 class ChatEncoder:
-    """Write one answer, streamed or whole."""
+    """Encodes one response, as server-sent events or as one JSON body."""
 
     __slots__ = ("_created_s", "_event_prefix", "_id", "_request", "_token_digest")
 
@@ -113,14 +113,14 @@
         self._event_prefix = f'data: {json.dumps(head)[:-1]}, "choices": [{{"index": 0, "delta": '
 
     def make_event(self, index: int) -> bytes:
-        """Return the event of one token."""
+        """Return the event with one token."""
         token = make_token(self._token_digest, index)
         role = f'"role": "{ROLE_ASSISTANT}", ' if index == 0 else ""
         delta = f'{{{role}"content": "{token}"}}'
         return f'{self._event_prefix}{delta}, "finish_reason": null}}]}}\n\n'.encode()
 
     def make_last_events(self, *, cached_tokens: int) -> bytes:
-        """Return what follows the last token: the reason, the usage and the end."""
+        """Return the events after the last token: finish reason, usage and `[DONE]`."""
         choice = {"index": 0, "delta": {}, "finish_reason": self._get_finish_reason()}
         usage = self._make_usage(cached_tokens)
         head = self._make_head("chat.completion.chunk")
@@ -130,7 +130,7 @@
         return last_choice + _make_event({**head, "choices": [], "usage": usage}) + DONE_EVENT
 
     def make_body(self, *, cached_tokens: int) -> bytes:
-        """Return the answer that is not streamed."""
+        """Return the body of a response that is not streamed."""
         message = {"role": ROLE_ASSISTANT, "content": self._request.text}
         choice = {"index": 0, "message": message, "finish_reason": self._get_finish_reason()}
         head = self._make_head("chat.completion")
--- a/gypsumrouter/standins/configuration_service.py
+++ b/gypsumrouter/standins/configuration_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of the configuration service: read and watched, never written by the product."""
+"""Stand-in of the configuration service, which routers read and watch but never write."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class ConfigurationService:
-    """Serve the newest document that was published; counts every read and watch.
+    """Serves the newest published document and counts reads and watches.
 
-    `reads_per_s` is the limit over all readers; a waiting watch counts as one read a second.
-    `watch_ms_total` is the time that all watches together have waited.
+    `reads_per_s` limits the reads of all clients together; a waiting watch counts as one read per
+    second. `watch_ms_total` is the total waiting time of all watches.
     """
 
     __slots__ = (
@@ -89,26 +89,26 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address of the listener."""
         return self._listener.address
 
     @property
     def waiting(self) -> int:
-        """Return how many watches wait now."""
+        """Return the number of waiting watches."""
         return self._changes.waiting
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         return await self._listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop the service and reset its connections."""
         await self._listener.async_stop()
 
     def publish(self, document: bytes | str) -> int:
-        """Make a JSON document with a `version` the newest; returns that version.
+        """Publish a JSON document with a `version` and return the version.
 
-        Nothing else is checked, so that wrong documents can be published too.
+        Nothing else is validated, so that invalid documents can be published too.
         """
         body = document.encode() if isinstance(document, str) else document
         self.version = int(json.loads(body)["version"])
@@ -119,13 +119,13 @@
         return self.version
 
     def serve_stale(self, version: int | None, *, share: float = 1.0) -> None:
-        """Answer a share of all calls with an older version; None ends it."""
+        """Serve an older version to a share of all calls; None ends it."""
         self._stale_version = version
         self._stale_share = share
         self._changes.notify()
 
     async def async_set_outage(self, kind: OutageKind) -> None:
-        """Begin, change or end an outage."""
+        """Start, change or end (NONE) an outage."""
         await self._outage.async_set(kind)
 
     def _add_routes(self, app: web.Application) -> None:
--- a/gypsumrouter/standins/engine.py
+++ b/gypsumrouter/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: its life, its faults and what it counts."""
+"""Stand-in of a model engine: lifecycle, faults and counters."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EngineCounts(Struct, frozen=True, kw_only=True):
-    """What an engine has done since it was made, over all of its restarts."""
+    """Counters of an engine, kept across its restarts."""
 
     requests: int
     whole: int
@@ -40,10 +40,10 @@
 
 
 class Engine:
-    """Serve chat-completions in continuous batches; see docs/PROTOCOLS.md.
+    """Serves chat completions with continuous batching; see docs/PROTOCOLS.md.
 
-    Counts and `executions` (runs by request id) outlive crashes; the cache, the answers and the
-    models that were loaded do not.
+    Counters and `executions` (by request id) are kept across crashes; the cache, the responses and
+    the loaded models are not.
     """
 
     __slots__ = (
@@ -115,17 +115,17 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address of the listener."""
         return self._listener.address
 
     @property
     def load(self) -> int:
-        """Return how many requests run or wait now."""
+        """Return the number of running and waiting requests."""
         return self.batch.running + self.batch.waiting
 
     @property
     def counts(self) -> EngineCounts:
-        """Return what it has done so far."""
+        """Return a snapshot of the counters."""
         return EngineCounts(
             requests=self.requests,
             whole=self.completed,
@@ -140,13 +140,13 @@
         )
 
     async def async_start(self) -> Address:
-        """Start to listen and to compute, and return the address."""
+        """Start listening and batching, and return the address."""
         address = await self._listener.async_start()
         self._start_batch()
         return address
 
     async def async_stop(self) -> None:
-        """Release everything; what runs is cut off."""
+        """Stop the engine; running responses are cancelled and connections reset."""
         if self._restart_task is not None:
             self._restart_task.cancel()
         self._stop_batch()
@@ -157,7 +157,7 @@
     def submit(
         self, *, request: ChatRequest, request_id: str, chat: str, priority: int, crashes: bool
     ) -> ResponseStream:
-        """Take in a request; from here on it counts as executed."""
+        """Queue a request and count it as executed."""
         self.requests += 1
         self._count_execution(request_id)
         stream = ResponseStream(
@@ -179,7 +179,7 @@
         return stream
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request; returns whether it was there and had not ended."""
+        """Cancel a request; returns whether it was active."""
         stream = self.streams.get(request_id)
         if stream is None or stream.state is not StreamState.ACTIVE:
             return False
@@ -188,7 +188,7 @@
         return True
 
     def crash(self) -> None:
-        """Die at once, and come back on the same port after the restart time, knowing nothing."""
+        """Reset all connections, drop all state but the counters, and restart on the same port."""
         self.crashes += 1
         self._listener.close()
         self._stop_batch()
@@ -200,12 +200,12 @@
             self._restart_task = asyncio.get_running_loop().create_task(self._async_restart())
 
     def freeze(self) -> None:
-        """Accept connections, and neither answer nor compute."""
+        """Keep accepting connections, but neither handle requests nor run steps."""
         self._gate.close()
         self.batch.pause()
 
     def thaw(self) -> None:
-        """Answer and compute again."""
+        """Handle requests and run steps again."""
         self._gate.open()
         self.batch.resume()
 
--- a/gypsumrouter/standins/engine_api.py
+++ b/gypsumrouter/standins/engine_api.py
@@ -1,4 +1,4 @@
-"""HTTP of the stand-in engine; the protocol is on docs/PROTOCOLS.md."""
+"""HTTP API of the stand-in engine; docs/PROTOCOLS.md describes the protocol."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class EngineApi:
-    """Translate between HTTP and the engine."""
+    """Handles the HTTP requests to an engine."""
 
     __slots__ = ("_clock", "_engine", "_requests_without_id")
 
@@ -45,7 +45,7 @@
         self._requests_without_id = 0
 
     def make_app(self, gate: Gate) -> web.Application:
-        """Return the application with all routes."""
+        """Return the web application with all routes."""
         app = web.Application(client_max_size=MAX_BODY_BYTES, middlewares=[gate.async_middleware])
         router = app.router
         router.add_post(PATH_CHAT, self._async_chat)
@@ -256,7 +256,7 @@
 
 
 def _get_chat_id(request: web.Request, chat: ChatRequest) -> str:
-    """Return the name under which cache events and exports know a chat."""
+    """Return the id of the chat in cache events and exports."""
     return request.headers.get(HEADER_CHAT) or chat.cache_key or chat.digest
 
 
--- a/gypsumrouter/standins/fault_proxy.py
+++ b/gypsumrouter/standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""TCP proxy that injects faults: delay, bandwidth, cuts, silence, blocks, refusals."""
+"""TCP proxy that injects delays, bandwidth limits, resets, blackholes, blocks and refusals."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Connection:
-    """One proxied connection: a caller's end, a target's end, and a task for each direction."""
+    """One proxied connection: the endpoints of caller and target, and a task per direction."""
 
     __slots__ = ("_pipes", "_tasks", "caller", "target")
 
@@ -40,11 +40,11 @@
 
     @property
     def is_closed(self) -> bool:
-        """Return whether both ends are gone."""
+        """Return whether both endpoints are closed."""
         return self.caller.lost and (self.target.lost or self.target.transport is None)
 
     async def async_run(self, target: Address, shapers: Collection[TrafficShaper]) -> None:
-        """Connect to the target once both directions are passable, and carry data until the end."""
+        """Connect to the target once neither direction is blocked, and relay data both ways."""
         for shaper in shapers:
             await shaper.gate.async_wait_open()
         loop = asyncio.get_running_loop()
@@ -64,14 +64,14 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def blackhole(self, directions: Collection[Direction]) -> None:
-        """Pass nothing any more in the given directions, not even the end of the connection."""
+        """Discard all further data in the given directions, EOF and resets included."""
         for direction in directions:
             self._pipes[direction].blackhole()
             endpoint = self.caller if direction is Direction.FORWARD else self.target
             endpoint.set_reading(False)
 
     def reset(self) -> None:
-        """Reset both ends."""
+        """Reset both endpoints."""
         for task in self._tasks:
             task.cancel()
         self.caller.reset()
@@ -84,10 +84,10 @@
 
 
 class FaultProxy:
-    """Stand between callers and one target, and pass everything on until told otherwise.
+    """Relays connections to one target, unmodified while no fault is set.
 
-    Times are whole milliseconds. A proxy holds a bounded number of bytes for each connection and
-    direction; beyond it, it reads no more.
+    Times are in whole milliseconds. For each connection and direction at most about
+    `MAX_BUFFERED_BYTES` are buffered; beyond that, reading pauses.
     """
 
     __slots__ = (
@@ -126,24 +126,24 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address of the listener."""
         if self._reservation is None:
-            raise RuntimeError("the proxy was not started")
+            raise RuntimeError("proxy has no address: async_start has not been called")
         return self._reservation.address
 
     @property
     def connections(self) -> int:
-        """Return how many connections are open at one end at least."""
+        """Return the number of connections with at least one open endpoint."""
         return len(self._connections)
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         self._reservation = PortReservation(host=self._host, port=self._port)
         await self.async_accept_connections()
         return self._reservation.address
 
     async def async_stop(self) -> None:
-        """Reset everything and stop to listen."""
+        """Reset all connections, stop listening and release the port."""
         self.refuse_connections()
         self.reset_connections()
         for task in tuple(self._tasks):
@@ -153,38 +153,38 @@
             self._reservation.close()
 
     def get_forwarded_bytes(self, direction: Direction) -> int:
-        """Return how many bytes have gone one direction."""
+        """Return the number of bytes forwarded in one direction."""
         return self._shapers[direction].forwarded_bytes
 
     def set_delay(
         self, delay_ms: int, *, directions: Collection[Direction] = BOTH_DIRECTIONS
     ) -> None:
-        """Delay all that comes from now on."""
+        """Delay data that is received from now on."""
         for direction in directions:
             self._shapers[direction].delay_ms = delay_ms
 
     def set_bandwidth(
         self, bytes_per_s: float | None, *, directions: Collection[Direction] = BOTH_DIRECTIONS
     ) -> None:
-        """Limit the bytes a second of all connections together; None ends it."""
+        """Limit the total bandwidth of all connections; None removes the limit."""
         for direction in directions:
             self._shapers[direction].bytes_per_s = bytes_per_s
 
     def reset_connections(self) -> int:
-        """Reset every connection; returns how many there were."""
+        """Reset all connections and return their number."""
         connections = tuple(self._connections)
         for connection in connections:
             connection.reset()
         return len(connections)
 
     def refuse_connections(self) -> None:
-        """Refuse new connections; open ones go on."""
+        """Refuse new connections; open ones are not affected."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     async def async_accept_connections(self) -> None:
-        """Take new connections again, on the same port."""
+        """Accept new connections again on the same port."""
         if self._server is not None or self._reservation is None:
             return
         loop = asyncio.get_running_loop()
@@ -195,9 +195,9 @@
     def blackhole(
         self, *, directions: Collection[Direction] = BOTH_DIRECTIONS, include_new: bool = False
     ) -> None:
-        """Let open connections pass nothing any more, for good and without any sign of it.
+        """Discard all further data of the open connections without closing them.
 
-        With `new`, connections that come before the proxy is healed are silent too.
+        With `include_new`, this also applies to connections accepted before the faults are cleared.
         """
         for connection in self._connections:
             connection.blackhole(directions)
@@ -205,17 +205,17 @@
             self._new_blackholed = frozenset(directions)
 
     def block(self, *, directions: Collection[Direction] = BOTH_DIRECTIONS) -> None:
-        """Hold all data, of open and new connections, until `unblock`."""
+        """Hold all data of open and new connections until `unblock`."""
         for direction in directions:
             self._shapers[direction].gate.close()
 
     def unblock(self) -> None:
-        """Let the data that was held go on, as after a partition."""
+        """Deliver the held data and stop blocking, as after a partition."""
         for shaper in self._shapers.values():
             shaper.gate.open()
 
     async def async_clear_faults(self) -> None:
-        """End every fault; only connections that fell silent stay so."""
+        """End all faults; connections that were blackholed remain so."""
         self.set_delay(0)
         self.set_bandwidth(None)
         self._new_blackholed = frozenset()
--- a/gypsumrouter/standins/faults.py
+++ b/gypsumrouter/standins/faults.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a stand-in: frozen, in an outage, or answering from the past."""
+"""Faults of stand-ins: frozen request handling and outages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OutageKind(StrEnum):
-    """How a stand-in of the platform is down."""
+    """How a platform service fails: errors, refused connections or no response."""
 
     NONE = "none"
     ERROR = "error"
@@ -27,7 +27,7 @@
 
 
 class Gate:
-    """Hold back every request while it is closed, but for those that drive the stand-in."""
+    """Hold all requests while closed, except those to the control endpoints of the stand-in."""
 
     __slots__ = ("_opened",)
 
@@ -37,15 +37,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether requests pass."""
+        """Return whether requests are handled."""
         return self._opened.is_set()
 
     def close(self) -> None:
-        """Hold back all requests from now on."""
+        """Hold requests until the gate is opened."""
         self._opened.clear()
 
     def open(self) -> None:
-        """Let all requests pass."""
+        """Handle the held requests and all new ones."""
         self._opened.set()
 
     async def async_wait_open(self) -> None:
@@ -54,14 +54,14 @@
 
     @web.middleware
     async def async_middleware(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Handle a request once the gate is open."""
+        """Handle a request once the gate is open; control requests are never held."""
         if not request.path.startswith(CONTROL_PREFIX):
             await self._opened.wait()
         return await handler(request)
 
 
 class Outage:
-    """The outage of one platform service; `on_change` is called at each change."""
+    """The outage of one platform service; `on_change` is called on each change."""
 
     __slots__ = ("_gate", "_listener", "_on_change", "kind")
 
@@ -74,7 +74,7 @@
         self.kind = OutageKind.NONE
 
     async def async_set(self, kind: OutageKind) -> None:
-        """Begin an outage, change it, or end it with NONE."""
+        """Start, change or end (NONE) an outage."""
         self.kind = kind
         if kind is OutageKind.HANG:
             self._gate.close()
@@ -87,7 +87,10 @@
         self._on_change()
 
     async def async_post(self, request: web.Request) -> web.Response:
-        """Answer `POST /standin/outage {"kind"}`; a listener that refuses can't be called back."""
+        """Handle `POST /standin/outage {"kind"}`.
+
+        REFUSE is rejected, since it closes the listener that would end the outage.
+        """
         payload = await async_read_json_object(request)
         try:
             kind = OutageKind(str(payload.get("kind")))
--- a/gypsumrouter/standins/instance_list.py
+++ b/gypsumrouter/standins/instance_list.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's instance list: one sequence of states, read with a lag."""
+"""Stand-in of the platform's instance list: a sequence of revisions, served with a lag."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ListState(Struct, frozen=True, kw_only=True):
-    """What the list said from the wall time `since_ms` on."""
+    """One revision of the list, current since the wall time `since_ms`."""
 
     revision: int
     since_ms: int
@@ -38,9 +38,9 @@
 
 
 class InstanceListService:
-    """Serve the list of instances as it was `lag_ms` ago.
+    """Serves the instance list as of `lag_ms` ago; it is changed from Python or over HTTP.
 
-    ChangeNotifier are made from Python or over HTTP. `reads` counts answered calls.
+    `reads` counts the calls that were not rejected because of an outage.
     """
 
     __slots__ = (
@@ -89,45 +89,45 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address of the listener."""
         return self._listener.address
 
     @property
     def revision(self) -> int:
-        """Return the newest revision, which lagging readers may not see yet."""
+        """Return the newest revision, which may not be served yet because of the lag."""
         return self._states[-1].revision
 
     @property
     def waiting(self) -> int:
-        """Return how many long polls wait now."""
+        """Return the number of waiting long polls."""
         return self._changes.waiting
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         return await self._listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop the service and reset its connections."""
         await self._listener.async_stop()
 
     def get(self, name: str) -> Instance | None:
-        """Return an instance of the newest state."""
+        """Return an instance of the newest revision."""
         return self._instances.get(name)
 
     def set(self, *instances: Instance) -> None:
-        """Add or replace instances, as one change."""
+        """Add or replace instances in one revision."""
         for instance in instances:
             self._instances[instance.name] = instance
         self._add_state()
 
     def remove(self, *names: str) -> None:
-        """Take instances off the list, as one change."""
+        """Remove instances in one revision."""
         for name in names:
             self._instances.pop(name, None)
         self._add_state()
 
     def mark_leaving(self, name: str) -> None:
-        """Mark an instance as leaving."""
+        """Set the state of an instance to leaving; unknown names are ignored."""
         instance = self._instances.get(name)
         if instance is None:
             return
@@ -135,18 +135,18 @@
         self._add_state()
 
     def set_lag(self, lag_ms: int) -> None:
-        """Answer the state as it was `lag_ms` ago from now on."""
+        """Serve the list as of `lag_ms` ago from now on."""
         self.lag_ms = lag_ms
         self._changes.notify()
 
     def serve_stale(self, at_ms: int | None, *, share: float = 1.0) -> None:
-        """Answer a share of all calls with the state of a wall time; None ends it."""
+        """Serve a share of all calls from the revision at a wall time; None ends it."""
         self._stale_at_ms = at_ms
         self._stale_share = share
         self._changes.notify()
 
     async def async_set_outage(self, kind: OutageKind) -> None:
-        """Begin, change or end an outage."""
+        """Start, change or end (NONE) an outage."""
         await self._outage.async_set(kind)
 
     def _add_state(self) -> None:
@@ -159,7 +159,7 @@
         self._changes.notify()
 
     def _choose_state_time(self) -> int:
-        """Return the wall time whose state the next answer tells of."""
+        """Return the wall time whose revision the next response contains."""
         stale = self._stale_at_ms
         if stale is not None and self._random.random() < self._stale_share:
             return stale
@@ -172,14 +172,14 @@
         return self._states[0]
 
     def _find_next(self, *, after: int, newest: ListState) -> ListState:
-        """Return the oldest kept state above a revision, but none beyond the newest visible."""
+        """Return the oldest revision after `after`, at most the newest visible one."""
         for state in self._states:
             if after < state.revision <= newest.revision:
                 return state
         return newest
 
     def _get_as_of(self, state: ListState, at_ms: int) -> int:
-        """Return the last time up to `at_ms` at which a state held."""
+        """Return the last time up to `at_ms` at which a revision was current."""
         for later in self._states:
             if later.revision == state.revision + 1:
                 return max(state.since_ms, min(at_ms, later.since_ms - 1))
@@ -223,7 +223,7 @@
             )
 
     def _get_visibility_delay(self, newest: ListState, at_ms: int) -> int:
-        """Return in how many milliseconds the state after `newest` becomes visible."""
+        """Return the milliseconds until the revision after `newest` becomes visible."""
         for state in self._states:
             if state.revision == newest.revision + 1 and state.since_ms > at_ms:
                 return state.since_ms - at_ms
--- a/gypsumrouter/standins/json_responses.py
+++ b/gypsumrouter/standins/json_responses.py
@@ -1,4 +1,4 @@
-"""JSON in and out of the stand-ins."""
+"""JSON requests and responses of the stand-ins."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 def make_json_response(payload: object, *, status: int = 200) -> web.Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return web.json_response(payload, status=status)
 
 
 def make_error_response(*, status: int, code: str, message: str = "") -> web.Response:
-    """Return an error in the form that chat-completions clients know."""
+    """Return an error response in the format of the chat-completions API."""
     error = {"message": message or code, "type": "standin_error", "code": code, "param": None}
     headers = {"Retry-After": RETRY_AFTER_S} if status in (429, 503) else None
     return web.json_response({"error": error}, status=status, headers=headers)
 
 
 async def async_read_json_object(request: web.Request) -> dict[str, Any]:
-    """Return the request's JSON object; answers 400 when it has none."""
+    """Return the JSON object in the body; raises HTTPBadRequest if it is anything else."""
     try:
         payload = json.loads(await request.read())
     except ValueError:
@@ -35,7 +35,7 @@
 
 
 def get_query_int(request: web.Request, name: str, default: int) -> int:
-    """Return a whole number of the query; answers 400 when it is none."""
+    """Return an integer query parameter; raises HTTPBadRequest if it is not an integer."""
     text = request.query.get(name)
     if text is None:
         return default
--- a/gypsumrouter/standins/listener.py
+++ b/gypsumrouter/standins/listener.py
@@ -1,4 +1,4 @@
-"""An HTTP listener of a stand-in that can vanish and come back on the same port."""
+"""An HTTP listener that can be closed and reopened on the same port."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PortReservation:
-    """A bound socket that never listens, so that nobody else gets the port meanwhile."""
+    """A bound socket that reserves a port while nothing listens on it."""
 
     __slots__ = ("_socket", "address")
 
@@ -27,18 +27,18 @@
         self.address = Address(host=host, port=self._socket.getsockname()[1])
 
     def open_listener(self) -> socket.socket:
-        """Return a fresh listening socket on the held port."""
+        """Return a new listening socket on the reserved port."""
         listener = _bind(self.address.host, self.address.port)
         listener.listen(BACKLOG)
         return listener
 
     def close(self) -> None:
-        """Give the port free."""
+        """Release the port."""
         self._socket.close()
 
 
 class StandinListener:
-    """Serve an aiohttp application; closing and opening keeps the port."""
+    """Serves an aiohttp application; the port stays reserved while it is closed."""
 
     __slots__ = ("_app", "_host", "_port", "_reservation", "_runner", "_server")
 
@@ -52,13 +52,13 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens; raises InvariantBroken before the start."""
+        """Return the address of the listener; raises InvariantBroken before `async_start`."""
         if self._reservation is None:
-            raise InvariantBroken("the stand-in was not started")
+            raise InvariantBroken("stand-in has no address: async_start has not been called")
         return self._reservation.address
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         self._reservation = PortReservation(host=self._host, port=self._port)
         self._runner = web.AppRunner(
             self._app,
@@ -72,24 +72,24 @@
         return self._reservation.address
 
     async def async_open(self) -> None:
-        """Listen again on the same port; does nothing while it listens."""
+        """Listen on the reserved port; does nothing if it is listening already."""
         if self._server is not None or self._reservation is None or self._runner is None:
             return
         factory = self._runner.server
         if factory is None:
-            raise InvariantBroken("the runner has no server")
+            raise InvariantBroken("aiohttp AppRunner has no server after setup")
         listener = self._reservation.open_listener()
         self._server = await asyncio.get_running_loop().create_server(factory, sock=listener)
 
     def close(self) -> None:
-        """Stop to listen and reset every connection, as the death of a process does."""
+        """Stop listening and reset all connections, as if the process had crashed."""
         if self._server is not None:
             self._server.close()
             self._server = None
         self.reset_connections()
 
     def reset_connections(self) -> None:
-        """Reset every connection."""
+        """Reset all connections."""
         if self._runner is None or self._runner.server is None:
             return
         for connection in tuple(self._runner.server.connections):
@@ -97,7 +97,7 @@
                 reset_transport(connection.transport)
 
     async def async_stop(self) -> None:
-        """Release everything; safe to call more than once."""
+        """Stop the server and release the port; idempotent."""
         self.close()
         if self._runner is not None:
             await self._runner.cleanup()
@@ -107,8 +107,8 @@
 
 
 def reset_transport(transport: asyncio.BaseTransport) -> None:
-    """Close a connection with a TCP reset and without sending what is buffered."""
-    # The transports of uvloop are no subclasses of those of asyncio
+    """Close a connection with a TCP RST, discarding buffered data."""
+    # uvloop's transports do not derive from asyncio.WriteTransport.
     stream = cast(asyncio.WriteTransport, transport)
     connection = stream.get_extra_info("socket")
     if connection is not None and not stream.is_closing():
--- a/gypsumrouter/standins/load_history.py
+++ b/gypsumrouter/standins/load_history.py
@@ -1,4 +1,4 @@
-"""The load of a stand-in over time, for lagging reports and for measures of skew."""
+"""The load of a stand-in over time, for delayed load reports and load skew."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LoadSample(Struct, frozen=True, kw_only=True):
-    """The load from `now_ms` (monotonic) on."""
+    """The load since `now_ms` (monotonic)."""
 
     now_ms: int
     running: int
@@ -21,12 +21,12 @@
 
     @property
     def load(self) -> int:
-        """Return all that runs or waits."""
+        """Return the number of running and waiting requests."""
         return self.running + self.waiting
 
 
 class LoadHistory:
-    """Each change of the load; the oldest ones are dropped beyond a bound."""
+    """The latest changes of the load, at most `MAX_SAMPLES`."""
 
     __slots__ = ("_clock", "max_load", "samples")
 
@@ -37,7 +37,7 @@
         self.record(running=0, waiting=0)
 
     def record(self, *, running: int, waiting: int) -> None:
-        """Keep the load if it has changed."""
+        """Record the load if it has changed."""
         if self.samples and (self.samples[-1].running, self.samples[-1].waiting) == (
             running,
             waiting,
@@ -48,12 +48,12 @@
         self.max_load = max(self.max_load, sample.load)
 
     def get_at(self, now_ms: int) -> LoadSample:
-        """Return the load that held at `now_ms`, or the oldest that is kept."""
+        """Return the load at `now_ms`, or the oldest sample if it is later."""
         for sample in reversed(self.samples):
             if sample.now_ms <= now_ms:
                 return sample
         return self.samples[0]
 
     def get_lagged(self, lag_ms: int) -> LoadSample:
-        """Return the load that held `lag_ms` ago."""
+        """Return the load of `lag_ms` ago."""
         return self.get_at(self._clock.now_ms() - lag_ms)
--- a/gypsumrouter/standins/models.py
+++ b/gypsumrouter/standins/models.py
@@ -14,11 +14,12 @@
 
 
 class EngineSettings(Struct, frozen=True, kw_only=True):
-    """What one engine can do; times are in milliseconds, sizes in tokens.
+    """Capacity, speed and behaviour of one engine; times in milliseconds, sizes in tokens.
 
-    A step takes `step_ms`, and more for each running sequence and each prompt token that it
-    computes, of which there are up to `prefill_chunk_tokens` in a step. `load_ms` is what a load
-    takes without a weight store. `cache_event_loss` is the share of events that are never told.
+    A step takes `step_ms`, plus `step_ms_per_sequence` for each running sequence and
+    `prefill_ms_per_token` for each prompt token that it prefills, at most `prefill_chunk_tokens`
+    of them. `load_ms` is the duration of a model load without a weight store. `cache_event_loss`
+    is the share of cache events that are dropped.
     """
 
     slots: int = 16
@@ -50,4 +51,4 @@
 
     def __post_init__(self) -> None:
         if self.step_ms < MIN_STEP_MS:
-            raise ValueError(f"step_ms must be at least {MIN_STEP_MS}")
+            raise ValueError(f"step_ms must be at least {MIN_STEP_MS}, got {self.step_ms}")
--- a/gypsumrouter/standins/orders.py
+++ b/gypsumrouter/standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the stand-in engine: which models it holds, in which role, by whose word."""
+"""Orders to the stand-in engine: model loads and unloads and role changes, with fencing."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an order asks for."""
+    """The action of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -27,7 +27,7 @@
 
 
 class OrderState(StrEnum):
-    """What has become of an order."""
+    """The state of an order."""
 
     PENDING = "pending"
     APPLIED = "applied"
@@ -37,7 +37,7 @@
 
 
 class Order(Struct, frozen=True, kw_only=True):
-    """One order; `source` names a neighbour to load from, in place of the weight store."""
+    """One order; `source` is another engine to load from instead of the weight store."""
 
     kind: OrderKind
     model: str = ""
@@ -48,7 +48,7 @@
 
 
 class OrderRecord(Struct, kw_only=True):
-    """An order that came in, and what became of it; `highest_fence` was known when it came."""
+    """A received order and its state; `highest_fence` is the highest fencing token before it."""
 
     order: Order
     state: OrderState
@@ -58,7 +58,7 @@
 
 
 class OrderHandler:
-    """Carry out orders; loads run on beside the engine's steps."""
+    """Executes orders; loads run in the background."""
 
     __slots__ = (
         "_clock",
@@ -83,7 +83,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Begin with the models of the settings, as a new process does."""
+        """Reset to the models and role of the settings, as a restart of the engine does."""
         self.cancel_all()
         self.models = dict.fromkeys(self._settings.models, DEFAULT_VERSION)
         self.role = self._settings.role
@@ -91,12 +91,12 @@
             self.highest_fence = 0
 
     def cancel_all(self) -> None:
-        """Cancel every load that is pending."""
+        """Cancel all pending loads."""
         for model in tuple(self._tasks):
             self.cancel(model)
 
     def handle(self, order: Order) -> OrderRecord:
-        """Refuse an order with an old fencing number, or carry it out or begin to."""
+        """Refuse an order with an outdated fencing token, otherwise execute it."""
         record = OrderRecord(
             order=order,
             state=OrderState.PENDING,
@@ -113,7 +113,7 @@
         return record
 
     def cancel(self, model: str) -> bool:
-        """Cancel the pending load of a model; returns whether there was one."""
+        """Cancel the pending load of a model and return whether there was one."""
         task = self._tasks.pop(model, None)
         record = self._loads.pop(model, None)
         if task is None or record is None:
@@ -123,7 +123,7 @@
         return True
 
     def has_model(self, model: str, version: str) -> bool:
-        """Return whether a version of a model is held; an empty version means any."""
+        """Return whether a model is loaded in this version; an empty version matches any."""
         return model in self.models and version in ("", self.models[model])
 
     def _execute(self, record: OrderRecord) -> None:
@@ -169,7 +169,7 @@
         record.state = OrderState.APPLIED
 
     async def _async_fetch(self, order: Order) -> str:
-        """Fetch the weights; returns what went wrong, or nothing."""
+        """Fetch the weights and return the reason of a failure, empty on success."""
         store = self._settings.weight_store
         if order.source:
             origin = order.source
@@ -189,7 +189,7 @@
 
 
 def parse_order(payload: dict[str, Any]) -> Order | None:
-    """Return the order of a JSON object, or None where it is wrong."""
+    """Parse an order from a JSON object; returns None if it is invalid."""
     try:
         order = Order(
             kind=OrderKind(payload["order"]),
@@ -206,7 +206,7 @@
 
 
 def format_record(record: OrderRecord) -> dict[str, object]:
-    """Return a record as plain JSON data."""
+    """Return a record as JSON-serializable data."""
     order = record.order
     return {
         "order": order.kind,
--- a/gypsumrouter/standins/partition.py
+++ b/gypsumrouter/standins/partition.py
@@ -1,4 +1,4 @@
-"""Partitions between groups of processes that reach each other through fault proxies."""
+"""Network partitions between groups of processes that connect through fault proxies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Partition:
-    """Proxies by the group that they are reached from and the group that they lead to."""
+    """Proxies by the source and target group of their connections."""
 
     __slots__ = ("_proxies",)
 
@@ -16,25 +16,25 @@
         self._proxies: dict[tuple[str, str], list[FaultProxy]] = {}
 
     def add(self, *, source: str, target: str, proxy: FaultProxy) -> None:
-        """Put a proxy between two groups."""
+        """Register the proxy of connections from one group to another."""
         self._proxies.setdefault((source, target), []).append(proxy)
 
     def find(self, *, source: str, target: str) -> tuple[FaultProxy, ...]:
-        """Return the proxies that lead from one group to another."""
+        """Return the proxies of connections from one group to another."""
         return tuple(self._proxies.get((source, target), ()))
 
     def block(self, left: Collection[str], right: Collection[str]) -> None:
-        """Let nothing pass between two sets of groups, whoever opens the connection."""
+        """Block all data between two sets of groups, whichever side opened the connection."""
         for proxy in self._find_between(left, right):
             proxy.block()
 
     def unblock(self, left: Collection[str], right: Collection[str]) -> None:
-        """Let everything pass between two sets of groups; what was held goes on."""
+        """Unblock the data between two sets of groups and deliver what was held."""
         for proxy in self._find_between(left, right):
             proxy.unblock()
 
     async def async_clear_faults(self) -> None:
-        """End every fault of every proxy."""
+        """End all faults of all proxies."""
         for proxies in self._proxies.values():
             for proxy in proxies:
                 await proxy.async_clear_faults()
--- a/gypsumrouter/standins/pipes.py
+++ b/gypsumrouter/standins/pipes.py
@@ -1,4 +1,4 @@
-"""One connection through the fault proxy: two ends, and a pipe for each way."""
+"""Transport of one proxied connection: two endpoints and a pipe in each direction."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Direction(StrEnum):
-    """A direction through the proxy."""
+    """The direction of data: from caller to target (forward) or back."""
 
     FORWARD = "forward"
     BACK = "back"
@@ -30,7 +30,7 @@
 
 
 class TrafficShaper:
-    """What happens to all data that goes one way through a proxy."""
+    """Delay, bandwidth and blocking of all data of a proxy in one direction."""
 
     __slots__ = ("_clock", "_free_at_ms", "bytes_per_s", "delay_ms", "forwarded_bytes", "gate")
 
@@ -43,7 +43,7 @@
         self.forwarded_bytes = 0
 
     async def async_throttle(self, size: int) -> None:
-        """Wait as long as the bandwidth asks for `size` bytes."""
+        """Wait until `size` more bytes fit into the bandwidth."""
         self.forwarded_bytes += size
         if self.bytes_per_s is None:
             return
@@ -55,11 +55,11 @@
 
 
 class Eof(Struct, frozen=True, kw_only=True):
-    """The sender has closed its half."""
+    """The sender has closed its half of the connection."""
 
 
 class ConnectionLost(Struct, frozen=True, kw_only=True):
-    """The sender's connection is gone."""
+    """The connection to the sender is closed, with a reset or without."""
 
     reset: bool
 
@@ -68,7 +68,7 @@
 
 
 class Endpoint(asyncio.Protocol):
-    """One end of a proxied connection: it fills the pipe that leads away from it."""
+    """One endpoint of a proxied connection; received data goes into its pipe."""
 
     __slots__ = ("_on_connected", "_on_lost", "lost", "pipe", "transport", "writable")
 
@@ -84,39 +84,39 @@
         self.writable.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; nothing is read until the other end is there too."""
+        """Store the transport and pause reading until the other endpoint is connected."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.pause_reading()
         self._on_connected()
 
     def data_received(self, data: bytes) -> None:
-        """Put data into the pipe."""
+        """Put received data into the pipe, and pause reading if it is full."""
         self.pipe.put(bytes(data))
         if self.pipe.is_full:
             self.set_reading(False)
 
     def eof_received(self) -> bool:
-        """Put the end of this half into the pipe, and keep the other half open."""
+        """Put the EOF into the pipe and keep the other half open."""
         self.pipe.put(Eof())
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Put the loss into the pipe."""
+        """Put the loss of the connection into the pipe."""
         self.lost = True
         self.writable.set()
         self.pipe.put(ConnectionLost(reset=exc is not None))
         self._on_lost()
 
     def pause_writing(self) -> None:
-        """Note that the reader at this end is slow."""
+        """Stop writing until the transport's buffer has drained."""
         self.writable.clear()
 
     def resume_writing(self) -> None:
-        """Note that the reader at this end has caught up."""
+        """Allow writing again."""
         self.writable.set()
 
     def set_reading(self, reading: bool) -> None:
-        """Read from this end, or leave what comes to the kernel."""
+        """Resume or pause reading from the transport."""
         if self.transport is None or self.transport.is_closing():
             return
         if reading:
@@ -131,7 +131,7 @@
 
 
 class Pipe:
-    """What is under way from one end to the other; a blackholed pipe swallows everything."""
+    """Data in transit from one endpoint to the other; a blackholed pipe discards everything."""
 
     __slots__ = (
         "_buffered_bytes",
@@ -154,11 +154,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Return whether no more should be read into it."""
+        """Return whether reading from the source must pause."""
         return self.blackholed or self._buffered_bytes >= MAX_BUFFERED_BYTES
 
     def put(self, item: PipeItem) -> None:
-        """Send something on its way."""
+        """Queue an item for delivery after the delay."""
         if self.blackholed:
             return
         due_ms = self._clock.now_ms() + self._shaper.delay_ms
@@ -167,12 +167,12 @@
         self._wake.set()
 
     def blackhole(self) -> None:
-        """Swallow what is under way and all that comes."""
+        """Discard the queued items and all later ones."""
         self.blackholed = True
         self._queue.clear()
 
     async def async_run(self, *, source: Endpoint, sink: Endpoint) -> None:
-        """Carry everything to the sink until the source is lost."""
+        """Deliver items to the sink until the connection to the source is lost."""
         while True:
             while not self._queue:
                 self._wake.clear()
--- a/gypsumrouter/standins/platform_runner.py
+++ b/gypsumrouter/standins/platform_runner.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's runners: whole answers and streams, and its kinds of fault."""
+"""Stand-in of the platform's runners: plain and streamed responses, and faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,13 @@
 
 
 class RunnerFault(StrEnum):
-    """What a runner does with one request."""
+    """How a runner fails a request.
+
+    SHED rejects it as not run; UNMARKED_REJECTION responds 503 without marking it as not run.
+    NO_STAMP omits the stamp header, and ENCODED adds a content encoding. FOREIGN_RESPONSE_FIRST
+    sends the response of another request first. RESET_STREAM resets the connection in the middle
+    of an event.
+    """
 
     NONE = "none"
     SHED = "shed"
@@ -36,7 +42,7 @@
 
 
 class Arrival(Struct, kw_only=True):
-    """A request as a runner got it, and when (monotonic seconds)."""
+    """A received request and its time of arrival (monotonic seconds)."""
 
     request_id: str
     method: str
@@ -49,7 +55,7 @@
 
 
 class BackOff(Struct, frozen=True, kw_only=True):
-    """A time for which a runner wants nothing from who sent this request (monotonic seconds)."""
+    """The back-off that a runner asked of the sender of a request (monotonic seconds)."""
 
     request_id: str
     begins_s: float
@@ -57,7 +63,7 @@
 
 
 class PlatformRunner:
-    """One incarnation of a runner.
+    """One process of a runner; a restart is a new object.
 
     Each request takes one entry of `next_faults`, or `default_fault` once they are used up.
     `on_run` is called when a request starts to run; running requests wait while `gate` is cleared.
@@ -73,7 +79,7 @@
         self.arrivals: list[Arrival] = []
         self.inventory: list[tuple[str, str, int, str]] = []
         self.inventory_calls = 0
-        # Until when it bears few requests a second after its start; monotonic seconds.
+        # End of the slow start, during which the request rate is limited; monotonic seconds.
         self.slow_start_until_s = 0.0
         self.on_run: Callable[[], None] = lambda: None
         self.draining = False
@@ -88,21 +94,21 @@
         self.listener = StandinListener(app=routes, host="127.0.0.1", port=0)
 
     async def async_start(self) -> Address:
-        """Listen and return the address."""
+        """Start listening and return the address."""
         return await self.listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop the runner and reset its connections."""
         await self.listener.async_stop()
 
     def get_peak_slow_start_rate(self) -> int:
-        """Return the most requests that came within a second while it was cold."""
+        """Return the most requests that ran within one second of its slow start."""
         times = [a.at_s for a in self.arrivals if a.at_s < self.slow_start_until_s and a.ran]
         return max((sum(1 for t in times if at <= t < at + 1) for at in times), default=0)
 
     @property
     def ran(self) -> list[str]:
-        """Return the ids of the requests that it began to run."""
+        """Return the ids of the requests that started to run."""
         return [arrival.request_id for arrival in self.arrivals if arrival.ran]
 
     async def _async_get_inventory(self, request: web.Request) -> web.Response:
--- a/gypsumrouter/standins/published_store.py
+++ b/gypsumrouter/standins/published_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: items, ranges, waiting watches, and its kinds of fault."""
+"""Stand-in of the platform's store: range reads, watches and faults."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StoreFault(StrEnum):
-    """How the store fails its readers."""
+    """How the store fails: 503 (busy), connection reset, or no response (silent)."""
 
     NONE = "none"
     BUSY = "busy"
@@ -28,7 +28,7 @@
 
 
 class StoreSnapshot(Struct, frozen=True, kw_only=True):
-    """What the store held when the snapshot was made."""
+    """Contents and history of the store at the time of the snapshot."""
 
     items: dict[str, dict[str, Any]]
     history: list[dict[str, Any]]
@@ -36,9 +36,9 @@
 
 
 class PublishedStoreStandin:
-    """Serves reads of items that a test writes directly.
+    """Serves reads and watches of items that tests write directly.
 
-    Each of its answers names its `era`, which rises by one when it comes back from a snapshot.
+    Each response carries the `era` of the store, which increases with each restore.
     """
 
     def __init__(self, *, host: str = "127.0.0.1") -> None:
@@ -57,15 +57,15 @@
         self.calls: list[str] = []
 
     async def async_start(self) -> Address:
-        """Listen and return the address."""
+        """Start listening and return the address."""
         return await self._listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop the store and reset its connections."""
         await self._listener.async_stop()
 
     async def async_put(self, key: str, document: object) -> None:
-        """Write an item."""
+        """Write an item, encoded as JSON."""
         value = base64.b64encode(json.dumps(document).encode()).decode()
         await self._async_write({"key": key, "value": value, "created": self.revision, "lease": 0})
 
@@ -85,20 +85,20 @@
         await self.async_put(f"{names.PREFIX_SERVERS}{runner}", {"slots": 6, **entry, **more})
 
     def compact_history(self) -> None:
-        """Discard all changes up to now."""
+        """Discard the history, so that watches from an earlier revision fail with 410."""
         self._history.clear()
         self._compacted_revision = self.revision
 
     def make_snapshot(self) -> StoreSnapshot:
-        """Return a snapshot to come back from later."""
+        """Return a snapshot for `async_restore`."""
         return StoreSnapshot(
             items=dict(self._items), history=list(self._history), revision=self.revision
         )
 
     async def async_restore(self, snapshot: StoreSnapshot) -> StoreSnapshot:
-        """Come back from a snapshot: revisions go back, and what was written since is lost.
+        """Restore a snapshot: the revision goes back and later writes are lost.
 
-        Return what was there before.
+        Returns a snapshot of the state before.
         """
         lost = self.make_snapshot()
         self._items = dict(snapshot.items)
@@ -113,7 +113,7 @@
     async def async_replay_lost_writes(
         self, *, snapshot: StoreSnapshot, lost: StoreSnapshot
     ) -> None:
-        """Write again what was lost, as its writers do, unless they have written since."""
+        """Repeat the writes that the restore lost, except for items that were written since."""
         for key in sorted(snapshot.items.keys() | lost.items.keys()):
             saved, wanted = snapshot.items.get(key), lost.items.get(key)
             if wanted is saved or self._items.get(key) is not saved:
@@ -121,7 +121,7 @@
             await self._async_write(wanted or {"key": key, "tombstone": True})
 
     async def async_set_fault(self, fault: StoreFault) -> None:
-        """Begin or end fault; waiting watches are cut."""
+        """Set or clear (NONE) a fault; waiting watches are interrupted."""
         self.fault = fault
         if fault is StoreFault.RESET:
             self._listener.reset_connections()
@@ -159,7 +159,7 @@
             async with asyncio.timeout(int(request.query["wait_ms"]) / 1_000):
                 await self._async_wait(prefix, after, era)
         except TimeoutError:
-            # What was forgotten while the watch waited would be hidden by an empty answer.
+            # An empty response would hide that the history was compacted during the watch.
             return self._make_events([]) if self._has_history(after) else self._make_gone_response()
         await self._async_apply_fault(request)
         if era != self.era or not self._has_history(after):
--- a/gypsumrouter/standins/service.py
+++ b/gypsumrouter/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: it counts every execution by key and by request id."""
+"""Stand-in of a plain service that counts executions by idempotency key and request id."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Execution(Struct, frozen=True, kw_only=True):
-    """One run of a call; `number` counts the runs with the same key in this stand-in."""
+    """One execution of a call; `number` counts the executions with the same key."""
 
     number: int
     key: str
@@ -38,15 +38,15 @@
 
 
 def digest_body(body: bytes) -> str:
-    """Return the digest by which an answer names the body that it belongs to."""
+    """Return the digest of a request body, which the response contains."""
     return hashlib.sha256(body).hexdigest()
 
 
 class Service:
-    """Answer any method and path; an execution counts from the moment its body is whole.
+    """Accepts any method and path; a call counts as executed once its body has been received.
 
-    Times are in milliseconds. A body that contains `crash_marker` kills the service: all
-    connections are reset and it listens again after `restart_ms`. Executions outlive crashes.
+    Times are in milliseconds. A body that contains `crash_marker` crashes the service: all
+    connections are reset, and it listens again after `restart_ms`. Counters are kept.
     """
 
     __slots__ = (
@@ -94,32 +94,32 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address of the listener."""
         return self._listener.address
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         return await self._listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop the service and reset its connections."""
         if self._restart_task is not None:
             self._restart_task.cancel()
         await self._listener.async_stop()
 
     def crash(self) -> None:
-        """Reset every connection and listen again after the restart time."""
+        """Reset all connections and listen again after the restart time."""
         self.crashes += 1
         self._listener.close()
         if self._restart_task is None or self._restart_task.done():
             self._restart_task = asyncio.get_running_loop().create_task(self._async_restart())
 
     def freeze(self) -> None:
-        """Accept connections and answer nothing."""
+        """Keep accepting connections, but send no responses."""
         self._gate.close()
 
     def thaw(self) -> None:
-        """Answer again."""
+        """Send responses again, including those held while frozen."""
         self._gate.open()
 
     async def _async_restart(self) -> None:
--- a/gypsumrouter/standins/streams.py
+++ b/gypsumrouter/standins/streams.py
@@ -1,4 +1,4 @@
-"""Answers of the stand-in engine: max_ended while they grow and a while longer, to be resumed."""
+"""Response bodies of the stand-in engine, kept for a time so that they can be resumed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StreamState(StrEnum):
-    """Where an answer stands."""
+    """The state of a response."""
 
     ACTIVE = "growing"
     COMPLETE = "whole"
@@ -18,7 +18,7 @@
 
 
 class ResponseStream:
-    """The body of one answer; any number of readers follow it from any byte on."""
+    """A response body that any number of readers can read from any offset."""
 
     __slots__ = (
         "_clock",
@@ -44,12 +44,12 @@
         self.ended_ms = 0
 
     def append(self, part: bytes) -> None:
-        """Add to the body."""
+        """Append bytes to the body and wake the readers."""
         self.body += part
         self._wake()
 
     def end(self, state: StreamState) -> None:
-        """End the answer, whole or cancelled; only the first end counts."""
+        """End the response as complete or cancelled; later calls have no effect."""
         if self.state is not StreamState.ACTIVE:
             return
         self.state = state
@@ -57,25 +57,25 @@
         self._wake()
 
     def attach(self) -> None:
-        """Note that a reader follows."""
+        """Register a reader."""
         self.readers += 1
         self.no_reader_since_ms = None
 
     def detach(self) -> None:
-        """Note that a reader has gone."""
+        """Unregister a reader."""
         self.readers -= 1
         if self.readers == 0:
             self.no_reader_since_ms = self._clock.now_ms()
 
     async def async_wait_for_data(self, offset: int) -> None:
-        """Wait until the body is longer than `offset` or has ended."""
+        """Wait until there is data after `offset` or the response has ended."""
         while len(self.body) <= offset and self.state is StreamState.ACTIVE:
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
             await waiter
 
     async def async_wait_end(self) -> None:
-        """Wait until the answer has ended."""
+        """Wait until the response has ended."""
         while self.state is StreamState.ACTIVE:
             await self.async_wait_for_data(len(self.body))
 
@@ -87,7 +87,7 @@
 
 
 class StreamTable:
-    """Answers by request id; ended ones are dropped after a time or beyond a number."""
+    """Responses by request id; ended ones are evicted by age and by number."""
 
     __slots__ = ("_clock", "_max_ended", "_retention_ms", "_streams")
 
@@ -98,18 +98,18 @@
         self._streams: OrderedDict[str, ResponseStream] = OrderedDict()
 
     def add(self, stream: ResponseStream) -> None:
-        """Keep an answer; one with the same request id is replaced."""
+        """Add a response, replacing one with the same request id."""
         self._evict_ended()
         self._streams[stream.request_id] = stream
         self._streams.move_to_end(stream.request_id)
 
     def get(self, request_id: str) -> ResponseStream | None:
-        """Return an answer that is still max_ended."""
+        """Return a response, or None if it is unknown or evicted."""
         self._evict_ended()
         return self._streams.get(request_id)
 
     def clear(self) -> None:
-        """Cancel and forget everything, as a restart does."""
+        """Cancel and remove all responses, as a restart does."""
         for stream in self._streams.values():
             stream.end(StreamState.CANCELLED)
         self._streams.clear()
--- a/gypsumrouter/standins/token_bucket.py
+++ b/gypsumrouter/standins/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: how many calls a stand-in takes in a time."""
+"""A token bucket that limits the rate of calls to a stand-in."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class TokenBucket:
-    """Allow `rate_per_s` calls a second, and `burst` at once after a pause."""
+    """Allow `rate_per_s` calls per second, with bursts of up to `burst` calls."""
 
     __slots__ = ("_burst", "_clock", "_refilled_at_ms", "_tokens", "rate_per_s")
 
@@ -19,7 +19,7 @@
         self._refilled_at_ms = clock.now_ms()
 
     def try_acquire(self, *, reserved_per_s: float = 0) -> bool:
-        """Take one call, or return False; `reserved_per_s` of the rate are taken by others."""
+        """Take one token if there is one; `reserved_per_s` of the rate is not refilled."""
         now_ms = self._clock.now_ms()
         rate = max(0.0, self.rate_per_s - reserved_per_s)
         refill = (now_ms - self._refilled_at_ms) * rate / MS_PER_S
--- a/gypsumrouter/standins/tokens.py
+++ b/gypsumrouter/standins/tokens.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's tokens: what a prompt costs and what an answer says."""
+"""Deterministic tokenizer and completion text of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class Message(Struct, frozen=True, kw_only=True):
-    """One turn of a chat."""
+    """One message of a chat."""
 
     role: str
     content: str
 
 
 def render_prompt(messages: Sequence[Message]) -> bytes:
-    """Return a chat as the bytes that the engine's tokens are taken from."""
+    """Return the messages rendered as the prompt that is tokenized."""
     return "".join(f"<{message.role}>{message.content}\n" for message in messages).encode()
 
 
 def count_tokens(prompt: bytes) -> int:
-    """Return how many tokens a rendered prompt has."""
+    """Return the number of tokens of a rendered prompt."""
     return -(-len(prompt) // BYTES_PER_TOKEN)
 
 
 def hash_blocks(prompt: bytes, *, model: str) -> tuple[int, ...]:
-    """Return the hash of each whole block, chained so that it names the whole prefix."""
+    """Return the hash of each full block; each hash covers all blocks up to its own."""
     hashes: list[int] = []
     last = xxhash.xxh3_64_intdigest(model.encode())
     for begin in range(0, len(prompt) - BLOCK_BYTES + 1, BLOCK_BYTES):
@@ -41,15 +41,15 @@
 
 
 def digest_prompt(prompt: bytes, *, model: str) -> str:
-    """Return the digest by which an answer names the request that it belongs to."""
+    """Return the digest of a prompt, which is the first token of its completion."""
     return xxhash.xxh3_64_hexdigest(prompt, seed=xxhash.xxh3_64_intdigest(model.encode()))
 
 
 def make_token(digest: str, index: int) -> str:
-    """Return one token of an answer: the digest of its request, then numbered words."""
+    """Return a token of a completion: the prompt digest first, then numbered words."""
     return digest if index == 0 else f" w{index}"
 
 
 def make_text(digest: str, tokens: int) -> str:
-    """Return the whole answer that a request with this digest gets."""
+    """Return the full completion of a prompt with this digest."""
     return "".join(make_token(digest, index) for index in range(tokens))
--- a/gypsumrouter/standins/weight_store.py
+++ b/gypsumrouter/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store: models to load, at a limited rate."""
+"""Stand-in of the weight store, which engines load models from at a limited rate."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class WeightStore:
-    """Answer `GET /v1/weights/{model}?version=V` after `fetch_ms`, or 429 above the rate.
+    """Serves `GET /v1/weights/{model}?version=V` in `fetch_ms`, or responds 429 above the rate.
 
-    `fetched_ms` holds the wall time at which each accepted fetch began.
+    `fetched_ms` is the wall time at the start of each accepted fetch.
     """
 
     __slots__ = ("_bucket", "_clock", "_fetch_ms", "_listener", "_outage", "fetched_ms", "rejected")
@@ -52,23 +52,23 @@
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address of the listener."""
         return self._listener.address
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         return await self._listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop the service and reset its connections."""
         await self._listener.async_stop()
 
     def set_rate(self, fetches_per_s: float) -> None:
-        """Change how many fetches a second are answered."""
+        """Change the limit of fetches per second."""
         self._bucket.rate_per_s = fetches_per_s
 
     async def async_set_outage(self, kind: OutageKind) -> None:
-        """Begin, change or end an outage."""
+        """Start, change or end (NONE) an outage."""
         await self._outage.async_set(kind)
 
     async def _async_get(self, request: web.Request) -> web.Response:
