--- a/gypsumrouter/demo/__init__.py
+++ b/gypsumrouter/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: the whole process with stand-ins in one process on loopback."""
+"""The demo: routers, sides and stand-in upstreams in one process on the loopback interface."""
--- a/gypsumrouter/demo/__main__.py
+++ b/gypsumrouter/demo/__main__.py
@@ -24,7 +24,7 @@
 @click.command()
 @click.option("--stay", is_flag=True, help="Leave it running and print a curl line that works.")
 def main(stay: bool) -> None:
-    """Run a fleet with stand-ins on loopback and play chats and service calls of two users."""
+    """Run a fleet with stand-in upstreams on loopback and send it chats and service calls."""
     remove_logging = configure_logging(settings=Log(level=LogLevel.WARNING), instance=DEMO)
     try:
         passed = uvloop.run(async_run_demo(stay=stay))
--- a/gypsumrouter/demo/local_fleet.py
+++ b/gypsumrouter/demo/local_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet in one process on loopback: stand-ins, sides and routers."""
+"""A fleet of routers, sides and stand-in upstreams in one process on loopback."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 
 class LocalFleet:
-    """Runs one side beside each upstream of a platform of stand-ins, and some routers.
+    """Runs one side for each upstream of a stand-in platform, and a number of routers.
 
-    `extra` is laid over the settings of every process, section by section.
+    `extra` overrides settings of all sides and routers, section by section.
     """
 
     __slots__ = ("_clock", "_extra", "platform", "routers", "sides")
@@ -44,7 +44,7 @@
         os.environ.setdefault(ENV_LINK_KEY, secrets.token_hex(LINK_KEY_BYTES))
 
     async def async_start(self, *, routers: int) -> None:
-        """Start everything and wait until it is ready; raises NotReady after 15 s."""
+        """Start all processes and wait until they are ready; raises NotReady on a timeout."""
         await self.platform.async_start()
         for plan in self.platform.plans:
             await self.async_start_side(plan.name)
@@ -58,7 +58,7 @@
         await self.async_wait_ready()
 
     async def async_start_side(self, name: str) -> RunningProcess:
-        """Start the side beside one upstream and put it on the instance list."""
+        """Start the side of an upstream and add it to the instance list."""
         settings = self.platform.make_side_settings(name, link={"key_env": ENV_LINK_KEY})
         process = await self._async_start(Role.SIDE, settings)
         self.sides[name] = process
@@ -68,7 +68,7 @@
     async def async_start_router(
         self, name: str, *, data_centre: str, region: str
     ) -> RunningProcess:
-        """Start a router and put it on the instance list."""
+        """Start a router and add it to the instance list."""
         settings = self.platform.make_router_settings(
             name, data_centre=data_centre, region=region, link={"key_env": ENV_LINK_KEY}
         )
@@ -80,21 +80,21 @@
         return process
 
     async def async_wait_ready(self) -> None:
-        """Wait until every process takes work; raises NotReady."""
+        """Wait until all routers and sides are ready; raises NotReady on a timeout."""
         processes = (*self.sides.values(), *self.routers.values())
         for _ in range(READY_TIMEOUT_MS // READY_POLL_MS):
             if all(process.is_ready() for process in processes):
                 return
             await self._clock.async_sleep(READY_POLL_MS)
         not_ready = [process.app.name for process in processes if not process.is_ready()]
-        raise NotReady(f"not ready in time: {', '.join(not_ready)}")
+        raise NotReady(f"not ready within {READY_TIMEOUT_MS} ms: {', '.join(not_ready)}")
 
     def list_caller_addresses(self) -> tuple[Address, ...]:
-        """Return where the routers take callers' requests."""
+        """Return the addresses on which the routers accept requests of callers."""
         return tuple(process.addresses[ADDRESS_CALLERS] for process in self.routers.values())
 
     async def async_stop(self) -> None:
-        """Release everything, the routers first."""
+        """Stop the routers, then the sides and the platform."""
         for process in (*self.routers.values(), *self.sides.values()):
             await process.app.async_stop()
         await self.platform.async_stop()
@@ -105,5 +105,5 @@
             for name in settings.keys() | self._extra.keys()
         }
         checked = check_linked_settings(role=role, document=json.dumps(merged).encode())
-        # A task of its own: the instance's name stays with what it starts.
+        # A separate task has its own context, which carries the instance's name into the logs.
         return await asyncio.create_task(async_setup(settings=checked, clock=self._clock))
--- a/gypsumrouter/demo/measure.py
+++ b/gypsumrouter/demo/measure.py
@@ -1,4 +1,4 @@
-"""What the demo measures while it plays: skew across engines and control traffic."""
+"""Measurements of the demo: load skew across engines and control traffic."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class SkewSampler:
-    """How evenly the engines of one pool are loaded, sampled while the demo plays.
+    """Samples how evenly the load is spread over the engines of one pool.
 
-    Where no engine holds more than `floor` requests, a larger multiple of the mean does no harm.
+    Samples in which no engine has more than `floor` requests are ignored: at low load, a large
+    ratio to the mean is harmless.
     """
 
     __slots__ = ("_ratios", "engines", "floor", "peak_load")
@@ -32,7 +33,7 @@
             self.sample()
 
     def sample(self) -> None:
-        """Take one sample."""
+        """Sample the current load of all engines."""
         loads = [engine.load for engine in self.engines]
         self.peak_load = max(self.peak_load, *loads)
         if max(loads) > self.floor:
@@ -40,19 +41,19 @@
 
     @property
     def load_skew(self) -> float | None:
-        """Return the largest load over the mean, None while no engine was above the floor."""
+        """Return the largest ratio of maximum to mean load above the floor, or None."""
         return max(self._ratios, default=None)
 
     @property
     def work_skew(self) -> float:
-        """Return the most tokens that one engine has produced over the mean of all."""
+        """Return the ratio of the maximum to the mean of the tokens that the engines produced."""
         produced = [engine.counts.produced_tokens for engine in self.engines]
         mean = statistics.fmean(produced)
         return max(produced) / mean if mean else 0.0
 
 
 def sum_control_bytes(processes: list[RunningProcess]) -> int:
-    """Return the bytes that some processes have sent and received to control each other."""
+    """Return the bytes of control traffic that these processes have sent and received."""
     return sum(_get_control_bytes(process.app.dump()) for process in processes)
 
 
--- a/gypsumrouter/demo/plan.py
+++ b/gypsumrouter/demo/plan.py
@@ -1,4 +1,4 @@
-"""What the demo plays, and the settings that it lays over those of every process."""
+"""The workload of the demo and the settings that it overrides in all processes."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 PROGRESS_MS: Final = 1_000
 DURATION_MS: Final = 24_000
 
-# All clocks are one clock here, and a short lease lets new sides run keyed calls soon.
+# All processes share one clock, and a short lease lets new sides accept keyed calls early.
 LIST_LEASE_MS: Final = 1_500
 EXTRA_SETTINGS: Final[dict[str, Any]] = {
     "platform": {"list_lease_ms": LIST_LEASE_MS, "clock_skew_ms": 0, "list_poll_ms": 200},
 }
-# A key that is younger than this after the start may have been run by an earlier home.
+# Until the lease has passed, a previous owner of a key may have executed a call with it.
 FIRST_CALL_MS: Final = LIST_LEASE_MS + 500
--- a/gypsumrouter/demo/report.py
+++ b/gypsumrouter/demo/report.py
@@ -1,4 +1,4 @@
-"""What the demo prints."""
+"""Printed output of the demo."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def print_progress(tallies: Sequence[Tally], *, elapsed_ms: int) -> None:
-    """Print how far it is."""
+    """Print the progress of the run."""
     requests = sum(tally.requests for tally in tallies)
     whole = sum(tally.whole for tally in tallies)
     refused = sum(tally.refused.total() for tally in tallies)
@@ -31,7 +31,7 @@
 
 
 def print_deployment(name: str, tally: Tally, sampler: SkewSampler) -> None:
-    """Print the figures of one deployment by class of callers."""
+    """Print the latencies, cache reuse and skew of one deployment."""
     rows = [
         (
             caller_class,
@@ -56,7 +56,7 @@
 
 
 def print_failed_tries(tally: Tally) -> None:
-    """Print why tries had to be repeated, if any had."""
+    """Print the error codes of failed tries, if there are any."""
     codes = {"not run": tally.refused, "unknown": tally.unknown}
     for executed, counts in codes.items():
         if counts:
@@ -65,7 +65,7 @@
 
 
 def print_control_traffic(*, router_bytes_s: float, side_bytes_s: float) -> None:
-    """Print the control traffic of one process."""
+    """Print the mean control traffic per router and per side."""
     print(
         f"\ncontrol traffic of one router {router_bytes_s:,.0f} bytes/s, "
         f"of one side {side_bytes_s:,.0f} bytes/s"
@@ -73,9 +73,11 @@
 
 
 def print_outcome(tallies: Sequence[Tally], *, repeated_executions: int) -> bool:
-    """Print the outcome as the last line and return whether every promise held.
+    """Print the totals as the last line and return whether the run passed.
 
-    A call that ran more than once counts as doubled, also where its callers did not see it.
+    It passes if there was a request, each response was complete, and none was lost, doubled or
+    crossed (the response to another request). `repeated_executions` are at-most-once calls that
+    upstreams executed more than once; they count as doubled even if no caller noticed.
     """
     requests = sum(tally.requests for tally in tallies)
     whole = sum(tally.whole for tally in tallies)
@@ -95,12 +97,12 @@
 
 
 def find_percentile(times: Sequence[float], percentile: int) -> float | None:
-    """Return a percentile, None for no times."""
+    """Return a percentile, or None without values."""
     if len(times) < 2:
         return times[0] if times else None
     return statistics.quantiles(times, n=PERCENTILES, method="inclusive")[percentile - 1]
 
 
 def format_ms(value: float | None) -> str:
-    """Return a time for a table."""
+    """Format a duration for a table."""
     return NO_VALUE if value is None else f"{value:.0f} ms"
--- a/gypsumrouter/demo/run.py
+++ b/gypsumrouter/demo/run.py
@@ -1,4 +1,4 @@
-"""One run of the demo, from the start of the fleet to its last line."""
+"""One run of the demo: starts the fleet, runs the workloads and prints the report."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class DeploymentRun(Struct, frozen=True, kw_only=True):
-    """One deployment while it is played: what its callers counted and how even its load was."""
+    """The workload of one deployment with its tally and its load skew."""
 
     deployment: Deployment
     tally: Tally
@@ -43,9 +43,9 @@
 
 
 async def async_run_demo(*, stay: bool) -> bool:
-    """Run the demo and return whether every promise held.
+    """Run the demo and return whether it passed.
 
-    With `stay` nothing is played, and the fleet runs until a signal ends it.
+    With `stay` no workload is run, and the fleet stays up until SIGINT or SIGTERM.
     """
     clock = SystemClock()
     platform = StandinPlatform(clock=clock, deployments=(kotlovnica(), chapin()))
@@ -64,7 +64,7 @@
 
 
 async def async_run_workloads(fleet: LocalFleet, clock: Clock) -> bool:
-    """Workload both deployments, print the figures and return whether every promise held."""
+    """Run the workloads of all deployments, print the report and return whether the run passed."""
     runs = [_make_run(fleet, item) for item in fleet.platform.deployments]
     began_ms = clock.now_ms()
     tasks = [asyncio.create_task(run.sampler.async_run(clock)) for run in runs]
@@ -91,7 +91,7 @@
 
 
 def print_curl(fleet: LocalFleet) -> None:
-    """Print a line that asks the first router for an answer."""
+    """Print a curl command that sends a chat request to the first router."""
     deployment = fleet.platform.deployments[0]
     body = {
         "model": deployment.model,
--- a/gypsumrouter/demo/workload.py
+++ b/gypsumrouter/demo/workload.py
@@ -1,4 +1,4 @@
-"""Returning chats and service calls of a deployment, played against the routers."""
+"""The demo's workload: multi-turn chats and service calls of a deployment."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 async def async_run_workload(
     *, deployment: Deployment, context: CallerContext, seed: int, until_ms: int
 ) -> None:
-    """Workload one deployment; no request begins after `until_ms` of the clock.
+    """Run the chats and calls of one deployment; no request starts after `until_ms`.
 
-    Deployments that are played at once need seeds of their own: keys are drawn from them.
+    Concurrent workloads need different seeds, since idempotency keys are drawn from them.
     """
     arrivals = random.Random(seed)
     chats = _make_chat_workloads(deployment, context, seed, until_ms)
