--- a/tests/demo/test_demo_report.py
+++ b/tests/demo/test_demo_report.py
@@ -1,4 +1,4 @@
-"""The verdict of the demo: passed only when every answer was whole."""
+"""Outcome of the demo: a run with an incomplete or repeated response must not pass."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         ([Tally(requests=2, whole=2)], 1, False),
     ],
 )
-def test_the_demo_is_good_only_when_every_answer_was_whole(
+def test_demo_passes_only_if_every_response_was_complete(
     tallies: list[Tally], repeated_executions: int, passed: bool, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert print_outcome(tallies, repeated_executions=repeated_executions) is passed
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the stand-ins' tests: a clock moved by hand, and an HTTP session."""
+"""Fixtures of the stand-in tests: a manual clock and an HTTP session."""
 
 from __future__ import annotations
 
--- a/tests/standins/driven_clock.py
+++ b/tests/standins/driven_clock.py
@@ -1,4 +1,4 @@
-"""Help for tests that move a clock by hand while real connections are open."""
+"""Helpers for tests that advance a manual clock while real connections are open."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def async_drive(clock: ManualClock, work: Awaitable[T], *, step_ms: int = 1) -> T:
-    """Move the clock on until the work is done."""
+    """Advance the clock until the work is done, and return its result."""
     task = asyncio.ensure_future(work)
     async with asyncio.timeout(HANG_S):
         while not task.done():
@@ -23,7 +23,7 @@
 
 
 async def async_until(condition: Callable[[], bool]) -> None:
-    """Let the loop run until a condition holds; the clock stands still."""
+    """Run the event loop until a condition holds, without advancing the clock."""
     async with asyncio.timeout(HANG_S):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0)
--- a/tests/standins/test_standins_batch.py
+++ b/tests/standins/test_standins_batch.py
@@ -1,4 +1,4 @@
-"""The engine's batch: order, priority, steps and what a step costs."""
+"""Batching of the stand-in engine: queue order, priorities and duration of steps."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class BatchHarness:
-    """A batch alone, without HTTP."""
+    """A batch without HTTP, and the sequences submitted to it."""
 
     def __init__(self, clock: ManualClock, settings: EngineSettings = SETTINGS) -> None:
         self.clock = clock
@@ -85,12 +85,12 @@
 
 @pytest.fixture
 async def harness(clock: ManualClock) -> AsyncIterator[BatchHarness]:
-    made = BatchHarness(clock)
-    yield made
-    made.task.cancel()
+    harness = BatchHarness(clock)
+    yield harness
+    harness.task.cancel()
 
 
-async def test_waiting_sequences_run_by_priority_and_then_by_arrival(clock: ManualClock) -> None:
+async def test_queued_sequences_run_by_priority_then_by_arrival(clock: ManualClock) -> None:
     harness = BatchHarness(clock, EngineSettings(slots=1))
     for name, priority in (("a", 0), ("b", 0), ("c", 5), ("d", 5), ("e", 9)):
         harness.submit(name, priority=priority)
@@ -99,7 +99,7 @@
     harness.task.cancel()
 
 
-async def test_a_running_sequence_keeps_its_slot_when_a_higher_priority_comes(
+async def test_running_sequence_is_not_preempted_by_higher_priority(
     harness: BatchHarness,
 ) -> None:
     harness.submit("a", tokens=20)
@@ -112,7 +112,7 @@
     assert harness.ended == ["a", "b", "late"]
 
 
-async def test_each_running_sequence_gets_one_token_in_each_step(harness: BatchHarness) -> None:
+async def test_each_running_sequence_gets_one_token_per_step(harness: BatchHarness) -> None:
     first = harness.submit("a", tokens=50)
     second = harness.submit("b", tokens=50)
     await harness.async_advance(100)
@@ -120,7 +120,7 @@
     assert 0 < first.produced < 50
 
 
-async def test_a_step_costs_its_base_its_sequences_and_its_prompt_tokens(
+async def test_step_duration_includes_sequences_and_prompt_tokens(
     harness: BatchHarness, clock: ManualClock
 ) -> None:
     sequence = harness.submit("a", tokens=2, size=391)
@@ -134,7 +134,7 @@
     assert sequence.produced == 2
 
 
-async def test_a_step_that_begins_after_a_pause_is_not_shorter(harness: BatchHarness) -> None:
+async def test_step_after_idle_time_is_not_shorter(harness: BatchHarness) -> None:
     harness.submit("a", tokens=1)
     await harness.async_advance(1_000)
     late = harness.submit("b", tokens=5, size=10)
@@ -143,7 +143,7 @@
     assert late.produced == 0
 
 
-async def test_a_long_prompt_is_computed_in_chunks_beside_other_sequences(
+async def test_long_prompt_is_prefilled_in_chunks_while_others_generate(
     clock: ManualClock,
 ) -> None:
     harness = BatchHarness(clock, EngineSettings(slots=2, prefill_chunk_tokens=16))
@@ -159,7 +159,7 @@
     harness.task.cancel()
 
 
-async def test_a_cancelled_sequence_leaves_the_queue_at_once(harness: BatchHarness) -> None:
+async def test_cancelled_sequence_is_removed_from_the_queue(harness: BatchHarness) -> None:
     for name in "abc":
         harness.submit(name, tokens=50)
     await harness.async_advance(10)
@@ -169,7 +169,7 @@
     assert harness.batch.waiting == 0
 
 
-async def test_a_paused_batch_computes_nothing_until_it_goes_on(harness: BatchHarness) -> None:
+async def test_paused_batch_generates_no_tokens_until_resumed(harness: BatchHarness) -> None:
     sequence = harness.submit("a", tokens=50)
     await harness.async_advance(20)
     harness.batch.pause()
@@ -182,7 +182,7 @@
     assert sequence.ended
 
 
-async def test_an_abandoned_sequence_is_cancelled_after_the_set_time(harness: BatchHarness) -> None:
+async def test_sequence_without_reader_is_cancelled_after_timeout(harness: BatchHarness) -> None:
     sequence = harness.submit("a", tokens=8_000)
     sequence.stream.attach()
     await harness.async_advance(10)
@@ -193,7 +193,7 @@
     assert sequence.stream.state is StreamState.CANCELLED
 
 
-async def test_the_marked_sequence_crashes_when_it_begins_to_run_and_not_before(
+async def test_marked_sequence_crashes_the_engine_only_when_admitted(
     harness: BatchHarness,
 ) -> None:
     for name in "ab":
@@ -205,6 +205,6 @@
     assert harness.crashed == 1
 
 
-def test_steps_below_four_milliseconds_are_refused() -> None:
+def test_step_duration_below_minimum_is_rejected() -> None:
     with pytest.raises(ValueError, match="step_ms"):
         EngineSettings(step_ms=3.9)
--- a/tests/standins/test_standins_cache.py
+++ b/tests/standins/test_standins_cache.py
@@ -1,4 +1,4 @@
-"""The engine's prefix cache and its events."""
+"""Prefix cache of the stand-in engine and its events."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return hash_blocks(render_prompt(messages), model=model)
 
 
-def test_the_next_turn_finds_all_whole_blocks_of_the_turn_before(clock: ManualClock) -> None:
+def test_next_turn_reuses_all_full_blocks_of_the_previous_turn(clock: ManualClock) -> None:
     cache = make_cache(clock)
     first = hash_chat("a" * 1_000)
     cache.store(chat="c", blocks=first)
@@ -37,19 +37,19 @@
     assert second[: len(first)] == first
 
 
-def test_a_difference_at_the_beginning_finds_nothing(clock: ManualClock) -> None:
+def test_prompt_with_different_first_block_has_no_cached_prefix(clock: ManualClock) -> None:
     cache = make_cache(clock)
     cache.store(chat="c", blocks=hash_chat("a" * 1_000))
     assert cache.find_prefix(hash_chat("b" + "a" * 999)) == 0
 
 
-def test_the_same_prompt_for_another_model_finds_nothing(clock: ManualClock) -> None:
+def test_cached_prefix_is_not_shared_between_models(clock: ManualClock) -> None:
     cache = make_cache(clock)
     cache.store(chat="c", blocks=hash_chat("a" * 1_000))
     assert cache.find_prefix(hash_chat("a" * 1_000, model="other")) == 0
 
 
-def test_two_chats_with_the_same_beginning_share_its_blocks(clock: ManualClock) -> None:
+def test_chats_share_the_blocks_of_a_common_prefix(clock: ManualClock) -> None:
     cache = make_cache(clock)
     cache.store(chat="c", blocks=hash_chat("a" * 1_000, "x" * 200))
     held = cache.tokens
@@ -59,7 +59,7 @@
     assert cache.tokens < 2 * held
 
 
-def test_the_least_recently_used_chat_is_evicted_from_its_end(clock: ManualClock) -> None:
+def test_least_recently_used_chat_is_evicted_from_its_end(clock: ManualClock) -> None:
     cache = make_cache(clock, blocks=25)
     old, used, new = (hash_chat(letter * 640) for letter in "abc")
     cache.store(chat="old", blocks=old)
@@ -73,14 +73,14 @@
     assert cache.export("old") == old[: len(cache.export("old"))]
 
 
-def test_a_chat_beyond_the_memory_keeps_its_beginning(clock: ManualClock) -> None:
+def test_prompt_larger_than_the_cache_keeps_its_prefix(clock: ManualClock) -> None:
     cache = make_cache(clock, blocks=5)
     blocks = hash_chat("a" * 2_000)
     cache.store(chat="c", blocks=blocks)
     assert cache.export("c") == blocks[:5]
 
 
-def test_exported_blocks_are_found_where_they_are_imported(clock: ManualClock) -> None:
+def test_exported_blocks_are_reusable_after_import(clock: ManualClock) -> None:
     source, target = make_cache(clock), make_cache(clock)
     blocks = hash_chat("a" * 2_000)
     source.store(chat="c", blocks=blocks)
@@ -88,7 +88,7 @@
     assert target.find_prefix(blocks) == len(blocks) * TOKENS_PER_BLOCK
 
 
-def test_events_are_seen_late_and_only_once(clock: ManualClock) -> None:
+def test_events_are_reported_after_the_lag_and_only_once(clock: ManualClock) -> None:
     cache = make_cache(clock, blocks=20, lag_ms=500)
     cache.store(chat="c", blocks=hash_chat("a" * 1_000))
     assert cache.events.list_after(0) == ()
@@ -98,7 +98,7 @@
     assert cache.events.list_after(event.seq) == ()
 
 
-def test_evictions_name_the_chat_that_lost_its_blocks(clock: ManualClock) -> None:
+def test_eviction_event_names_the_evicted_chat(clock: ManualClock) -> None:
     cache = make_cache(clock, blocks=15)
     cache.store(chat="old", blocks=hash_chat("a" * 960))
     cache.store(chat="new", blocks=hash_chat("b" * 960))
@@ -106,7 +106,7 @@
     assert (CacheEventKind.EVICTED, "old") in kinds
 
 
-def test_lost_events_leave_gaps_in_the_numbers_the_same_ones_for_the_same_seed(
+def test_lost_events_leave_gaps_that_depend_only_on_the_seed(
     clock: ManualClock,
 ) -> None:
     seen = []
@@ -119,6 +119,6 @@
     assert 40 < len(seen[0]) < 95
 
 
-def test_the_answer_of_a_prompt_is_always_the_same() -> None:
+def test_completion_text_and_token_count_are_deterministic() -> None:
     assert make_text("abc", 3) == "abc w1 w2"
     assert count_tokens(b"12345") == 2
--- a/tests/standins/test_standins_configuration_service.py
+++ b/tests/standins/test_standins_configuration_service.py
@@ -1,4 +1,4 @@
-"""The configuration service: versions, watches, the read limit, outages, stale answers."""
+"""Configuration service: versions, watches, rate limit, outages and stale responses."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 @pytest.fixture
 async def service(clock: ManualClock) -> AsyncIterator[ConfigurationService]:
-    made = ConfigurationService(clock=clock, reads_per_s=READS_PER_S)
-    await made.async_start()
-    made.publish(make_document(3))
-    yield made
-    await made.async_stop()
+    service = ConfigurationService(clock=clock, reads_per_s=READS_PER_S)
+    await service.async_start()
+    service.publish(make_document(3))
+    yield service
+    await service.async_stop()
 
 
 class Reader:
-    """Reads and watches one service."""
+    """A client that reads and watches the service."""
 
     def __init__(self, session: aiohttp.ClientSession, service: ConfigurationService) -> None:
         self.session = session
@@ -40,8 +40,8 @@
     async def async_read(self) -> ReadResult:
         return await self._async_get({})
 
-    def watch(self, known: int, timeout_ms: int = 1_000) -> asyncio.Future[ReadResult]:
-        query = {"watch": str(known), "timeout_ms": str(timeout_ms)}
+    def watch(self, version: int, timeout_ms: int = 1_000) -> asyncio.Future[ReadResult]:
+        query = {"watch": str(version), "timeout_ms": str(timeout_ms)}
         return asyncio.ensure_future(self._async_get(query))
 
     async def async_post(self, path: str, payload: dict[str, object]) -> int:
@@ -63,7 +63,7 @@
     return Reader(session, service)
 
 
-async def test_a_read_gives_the_newest_version(
+async def test_read_returns_the_newest_version(
     reader: Reader, service: ConfigurationService
 ) -> None:
     assert await reader.async_read() == (200, 3)
@@ -72,7 +72,7 @@
     assert service.reads == 2
 
 
-async def test_a_watch_waits_for_a_newer_version(
+async def test_watch_waits_for_a_newer_version(
     reader: Reader, service: ConfigurationService
 ) -> None:
     assert await reader.watch(2) == (200, 3)
@@ -82,14 +82,14 @@
     assert await watch == (200, 4)
 
 
-async def test_a_watch_ends_without_news_after_its_time(
+async def test_watch_without_change_ends_at_its_timeout(
     reader: Reader, service: ConfigurationService, clock: ManualClock
 ) -> None:
     assert await async_drive(clock, reader.watch(3)) == (204, None)
     assert service.watch_ms_total >= 1_000
 
 
-async def test_reads_above_the_limit_are_refused_until_time_has_passed(
+async def test_reads_above_the_rate_limit_are_rejected_until_it_refills(
     reader: Reader, service: ConfigurationService, clock: ManualClock
 ) -> None:
     statuses = [(await reader.async_read())[0] for _ in range(READS_PER_S + 2)]
@@ -100,7 +100,7 @@
     assert statuses == [200, 200, 429]
 
 
-async def test_each_waiting_watch_takes_one_read_a_second_of_the_limit(
+async def test_each_waiting_watch_uses_one_read_per_second_of_the_limit(
     reader: Reader, service: ConfigurationService, clock: ManualClock
 ) -> None:
     watches = [reader.watch(3, timeout_ms=60_000) for _ in range(6)]
@@ -116,7 +116,7 @@
     assert await asyncio.gather(*watches) == [(200, 4)] * 6
 
 
-async def test_stale_answers_are_an_older_version_and_wake_no_watch(
+async def test_stale_version_is_served_and_completes_no_watch(
     reader: Reader, service: ConfigurationService
 ) -> None:
     service.publish(make_document(4))
@@ -128,7 +128,7 @@
     assert await watch == (200, 4)
 
 
-async def test_a_stale_share_mixes_both_versions(
+async def test_stale_share_serves_both_versions(
     reader: Reader, service: ConfigurationService
 ) -> None:
     service.publish(make_document(4))
@@ -137,7 +137,7 @@
     assert versions == {3, 4}
 
 
-async def test_an_outage_with_errors_ends_waiting_watches_too(
+async def test_error_outage_ends_waiting_watches(
     reader: Reader, service: ConfigurationService
 ) -> None:
     watch = reader.watch(3)
@@ -149,7 +149,7 @@
     assert await reader.async_read() == (200, 3)
 
 
-async def test_an_outage_that_refuses_resets_watches_and_keeps_the_port(
+async def test_refuse_outage_resets_watches_and_keeps_the_port(
     reader: Reader, service: ConfigurationService
 ) -> None:
     watch = reader.watch(3)
@@ -163,7 +163,7 @@
     assert await reader.async_read() == (200, 3)
 
 
-async def test_an_outage_that_hangs_answers_after_its_end(
+async def test_hang_outage_delays_responses_until_its_end(
     reader: Reader, service: ConfigurationService
 ) -> None:
     await service.async_set_outage(OutageKind.HANG)
@@ -175,7 +175,7 @@
     assert await read == (200, 3)
 
 
-async def test_documents_are_published_over_http_and_their_content_is_not_judged(
+async def test_documents_are_published_over_http_without_validation(
     reader: Reader, session: aiohttp.ClientSession
 ) -> None:
     url = f"{reader.origin}/standin/configuration"
--- a/tests/standins/test_standins_engine.py
+++ b/tests/standins/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""The engine over HTTP: whole answers, resume, cancel, faults, KV cache, lagged load."""
+"""HTTP API of the stand-in engine: responses, resume, cancel, faults, KV cache and load."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class EngineHarness:
-    """An engine, and a caller that moves its clock."""
+    """An engine, and a client that advances its clock while it waits."""
 
     def __init__(self, clock: ManualClock, session: aiohttp.ClientSession) -> None:
         self.clock = clock
@@ -69,13 +69,13 @@
 async def harness(
     clock: ManualClock, session: aiohttp.ClientSession
 ) -> AsyncIterator[EngineHarness]:
-    made = EngineHarness(clock, session)
-    await made.engine.async_start()
-    yield made
-    await made.engine.async_stop()
+    harness = EngineHarness(clock, session)
+    await harness.engine.async_start()
+    yield harness
+    await harness.engine.async_stop()
 
 
-async def test_a_whole_answer_begins_with_the_digest_of_its_own_request(
+async def test_response_starts_with_the_digest_of_its_request(
     harness: EngineHarness,
 ) -> None:
     status, body = await harness.async_chat("r1", content="where is my sweater", max_tokens=5)
@@ -86,7 +86,9 @@
     assert answer["usage"]["completion_tokens"] == 5
 
 
-async def test_a_stream_says_the_same_and_ends_with_usage_and_done(harness: EngineHarness) -> None:
+async def test_stream_has_the_same_text_and_ends_with_usage_and_done(
+    harness: EngineHarness,
+) -> None:
     _, body = await harness.async_chat("r1", max_tokens=5, stream=True)
     events = parse_events(body)
     text = "".join(event["choices"][0]["delta"].get("content", "") for event in events)
@@ -96,7 +98,7 @@
     assert events[-1]["usage"]["prompt_tokens_details"] == {"cached_tokens": 0}
 
 
-async def test_usage_has_an_event_of_its_own_where_the_caller_asks_for_it(
+async def test_usage_is_a_separate_event_with_include_usage(
     harness: EngineHarness,
 ) -> None:
     options = {"include_usage": True}
@@ -107,7 +109,7 @@
     assert events[-1]["usage"]["completion_tokens"] == 2
 
 
-async def test_the_next_turn_reads_prompt_and_answer_from_the_cache(harness: EngineHarness) -> None:
+async def test_next_turn_reuses_cached_prompt_and_completion(harness: EngineHarness) -> None:
     _, body = await harness.async_chat("r1", content="a" * 600, max_tokens=40)
     text = json.loads(body)["choices"][0]["message"]["content"]
     turns = [*make_messages("a" * 600), {"role": "assistant", "content": text}]
@@ -117,7 +119,7 @@
     assert harness.engine.counts.cached_tokens == usage["prompt_tokens_details"]["cached_tokens"]
 
 
-async def test_resume_gives_the_same_bytes_from_every_offset(harness: EngineHarness) -> None:
+async def test_resume_returns_the_same_bytes_from_every_offset(harness: EngineHarness) -> None:
     _, body = await harness.async_chat("r1", max_tokens=4, stream=True)
     for offset in (0, 1, 17, len(body) // 2, len(body) - 1, len(body)):
         path = f"/v1/streams/r1/resume?offset={offset}"
@@ -128,7 +130,7 @@
     assert harness.engine.executions["r1"] == 1
 
 
-async def test_a_stream_whose_reader_was_cut_goes_on_and_is_resumed_whole(
+async def test_stream_continues_without_reader_and_resumes_completely(
     harness: EngineHarness,
 ) -> None:
     body = {"model": MODEL, "messages": make_messages("x"), "max_tokens": 30, "stream": True}
@@ -146,14 +148,14 @@
     assert harness.engine.executions["r1"] == 1
 
 
-async def test_an_ended_stream_is_forgotten_after_a_while(harness: EngineHarness) -> None:
+async def test_ended_stream_is_evicted_after_its_retention(harness: EngineHarness) -> None:
     await harness.async_chat("r1", max_tokens=2, stream=True)
     harness.clock.advance(harness.engine.settings.stream_keep_ms)
     status, _, _ = await harness.async_call("POST", "/v1/streams/r1/resume?offset=0")
     assert status == 404
 
 
-async def test_a_cancelled_stream_ends_its_reader_without_done(harness: EngineHarness) -> None:
+async def test_cancelled_stream_is_reset_without_done(harness: EngineHarness) -> None:
     chat = asyncio.ensure_future(harness.async_chat("r1", max_tokens=8_000, stream=True))
     await async_until(lambda: harness.engine.load == 1)
     status, _, _ = await harness.async_call("DELETE", "/v1/streams/r1")
@@ -176,7 +178,7 @@
         (b'{"model": "other", "messages": [{"role": "user", "content": "x"}]}', 404),
     ],
 )
-async def test_wrong_requests_and_models_that_are_not_held_never_run(
+async def test_invalid_requests_and_unknown_models_are_not_executed(
     harness: EngineHarness, body: bytes, status: int
 ) -> None:
     answered, error, _ = await harness.async_call("POST", CHAT, data=body)
@@ -185,15 +187,15 @@
     assert not harness.engine.executions
 
 
-async def test_a_marked_request_kills_the_engine_and_its_innocent_neighbours(
+async def test_marked_request_crashes_the_engine_and_fails_all_requests(
     harness: EngineHarness,
 ) -> None:
     await harness.async_chat("warm", content="a" * 600)
     address = harness.engine.address
-    innocent = asyncio.ensure_future(harness.async_chat("r1", max_tokens=8_000, stream=True))
+    bystander = asyncio.ensure_future(harness.async_chat("r1", max_tokens=8_000, stream=True))
     await async_until(lambda: harness.engine.load == 1)
-    guilty = asyncio.ensure_future(harness.async_chat("r2", content=f"please {MARKER}"))
-    for call in (innocent, guilty):
+    marked = asyncio.ensure_future(harness.async_chat("r2", content=f"please {MARKER}"))
+    for call in (bystander, marked):
         with pytest.raises(aiohttp.ClientError):
             await call
     assert harness.engine.counts.crashes == 1
@@ -209,7 +211,7 @@
     assert json.loads(body)["usage"]["prompt_tokens_details"]["cached_tokens"] == 0
 
 
-async def test_an_ended_life_leaves_no_stream_to_resume(harness: EngineHarness) -> None:
+async def test_stream_cannot_be_resumed_after_a_restart(harness: EngineHarness) -> None:
     await harness.async_chat("r1", max_tokens=2, stream=True)
     harness.engine.crash()
     await harness.async_drive(async_until(lambda: harness.engine.start_id == 2))
@@ -219,7 +221,7 @@
     assert status == 404
 
 
-async def test_a_frozen_engine_takes_connections_and_answers_nothing(
+async def test_frozen_engine_accepts_connections_and_does_not_respond(
     harness: EngineHarness,
 ) -> None:
     harness.engine.freeze()
@@ -232,7 +234,7 @@
     assert status == 200
 
 
-async def test_the_load_is_told_with_a_lag(harness: EngineHarness) -> None:
+async def test_load_is_reported_with_a_lag(harness: EngineHarness) -> None:
     call = asyncio.ensure_future(harness.async_chat("r1", max_tokens=8_000))
     await async_until(lambda: harness.engine.batch.running == 1)
     _, body, _ = await harness.async_call("GET", "/v1/load")
@@ -248,7 +250,7 @@
         await call
 
 
-async def test_kv_cache_moves_from_one_engine_to_another(
+async def test_kv_cache_is_exported_and_imported(
     harness: EngineHarness, clock: ManualClock
 ) -> None:
     headers = {"X-Gypsum-Chat": "chat-1"}
@@ -269,7 +271,7 @@
     await other.engine.async_stop()
 
 
-async def test_cache_events_are_paged_by_their_number(harness: EngineHarness) -> None:
+async def test_cache_events_are_paged_by_sequence_number(harness: EngineHarness) -> None:
     await harness.async_chat("r1", content="a" * 600)
     _, body, _ = await harness.async_call("GET", "/v1/cache/events?after=0")
     assert json.loads(body) == {"events": [], "next": 0}
@@ -281,7 +283,7 @@
     assert json.loads(body)["events"] == []
 
 
-async def test_the_engine_is_driven_over_http_too(harness: EngineHarness) -> None:
+async def test_engine_control_endpoints(harness: EngineHarness) -> None:
     await harness.async_chat("r1")
     _, body, _ = await harness.async_call("GET", "/standin/executions")
     assert json.loads(body) == {"executions": {"r1": 1}}
--- a/tests/standins/test_standins_fault_proxy.py
+++ b/tests/standins/test_standins_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy: each fault alone, and what ends it."""
+"""Fault proxy: effect of each fault, and how it is cleared."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from gypsumrouter.standins.pipes import MAX_BUFFERED_BYTES
 from gypsumrouter.util.clock import ManualClock
 
-QUIET_ROUNDS = 200
+IDLE_ROUNDS = 200
 
 
 class EchoTarget:
-    """A server that sends back what it gets."""
+    """A server that echoes received data."""
 
     def __init__(self) -> None:
         self.received = bytearray()
@@ -61,19 +61,19 @@
         async with asyncio.timeout(HANG_S):
             return await self.reader.readexactly(len(data))
 
-    async def async_is_quiet(self) -> bool:
-        """Return whether nothing comes, not even an end."""
+    async def async_is_idle(self) -> bool:
+        """Return whether neither data nor EOF arrives."""
         read = asyncio.ensure_future(self.reader.read(1))
-        for _ in range(QUIET_ROUNDS):
+        for _ in range(IDLE_ROUNDS):
             await asyncio.sleep(0)
-        quiet = not read.done()
+        idle = not read.done()
         read.cancel()
         await asyncio.gather(read, return_exceptions=True)
-        return quiet
+        return idle
 
 
 class ProxyHarness:
-    """A target, a proxy before it, and callers."""
+    """An echo server behind a fault proxy, and callers."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
@@ -104,20 +104,20 @@
 
 @pytest.fixture
 async def harness(clock: ManualClock) -> AsyncIterator[ProxyHarness]:
-    made = ProxyHarness(clock)
-    await made.async_start()
-    yield made
-    await made.async_stop()
+    harness = ProxyHarness(clock)
+    await harness.async_start()
+    yield harness
+    await harness.async_stop()
 
 
-async def test_without_faults_all_bytes_pass_both_ways(harness: ProxyHarness) -> None:
+async def test_without_faults_all_bytes_are_forwarded_both_ways(harness: ProxyHarness) -> None:
     caller = await harness.async_connect_through()
     data = bytes(range(256)) * 4_096
     assert await caller.async_echo(data) == data
     assert harness.proxy.get_forwarded_bytes(Direction.BACK) == len(data) + 5
 
 
-async def test_the_end_of_one_half_passes_and_the_other_half_goes_on(harness: ProxyHarness) -> None:
+async def test_half_close_is_forwarded_and_the_other_half_stays_open(harness: ProxyHarness) -> None:
     caller = await harness.async_connect()
     caller.writer.write(b"last words")
     caller.writer.write_eof()
@@ -126,25 +126,25 @@
     await async_until(lambda: harness.proxy.connections == 0)
 
 
-async def test_a_closed_target_closes_the_caller_too(harness: ProxyHarness) -> None:
+async def test_close_by_the_target_closes_the_caller(harness: ProxyHarness) -> None:
     caller = await harness.async_connect_through()
     harness.target.writers[0].close()
     async with asyncio.timeout(HANG_S):
         assert await caller.reader.read() == b""
 
 
-async def test_a_delay_holds_each_way_back_by_its_time(harness: ProxyHarness) -> None:
+async def test_delay_applies_per_direction(harness: ProxyHarness) -> None:
     caller = await harness.async_connect_through()
     harness.proxy.set_delay(30, directions={Direction.FORWARD})
     harness.proxy.set_delay(20, directions={Direction.BACK})
     caller.writer.write(b"x")
     began_ms = harness.clock.now_ms()
-    assert await caller.async_is_quiet()
+    assert await caller.async_is_idle()
     assert await async_drive(harness.clock, caller.reader.readexactly(1)) == b"x"
     assert harness.clock.now_ms() - began_ms >= 50
 
 
-async def test_delayed_parts_keep_their_order_and_are_not_delayed_by_one_another(
+async def test_delayed_data_keeps_its_order_and_delays_do_not_add_up(
     harness: ProxyHarness,
 ) -> None:
     caller = await harness.async_connect_through()
@@ -152,7 +152,7 @@
     began_ms = harness.clock.now_ms()
     for part in (b"a", b"b", b"c"):
         caller.writer.write(part)
-        assert await caller.async_is_quiet()
+        assert await caller.async_is_idle()
         harness.clock.advance(10)
     harness.clock.advance(100)
     async with asyncio.timeout(HANG_S):
@@ -169,7 +169,7 @@
     assert harness.clock.now_ms() - began_ms >= 999
 
 
-async def test_a_cut_resets_open_connections_and_new_ones_work(harness: ProxyHarness) -> None:
+async def test_reset_closes_open_connections_and_new_ones_work(harness: ProxyHarness) -> None:
     caller = await harness.async_connect_through()
     assert harness.proxy.reset_connections() == 1
     with pytest.raises(ConnectionResetError):
@@ -178,7 +178,7 @@
     await harness.async_connect_through()
 
 
-async def test_a_refusing_proxy_keeps_open_connections_and_its_port(harness: ProxyHarness) -> None:
+async def test_refusing_keeps_open_connections_and_the_port(harness: ProxyHarness) -> None:
     caller = await harness.async_connect_through()
     address = harness.proxy.address
     harness.proxy.refuse_connections()
@@ -190,61 +190,61 @@
     assert harness.proxy.address == address
 
 
-async def test_a_target_that_refuses_resets_the_caller(harness: ProxyHarness) -> None:
+async def test_refusing_target_resets_the_caller(harness: ProxyHarness) -> None:
     await harness.target.async_stop()
     caller = await harness.async_connect()
     with pytest.raises(ConnectionResetError):
         await caller.reader.read(1)
 
 
-async def test_a_silent_connection_passes_nothing_for_good_while_new_ones_work(
+async def test_blackholed_connection_stays_blackholed_while_new_ones_work(
     harness: ProxyHarness,
 ) -> None:
     caller = await harness.async_connect_through()
     harness.proxy.blackhole()
     caller.writer.write(b"lost")
-    assert await caller.async_is_quiet()
+    assert await caller.async_is_idle()
     await harness.async_connect_through()
     await harness.proxy.async_clear_faults()
     caller.writer.write(b"lost too")
-    assert await caller.async_is_quiet()
+    assert await caller.async_is_idle()
     assert bytes(harness.target.received) == b"hello" * 2
 
 
-async def test_neither_end_of_a_silent_connection_learns_that_the_other_has_gone(
+async def test_close_is_not_forwarded_on_a_blackholed_connection(
     harness: ProxyHarness,
 ) -> None:
     caller = await harness.async_connect_through()
     other = await harness.async_connect_through()
     harness.proxy.blackhole()
     caller.writer.close()
-    assert await other.async_is_quiet()
+    assert await other.async_is_idle()
     assert harness.target.ended == 0
     harness.target.writers[1].close()
-    assert await other.async_is_quiet()
+    assert await other.async_is_idle()
 
 
-async def test_silence_of_one_way_leaves_the_other_way(harness: ProxyHarness) -> None:
+async def test_blackhole_of_one_direction_keeps_the_other(harness: ProxyHarness) -> None:
     caller = await harness.async_connect_through()
     harness.proxy.blackhole(directions={Direction.BACK})
     caller.writer.write(b"one way")
     await async_until(lambda: bytes(harness.target.received) == b"helloone way")
-    assert await caller.async_is_quiet()
+    assert await caller.async_is_idle()
 
 
-async def test_silence_of_new_connections_ends_when_the_proxy_is_healed(
+async def test_blackhole_of_new_connections_ends_when_faults_are_cleared(
     harness: ProxyHarness,
 ) -> None:
     harness.proxy.blackhole(include_new=True)
     caller = await harness.async_connect()
     caller.writer.write(b"lost")
-    assert await caller.async_is_quiet()
+    assert await caller.async_is_idle()
     await harness.proxy.async_clear_faults()
     await harness.async_connect_through()
     assert bytes(harness.target.received) == b"hello"
 
 
-async def test_a_block_holds_open_and_new_connections_and_then_lets_all_through(
+async def test_blocked_data_is_delivered_after_unblock(
     harness: ProxyHarness,
 ) -> None:
     opened = await harness.async_connect_through()
@@ -252,7 +252,7 @@
     new = await harness.async_connect()
     for caller in (opened, new):
         caller.writer.write(b"held")
-        assert await caller.async_is_quiet()
+        assert await caller.async_is_idle()
     assert harness.target.accepted == 1
     harness.proxy.unblock()
     async with asyncio.timeout(HANG_S):
@@ -260,12 +260,12 @@
             assert await caller.reader.readexactly(4) == b"held"
 
 
-async def test_a_blocked_proxy_holds_a_bounded_number_of_bytes(harness: ProxyHarness) -> None:
+async def test_blocked_proxy_buffers_a_bounded_number_of_bytes(harness: ProxyHarness) -> None:
     caller = await harness.async_connect_through()
     harness.proxy.block(directions={Direction.FORWARD})
     flood = b"x" * (MAX_BUFFERED_BYTES * 128)
     caller.writer.write(flood)
-    for _ in range(QUIET_ROUNDS):
+    for _ in range(IDLE_ROUNDS):
         await asyncio.sleep(0)
     buffered = caller.writer.transport.get_write_buffer_size()
     assert buffered > len(flood) // 4
@@ -274,7 +274,7 @@
         assert await caller.reader.readexactly(len(flood)) == flood
 
 
-async def test_a_partition_blocks_between_two_groups_and_nowhere_else(
+async def test_partition_blocks_only_between_the_two_groups(
     clock: ManualClock,
 ) -> None:
     partition = Partition()
@@ -288,7 +288,7 @@
     assert await callers["a-c"].async_echo(b"open") == b"open"
     for name in ("a-b", "b-a"):
         callers[name].writer.write(b"shut")
-        assert await callers[name].async_is_quiet()
+        assert await callers[name].async_is_idle()
     await partition.async_clear_faults()
     async with asyncio.timeout(HANG_S):
         for name in ("a-b", "b-a"):
--- a/tests/standins/test_standins_instance_list.py
+++ b/tests/standins/test_standins_instance_list.py
@@ -1,4 +1,4 @@
-"""The instance list: revisions, the time of a state, lag, stale replicas, long polls."""
+"""Instance list: revisions, as-of times, lag, stale replicas and long polls."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ListResponse(Struct, frozen=True, kw_only=True):
-    """What one call was answered."""
+    """The response to one call."""
 
     status: int
     revision: int | None = None
@@ -39,14 +39,14 @@
 
 @pytest.fixture
 async def service(clock: ManualClock) -> AsyncIterator[InstanceListService]:
-    made = InstanceListService(clock=clock)
-    await made.async_start()
-    yield made
-    await made.async_stop()
+    service = InstanceListService(clock=clock)
+    await service.async_start()
+    yield service
+    await service.async_stop()
 
 
 class Reader:
-    """Reads one list."""
+    """A client that reads and polls the list."""
 
     def __init__(self, session: aiohttp.ClientSession, service: InstanceListService) -> None:
         self.session = session
@@ -77,7 +77,7 @@
     return Reader(session, service)
 
 
-async def test_each_change_raises_the_revision_by_one_and_no_change_does_not(
+async def test_only_actual_changes_increment_the_revision(
     service: InstanceListService,
 ) -> None:
     service.set(make_instance("a"), make_instance("b"))
@@ -86,12 +86,12 @@
     service.mark_leaving("unknown")
     service.remove("b")
     assert service.revision == 3
-    left = service.get("a")
-    assert left is not None
-    assert left.state is InstanceState.LEAVING
+    leaving = service.get("a")
+    assert leaving is not None
+    assert leaving.state is InstanceState.LEAVING
 
 
-async def test_the_newest_state_is_told_as_of_now(
+async def test_newest_revision_is_served_as_of_now(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("b"))
@@ -103,7 +103,7 @@
     )
 
 
-async def test_a_poll_gives_every_state_in_turn_with_the_last_time_it_held(
+async def test_polls_return_each_revision_with_the_last_time_it_was_current(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     for name in "abc":
@@ -115,7 +115,7 @@
     assert (second.revision, second.as_of_ms) == (3, clock.wall_ms())
 
 
-async def test_a_poll_wakes_with_the_next_change(
+async def test_poll_returns_on_the_next_change(
     reader: Reader, service: InstanceListService
 ) -> None:
     service.set(make_instance("a"))
@@ -125,7 +125,7 @@
     assert (await poll).names == ()
 
 
-async def test_a_poll_without_a_change_ends_with_the_time_up_to_which_there_was_none(
+async def test_poll_without_change_ends_at_its_timeout_with_an_as_of_time(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("a"))
@@ -136,7 +136,7 @@
     assert began_ms + 500 <= response.as_of_ms <= clock.wall_ms()
 
 
-async def test_a_lagging_list_tells_the_past_and_says_so(
+async def test_lagging_list_serves_an_earlier_revision_with_its_as_of_time(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("a"))
@@ -153,7 +153,7 @@
     assert changed_ms <= response.as_of_ms <= clock.wall_ms() - 1_500
 
 
-async def test_a_stale_replica_stays_at_its_time(
+async def test_stale_replica_stays_at_its_revision(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("a"))
@@ -170,7 +170,7 @@
     assert (await reader.async_read()).revision == 2
 
 
-async def test_outages_answer_errors_or_refuse(
+async def test_outages_return_errors_or_refuse_connections(
     reader: Reader, service: InstanceListService
 ) -> None:
     poll = reader.poll(0)
@@ -184,7 +184,7 @@
     assert (await reader.async_read()).revision == 0
 
 
-async def test_the_list_is_driven_over_http_too(
+async def test_instance_list_control_endpoints(
     reader: Reader, session: aiohttp.ClientSession, service: InstanceListService
 ) -> None:
     url = f"{reader.origin}/standin/instances/a"
--- a/tests/standins/test_standins_orders.py
+++ b/tests/standins/test_standins_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine: loads, fencing, and a weight store that is limited or away."""
+"""Orders to the stand-in engine: loads, fencing, and weight store limits and outages."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 @pytest.fixture
 async def store(clock: ManualClock) -> AsyncIterator[WeightStore]:
-    made = WeightStore(clock=clock, fetches_per_s=0.5, burst=2, fetch_ms=2_000)
-    await made.async_start()
-    yield made
-    await made.async_stop()
+    store = WeightStore(clock=clock, fetches_per_s=0.5, burst=2, fetch_ms=2_000)
+    await store.async_start()
+    yield store
+    await store.async_stop()
 
 
-async def test_an_old_fencing_number_is_refused_by_an_engine_that_checks(
+async def test_outdated_fencing_token_is_refused(
     clock: ManualClock,
 ) -> None:
     handler = make_handler(clock)
@@ -48,7 +48,7 @@
     assert handler.handle(role).state is OrderState.APPLIED
 
 
-async def test_an_old_fencing_number_is_followed_by_an_engine_that_ignores_it(
+async def test_outdated_fencing_token_is_accepted_without_checks(
     clock: ManualClock,
 ) -> None:
     handler = make_handler(clock, checks_fence=False)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("survives", [True, False])
-async def test_the_fencing_number_outlives_a_restart_where_it_is_set_so(
+async def test_fencing_token_survives_a_restart_only_if_configured(
     clock: ManualClock, survives: bool
 ) -> None:
     handler = make_handler(clock, fence_survives_restart=survives)
@@ -68,7 +68,7 @@
     assert (handler.highest_fence == 7) is survives
 
 
-async def test_a_load_takes_its_time_and_replaces_the_version_at_its_end(
+async def test_load_replaces_the_version_when_it_completes(
     clock: ManualClock,
 ) -> None:
     handler = make_handler(clock, models=("m",), load_ms=2_000)
@@ -81,7 +81,7 @@
     assert handler.handle(make_load(version="2")).state is OrderState.APPLIED
 
 
-async def test_a_new_wish_cancels_the_load_before_it(clock: ManualClock) -> None:
+async def test_load_of_another_version_cancels_the_pending_load(clock: ManualClock) -> None:
     handler = make_handler(clock, models=())
     first = handler.handle(make_load(version="1"))
     second = handler.handle(make_load(version="2"))
@@ -90,7 +90,7 @@
     assert handler.models == {"m": "2"}
 
 
-async def test_an_engine_that_restarts_forgets_the_load_and_what_was_loaded(
+async def test_restart_cancels_pending_loads_and_unloads_loaded_models(
     clock: ManualClock,
 ) -> None:
     handler = make_handler(clock, models=("base",))
@@ -102,7 +102,7 @@
     assert handler.models == {"base": "1"}
 
 
-async def test_the_weight_store_refuses_above_its_rate(
+async def test_weight_store_rejects_fetches_above_its_rate(
     clock: ManualClock, store: WeightStore
 ) -> None:
     handler = make_handler(clock, models=(), weight_store=store.address)
@@ -123,7 +123,7 @@
         (OutageKind.REFUSE, "fetch_failed: ClientConnectorError"),
     ],
 )
-async def test_a_load_fails_with_its_reason_while_the_store_is_away(
+async def test_load_fails_with_a_reason_during_a_weight_store_outage(
     clock: ManualClock, store: WeightStore, kind: OutageKind, reason: str
 ) -> None:
     await store.async_set_outage(kind)
@@ -133,7 +133,7 @@
     assert (record.state, record.reason) == (OrderState.FAILED, reason)
 
 
-async def test_a_load_waits_for_a_store_that_hangs_and_can_be_cancelled(
+async def test_load_from_a_hanging_weight_store_can_be_cancelled(
     clock: ManualClock, store: WeightStore
 ) -> None:
     await store.async_set_outage(OutageKind.HANG)
@@ -146,11 +146,11 @@
     assert record.state is OrderState.CANCELLED
 
 
-async def test_weights_come_from_a_neighbour_that_holds_them(
+async def test_weights_are_fetched_from_another_engine(
     clock: ManualClock, store: WeightStore
 ) -> None:
-    neighbour = Engine(clock=clock, settings=EngineSettings(models=("m",)))
-    address = await neighbour.async_start()
+    source_engine = Engine(clock=clock, settings=EngineSettings(models=("m",)))
+    address = await source_engine.async_start()
     handler = make_handler(clock, models=(), weight_store=store.address)
     loaded = handler.handle(make_load("m", source=str(address)))
     missing = handler.handle(make_load("other", source=str(address)))
@@ -159,10 +159,10 @@
     )
     assert (loaded.state, missing.state) == (OrderState.APPLIED, OrderState.FAILED)
     assert not store.fetched_ms
-    await neighbour.async_stop()
+    await source_engine.async_stop()
 
 
-def test_orders_that_name_nothing_are_not_read() -> None:
+def test_incomplete_orders_are_invalid() -> None:
     assert parse_order({"order": "load"}) is None
     assert parse_order({"order": "dance", "model": "m"}) is None
     assert parse_order({"order": "set_role", "model": "m"}) is None
--- a/tests/standins/test_standins_platform.py
+++ b/tests/standins/test_standins_platform.py
@@ -1,4 +1,4 @@
-"""The whole platform of stand-ins, and the callers that check what they are answered."""
+"""Stand-in platform as a whole, and the load generators that check its responses."""
 
 from __future__ import annotations
 
@@ -42,10 +42,10 @@
 
 @pytest.fixture
 async def platform() -> AsyncIterator[StandinPlatform]:
-    made = StandinPlatform(clock=SystemClock(), deployments=(kotlovnica(),))
-    await made.async_start()
-    yield made
-    await made.async_stop()
+    platform = StandinPlatform(clock=SystemClock(), deployments=(kotlovnica(),))
+    await platform.async_start()
+    yield platform
+    await platform.async_stop()
 
 
 def make_chat_caller(
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("deployment", [chapin(), kotlovnica()])
-def test_the_configuration_of_each_deployment_is_accepted(deployment: Deployment) -> None:
+def test_configuration_of_each_deployment_is_valid(deployment: Deployment) -> None:
     document = msgspec.json.encode(make_configuration(deployment, version=4))
     configuration = check_configuration(document)
     assert configuration.version == 4
@@ -74,13 +74,13 @@
     assert configuration.pools[1].at_most_once is not None
 
 
-def test_both_deployments_fit_into_one_configuration() -> None:
+def test_configuration_of_both_deployments_is_valid() -> None:
     configuration = make_configuration(chapin(), kotlovnica(), version=1)
     document = msgspec.json.encode(configuration)
     assert len(check_configuration(document).pools) == 4
 
 
-async def test_the_platform_has_the_sizes_of_the_deployment(platform: StandinPlatform) -> None:
+async def test_platform_matches_the_deployment(platform: StandinPlatform) -> None:
     assert (len(platform.engines), len(platform.services)) == (9, 3)
     assert {plan.data_centre for plan in platform.plans} == set(kotlovnica().data_centres)
     link = {"key_env": "LINK_KEY"}
@@ -93,7 +93,9 @@
     assert check_router_settings(json.dumps(router)).instance.name == "router-1"
 
 
-async def test_sides_and_routers_are_listed_by_their_links(platform: StandinPlatform) -> None:
+async def test_sides_and_routers_are_registered_with_their_link_addresses(
+    platform: StandinPlatform,
+) -> None:
     address = Address(host="127.0.0.1", port=7_000)
     platform.register_side("records-2", address)
     platform.register_router("router-1", address, data_centre="hr-zagreb-b", region="hr-zagreb")
@@ -105,7 +107,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-async def test_a_returning_chat_gets_whole_answers_and_reuses_the_cache(
+async def test_chat_gets_complete_responses_and_reuses_the_cache(
     platform: StandinPlatform, session: aiohttp.ClientSession, stream: bool
 ) -> None:
     tally = Tally()
@@ -123,7 +125,7 @@
 
 
 class ScriptedEngine:
-    """Answers each chat with a given status and body."""
+    """Responds to chats with the given statuses and bodies, in order."""
 
     def __init__(self, *bodies: tuple[int, bytes]) -> None:
         self.bodies = list(bodies)
@@ -159,7 +161,7 @@
 
 
 async def async_get_expected_answer(session: aiohttp.ClientSession) -> tuple[str, int]:
-    """Return what the first turn of the test's chat must be answered, and its tokens."""
+    """Return the expected response text of the first turn of `make_chat_caller`, and its tokens."""
     context = CallerContext(
         session=session, routers=[], tally=Tally(), clock=ManualClock(), tries=0
     )
@@ -172,13 +174,13 @@
     return make_text(digest_prompt(prompt, model=chat.model), tokens), tokens
 
 
-async def test_the_right_answer_counts_as_whole(session: aiohttp.ClientSession) -> None:
+async def test_expected_response_counts_as_whole(session: aiohttp.ClientSession) -> None:
     text, tokens = await async_get_expected_answer(session)
     tally = await async_run_against(session, (200, make_stream(text, tokens=tokens)))
     assert tally.whole == 1
 
 
-async def test_the_answer_to_another_request_counts_as_crossed(
+async def test_response_to_another_request_counts_as_crossed(
     session: aiohttp.ClientSession,
 ) -> None:
     _, tokens = await async_get_expected_answer(session)
@@ -187,7 +189,7 @@
     assert (tally.crossed, tally.whole) == (1, 0)
 
 
-async def test_surplus_counts_as_doubled_and_missing_parts_as_truncated(
+async def test_extra_text_counts_as_doubled_and_missing_text_as_truncated(
     session: aiohttp.ClientSession,
 ) -> None:
     text, tokens = await async_get_expected_answer(session)
@@ -197,7 +199,7 @@
     assert (doubled.whole, cut.whole) == (0, 0)
 
 
-async def test_a_stream_without_its_end_is_tried_again_and_then_counts_as_lost(
+async def test_incomplete_stream_is_retried_and_then_counts_as_lost(
     session: aiohttp.ClientSession,
 ) -> None:
     text, tokens = await async_get_expected_answer(session)
@@ -206,7 +208,7 @@
     assert (tally.tries, tally.lost, tally.not_run) == (2, 1, 0)
 
 
-async def test_refusals_are_counted_by_their_code_and_tried_again(
+async def test_refusals_are_counted_by_code_and_retried(
     session: aiohttp.ClientSession,
 ) -> None:
     error = {"code": "over_cap", "executed": "not_run", "retry_after_ms": 100}
@@ -218,12 +220,12 @@
     assert (tally.not_run, tally.lost) == (1, 0)
 
 
-def test_an_error_without_the_known_form_has_an_unknown_outcome() -> None:
+def test_malformed_error_has_an_unknown_outcome() -> None:
     assert parse_error(b"oops", status=502).executed is Executed.UNKNOWN
     assert parse_error(b'{"error": {"code": "x"}}', status=500).code == "status_500"
 
 
-async def test_service_calls_are_checked_against_their_own_key_and_body(
+async def test_service_responses_are_checked_against_key_and_body(
     platform: StandinPlatform, session: aiohttp.ClientSession
 ) -> None:
     tally = Tally()
@@ -239,7 +241,7 @@
     assert set(service.executions_by_key) == set(caller.keys)
 
 
-async def test_a_call_that_ran_twice_is_found_by_the_platform(
+async def test_platform_counts_calls_that_were_executed_twice(
     platform: StandinPlatform, session: aiohttp.ClientSession
 ) -> None:
     for name, path in (("records-1", "/signoffs"), ("records-2", "/signoffs?x=1")):
@@ -252,14 +254,14 @@
     assert platform.count_executions() == {"twice": 2}
 
 
-def test_accounts_follow_the_traffic_of_the_workspaces_the_same_for_the_same_seed() -> None:
+def test_accounts_follow_workspace_traffic_and_depend_only_on_the_seed() -> None:
     accounts = choose_accounts(kotlovnica(), count=1_000, seed=3)
     largest = sum(account.workspace == "utility-1" for account in accounts)
     assert 400 < largest < 650
     assert accounts == choose_accounts(kotlovnica(), count=1_000, seed=3)
 
 
-def test_keys_are_uuids_of_version_seven_with_their_time() -> None:
+def test_idempotency_keys_are_uuid7_with_their_time() -> None:
     key = uuid.UUID(make_uuid7(wall_ms=1_700_000_000_123, randomness=random.Random(1)))
     assert (key.version, key.variant) == (7, uuid.RFC_4122)
     assert key.int >> 80 == 1_700_000_000_123
--- a/tests/standins/test_standins_service.py
+++ b/tests/standins/test_standins_service.py
@@ -1,4 +1,4 @@
-"""The plain service: executions by key, delays, crashes."""
+"""Stand-in service: executions by key, delays, crashes and freezes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 @pytest.fixture
 async def service(clock: ManualClock) -> AsyncIterator[Service]:
-    made = Service(clock=clock, crash_marker=MARKER)
-    await made.async_start()
-    yield made
-    await made.async_stop()
+    service = Service(clock=clock, crash_marker=MARKER)
+    await service.async_start()
+    yield service
+    await service.async_stop()
 
 
 async def async_post(
@@ -36,7 +36,7 @@
     return answer
 
 
-async def test_an_answer_names_its_own_call(
+async def test_response_identifies_its_call(
     service: Service, session: aiohttp.ClientSession
 ) -> None:
     answer = await async_post(session, service, b"cloth", Idempotency_Key="k1")
@@ -49,7 +49,7 @@
     }
 
 
-async def test_every_execution_is_counted_by_key_and_by_request_id(
+async def test_executions_are_counted_by_key_and_request_id(
     service: Service, session: aiohttp.ClientSession
 ) -> None:
     for request_id in ("r1", "r2"):
@@ -60,7 +60,7 @@
     assert [execution.number for execution in service.executions] == [1, 2, 3]
 
 
-async def test_a_call_counts_though_its_caller_went_away_before_the_answer(
+async def test_call_counts_if_the_caller_disconnects_before_the_response(
     service: Service, session: aiohttp.ClientSession
 ) -> None:
     headers = {"Idempotency_Key": "k", "X_Standin_Delay_Ms": "500"}
@@ -71,7 +71,7 @@
     assert service.executions_by_key["k"] == 1
 
 
-async def test_a_delay_holds_the_answer_back(
+async def test_delay_header_delays_the_response(
     service: Service, session: aiohttp.ClientSession, clock: ManualClock
 ) -> None:
     call = asyncio.ensure_future(async_post(session, service, b"", X_Standin_Delay_Ms="300"))
@@ -81,7 +81,7 @@
     assert clock.now_ms() >= 300
 
 
-async def test_a_marked_call_counts_and_kills_the_service_for_a_while(
+async def test_marked_call_counts_and_crashes_the_service(
     service: Service, session: aiohttp.ClientSession, clock: ManualClock
 ) -> None:
     with pytest.raises(aiohttp.ClientError):
@@ -102,7 +102,7 @@
     assert service.crashes == 1
 
 
-async def test_a_frozen_service_answers_nothing_until_it_thaws(
+async def test_frozen_service_does_not_respond_until_thawed(
     service: Service, session: aiohttp.ClientSession
 ) -> None:
     await session.post(f"http://{service.address}/standin/freeze")
@@ -114,7 +114,7 @@
     assert (await call)["execution"] == 1
 
 
-async def test_the_load_and_the_executions_are_told_over_http(
+async def test_load_and_executions_endpoints(
     service: Service, session: aiohttp.ClientSession, clock: ManualClock
 ) -> None:
     await async_post(session, service, b"", Idempotency_Key="k")
