--- a/gypsumrouter/standins/batch.py
+++ b/gypsumrouter/standins/batch.py
@@ -14,7 +14,8 @@
 from gypsumrouter.standins.streams import ResponseStream, StreamState
 from gypsumrouter.util.clock import Clock
 
-ROUNDING_MS: Final = 1
+# A step that ends late by up to this much shortens the next one; sleeps take whole milliseconds.
+MAX_ROUNDING_MS: Final = 1
 
 
 class Sequence:
@@ -129,12 +130,12 @@
 
     @property
     def running(self) -> int:
-        """Return how many sequences run."""
+        """Return the number of running sequences."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Return how many sequences wait for a slot."""
+        """Return the number of sequences that wait for a slot."""
         return len(self._waiting)
 
     def submit(self, sequence: Sequence) -> None:
@@ -177,9 +178,9 @@
             await self._resumed.wait()
             self._cancel_abandoned()
             self._admit()
-            length_ms = self._settings.step_ms + self._prefill()
-            length_ms += self._settings.step_ms_per_sequence * len(self._running)
-            await self._async_wait_step(length_ms)
+            duration_ms = self._settings.step_ms + self._prefill()
+            duration_ms += self._settings.step_ms_per_sequence * len(self._running)
+            await self._async_wait_step(duration_ms)
             self._produce()
 
     def _cancel_abandoned(self) -> None:
@@ -209,21 +210,21 @@
 
     def _prefill(self) -> float:
         """Prefill up to one chunk of prompt tokens and return its duration in milliseconds."""
-        left = self._settings.prefill_chunk_tokens
+        budget = self._settings.prefill_chunk_tokens
         for sequence in self._running:
             if sequence.prefill_remaining == 0:
                 continue
-            taken = min(left, sequence.prefill_remaining)
+            taken = min(budget, sequence.prefill_remaining)
             sequence.prefill_remaining -= taken
-            left -= taken
+            budget -= taken
             if sequence.prefill_remaining == 0:
                 self._cache.store(chat=sequence.chat, blocks=sequence.blocks)
-        computed = self._settings.prefill_chunk_tokens - left
+        computed = self._settings.prefill_chunk_tokens - budget
         return computed * self._settings.prefill_ms_per_token
 
-    async def _async_wait_step(self, length_ms: float) -> None:
+    async def _async_wait_step(self, duration_ms: float) -> None:
         now_ms = self._clock.now_ms()
-        self._step_end_ms = max(self._step_end_ms, now_ms - ROUNDING_MS) + length_ms
+        self._step_end_ms = max(self._step_end_ms, now_ms - MAX_ROUNDING_MS) + duration_ms
         await self._clock.async_sleep(max(0, math.ceil(self._step_end_ms - now_ms)))
 
     def _produce(self) -> None:
--- a/gypsumrouter/standins/chat.py
+++ b/gypsumrouter/standins/chat.py
@@ -65,8 +65,8 @@
 
     def hash_conversation(self) -> tuple[int, ...]:
         """Return the block hashes of prompt and completion, as in the next turn's prompt."""
-        answer = Message(role=ROLE_ASSISTANT, content=self.text)
-        return hash_blocks(self.prompt + render_prompt((answer,)), model=self.model)
+        completion = Message(role=ROLE_ASSISTANT, content=self.text)
+        return hash_blocks(self.prompt + render_prompt((completion,)), model=self.model)
 
 
 def parse_chat(body: bytes, settings: EngineSettings) -> ChatRequest | InvalidRequest:
--- a/gypsumrouter/standins/configuration_service.py
+++ b/gypsumrouter/standins/configuration_service.py
@@ -151,7 +151,7 @@
         )
 
     async def _async_watch(self, *, after_version: int, timeout_ms: int) -> web.StreamResponse:
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         try:
             while True:
                 if self._outage.kind is OutageKind.ERROR:
@@ -160,13 +160,13 @@
                 version = self._choose_version()
                 if version > after_version:
                     return self._make_response(version)
-                remaining_ms = began_ms + timeout_ms - self._clock.now_ms()
+                remaining_ms = started_ms + timeout_ms - self._clock.now_ms()
                 if remaining_ms <= 0:
                     return web.Response(status=204, headers={HEADER_VERSION: str(version)})
                 self.max_waiting = max(self.max_waiting, self.waiting + 1)
                 await self._changes.async_wait(remaining_ms)
         finally:
-            self.watch_ms_total += self._clock.now_ms() - began_ms
+            self.watch_ms_total += self._clock.now_ms() - started_ms
 
     def _choose_version(self) -> int:
         stale = self._stale_version
--- a/gypsumrouter/standins/fault_proxy.py
+++ b/gypsumrouter/standins/fault_proxy.py
@@ -87,7 +87,8 @@
     """Relays connections to one target, unmodified while no fault is set.
 
     Times are in whole milliseconds. For each connection and direction at most about
-    `MAX_BUFFERED_BYTES` are buffered; beyond that, reading pauses.
+    `MAX_BUFFERED_BYTES` are buffered; beyond that, reading pauses. `accepted` counts the accepted
+    connections.
     """
 
     __slots__ = (
--- a/gypsumrouter/standins/instance_list.py
+++ b/gypsumrouter/standins/instance_list.py
@@ -206,7 +206,7 @@
         )
 
     async def _async_poll(self, *, after: int, timeout_ms: int) -> web.StreamResponse:
-        ends_ms = self._clock.now_ms() + timeout_ms
+        deadline_ms = self._clock.now_ms() + timeout_ms
         while True:
             if self._outage.kind is OutageKind.ERROR:
                 return make_error_response(status=503, code="outage")
@@ -215,7 +215,7 @@
             newest = self._find_state_at(at_ms)
             if newest.revision > after:
                 return self._make_response(self._find_next(after=after, newest=newest), at_ms)
-            remaining_ms = ends_ms - self._clock.now_ms()
+            remaining_ms = deadline_ms - self._clock.now_ms()
             if remaining_ms <= 0:
                 return web.Response(status=204, headers={HEADER_AS_OF: str(at_ms)})
             await self._changes.async_wait(
--- a/gypsumrouter/standins/orders.py
+++ b/gypsumrouter/standins/orders.py
@@ -14,7 +14,7 @@
 from gypsumrouter.util.clock import Clock
 
 MAX_RECORDS: Final = 4_096
-SOURCE_STORE: Final = ""
+SOURCE_WEIGHT_STORE: Final = ""
 FETCH_TIMEOUT_S: Final = 60.0
 
 
@@ -44,7 +44,7 @@
     version: str = DEFAULT_VERSION
     role: str = ""
     fence: int = 0
-    source: str = SOURCE_STORE
+    source: str = SOURCE_WEIGHT_STORE
 
 
 class OrderRecord(Struct, kw_only=True):
@@ -197,12 +197,12 @@
             version=str(payload.get("version") or DEFAULT_VERSION),
             role=str(payload.get("role") or ""),
             fence=int(payload.get("fence") or 0),
-            source=str(payload.get("source") or SOURCE_STORE),
+            source=str(payload.get("source") or SOURCE_WEIGHT_STORE),
         )
     except (KeyError, ValueError, TypeError):
         return None
-    needed = order.role if order.kind is OrderKind.SET_ROLE else order.model
-    return order if needed else None
+    required = order.role if order.kind is OrderKind.SET_ROLE else order.model
+    return order if required else None
 
 
 def format_record(record: OrderRecord) -> dict[str, object]:
--- a/gypsumrouter/standins/streams.py
+++ b/gypsumrouter/standins/streams.py
@@ -119,7 +119,7 @@
         ended = [
             stream for stream in self._streams.values() if stream.state is not StreamState.ACTIVE
         ]
-        surplus = len(ended) - self._max_ended
+        excess = len(ended) - self._max_ended
         for index, stream in enumerate(ended):
-            if index < surplus or stream.ended_ms <= expired_ms:
+            if index < excess or stream.ended_ms <= expired_ms:
                 del self._streams[stream.request_id]
