--- a/gypsumrouter/demo/plan.py
+++ b/gypsumrouter/demo/plan.py
@@ -19,7 +19,7 @@
 
 SAMPLE_MS: Final = 20
 PROGRESS_MS: Final = 1_000
-DURATION_MS: Final = 24_000
+MAX_DURATION_MS: Final = 24_000
 
 # All processes share one clock, and a short lease lets new sides accept keyed calls early.
 LIST_LEASE_MS: Final = 1_500
--- a/gypsumrouter/demo/run.py
+++ b/gypsumrouter/demo/run.py
@@ -15,9 +15,9 @@
 from gypsumrouter.demo.local_fleet import LocalFleet
 from gypsumrouter.demo.measure import SkewSampler, sum_control_bytes
 from gypsumrouter.demo.plan import (
-    DURATION_MS,
     EXTRA_SETTINGS,
     FIRST_SEED,
+    MAX_DURATION_MS,
     PROGRESS_MS,
     ROUTERS,
     SEEDS_PER_DEPLOYMENT,
@@ -76,7 +76,7 @@
                     deployment=run.deployment,
                     context=_make_context(session, fleet, run, clock),
                     seed=FIRST_SEED + number * SEEDS_PER_DEPLOYMENT,
-                    until_ms=began_ms + DURATION_MS,
+                    until_ms=began_ms + MAX_DURATION_MS,
                 )
                 for number, run in enumerate(runs)
             )
