--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -187,7 +187,7 @@
     advertised = get_advertised(settings.link, addresses[ADDRESS_LINK])
     idempotency.note_listening(advertised)
     if orders is not None:
-        orders.note_listening(advertised)
+        orders.set_advertised_address(advertised)
         await orders.async_start()
     if prefixes is not None:
         await prefixes.async_start()
--- a/gypsumrouter/exchange/runner.py
+++ b/gypsumrouter/exchange/runner.py
@@ -102,7 +102,7 @@
         """Follow the configuration and the upstream, and take part in a planned stop."""
         self._configure(self._store.current)
         self._store.on_change(self._configure)
-        self._client.on_died(self._note_upstream_died)
+        self._client.on_crash(self._note_upstream_died)
         self._client.on_up(lambda _up: self._notify())
         self._client.on_models(self._notify)
         self._admission.on_change(self._notify)
--- a/gypsumrouter/orders/changes.py
+++ b/gypsumrouter/orders/changes.py
@@ -76,7 +76,7 @@
     held = bases & state.models.keys()
     surplus = sorted(held - targets.keys())
     room = orders.models_per_engine - len(held)
-    drops = () if room > 0 else _with_adapters(orders, state, surplus[: 1 - room])
+    drops = () if room > 0 else _add_held_adapters(orders, state, surplus[: 1 - room])
     taken = f", in the place of {drops[0]}" if drops else ""
     return Change(
         kind=OrderKind.LOAD,
@@ -88,7 +88,7 @@
     )
 
 
-def _with_adapters(orders: PoolOrders, state: EngineState, names: list[str]) -> tuple[str, ...]:
+def _add_held_adapters(orders: PoolOrders, state: EngineState, names: list[str]) -> tuple[str, ...]:
     """Return the models with those of their adapters that are held."""
     found = list_targets(orders, frozenset(names))
     return tuple(name for name in found if name in state.models)
--- a/gypsumrouter/orders/diagnostics.py
+++ b/gypsumrouter/orders/diagnostics.py
@@ -6,7 +6,7 @@
 
 from gypsumrouter.link.models import HeldModel
 from gypsumrouter.orders.models import Change, EngineState
-from gypsumrouter.orders.table import Heard, HoldingTable
+from gypsumrouter.orders.table import HoldingTable, ReceivedHolding
 
 
 def dump_state(state: EngineState | None) -> dict[str, object] | None:
@@ -41,17 +41,17 @@
 
 def dump_table(table: HoldingTable, now_ms: int) -> list[dict[str, object]]:
     """Return what was heard of each engine of the pool."""
-    return [_dump_entry(name, heard, now_ms) for name, heard in table.list_heard()]
+    return [_dump_entry(name, received, now_ms) for name, received in table.list_received()]
 
 
-def _dump_entry(name: str, heard: Heard | None, now_ms: int) -> dict[str, object]:
-    if heard is None:
+def _dump_entry(name: str, received: ReceivedHolding | None, now_ms: int) -> dict[str, object]:
+    if received is None:
         return {"name": name, "heard": False}
-    holding = heard.holding
+    holding = received.holding
     return {
         "name": name,
         "heard": True,
-        "age_ms": now_ms - heard.at_ms,
+        "age_ms": now_ms - received.received_ms,
         "up": holding.up,
         "engine": holding.engine,
         "role": holding.role,
--- a/gypsumrouter/orders/giver.py
+++ b/gypsumrouter/orders/dispatcher.py
@@ -10,17 +10,17 @@
 from msgspec.structs import asdict
 
 from gypsumrouter.core import Application
-from gypsumrouter.orders.const import DECISION_MS, JOURNAL_KEPT
+from gypsumrouter.orders.const import JOURNAL_SIZE, MAX_DECISION_AGE_MS
 from gypsumrouter.orders.engine import OrderClient
 from gypsumrouter.orders.lease import OrderLease
 from gypsumrouter.orders.models import (
-    Begun,
+    Accepted,
     Done,
-    Given,
-    NotGiven,
-    OldFence,
+    Indeterminate,
+    NotSent,
     Order,
-    Unclear,
+    StaleFence,
+    Submission,
 )
 
 _LOGGER = logging.getLogger(__name__)
@@ -42,14 +42,22 @@
     reason: str
 
 
-class OrderGiver:
+class OrderDispatcher:
     """Give orders only while this process has the right to, by its lease.
 
     The right is checked before an order is made and again right before its first byte, where the
     decision may not be older than a moment either.
     """
 
-    __slots__ = ("_app", "_client", "_given", "_is_leaving", "_lease", "_unsure", "journal")
+    __slots__ = (
+        "_app",
+        "_client",
+        "_is_draining",
+        "_late_answers",
+        "_lease",
+        "_orders_total",
+        "journal",
+    )
 
     def __init__(
         self,
@@ -57,45 +65,47 @@
         app: Application,
         client: OrderClient,
         lease: OrderLease,
-        is_leaving: Callable[[], bool],
+        is_draining: Callable[[], bool],
     ) -> None:
         self._app = app
         self._client = client
         self._lease = lease
-        self._is_leaving = is_leaving
-        self.journal: deque[JournalEntry] = deque(maxlen=JOURNAL_KEPT)
-        self._given = app.metrics.counter(
+        self._is_draining = is_draining
+        self.journal: deque[JournalEntry] = deque(maxlen=JOURNAL_SIZE)
+        self._orders_total = app.metrics.counter(
             "gypsumrouter_orders_total", "Orders to the engine by kind and result"
         )
-        self._unsure = app.metrics.counter(
+        self._late_answers = app.metrics.counter(
             "gypsumrouter_orders_unsure_total",
             "Orders that the engine answered after the right to give them had ended",
         )
 
-    def find_obstacle(self) -> str:
+    def find_block_reason(self) -> str:
         """Return why no order may be given now, empty where one may."""
-        return "this side is leaving" if self._is_leaving() else self._lease.find_obstacle()
+        return "this side is leaving" if self._is_draining() else self._lease.find_block_reason()
 
-    async def async_give(self, order: Order, *, reason: str) -> Given:
+    async def async_submit(self, order: Order, *, reason: str) -> Submission:
         """Give an order, unless this process may not."""
-        obstacle = self.find_obstacle()
-        if obstacle:
-            return NotGiven(reason=obstacle)
-        fence = self._lease.take_fence()
-        given = await self._client.async_give(order, fence=fence, find_obstacle=self._make_check())
-        if isinstance(given, OldFence):
-            self._lease.note_refused(given.highest)
-        self._note(order, order.kind.value, fence, given, reason)
-        return given
-
-    async def async_cancel(self, name: str, version: str, *, reason: str) -> Given:
+        block_reason = self.find_block_reason()
+        if block_reason:
+            return NotSent(reason=block_reason)
+        fence = self._lease.issue_fence()
+        submission = await self._client.async_submit(
+            order, fence=fence, find_block_reason=self._make_check()
+        )
+        if isinstance(submission, StaleFence):
+            self._lease.handle_stale_fence(submission.highest)
+        self._record(order, order.kind.value, fence, submission, reason)
+        return submission
+
+    async def async_cancel(self, name: str, version: str, *, reason: str) -> Submission:
         """Cancel a pending load, unless this process may not."""
-        obstacle = self.find_obstacle()
-        if obstacle:
-            return NotGiven(reason=obstacle)
-        given = await self._client.async_cancel(name, find_obstacle=self._make_check())
-        self._note(None, CANCEL, 0, given, reason, name=name, version=version)
-        return given
+        block_reason = self.find_block_reason()
+        if block_reason:
+            return NotSent(reason=block_reason)
+        submission = await self._client.async_cancel(name, find_block_reason=self._make_check())
+        self._record(None, CANCEL, 0, submission, reason, name=name, version=version)
+        return submission
 
     def dump(self) -> list[dict[str, object]]:
         """Return the last orders, oldest first."""
@@ -105,25 +115,25 @@
         decided_ms = self._app.clock.now_ms()
 
         def check() -> str:
-            if self._app.clock.now_ms() - decided_ms > DECISION_MS:
+            if self._app.clock.now_ms() - decided_ms > MAX_DECISION_AGE_MS:
                 return "the decision has grown old: this process was held up"
-            return self.find_obstacle()
+            return self.find_block_reason()
 
         return check
 
-    def _note(
+    def _record(
         self,
         order: Order | None,
         kind: str,
         fence: int,
-        given: Given,
+        submission: Submission,
         reason: str,
         *,
         name: str = "",
         version: str = "",
     ) -> None:
-        result, detail = describe_given(given)
-        self._given.inc(labels=(("order", kind), ("result", result)))
+        result, detail = describe_submission(submission)
+        self._orders_total.inc(labels=(("order", kind), ("result", result)))
         entry = JournalEntry(
             wall_ms=self._app.clock.wall_ms(),
             order=kind,
@@ -137,21 +147,21 @@
         )
         self.journal.append(entry)
         _LOGGER.info("Order %s %s %s: %s", kind, entry.name or entry.role, entry.version, result)
-        if not isinstance(given, NotGiven) and self._lease.find_obstacle():
-            self._unsure.inc()
+        if not isinstance(submission, NotSent) and self._lease.find_block_reason():
+            self._late_answers.inc()
             _LOGGER.warning("Order %s %s was answered after the lease", kind, entry.name)
 
 
-def describe_given(given: Given) -> tuple[str, str]:
+def describe_submission(submission: Submission) -> tuple[str, str]:
     """Return a word for what became of an order, and what more there is to say."""
-    match given:
+    match submission:
         case Done():
             return "done", ""
-        case Begun():
+        case Accepted():
             return "begun", ""
-        case OldFence(highest=highest):
+        case StaleFence(highest=highest):
             return "refused", f"the engine knows the number {highest}"
-        case NotGiven(reason=reason):
+        case NotSent(reason=reason):
             return "not_given", reason
-        case Unclear(reason=reason):
+        case Indeterminate(reason=reason):
             return "unclear", reason
--- a/gypsumrouter/orders/engine.py
+++ b/gypsumrouter/orders/engine.py
@@ -15,7 +15,7 @@
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.core import Application
 from gypsumrouter.orders.const import (
-    CALL_MS,
+    CALL_TIMEOUT_MS,
     HTTP_ACCEPTED,
     HTTP_CONFLICT,
     HTTP_NOT_FOUND,
@@ -24,24 +24,24 @@
     PATH_ORDERS,
 )
 from gypsumrouter.orders.models import (
-    Begun,
+    Accepted,
     Done,
     EngineState,
-    Given,
-    NotGiven,
-    OldFence,
+    Indeterminate,
+    NotSent,
     Order,
-    Unclear,
+    StaleFence,
+    Submission,
 )
 from gypsumrouter.settings import Upstream
-from gypsumrouter.upstream import ConnectionBroken, Transport, Unreached
+from gypsumrouter.upstream import ConnectFailed, ConnectionBroken, Transport
 
 _JSON: Final = [("Content-Type", "application/json")]
 _PENDING: Final = "pending"
 _REFUSED: Final = "refused"
 _FAILED: Final = frozenset({"failed", "cancelled"})
 
-FindObstacle = Callable[[], str]
+FindBlockReason = Callable[[], str]
 
 
 class _Answer(Struct, frozen=True, kw_only=True):
@@ -76,11 +76,13 @@
         try:
             models = await self._transport.async_fetch_json(PATH_MODELS)
             orders = await self._transport.async_fetch_json(PATH_ORDERS)
-            return _read_state(models, orders)
-        except (Unreached, ConnectionBroken, TimeoutError, ValueError, KeyError, TypeError):
+            return _parse_state(models, orders)
+        except (ConnectFailed, ConnectionBroken, TimeoutError, ValueError, KeyError, TypeError):
             return None
 
-    async def async_give(self, order: Order, *, fence: int, find_obstacle: FindObstacle) -> Given:
+    async def async_submit(
+        self, order: Order, *, fence: int, find_block_reason: FindBlockReason
+    ) -> Submission:
         """Give an order and return what the engine says."""
         payload = {
             "order": order.kind.value,
@@ -91,30 +93,30 @@
             "source": order.source,
         }
         answer = await self._async_call(
-            HTTPMethod.POST, PATH_ORDERS, json.dumps(payload).encode(), find_obstacle
+            HTTPMethod.POST, PATH_ORDERS, json.dumps(payload).encode(), find_block_reason
         )
-        return _read_given(answer) if isinstance(answer, _Answer) else answer
+        return _parse_submission(answer) if isinstance(answer, _Answer) else answer
 
-    async def async_cancel(self, name: str, *, find_obstacle: FindObstacle) -> Given:
+    async def async_cancel(self, name: str, *, find_block_reason: FindBlockReason) -> Submission:
         """Cancel the pending load of a model."""
         path = f"{PATH_ORDERS}/{quote(name, safe='')}"
-        answer = await self._async_call(HTTPMethod.DELETE, path, b"", find_obstacle)
+        answer = await self._async_call(HTTPMethod.DELETE, path, b"", find_block_reason)
         if not isinstance(answer, _Answer):
             return answer
         if answer.status in (HTTP_OK, HTTP_NOT_FOUND):
             return Done()
-        return Unclear(reason=f"status {answer.status}")
+        return Indeterminate(reason=f"status {answer.status}")
 
     async def _async_call(
-        self, method: HTTPMethod, path: str, body: bytes, find_obstacle: FindObstacle
-    ) -> _Answer | NotGiven | Unclear:
+        self, method: HTTPMethod, path: str, body: bytes, find_block_reason: FindBlockReason
+    ) -> _Answer | NotSent | Indeterminate:
         def check() -> None:
-            obstacle = find_obstacle()
-            if obstacle:
-                raise OrderDenied(obstacle)
+            block_reason = find_block_reason()
+            if block_reason:
+                raise OrderDenied(block_reason)
 
         try:
-            async with asyncio.timeout(CALL_MS / MS_PER_S):
+            async with asyncio.timeout(CALL_TIMEOUT_MS / MS_PER_S):
                 response = await self._transport.async_open(
                     method=method.value, path=path, headers=_JSON, body=body, hand_over=check
                 )
@@ -123,26 +125,26 @@
                 finally:
                     response.close()
         except OrderDenied as denied:
-            return NotGiven(reason=str(denied))
-        except Unreached:
-            return NotGiven(reason="the engine takes no connection")
+            return NotSent(reason=str(denied))
+        except ConnectFailed:
+            return NotSent(reason="the engine takes no connection")
         except TimeoutError:
-            return Unclear(reason=f"no answer within {CALL_MS} ms")
+            return Indeterminate(reason=f"no answer within {CALL_TIMEOUT_MS} ms")
         except (ConnectionBroken, aiohttp.ClientError, OSError) as error:
-            return Unclear(reason=f"the connection broke: {type(error).__name__}")
+            return Indeterminate(reason=f"the connection broke: {type(error).__name__}")
 
 
-def _read_given(answer: _Answer) -> Given:
+def _parse_submission(answer: _Answer) -> Submission:
     if answer.status == HTTP_OK:
         return Done()
     if answer.status == HTTP_ACCEPTED:
-        return Begun()
+        return Accepted()
     if answer.status == HTTP_CONFLICT:
-        return OldFence(highest=_read_fence(answer.body))
-    return Unclear(reason=f"status {answer.status}")
+        return StaleFence(highest=_parse_fence(answer.body))
+    return Indeterminate(reason=f"status {answer.status}")
 
 
-def _read_fence(body: bytes) -> int:
+def _parse_fence(body: bytes) -> int:
     try:
         document = json.loads(body)
     except ValueError:
@@ -151,7 +153,7 @@
     return fence if isinstance(fence, int) else 0
 
 
-def _read_state(models: Any, orders: Any) -> EngineState:
+def _parse_state(models: Any, orders: Any) -> EngineState:
     held = {str(entry["id"]): str(entry.get("version") or "") for entry in models["data"]}
     pending: dict[str, str] = {}
     failures: dict[str, str] = {}
--- a/gypsumrouter/orders/gates.py
+++ b/gypsumrouter/orders/gates.py
@@ -12,12 +12,12 @@
 from gypsumrouter.configuration import PoolOrders
 from gypsumrouter.link.models import HeldModel, Holding
 from gypsumrouter.orders.changes import get_minimum
-from gypsumrouter.orders.const import FAILURES_PASSED
+from gypsumrouter.orders.const import MAX_LOAD_FAILURES
 from gypsumrouter.orders.models import Change, OrderKind
 from gypsumrouter.orders.ranks import get_rank, rank_names
 
 
-class Step(Struct, frozen=True, kw_only=True):
+class EngineProgress(Struct, frozen=True, kw_only=True):
     """How far one engine of many is with the same change."""
 
     name: str
@@ -31,24 +31,28 @@
     return next((model for model in holding.models if model.name == name), None)
 
 
-def find_obstacle(
+def find_block_reason(
     *, own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
 ) -> str:
     """Return why the engine of `own` may not begin a change now.
 
     `holdings` are those of the engines that answer, the own one among them.
     """
-    waiting = ""
+    block_reason = ""
     if change.replaces:
-        waiting = _find_replace_obstacle(own, change, orders, holdings)
+        block_reason = _find_replace_block_reason(own, change, orders, holdings)
     elif change.kind is OrderKind.SET_ROLE:
-        waiting = _find_role_obstacle(own, change, orders, holdings)
+        block_reason = _find_role_block_reason(own, change, orders, holdings)
     for name in change.withdraws:
-        waiting = waiting or _find_withdraw_obstacle(own, name, get_minimum(orders, name), holdings)
-    return waiting
+        block_reason = block_reason or _find_withdraw_block_reason(
+            own, name, get_minimum(orders, name), holdings
+        )
+    return block_reason
 
 
-def _find_withdraw_obstacle(own: str, name: str, minimum: int, holdings: Iterable[Holding]) -> str:
+def _find_withdraw_block_reason(
+    own: str, name: str, minimum: int, holdings: Iterable[Holding]
+) -> str:
     serving = sum(
         1
         for holding in holdings
@@ -59,11 +63,11 @@
     return f"only {serving} other engines would serve {name}, {minimum} are needed"
 
 
-def _find_replace_obstacle(
+def _find_replace_block_reason(
     own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
 ) -> str:
     steps = [
-        Step(
+        EngineProgress(
             name=holding.name,
             done=model.version == change.version,
             changing=not model.serving,
@@ -72,7 +76,7 @@
         for holding in holdings
         if (model := find_model(holding, change.name)) and model.version
     ]
-    return find_turn_obstacle(
+    return find_rollout_block_reason(
         own=own,
         purpose=f"{change.name}/{change.version}",
         minimum=get_minimum(orders, change.name),
@@ -81,24 +85,24 @@
     )
 
 
-def _find_role_obstacle(
+def _find_role_block_reason(
     own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
 ) -> str:
     steps = [
-        Step(
+        EngineProgress(
             name=holding.name,
             done=holding.role == change.role,
             changing=any(not model.serving for model in holding.models),
         )
         for holding in holdings
     ]
-    return find_turn_obstacle(
+    return find_rollout_block_reason(
         own=own, purpose=change.role, minimum=0, share=orders.change_share, steps=steps
     )
 
 
-def find_turn_obstacle(
-    *, own: str, purpose: str, minimum: int, share: float, steps: Sequence[Step]
+def find_rollout_block_reason(
+    *, own: str, purpose: str, minimum: int, share: float, steps: Sequence[EngineProgress]
 ) -> str:
     """Return why it is not the turn of `own` in a change that many engines go through.
 
@@ -117,9 +121,9 @@
         return f"{changing} of {len(steps)} engines are changing, {width} may"
     by_name = {step.name: step for step in steps}
     ranked = rank_names(purpose, by_name)
-    place = ranked.index(own)
-    for name in ranked[place % width : place : width]:
-        if not _is_passed(by_name[name], proven=proven):
+    position = ranked.index(own)
+    for name in ranked[position % width : position : width]:
+        if not _is_skipped(by_name[name], proven=proven):
             return f"{name} goes first"
     return ""
 
@@ -140,7 +144,9 @@
     return min(left, key=lambda engine: get_rank(f"{own}/{name}", engine), default="")
 
 
-def find_store_obstacle(*, own: str, name: str, version: str, holdings: Iterable[Holding]) -> str:
+def find_store_block_reason(
+    *, own: str, name: str, version: str, holdings: Iterable[Holding]
+) -> str:
     """Return why the engine of `own` may not load a version from the weight store now.
 
     One engine fetches it there, and the others from that one.
@@ -149,7 +155,7 @@
         model = find_model(holding, name)
         if holding.name == own or model is None or model.next_version != version:
             continue
-        if model.failures < FAILURES_PASSED:
+        if model.failures < MAX_LOAD_FAILURES:
             return f"{holding.name} is loading it"
     return ""
 
@@ -158,7 +164,7 @@
     return model.serving and bool(model.version)
 
 
-def _is_passed(step: Step, *, proven: bool) -> bool:
+def _is_skipped(step: EngineProgress, *, proven: bool) -> bool:
     if step.done:
         return True
-    return step.failures >= FAILURES_PASSED or (proven and step.failures > 0)
+    return step.failures >= MAX_LOAD_FAILURES or (proven and step.failures > 0)
--- a/gypsumrouter/orders/news.py
+++ b/gypsumrouter/orders/gossip.py
@@ -14,12 +14,12 @@
 from gypsumrouter.fleet import Instance
 from gypsumrouter.link import NoticeHub, Peer
 from gypsumrouter.link.models import Holding, Holdings
-from gypsumrouter.orders.const import MAX_ENTRIES, NEWS_BATCH_MS, NEWS_MS
+from gypsumrouter.orders.const import GOSSIP_BATCH_MS, GOSSIP_MS, MAX_GOSSIP_ENTRIES
 from gypsumrouter.orders.ports import Membership, Sender
 from gypsumrouter.orders.table import HoldingTable
 
 
-class HoldingNews:
+class HoldingGossip:
     """Hand entries that were not known before to a few neighbours of the pool, who do the same.
 
     The neighbours are the same mutual ones that the spread of the configuration uses, taken among
@@ -32,11 +32,11 @@
         "_fleet",
         "_incarnations",
         "_links",
-        "_on_news",
+        "_on_change",
         "_pool",
+        "_sent",
         "_table",
-        "_told",
-        "_woken",
+        "_wake",
     )
 
     def __init__(
@@ -48,83 +48,83 @@
         notices: NoticeHub,
         pool: str,
         table: HoldingTable,
-        on_news: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._app = app
         self._fleet = fleet
         self._links = links
         self._pool = pool
         self._table = table
-        self._on_news = on_news
-        self._told: dict[str, dict[str, int]] = {}
+        self._on_change = on_change
+        self._sent: dict[str, dict[str, int]] = {}
         self._incarnations: dict[str, int] = {}
-        self._woken = asyncio.Event()
-        notices.subscribe(Holdings, self._take)
+        self._wake = asyncio.Event()
+        notices.subscribe(Holdings, self._handle)
 
-    def start(self, is_wanted: Callable[[], bool]) -> None:
+    def start(self, is_enabled: Callable[[], bool]) -> None:
         """Begin to tell news, at times when they are wanted."""
-        self._app.async_create_task(self._async_run(is_wanted), "order news")
+        self._app.async_create_task(self._async_run(is_enabled), "order news")
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Tell what is new at once."""
-        self._woken.set()
+        self._wake.set()
 
-    async def _async_run(self, is_wanted: Callable[[], bool]) -> None:
+    async def _async_run(self, is_enabled: Callable[[], bool]) -> None:
         while True:
             await self._async_wait()
-            if not is_wanted():
+            if not is_enabled():
                 continue
             routes = list_routes(self._app.name, self._list_sides())
-            self._forget_strangers(routes)
-            await asyncio.gather(*(self._async_tell(route) for route in routes))
+            self._drop_former_neighbours(routes)
+            await asyncio.gather(*(self._async_send(route) for route in routes))
 
     async def _async_wait(self) -> None:
         """Wait for the next round, or until shortly after there is something that is new."""
         clock = self._app.clock
-        if await async_wait(self._woken, clock=clock, timeout_ms=NEWS_MS):
-            await clock.async_sleep(NEWS_BATCH_MS)
-        self._woken.clear()
+        if await async_wait(self._wake, clock=clock, timeout_ms=GOSSIP_MS):
+            await clock.async_sleep(GOSSIP_BATCH_MS)
+        self._wake.clear()
 
-    async def _async_tell(self, route: tuple[Instance, ...]) -> None:
+    async def _async_send(self, route: tuple[Instance, ...]) -> None:
         """Tell the first instance of a route that can be reached what it may not know."""
         for instance in route:
-            told = self._told.setdefault(instance.name, {})
+            sent = self._sent.setdefault(instance.name, {})
             entries = [
                 entry
                 for entry in self._table.list_fresh()
-                if told.get(entry.name, 0) < entry.stamp_ms
-            ][:MAX_ENTRIES]
+                if sent.get(entry.name, 0) < entry.stamp_ms
+            ][:MAX_GOSSIP_ENTRIES]
             if not entries:
                 return
             notice = Holdings(pool=self._pool, entries=tuple(entries))
             if await self._links.async_send(instance=instance, notice=notice):
-                told |= {entry.name: entry.stamp_ms for entry in entries}
+                sent |= {entry.name: entry.stamp_ms for entry in entries}
                 return
 
-    def _take(self, peer: Peer, notice: Holdings) -> None:
+    def _handle(self, peer: Peer, notice: Holdings) -> None:
         if notice.pool != self._pool or peer.hello.role is not Role.SIDE:
             return
-        told = self._get_told(peer)
+        sent = self._get_sent(peer)
         for entry in notice.entries:
             if entry.name != self._app.name:
-                self._take_entry(entry, told)
+                self._handle_entry(entry, sent)
 
-    def _take_entry(self, entry: Holding, told: dict[str, int]) -> None:
-        told[entry.name] = max(entry.stamp_ms, told.get(entry.name, 0))
+    def _handle_entry(self, entry: Holding, sent: dict[str, int]) -> None:
+        sent[entry.name] = max(entry.stamp_ms, sent.get(entry.name, 0))
         known = self._table.get(entry.name)
-        if not self._table.note(entry):
+        if not self._table.record(entry):
             return
-        if known is None or differs(known.holding, entry):
-            self.tell()
-            self._on_news()
+        if known is None or has_changed(known.holding, entry):
+            self.announce()
+            self._on_change()
 
-    def _get_told(self, peer: Peer) -> dict[str, int]:
+    def _get_sent(self, peer: Peer) -> dict[str, int]:
         """Return what a neighbour knows; a new process of its name knows nothing."""
         name, incarnation = peer.hello.name, peer.hello.incarnation
         if self._incarnations.get(name) != incarnation:
             self._incarnations[name] = incarnation
-            self._told[name] = {}
-        return self._told.setdefault(name, {})
+            self._sent[name] = {}
+        return self._sent.setdefault(name, {})
 
     def _list_sides(self) -> list[Instance]:
         return [
@@ -133,15 +133,15 @@
             if peer.role is Role.SIDE and peer.pool == self._pool
         ]
 
-    def _forget_strangers(self, routes: Iterable[tuple[Instance, ...]]) -> None:
+    def _drop_former_neighbours(self, routes: Iterable[tuple[Instance, ...]]) -> None:
         """Forget what was told to those that are no neighbours any more."""
         kept = {instance.name for route in routes for instance in route}
-        for name in self._told.keys() - kept:
-            del self._told[name]
+        for name in self._sent.keys() - kept:
+            del self._sent[name]
             self._incarnations.pop(name, None)
 
 
-def differs(before: Holding, after: Holding) -> bool:
+def has_changed(before: Holding, after: Holding) -> bool:
     """Return whether two holdings of one engine differ in more than loads and stamps."""
     return _strip(before) != _strip(after)
 
--- a/gypsumrouter/orders/lease.py
+++ b/gypsumrouter/orders/lease.py
@@ -23,10 +23,10 @@
     __slots__ = (
         "_address",
         "_app",
+        "_engine_fence",
         "_last_fence",
         "_newest",
         "_pool",
-        "_refused_fence",
         "_settings",
         "_since_ms",
     )
@@ -39,7 +39,7 @@
         self._newest: InstanceList | None = None
         self._since_ms: int | None = None
         self._last_fence = 0
-        self._refused_fence = 0
+        self._engine_fence = 0
 
     @property
     def members(self) -> tuple[str, ...]:
@@ -59,25 +59,25 @@
         newest = self._newest
         self._newest = None
         if newest is not None:
-            self.note_list(newest)
+            self.handle_list(newest)
 
-    def note_list(self, listed: InstanceList) -> None:
+    def handle_list(self, listed: InstanceList) -> None:
         """Take in the next list; a missed one may have named another process."""
         newest = self._newest
         if newest is None or listed.revision != newest.revision + 1:
             self._since_ms = None
         self._newest = listed
-        if not self._is_named(listed):
+        if not self._is_listed(listed):
             self._since_ms = None
         elif self._since_ms is None:
             self._since_ms = listed.as_of_ms
 
-    def note_fresh(self, as_of_ms: int) -> None:
+    def renew(self, as_of_ms: int) -> None:
         """Take in that the newest list was unchanged by `as_of_ms`."""
         if self._newest is not None and as_of_ms > self._newest.as_of_ms:
             self._newest = replace(self._newest, as_of_ms=as_of_ms)
 
-    def find_obstacle(self) -> str:
+    def find_block_reason(self) -> str:
         """Return why no order may be given now, empty where one may."""
         if self._newest is None:
             return "the instance list has not been read"
@@ -87,29 +87,29 @@
         age_ms = wall_ms - self._newest.as_of_ms
         if not -self._settings.clock_skew_ms <= age_ms < self._settings.list_lease_ms:
             return f"the instance list is {age_ms} ms old"
-        if wall_ms <= self._since_ms + self._get_cover_ms():
+        if wall_ms <= self._since_ms + self._get_handover_delay_ms():
             return "an earlier process may still give orders"
-        if self._newest.as_of_ms * FENCES_PER_MS <= self._refused_fence:
+        if self._newest.as_of_ms * FENCES_PER_MS <= self._engine_fence:
             return "the engine has taken an order of a newer process"
         return ""
 
-    def take_fence(self) -> int:
+    def issue_fence(self) -> int:
         """Return the number of the next order."""
         as_of_ms = 0 if self._newest is None else self._newest.as_of_ms
         self._last_fence = max(self._last_fence + 1, as_of_ms * FENCES_PER_MS)
         return self._last_fence
 
-    def note_refused(self, highest: int) -> None:
+    def handle_stale_fence(self, highest: int) -> None:
         """Take in that the engine knows a higher number.
 
         Orders go on only once the list names this process at a time beyond that number.
         """
-        self._refused_fence = max(self._refused_fence, highest)
+        self._engine_fence = max(self._engine_fence, highest)
 
-    def _get_cover_ms(self) -> int:
+    def _get_handover_delay_ms(self) -> int:
         return self._settings.list_lease_ms + LEASE_SKEWS * self._settings.clock_skew_ms
 
-    def _is_named(self, listed: InstanceList) -> bool:
+    def _is_listed(self, listed: InstanceList) -> bool:
         return any(
             self._is_member(item) and item.name == self._app.name and item.address == self._address
             for item in listed.instances
--- a/gypsumrouter/orders/own.py
+++ b/gypsumrouter/orders/local_engine.py
@@ -6,15 +6,15 @@
 
 from gypsumrouter.link.models import HeldModel, Holding
 from gypsumrouter.orders.demand import Demand
+from gypsumrouter.orders.gossip import has_changed
 from gypsumrouter.orders.models import Change, EngineState, OrderKind
-from gypsumrouter.orders.news import differs
 from gypsumrouter.orders.retries import Retries
 from gypsumrouter.util.clock import Clock
 
 LOAD_STEPS = 4
 
 
-class OwnEngine:
+class LocalEngine:
     """The last state of the engine, the change under way, and the load that is tried again."""
 
     __slots__ = (
@@ -26,7 +26,7 @@
         "change",
         "confirmed",
         "holding",
-        "retried",
+        "retrying",
         "state",
     )
 
@@ -39,11 +39,11 @@
         self.state: EngineState | None = None
         self.change: Change | None = None
         self.confirmed = False
-        self.retried: Change | None = None
+        self.retrying: Change | None = None
         self.holding = Holding(name=name, stamp_ms=0, engine="", up=False)
 
     @property
-    def turned_away(self) -> frozenset[str]:
+    def rejected_models(self) -> frozenset[str]:
         """Return the models for which no new requests may be taken."""
         return self._get_withdrawn() if self.confirmed else frozenset()
 
@@ -63,14 +63,14 @@
             return False
         return state.pending.get(change.name) == change.version
 
-    def restamp(self, *, due_ms: int) -> bool:
+    def refresh(self, *, due_ms: int) -> bool:
         """Bring the holding up to date; return whether others must hear of it at once.
 
         Without a difference it is stamped anew once it is older than `due_ms`.
         """
         now_ms = self._clock.wall_ms()
         made = self._make(max(now_ms, self.holding.stamp_ms + 1))
-        changed = differs(self.holding, made)
+        changed = has_changed(self.holding, made)
         if changed or now_ms - self.holding.stamp_ms >= due_ms:
             self.holding = made
         return changed
@@ -93,9 +93,9 @@
         dropped = () if change is None else change.drops
         withdrawn = self._get_withdrawn()
         loading = dict(state.pending)
-        for begun in (self.retried, change):
-            if begun is not None and begun.kind is OrderKind.LOAD:
-                loading[begun.name] = begun.version
+        for unfinished in (self.retrying, change):
+            if unfinished is not None and unfinished.kind is OrderKind.LOAD:
+                loading[unfinished.name] = unfinished.version
         for name in sorted(state.models.keys() | loading.keys()):
             if name in dropped:
                 continue
--- a/gypsumrouter/orders/models.py
+++ b/gypsumrouter/orders/models.py
@@ -44,29 +44,29 @@
     """The engine has carried an order out, or holds already what was asked for."""
 
 
-class Begun(Struct, frozen=True, kw_only=True):
+class Accepted(Struct, frozen=True, kw_only=True):
     """The engine has begun to load."""
 
 
-class OldFence(Struct, frozen=True, kw_only=True):
+class StaleFence(Struct, frozen=True, kw_only=True):
     """The engine knows a higher fencing number: another process gives it orders."""
 
     highest: int
 
 
-class NotGiven(Struct, frozen=True, kw_only=True):
+class NotSent(Struct, frozen=True, kw_only=True):
     """The order was never sent."""
 
     reason: str
 
 
-class Unclear(Struct, frozen=True, kw_only=True):
+class Indeterminate(Struct, frozen=True, kw_only=True):
     """The order may or may not have reached the engine, or was not understood."""
 
     reason: str
 
 
-Given = Done | Begun | OldFence | NotGiven | Unclear
+Submission = Done | Accepted | StaleFence | NotSent | Indeterminate
 
 
 class Change(Struct, frozen=True, kw_only=True):
@@ -89,7 +89,7 @@
         return self.kind is OrderKind.LOAD and self.name in self.withdraws
 
     @property
-    def is_prompt(self) -> bool:
+    def skips_settling(self) -> bool:
         """Return whether the configuration alone calls for it, so that it need not settle."""
         return self.replaces or self.kind is OrderKind.SET_ROLE
 
@@ -110,7 +110,7 @@
     ABANDONED = "abandoned"
 
 
-class Ending(Struct, frozen=True, kw_only=True):
+class ChangeOutcome(Struct, frozen=True, kw_only=True):
     """The end of a change; `source` is where the load came from."""
 
     result: Result
--- a/gypsumrouter/orders/orders.py
+++ b/gypsumrouter/orders/orders.py
@@ -14,19 +14,19 @@
 from gypsumrouter.fleet import Address, InstanceList
 from gypsumrouter.link import ExchangeHandler, NoticeHub
 from gypsumrouter.orders.changes import choose_change
-from gypsumrouter.orders.const import CHANGE_TURN_MS, SMOOTHING_SHARE, TURN_MS
+from gypsumrouter.orders.const import CHANGE_POLL_MS, POLL_MS, SMOOTHING_SHARE
 from gypsumrouter.orders.demand import Demand
 from gypsumrouter.orders.diagnostics import dump_change, dump_state, dump_table
+from gypsumrouter.orders.dispatcher import OrderDispatcher
 from gypsumrouter.orders.engine import OrderClient
-from gypsumrouter.orders.gates import find_obstacle
-from gypsumrouter.orders.giver import OrderGiver
+from gypsumrouter.orders.gates import find_block_reason
+from gypsumrouter.orders.gossip import HoldingGossip
 from gypsumrouter.orders.lease import OrderLease
-from gypsumrouter.orders.loads import LoadTurns, Source, Waiting
-from gypsumrouter.orders.models import Change, Ending, OrderKind, Result, is_same_step
-from gypsumrouter.orders.news import HoldingNews
-from gypsumrouter.orders.own import OwnEngine
+from gypsumrouter.orders.load_scheduler import Deferred, LoadScheduler, Source
+from gypsumrouter.orders.local_engine import LocalEngine
+from gypsumrouter.orders.models import Change, ChangeOutcome, OrderKind, Result, is_same_step
 from gypsumrouter.orders.planner import Planner
-from gypsumrouter.orders.ports import Membership, OfferedModels, Sender
+from gypsumrouter.orders.ports import Membership, Sender, ServedModels
 from gypsumrouter.orders.retries import Retries
 from gypsumrouter.orders.runner import ChangeLimits, ChangeRunner
 from gypsumrouter.orders.table import HoldingTable
@@ -48,26 +48,26 @@
 
     __slots__ = (
         "_app",
-        "_began_ms",
         "_candidate",
         "_candidate_ms",
         "_client",
+        "_dispatcher",
         "_engine",
-        "_giver",
+        "_gossip",
         "_last",
         "_lease",
-        "_loads",
-        "_news",
-        "_own",
+        "_load_scheduler",
+        "_local",
         "_planner",
         "_retries",
         "_runner",
         "_settings",
         "_source",
+        "_started_ms",
         "_store",
         "_table",
         "_waiting",
-        "_woken",
+        "_wake",
         "demand",
     )
 
@@ -80,131 +80,133 @@
         fleet: Membership,
         links: Sender,
         notices: NoticeHub,
-        client: OfferedModels,
+        client: ServedModels,
     ) -> None:
         clock, pool = app.clock, settings.upstream.pool
         self._app = app
         self._settings = settings
         self._store = store
         self._client = client
-        self._began_ms = 0
+        self._started_ms = 0
         self._candidate: Change | None = None
         self._candidate_ms = 0
-        self._last: Ending | None = None
+        self._last: ChangeOutcome | None = None
         self._source = ""
         self._waiting = NOT_CONFIGURED
-        self._woken = asyncio.Event()
+        self._wake = asyncio.Event()
         self.demand = Demand(clock=clock)
         self._engine = OrderClient(app=app, settings=settings.upstream)
         self._retries = Retries(clock=clock, seed=app.incarnation)
-        self._own = OwnEngine(name=app.name, clock=clock, demand=self.demand, retries=self._retries)
+        self._local = LocalEngine(
+            name=app.name, clock=clock, demand=self.demand, retries=self._retries
+        )
         self._table = HoldingTable(clock=clock)
         self._planner = Planner(name=app.name, table=self._table)
         self._lease = OrderLease(app=app, settings=settings.platform, pool=pool)
-        fleet.on_list(self._take_list)
-        fleet.on_fresh(self._lease.note_fresh)
-        self._loads = LoadTurns(
+        fleet.on_list(self._handle_list)
+        fleet.on_fresh(self._lease.renew)
+        self._load_scheduler = LoadScheduler(
             app=app, lease=self._lease, retries=self._retries, table=self._table
         )
-        self._news = HoldingNews(
+        self._gossip = HoldingGossip(
             app=app,
             fleet=fleet,
             links=links,
             notices=notices,
             pool=pool,
             table=self._table,
-            on_news=self._woken.set,
+            on_change=self._wake.set,
         )
-        self._giver = OrderGiver(
-            app=app, client=self._engine, lease=self._lease, is_leaving=app.stopping.is_set
+        self._dispatcher = OrderDispatcher(
+            app=app, client=self._engine, lease=self._lease, is_draining=app.stopping.is_set
         )
         self._runner = ChangeRunner(
             app=app,
-            giver=self._giver,
-            own=self._own,
+            dispatcher=self._dispatcher,
+            own=self._local,
             demand=self.demand,
             observe=self._async_observe,
-            is_wanted=self._is_wanted,
-            find_obstacle=self._find_change_obstacle,
-            take_store_slot=self._take_store_slot,
+            is_needed=self._is_needed,
+            find_block_reason=self._find_change_block_reason,
+            acquire_store_slot=self._acquire_store_slot,
         )
 
     def wrap(self, handler: ExchangeHandler) -> ExchangeHandler:
         """Return a handler that counts the requests of each model."""
         return self.demand.wrap(handler)
 
-    def note_listening(self, address: Address) -> None:
+    def set_advertised_address(self, address: Address) -> None:
         """Say at which address the list must name this process for it to give orders."""
         self._lease.set_address(address)
         upstream = self._settings.upstream
         # Neighbours reach an engine that is named by a loopback address at the side's own host.
         is_loopback = ipaddress.ip_address(upstream.host).is_loopback
         host = address.host if is_loopback else upstream.host
-        self._own.address = str(Address(host=host, port=upstream.port))
+        self._local.address = str(Address(host=host, port=upstream.port))
 
     async def async_start(self) -> None:
         """Begin to look after the engine."""
         await self._engine.async_start()
         self._app.add_dump_section(DUMP_SECTION, self._dump)
-        self._news.start(lambda: self._get_orders() is not None)
+        self._gossip.start(lambda: self._get_orders() is not None)
         self._app.async_create_task(self._async_run(), "orders")
 
-    def _take_list(self, listed: InstanceList) -> None:
-        self._lease.note_list(listed)
+    def _handle_list(self, listed: InstanceList) -> None:
+        self._lease.handle_list(listed)
         self._table.set_listed(self._lease.members)
-        self._woken.set()
+        self._wake.set()
 
     async def _async_run(self) -> None:
         clock = self._app.clock
         while True:
-            pause_ms = await self._async_turn()
-            self._woken.clear()
-            await clock.async_sleep(min(pause_ms, CHANGE_TURN_MS))
-            rest_ms = pause_ms - CHANGE_TURN_MS
-            if rest_ms > 0:
-                await async_wait(self._woken, clock=clock, timeout_ms=rest_ms)
-
-    async def _async_turn(self) -> int:
+            pause_ms = await self._async_step()
+            self._wake.clear()
+            await clock.async_sleep(min(pause_ms, CHANGE_POLL_MS))
+            remaining_ms = pause_ms - CHANGE_POLL_MS
+            if remaining_ms > 0:
+                await async_wait(self._wake, clock=clock, timeout_ms=remaining_ms)
+
+    async def _async_step(self) -> int:
         """Look at the engine, and change it where that is due; return the time until the next."""
         if self._get_orders() is None:
-            self._rest()
-            return TURN_MS
+            self._deactivate()
+            return POLL_MS
         await self._async_observe()
-        await self._async_cancel_strangers()
+        await self._async_cancel_unwanted()
         change = self._choose_change()
         orders = self._get_orders()
         if change is None or orders is None:
-            return TURN_MS
-        source = self._find_way(change, orders)
-        if isinstance(source, Waiting):
+            return POLL_MS
+        source = self._choose_source(change, orders)
+        if isinstance(source, Deferred):
             self._waiting = source.reason
-            return max(1, min(TURN_MS, source.look_ms))
-        await self._async_carry_out(change, orders, source.engine)
+            return max(1, min(POLL_MS, source.recheck_ms))
+        await self._async_apply(change, orders, source.engine)
         return 0
 
-    def _rest(self) -> None:
+    def _deactivate(self) -> None:
         self._waiting = NOT_CONFIGURED
-        self._planner.forget()
+        self._planner.reset()
         self._candidate = None
         self._client.withdraw(frozenset())
 
     async def _async_observe(self) -> None:
         """Read the engine, tell the others of it, and work out what it is to hold."""
-        self._own.state = await self._engine.async_read()
-        self._tell()
+        self._local.state = await self._engine.async_read()
+        self._publish_holding()
         self._plan()
         self._withdraw()
 
-    def _tell(self) -> None:
-        changed = self._own.restamp(due_ms=self._table.restamp_ms)
-        self._table.note(self._own.holding)
+    def _publish_holding(self) -> None:
+        changed = self._local.refresh(due_ms=self._table.refresh_ms)
+        self._table.record(self._local.holding)
         if changed:
-            self._news.tell()
+            self._gossip.announce()
 
     def _plan(self) -> None:
         pool = self._get_pool()
-        if pool is None or pool.orders is None or self._own.state is None:
-            self._planner.forget()
+        if pool is None or pool.orders is None or self._local.state is None:
+            self._planner.reset()
             return
         self._table.hold_ms = pool.orders.settle_ms
         self.demand.window_ms = max(1, round(pool.orders.settle_ms * SMOOTHING_SHARE))
@@ -212,119 +214,123 @@
 
     def _withdraw(self) -> None:
         """Turn requests away for what is changed, and for what the engine has lost unnoticed."""
-        state = self._own.state
+        state = self._local.state
         lost = () if state is None else set(self._client.held_models).difference(state.models)
-        self._client.withdraw(self._own.turned_away.union(lost))
+        self._client.withdraw(self._local.rejected_models.union(lost))
 
-    async def _async_cancel_strangers(self) -> None:
+    async def _async_cancel_unwanted(self) -> None:
         """Cancel loads that are not wished, such as those of an earlier process."""
-        state, wished = self._own.state, self._planner.wished
-        if state is None or wished is None:
+        state, desired = self._local.state, self._planner.desired
+        if state is None or desired is None:
             return
         for name, version in state.pending.items():
-            if wished.get(name) != version:
-                await self._giver.async_cancel(name, version, reason="not wished here")
+            if desired.get(name) != version:
+                await self._dispatcher.async_cancel(name, version, reason="not wished here")
 
     def _choose_change(self) -> Change | None:
         """Return the next change, None where there is none or too little is known."""
-        orders, state, wished = self._get_orders(), self._own.state, self._planner.wished
+        orders, state, desired = self._get_orders(), self._local.state, self._planner.desired
         change = None
-        if orders is None or state is None or wished is None:
-            self._waiting = self._explain_ignorance()
+        if orders is None or state is None or desired is None:
+            self._waiting = self._explain_missing_plan()
         else:
-            models = frozenset(model.name for model in orders.models if model.name in wished)
+            models = frozenset(model.name for model in orders.models if model.name in desired)
             change = choose_change(orders, models, state)
             self._waiting = ""
         if not is_same_step(change, self._candidate):
             self._candidate = change
             self._candidate_ms = self._app.clock.now_ms()
-            self._own.retried = None
+            self._local.retrying = None
         return change
 
-    def _explain_ignorance(self) -> str:
-        if self._own.state is None:
+    def _explain_missing_plan(self) -> str:
+        if self._local.state is None:
             return "the engine does not answer"
-        awaited = self._table.list_awaited()
+        awaited = self._table.list_unreported()
         if awaited:
             return f"not heard of yet: {', '.join(awaited)}"
-        rival = self._table.find_rival(self._own.holding)
-        if rival:
-            return f"{rival} is also beside this engine"
-        return self._lease.find_obstacle()
+        conflicting = self._table.find_conflicting_side(self._local.holding)
+        if conflicting:
+            return f"{conflicting} is also beside this engine"
+        return self._lease.find_block_reason()
 
-    def _find_way(self, change: Change, orders: PoolOrders) -> Source | Waiting:
+    def _choose_source(self, change: Change, orders: PoolOrders) -> Source | Deferred:
         """Return where a change takes its weights from, or why it may not begin now."""
-        obstacle = self._giver.find_obstacle()
-        if obstacle:
-            return Waiting(reason=obstacle)
-        if self._own.is_loading(change):
+        block_reason = self._dispatcher.find_block_reason()
+        if block_reason:
+            return Deferred(reason=block_reason)
+        if self._local.is_loading(change):
             return Source()
-        settles_ms = self._candidate_ms + orders.settle_ms - self._app.clock.now_ms()
-        if settles_ms > 0 and not change.is_prompt:
+        settle_left_ms = self._candidate_ms + orders.settle_ms - self._app.clock.now_ms()
+        if settle_left_ms > 0 and not change.skips_settling:
             reason = f"{change.reason}, if that lasts for {orders.settle_ms} ms"
-            return Waiting(reason=reason, look_ms=settles_ms)
-        obstacle = self._find_change_obstacle(change)
-        if obstacle:
-            return Waiting(reason=obstacle)
-        return self._loads.find(change, orders) if change.kind is OrderKind.LOAD else Source()
+            return Deferred(reason=reason, recheck_ms=settle_left_ms)
+        block_reason = self._find_change_block_reason(change)
+        if block_reason:
+            return Deferred(reason=block_reason)
+        return (
+            self._load_scheduler.schedule(change, orders)
+            if change.kind is OrderKind.LOAD
+            else Source()
+        )
 
-    def _find_change_obstacle(self, change: Change) -> str:
+    def _find_change_block_reason(self, change: Change) -> str:
         """Return why the other engines do not allow a change now."""
         orders = self._get_orders()
         if orders is None:
             return NOT_CONFIGURED
-        return find_obstacle(
+        return find_block_reason(
             own=self._app.name,
             change=change,
             orders=orders,
-            holdings=self._table.list_answering(),
+            holdings=self._table.list_available(),
         )
 
-    async def _async_carry_out(self, change: Change, orders: PoolOrders, source: str) -> None:
+    async def _async_apply(self, change: Change, orders: PoolOrders, source: str) -> None:
         self._source = source
-        self._began_ms = self._app.clock.wall_ms()
-        self._own.begin(change)
-        self._tell()
+        self._started_ms = self._app.clock.wall_ms()
+        self._local.begin(change)
+        self._publish_holding()
         limits = ChangeLimits(drain_ms=self._settings.limits.drain_ms, load_ms=orders.load_ms)
         try:
-            ending = await self._runner.async_run(change, source=source, limits=limits)
-            self._note_ending(change, ending)
+            outcome = await self._runner.async_run(change, source=source, limits=limits)
+            self._record_outcome(change, outcome)
             await self._async_observe()
         finally:
-            self._own.end()
-        self._tell()
+            self._local.end()
+        self._publish_holding()
         self._withdraw()
 
-    def _note_ending(self, change: Change, ending: Ending) -> None:
-        _LOGGER.info("Change %s %s: %s", change.name or change.role, ending.result, ending.reason)
-        self._last = ending
+    def _record_outcome(self, change: Change, outcome: ChangeOutcome) -> None:
+        _LOGGER.info("Change %s %s: %s", change.name or change.role, outcome.result, outcome.reason)
+        self._last = outcome
         self._candidate = None
-        match ending.result:
+        match outcome.result:
             case Result.DONE | Result.CANCELLED:
-                self._retries.note_done(change.name)
+                self._retries.clear(change.name)
             case Result.FAILED:
-                self._retries.note_failed(change.name, change.version, source=ending.source)
-                self._own.retried = change
+                self._retries.record_failure(change.name, change.version, source=outcome.source)
+                self._local.retrying = change
                 # The rest of the change is tried again without another time to settle.
                 left = tuple(name for name in change.withdraws if name not in change.drops)
                 self._candidate = replace(change, drops=(), withdraws=left)
 
-    def _is_wanted(self, change: Change) -> bool:
+    def _is_needed(self, change: Change) -> bool:
         """Return whether a change follows from the configuration and the plan of now."""
-        orders, wished = self._get_orders(), self._planner.wished
+        orders, desired = self._get_orders(), self._planner.desired
         if orders is None:
             return False
         match change.kind:
             case OrderKind.SET_ROLE:
                 return orders.role == change.role
             case OrderKind.LOAD:
-                return wished is None or wished.get(change.name) == change.version
+                return desired is None or desired.get(change.name) == change.version
             case OrderKind.UNLOAD:
-                return wished is None or not any(name in wished for name in change.drops)
+                return desired is None or not any(name in desired for name in change.drops)
 
-    def _take_store_slot(self) -> int:
+    def _acquire_store_slot(self) -> int:
         orders = self._get_orders()
-        return TURN_MS if orders is None else self._loads.take_store_slot(orders)
+        return POLL_MS if orders is None else self._load_scheduler.acquire_store_slot(orders)
 
     def _get_pool(self) -> Pool | None:
         name = self._settings.upstream.pool
@@ -338,14 +344,14 @@
         planner = self._planner
         return {
             "configured": self._get_orders() is not None,
-            "may_order": self._giver.find_obstacle() or "yes",
-            "wished": None if planner.wished is None else dict(planner.wished),
-            "held": dump_state(self._own.state),
+            "may_order": self._dispatcher.find_block_reason() or "yes",
+            "wished": None if planner.desired is None else dict(planner.desired),
+            "held": dump_state(self._local.state),
             "pending": dump_change(
-                self._own.change,
-                confirmed=self._own.confirmed,
+                self._local.change,
+                confirmed=self._local.confirmed,
                 source=self._source,
-                since_ms=self._began_ms,
+                since_ms=self._started_ms,
             ),
             "waiting": self._waiting,
             "last": (
@@ -357,5 +363,5 @@
             "counts": dict(planner.counts),
             "demand": dict(planner.demand),
             "engines": dump_table(self._table, self._app.clock.now_ms()),
-            "journal": self._giver.dump(),
+            "journal": self._dispatcher.dump(),
         }
--- a/gypsumrouter/orders/planner.py
+++ b/gypsumrouter/orders/planner.py
@@ -19,26 +19,26 @@
     little is known. `counts` is how many engines the plan gives to each model.
     """
 
-    __slots__ = ("_name", "_table", "counts", "demand", "wished")
+    __slots__ = ("_name", "_table", "counts", "demand", "desired")
 
     def __init__(self, *, name: str, table: HoldingTable) -> None:
         self._name = name
         self._table = table
-        self.wished: Mapping[str, str] | None = None
+        self.desired: Mapping[str, str] | None = None
         self.counts: Mapping[str, int] = {}
         self.demand: Mapping[str, float] = {}
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Wish nothing, because too little is known or nothing is configured."""
-        self.wished = None
+        self.desired = None
         self.counts = {}
         self.demand = {}
 
     def update(self, pool: Pool, orders: PoolOrders) -> None:
         """Work the plan out."""
-        holdings = self._table.list_answering()
-        if self._table.list_awaited() or all(item.name != self._name for item in holdings):
-            self.forget()
+        holdings = self._table.list_available()
+        if self._table.list_unreported() or all(item.name != self._name for item in holdings):
+            self.reset()
             return
         self.demand = sum_demand(orders, holdings)
         plan = plan_models(
@@ -48,7 +48,7 @@
             slots=pool.slots,
         )
         self.counts = Counter(name for models in plan.values() for name in models)
-        self.wished = list_targets(orders, plan[self._name])
+        self.desired = list_targets(orders, plan[self._name])
 
 
 def sum_demand(orders: PoolOrders, holdings: Iterable[Holding]) -> dict[str, float]:
--- a/gypsumrouter/orders/ports.py
+++ b/gypsumrouter/orders/ports.py
@@ -30,7 +30,7 @@
         """Send a notice; return False if the instance cannot be reached."""
 
 
-class OfferedModels(Protocol):
+class ServedModels(Protocol):
     """The models for which requests are taken at the engine."""
 
     @property
--- a/gypsumrouter/orders/runner.py
+++ b/gypsumrouter/orders/runner.py
@@ -9,23 +9,23 @@
 from msgspec.structs import replace
 
 from gypsumrouter.core import Application
-from gypsumrouter.orders.const import ANNOUNCE_MS, CHANGE_TURN_MS
+from gypsumrouter.orders.const import ANNOUNCE_MS, CHANGE_POLL_MS
 from gypsumrouter.orders.demand import Demand
-from gypsumrouter.orders.giver import OrderGiver, describe_given
+from gypsumrouter.orders.dispatcher import OrderDispatcher, describe_submission
+from gypsumrouter.orders.local_engine import LocalEngine
 from gypsumrouter.orders.models import (
-    Begun,
+    Accepted,
     Change,
+    ChangeOutcome,
     Done,
-    Ending,
-    Given,
+    Indeterminate,
     Order,
     OrderKind,
     Result,
-    Unclear,
+    Submission,
 )
-from gypsumrouter.orders.own import OwnEngine
 
-LOST = "the engine does not load it any more"
+LOAD_LOST = "the engine does not load it any more"
 
 
 class ChangeLimits(Struct, frozen=True, kw_only=True):
@@ -45,60 +45,62 @@
     """
 
     __slots__ = (
+        "_acquire_store_slot",
         "_app",
         "_demand",
-        "_find_obstacle",
-        "_giver",
-        "_is_wanted",
+        "_dispatcher",
+        "_find_block_reason",
+        "_is_needed",
+        "_local",
         "_observe",
-        "_own",
         "_random",
-        "_take_store_slot",
     )
 
     def __init__(
         self,
         *,
         app: Application,
-        giver: OrderGiver,
-        own: OwnEngine,
+        dispatcher: OrderDispatcher,
+        own: LocalEngine,
         demand: Demand,
         observe: Callable[[], Awaitable[None]],
-        is_wanted: Callable[[Change], bool],
-        find_obstacle: Callable[[Change], str],
-        take_store_slot: Callable[[], int],
+        is_needed: Callable[[Change], bool],
+        find_block_reason: Callable[[Change], str],
+        acquire_store_slot: Callable[[], int],
     ) -> None:
         self._app = app
-        self._giver = giver
-        self._own = own
+        self._dispatcher = dispatcher
+        self._local = own
         self._demand = demand
         self._observe = observe
-        self._is_wanted = is_wanted
-        self._find_obstacle = find_obstacle
+        self._is_needed = is_needed
+        self._find_block_reason = find_block_reason
         self._random = random.Random(app.incarnation)
-        self._take_store_slot = take_store_slot
+        self._acquire_store_slot = acquire_store_slot
 
-    async def async_run(self, change: Change, *, source: str, limits: ChangeLimits) -> Ending:
+    async def async_run(
+        self, change: Change, *, source: str, limits: ChangeLimits
+    ) -> ChangeOutcome:
         """Carry out a change; `source` is a neighbour to load from, empty for the store."""
-        stopped = await self._async_confirm(change)
-        stopped = stopped or await self._async_drain(change, limits.drain_ms)
-        if stopped is not None:
-            return stopped
+        outcome = await self._async_confirm(change)
+        outcome = outcome or await self._async_drain(change, limits.drain_ms)
+        if outcome is not None:
+            return outcome
         for name in change.drops:
-            given = await self._giver.async_give(
+            submission = await self._dispatcher.async_submit(
                 Order(kind=OrderKind.UNLOAD, name=name), reason=change.reason
             )
-            if not isinstance(given, Done):
-                return _abandon(given)
+            if not isinstance(submission, Done):
+                return _abandon(submission)
         match change.kind:
             case OrderKind.UNLOAD:
-                return Ending(result=Result.DONE)
+                return ChangeOutcome(result=Result.DONE)
             case OrderKind.SET_ROLE:
                 return await self._async_set_role(change)
             case OrderKind.LOAD:
                 return await self._async_load(change, source, limits.load_ms)
 
-    async def _async_confirm(self, change: Change) -> Ending | None:
+    async def _async_confirm(self, change: Change) -> ChangeOutcome | None:
         """Let the others hear of the change, and hear of theirs; None where it may go on.
 
         Two engines that announce at the same time both see the other. The pause differs, so that
@@ -108,100 +110,108 @@
             pause_ms = round(ANNOUNCE_MS * self._random.uniform(1.0, 2.0))
             await self._app.clock.async_sleep(pause_ms)
             await self._observe()
-            obstacle = self._find_obstacle(change)
-            if obstacle:
-                return Ending(result=Result.ABANDONED, reason=obstacle)
-        self._own.confirmed = True
+            block_reason = self._find_block_reason(change)
+            if block_reason:
+                return ChangeOutcome(result=Result.ABANDONED, reason=block_reason)
+        self._local.confirmed = True
         await self._observe()
         return None
 
-    async def _async_drain(self, change: Change, drain_ms: int) -> Ending | None:
+    async def _async_drain(self, change: Change, drain_ms: int) -> ChangeOutcome | None:
         """Wait until no request for what is withdrawn is left; None when that is so."""
-        ends_ms = self._app.clock.now_ms() + drain_ms
+        deadline_ms = self._app.clock.now_ms() + drain_ms
         while any(self._demand.get_running(name) for name in change.withdraws):
-            stopped = self._find_stop(change)
-            if stopped is not None:
-                return stopped
-            if self._app.clock.now_ms() >= ends_ms:
+            outcome = self._find_abort(change)
+            if outcome is not None:
+                return outcome
+            if self._app.clock.now_ms() >= deadline_ms:
                 reason = f"requests did not end within {drain_ms} ms"
-                return Ending(result=Result.FAILED, reason=reason)
-            await self._async_turn()
-        return self._find_stop(change)
+                return ChangeOutcome(result=Result.FAILED, reason=reason)
+            await self._async_poll()
+        return self._find_abort(change)
 
-    def _find_stop(self, change: Change) -> Ending | None:
+    def _find_abort(self, change: Change) -> ChangeOutcome | None:
         """Return why a change must not go on, None where it may."""
-        obstacle = self._giver.find_obstacle()
-        if obstacle:
-            return Ending(result=Result.ABANDONED, reason=obstacle)
-        if not self._is_wanted(change):
-            return Ending(result=Result.CANCELLED, reason="not wanted any more")
+        block_reason = self._dispatcher.find_block_reason()
+        if block_reason:
+            return ChangeOutcome(result=Result.ABANDONED, reason=block_reason)
+        if not self._is_needed(change):
+            return ChangeOutcome(result=Result.CANCELLED, reason="not wanted any more")
         return None
 
-    async def _async_turn(self) -> None:
-        await self._app.clock.async_sleep(CHANGE_TURN_MS)
+    async def _async_poll(self) -> None:
+        await self._app.clock.async_sleep(CHANGE_POLL_MS)
         await self._observe()
 
-    async def _async_set_role(self, change: Change) -> Ending:
+    async def _async_set_role(self, change: Change) -> ChangeOutcome:
         order = Order(kind=OrderKind.SET_ROLE, role=change.role)
-        given = await self._giver.async_give(order, reason=change.reason)
-        return Ending(result=Result.DONE) if isinstance(given, Done) else _abandon(given)
-
-    async def _async_load(self, change: Change, source: str, load_ms: int) -> Ending:
-        ends_ms = self._app.clock.now_ms() + load_ms
-        if not self._own.is_loading(change):
-            stopped = await self._async_begin_load(change, source)
-            if stopped is not None:
-                return stopped
-        return await self._async_follow_load(change, source, ends_ms)
-
-    async def _async_begin_load(self, change: Change, source: str) -> Ending | None:
+        submission = await self._dispatcher.async_submit(order, reason=change.reason)
+        return (
+            ChangeOutcome(result=Result.DONE)
+            if isinstance(submission, Done)
+            else _abandon(submission)
+        )
+
+    async def _async_load(self, change: Change, source: str, load_ms: int) -> ChangeOutcome:
+        deadline_ms = self._app.clock.now_ms() + load_ms
+        if not self._local.is_loading(change):
+            outcome = await self._async_begin_load(change, source)
+            if outcome is not None:
+                return outcome
+        return await self._async_follow_load(change, source, deadline_ms)
+
+    async def _async_begin_load(self, change: Change, source: str) -> ChangeOutcome | None:
         """Give the order to load; None once the engine has begun."""
-        stopped = None if source else await self._async_wait_for_store(change)
-        if stopped is not None:
-            return stopped
+        outcome = None if source else await self._async_wait_for_store(change)
+        if outcome is not None:
+            return outcome
         order = Order(kind=OrderKind.LOAD, name=change.name, version=change.version, source=source)
-        given = await self._giver.async_give(order, reason=change.reason)
-        match given:
+        submission = await self._dispatcher.async_submit(order, reason=change.reason)
+        match submission:
             case Done():
-                return Ending(result=Result.DONE, source=source)
-            case Begun() | Unclear():
+                return ChangeOutcome(result=Result.DONE, source=source)
+            case Accepted() | Indeterminate():
                 # An order that got no answer may still have been taken: the engine will tell.
                 await self._observe()
                 return None
-        return _abandon(given)
-
-    async def _async_wait_for_store(self, change: Change) -> Ending | None:
-        while (wait_ms := self._take_store_slot()) > 0:
-            stopped = self._find_stop(change)
-            if stopped is not None:
-                return stopped
-            await self._app.clock.async_sleep(min(wait_ms, CHANGE_TURN_MS))
+        return _abandon(submission)
+
+    async def _async_wait_for_store(self, change: Change) -> ChangeOutcome | None:
+        while (wait_ms := self._acquire_store_slot()) > 0:
+            outcome = self._find_abort(change)
+            if outcome is not None:
+                return outcome
+            await self._app.clock.async_sleep(min(wait_ms, CHANGE_POLL_MS))
             await self._observe()
         return None
 
-    async def _async_follow_load(self, change: Change, source: str, ends_ms: int) -> Ending:
+    async def _async_follow_load(
+        self, change: Change, source: str, deadline_ms: int
+    ) -> ChangeOutcome:
         while True:
-            state = self._own.state
+            state = self._local.state
             if state is not None and state.holds(change.name, change.version):
-                return Ending(result=Result.DONE, source=source)
-            if state is not None and not self._own.is_loading(change):
-                reason = state.failures.get(change.name, LOST)
-                return Ending(result=Result.FAILED, reason=reason, source=source)
-            if not self._is_wanted(change):
+                return ChangeOutcome(result=Result.DONE, source=source)
+            if state is not None and not self._local.is_loading(change):
+                reason = state.failures.get(change.name, LOAD_LOST)
+                return ChangeOutcome(result=Result.FAILED, reason=reason, source=source)
+            if not self._is_needed(change):
                 return await self._async_cancel(change, Result.CANCELLED, "not wanted any more")
-            if self._app.clock.now_ms() >= ends_ms:
+            if self._app.clock.now_ms() >= deadline_ms:
                 failed = await self._async_cancel(change, Result.FAILED, "it took too long")
                 return replace(failed, source=source)
-            if self._giver.find_obstacle():
+            if self._dispatcher.find_block_reason():
                 # Whoever acts now finds the pending load at the engine.
-                return Ending(result=Result.ABANDONED, reason=self._giver.find_obstacle())
-            await self._async_turn()
+                return ChangeOutcome(
+                    result=Result.ABANDONED, reason=self._dispatcher.find_block_reason()
+                )
+            await self._async_poll()
 
-    async def _async_cancel(self, change: Change, result: Result, reason: str) -> Ending:
-        await self._giver.async_cancel(change.name, change.version, reason=reason)
-        return Ending(result=result, reason=reason)
+    async def _async_cancel(self, change: Change, result: Result, reason: str) -> ChangeOutcome:
+        await self._dispatcher.async_cancel(change.name, change.version, reason=reason)
+        return ChangeOutcome(result=result, reason=reason)
 
 
-def _abandon(given: Given) -> Ending:
-    result, detail = describe_given(given)
-    return Ending(result=Result.ABANDONED, reason=detail or result)
+def _abandon(submission: Submission) -> ChangeOutcome:
+    result, detail = describe_submission(submission)
+    return ChangeOutcome(result=Result.ABANDONED, reason=detail or result)
--- a/gypsumrouter/prefixes/engine.py
+++ b/gypsumrouter/prefixes/engine.py
@@ -14,7 +14,7 @@
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.core import Application
 from gypsumrouter.prefixes.const import (
-    CALL_MS,
+    CALL_TIMEOUT_MS,
     HTTP_OK,
     KIND_EVICTED,
     PATH_EVENTS,
@@ -22,13 +22,13 @@
     PATH_IMPORT,
 )
 from gypsumrouter.settings import Upstream
-from gypsumrouter.upstream import ConnectionBroken, Transport, Unreached
+from gypsumrouter.upstream import ConnectFailed, ConnectionBroken, Transport
 
 _LOGGER = logging.getLogger(__name__)
 
 # The session raises RuntimeError once a stop has closed it.
-FAILURES: Final = (
-    Unreached,
+CALL_ERRORS: Final = (
+    ConnectFailed,
     ConnectionBroken,
     aiohttp.ClientError,
     OSError,
@@ -49,11 +49,11 @@
 class CacheClient:
     """Export, import and follow what one engine caches; a call that fails gives nothing."""
 
-    __slots__ = ("_app", "_next", "_transport")
+    __slots__ = ("_app", "_next_event", "_transport")
 
     def __init__(self, *, app: Application, settings: Upstream) -> None:
         self._app = app
-        self._next = 0
+        self._next_event = 0
         self._transport = Transport(app=app, settings=settings)
 
     async def async_start(self) -> None:
@@ -76,12 +76,14 @@
 
     async def async_list_evicted(self) -> tuple[Evicted, ...]:
         """Return what the engine has told since the last call; events come late, some never."""
-        body = await self._async_call(HTTPMethod.GET, f"{PATH_EVENTS}?after={self._next}", None)
+        body = await self._async_call(
+            HTTPMethod.GET, f"{PATH_EVENTS}?after={self._next_event}", None
+        )
         if body is None:
             return ()
         try:
             document = json.loads(body)
-            self._next = int(document["next"])
+            self._next_event = int(document["next"])
             return tuple(
                 Evicted(chat=str(event["chat"]), tokens=int(event["tokens"]))
                 for event in document["events"]
@@ -95,7 +97,7 @@
     ) -> bytes | None:
         body = b"" if payload is None else json.dumps(payload).encode()
         try:
-            async with asyncio.timeout(CALL_MS / MS_PER_S):
+            async with asyncio.timeout(CALL_TIMEOUT_MS / MS_PER_S):
                 response = await self._transport.async_open(
                     method=method, path=path, headers=_JSON if body else [], body=body
                 )
@@ -104,6 +106,6 @@
                     return answer if response.status == HTTP_OK else None
                 finally:
                     response.close()
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             _LOGGER.debug("Call %s to the cache failed: %s", path, error)
             return None
--- a/gypsumrouter/prefixes/hand_on.py
+++ b/gypsumrouter/prefixes/handoff.py
@@ -11,19 +11,19 @@
 from gypsumrouter.fleet import Instance
 from gypsumrouter.placement import MemberTable, hash_chat
 from gypsumrouter.prefixes.const import (
-    HAND_ON_AT_ONCE,
-    HAND_ON_CHATS,
-    HAND_ON_MS,
+    HANDOFF_TIMEOUT_MS,
     HTTP_OK,
+    MAX_CONCURRENT_HANDOFFS,
+    MAX_HANDOFF_CHATS,
     PATH_IMPORT,
 )
 from gypsumrouter.prefixes.engine import CacheClient
-from gypsumrouter.prefixes.peers import Links, async_ask
+from gypsumrouter.prefixes.peers import Links, async_request
 
 _LOGGER = logging.getLogger(__name__)
 
 
-class HandOn:
+class PrefixHandoff:
     """Give the engines that come next what this one holds, once this process stops.
 
     `list_chats` returns up to a number of idle chats, those served last first. What runs while the
@@ -32,12 +32,12 @@
 
     __slots__ = (
         "_app",
+        "_attempted",
         "_client",
-        "_handed_on",
+        "_handoffs",
         "_links",
         "_list_chats",
         "_list_members",
-        "_seen",
         "count",
     )
 
@@ -55,53 +55,53 @@
         self._links = links
         self._client = client
         self._list_chats = list_chats
-        self._seen: set[str] = set()
+        self._attempted: set[str] = set()
         self.count = 0
-        self._handed_on = app.metrics.counter(
+        self._handoffs = app.metrics.counter(
             "gypsumrouter_prefix_handed_on_total", "Prefixes handed on before a planned stop"
         )
 
     def start(self) -> None:
         """Take part in a planned stop from now on."""
         self._app.on_drain(self._async_drain)
-        self._app.async_create_task(self._async_begin(), "prefix hand-on")
+        self._app.async_create_task(self._async_run(), "prefix hand-on")
 
-    async def _async_begin(self) -> None:
+    async def _async_run(self) -> None:
         await self._app.stopping.wait()
-        await self._async_hand_on()
+        await self._async_hand_off_idle()
 
     async def _async_drain(self) -> None:
         """Hand on what ran until now; the runs have ended when this hook is called."""
         try:
-            async with asyncio.timeout(HAND_ON_MS / MS_PER_S):
-                await self._async_hand_on()
+            async with asyncio.timeout(HANDOFF_TIMEOUT_MS / MS_PER_S):
+                await self._async_hand_off_idle()
         except TimeoutError:
             _LOGGER.info("The time to hand prefixes on is over after %d", self.count)
 
-    async def _async_hand_on(self) -> None:
+    async def _async_hand_off_idle(self) -> None:
         others = tuple(item for item in self._list_members() if item.name != self._app.name)
         if not others:
             return
         table = MemberTable(members=others)
-        gate = asyncio.Semaphore(HAND_ON_AT_ONCE)
-        chats = self._list_chats(HAND_ON_CHATS)
-        await asyncio.gather(*(self._async_hand_on_one(gate, table, chat) for chat in chats))
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_HANDOFFS)
+        chats = self._list_chats(MAX_HANDOFF_CHATS)
+        await asyncio.gather(*(self._async_hand_off(semaphore, table, chat) for chat in chats))
 
-    async def _async_hand_on_one(
-        self, gate: asyncio.Semaphore, table: MemberTable, chat: str
+    async def _async_hand_off(
+        self, semaphore: asyncio.Semaphore, table: MemberTable, chat: str
     ) -> None:
-        async with gate:
-            if chat in self._seen:
+        async with semaphore:
+            if chat in self._attempted:
                 return
-            self._seen.add(chat)
+            self._attempted.add(chat)
             exported = await self._client.async_export(chat)
             if exported is None:
                 return
             workspace, _, name = chat.partition("/")
-            place = table.rank(key=hash_chat(workspace=workspace, chat=name), limit=1)[0]
-            reply = await async_ask(
-                links=self._links, instance=place, path=PATH_IMPORT, chat=chat, body=exported
+            target = table.rank(key=hash_chat(workspace=workspace, chat=name), limit=1)[0]
+            reply = await async_request(
+                links=self._links, instance=target, path=PATH_IMPORT, chat=chat, body=exported
             )
         if reply is not None and reply.status == HTTP_OK:
             self.count += 1
-            self._handed_on.inc()
+            self._handoffs.inc()
--- a/gypsumrouter/prefixes/held.py
+++ b/gypsumrouter/prefixes/held.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from gypsumrouter.prefixes.const import HELD_CHATS
+from gypsumrouter.prefixes.const import MAX_HELD_CHATS
 
 
 class HeldPrefixes:
@@ -22,14 +22,14 @@
         """Return how much of a chat is held."""
         return self._bytes.get(chat, 0)
 
-    def note(self, chat: str, prompt_bytes: int) -> None:
+    def record(self, chat: str, prompt_bytes: int) -> None:
         """Note that a prompt was served."""
         self._bytes[chat] = prompt_bytes
         self._bytes.move_to_end(chat)
-        if len(self._bytes) > HELD_CHATS:
+        if len(self._bytes) > MAX_HELD_CHATS:
             self._bytes.popitem(last=False)
 
-    def note_evicted(self, chat: str, evicted_bytes: int) -> None:
+    def record_eviction(self, chat: str, evicted_bytes: int) -> None:
         """Note that the engine needed the memory for something else."""
         held = self._bytes.get(chat)
         if held is None:
--- a/gypsumrouter/prefixes/moved.py
+++ b/gypsumrouter/prefixes/moved.py
@@ -6,10 +6,10 @@
 
 from msgspec import Struct
 
-from gypsumrouter.prefixes.const import MOVED_CHATS
+from gypsumrouter.prefixes.const import MAX_MOVED_CHATS
 
 
-class Moved(Struct, frozen=True, kw_only=True):
+class ChatLocation(Struct, frozen=True, kw_only=True):
     """The instance that served a chat elsewhere, and how long its prompt was."""
 
     name: str
@@ -22,19 +22,19 @@
     __slots__ = ("_moved",)
 
     def __init__(self) -> None:
-        self._moved: OrderedDict[int, Moved] = OrderedDict()
+        self._moved: OrderedDict[int, ChatLocation] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._moved)
 
-    def note(self, chat: int, moved: Moved) -> None:
+    def record(self, chat: int, moved: ChatLocation) -> None:
         """Take in that a chat was served elsewhere."""
         self._moved[chat] = moved
         self._moved.move_to_end(chat)
-        if len(self._moved) > MOVED_CHATS:
+        if len(self._moved) > MAX_MOVED_CHATS:
             self._moved.popitem(last=False)
 
-    def find(self, chat: int) -> Moved | None:
+    def get(self, chat: int) -> ChatLocation | None:
         """Return who served a chat last, None if it was this side or nothing is known."""
         return self._moved.get(chat)
 
--- a/gypsumrouter/prefixes/peers.py
+++ b/gypsumrouter/prefixes/peers.py
@@ -12,7 +12,7 @@
 from gypsumrouter.link import Exchange
 from gypsumrouter.link.models import Data, End, Head, Notice, Open
 from gypsumrouter.outcomes import Failed, Refused
-from gypsumrouter.prefixes.const import CALL_MS, HEADER_LOCATION, HTTP_NOT_FOUND
+from gypsumrouter.prefixes.const import CALL_TIMEOUT_MS, HEADER_LOCATION, HTTP_NOT_FOUND
 
 
 class Links(Protocol):
@@ -30,10 +30,10 @@
 
     status: int
     body: bytes = b""
-    place: str = ""
+    location: str = ""
 
 
-async def async_ask(
+async def async_request(
     *, links: Links, instance: Instance, path: str, chat: str, body: bytes = b""
 ) -> Reply | None:
     """Return what the side of `instance` answers, None without a whole answer."""
@@ -50,17 +50,17 @@
 
 async def _async_read(exchange: Exchange) -> Reply | None:
     parts: list[bytes] = []
-    begun = Head(status=HTTP_NOT_FOUND, headers=())
+    last_head = Head(status=HTTP_NOT_FOUND, headers=())
     while True:
         match await exchange.async_next():
             case Head() as head:
-                begun = head
+                last_head = head
             case Data(offset=offset, body=body):
                 parts.append(body)
                 exchange.confirm(offset + len(body))
             case End():
-                place = dict(begun.headers).get(HEADER_LOCATION, "")
-                return Reply(status=begun.status, body=b"".join(parts), place=place)
+                location = dict(last_head.headers).get(HEADER_LOCATION, "")
+                return Reply(status=last_head.status, body=b"".join(parts), location=location)
             case Refused() | Failed():
                 return None
 
@@ -78,7 +78,7 @@
         headers=(),
         body=body,
         stream=False,
-        deadline_ms=CALL_MS,
+        deadline_ms=CALL_TIMEOUT_MS,
         waited_ms=0,
         digest=0,
         chat=chat,
--- a/gypsumrouter/prefixes/prefixes.py
+++ b/gypsumrouter/prefixes/prefixes.py
@@ -14,10 +14,10 @@
 from gypsumrouter.link.models import Head, Headers, Hello, Open
 from gypsumrouter.prefixes import const
 from gypsumrouter.prefixes.engine import CacheClient
-from gypsumrouter.prefixes.hand_on import HandOn
+from gypsumrouter.prefixes.handoff import PrefixHandoff
 from gypsumrouter.prefixes.held import HeldPrefixes
-from gypsumrouter.prefixes.moved import Moved, MovedChats
-from gypsumrouter.prefixes.peers import Links, async_ask
+from gypsumrouter.prefixes.moved import ChatLocation, MovedChats
+from gypsumrouter.prefixes.peers import Links, async_request
 from gypsumrouter.settings import Upstream
 
 DUMP_SECTION = "prefixes"
@@ -44,14 +44,14 @@
 
     __slots__ = (
         "_app",
-        "_busy",
         "_client",
         "_fetches",
         "_fleet",
-        "_hand_on",
+        "_handoff",
         "_held",
         "_links",
         "_moved",
+        "_running",
     )
 
     def __init__(
@@ -69,15 +69,15 @@
         self._client = CacheClient(app=app, settings=settings)
         self._held = HeldPrefixes()
         self._moved = MovedChats()
-        self._busy: dict[str, int] = {}
-        self._hand_on = HandOn(
+        self._running: dict[str, int] = {}
+        self._handoff = PrefixHandoff(
             app=app,
             list_members=lambda: fleet.members(settings.pool),
             links=links,
             client=self._client,
             list_chats=self._list_idle,
         )
-        notices.subscribe(PrefixNews, self._take_news)
+        notices.subscribe(PrefixNews, self._handle_news)
         self._fetches = app.metrics.counter(
             "gypsumrouter_prefix_fetches_total", "Prefixes asked for at other engines, by result"
         )
@@ -102,7 +102,7 @@
     async def async_start(self) -> None:
         """Follow what the engine evicts, and take part in a planned stop."""
         await self._client.async_start()
-        self._hand_on.start()
+        self._handoff.start()
         self._app.add_dump_section(DUMP_SECTION, self._dump)
         self._app.async_create_task(self._async_follow(), "prefix events")
 
@@ -111,13 +111,13 @@
         if not request.chat:
             return
         chat = make_engine_chat(request.workspace, request.chat)
-        self._busy[chat] = self._busy.get(chat, 0) + 1
+        self._running[chat] = self._running.get(chat, 0) + 1
         missing = request.prompt_bytes - self._held.get(chat)
         if not request.holders or missing < const.MIN_FETCH_BYTES:
             return
         try:
-            async with asyncio.timeout(const.FETCH_MS / MS_PER_S):
-                fetched = await self._async_fetch_from(self._list_places(request, chat), chat)
+            async with asyncio.timeout(const.FETCH_TIMEOUT_MS / MS_PER_S):
+                fetched = await self._async_fetch_from(self._list_sources(request, chat), chat)
         except TimeoutError:
             fetched = False
         self._fetches.inc(labels=(("result", "fetched" if fetched else "not_found"),))
@@ -127,71 +127,71 @@
         if not whole or not request.chat:
             return
         chat = make_engine_chat(request.workspace, request.chat)
-        self._held.note(chat, request.prompt_bytes)
+        self._held.record(chat, request.prompt_bytes)
         self._moved.forget(digest_chat(chat))
-        home = self._find_other(request.holders[0]) if request.holders else None
-        if home is not None:
+        primary = self._get_other(request.holders[0]) if request.holders else None
+        if primary is not None:
             news = PrefixNews(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
-            self._app.async_create_task(self._async_tell(home, news), "prefix news")
+            self._app.async_create_task(self._async_notify(primary, news), "prefix news")
 
     def note_ended(self, request: Open) -> None:
         """Note the end of a run that began with a fetch."""
         if not request.chat:
             return
         chat = make_engine_chat(request.workspace, request.chat)
-        running = self._busy.pop(chat, 1) - 1
+        running = self._running.pop(chat, 1) - 1
         if running > 0:
-            self._busy[chat] = running
+            self._running[chat] = running
 
     def note_engine_died(self) -> None:
         """Forget what the engine held before it started again."""
         self._held.clear()
 
     def _list_idle(self, limit: int) -> list[str]:
-        return [chat for chat in self._held.list_newest(limit) if chat not in self._busy]
+        return [chat for chat in self._held.list_newest(limit) if chat not in self._running]
 
-    def _list_places(self, request: Open, chat: str) -> list[str]:
+    def _list_sources(self, request: Open, chat: str) -> list[str]:
         """Return where to ask: the hinted place, where the chat moved to, its usual places."""
-        usual = list(request.holders[: const.USUAL_PLACES])
-        hinted = list(request.holders[const.USUAL_PLACES :])
-        moved = self._moved.find(digest_chat(chat))
-        return [*hinted, *([moved.name] if moved else []), *usual]
-
-    async def _async_fetch_from(self, places: list[str], chat: str) -> bool:
-        asked = {self._app.name}
-        while places and len(asked) <= const.MAX_ASKED:
-            name = places.pop(0)
-            instance = self._find_other(name)
-            if name in asked or instance is None:
+        primaries = list(request.holders[: const.PRIMARY_HOLDERS])
+        hinted = list(request.holders[const.PRIMARY_HOLDERS :])
+        moved = self._moved.get(digest_chat(chat))
+        return [*hinted, *([moved.name] if moved else []), *primaries]
+
+    async def _async_fetch_from(self, sources: list[str], chat: str) -> bool:
+        tried = {self._app.name}
+        while sources and len(tried) <= const.MAX_SOURCES:
+            name = sources.pop(0)
+            instance = self._get_other(name)
+            if name in tried or instance is None:
                 continue
-            asked.add(name)
-            reply = await async_ask(
+            tried.add(name)
+            reply = await async_request(
                 links=self._links, instance=instance, path=const.PATH_EXPORT, chat=chat
             )
             if reply is None:
                 continue
             if reply.status == const.HTTP_SEE_OTHER:
-                places.insert(0, reply.place)
+                sources.insert(0, reply.location)
             elif reply.status == const.HTTP_OK:
                 return await self._client.async_import(chat, reply.body)
         return False
 
-    def _find_other(self, name: str) -> Instance | None:
+    def _get_other(self, name: str) -> Instance | None:
         return None if name == self._app.name else self._fleet.get(name)
 
-    async def _async_tell(self, home: Instance, news: PrefixNews) -> None:
-        await self._links.async_send(instance=home, notice=news)
+    async def _async_notify(self, primary: Instance, news: PrefixNews) -> None:
+        await self._links.async_send(instance=primary, notice=news)
 
-    def _take_news(self, peer: Peer, news: PrefixNews) -> None:
-        moved = Moved(name=peer.hello.name, prompt_bytes=news.prompt_bytes)
-        self._moved.note(news.chat, moved)
+    def _handle_news(self, peer: Peer, news: PrefixNews) -> None:
+        moved = ChatLocation(name=peer.hello.name, prompt_bytes=news.prompt_bytes)
+        self._moved.record(news.chat, moved)
 
     async def _async_export(self, request: Open, answer: Answer) -> None:
         """Answer with the cached prefix, or with the place that holds more of it."""
-        moved = self._moved.find(digest_chat(request.chat))
-        above = self._held.get(request.chat) + const.MIN_FETCH_BYTES
+        moved = self._moved.get(digest_chat(request.chat))
+        min_bytes = self._held.get(request.chat) + const.MIN_FETCH_BYTES
         exported = None
-        if moved is None or moved.prompt_bytes < above:
+        if moved is None or moved.prompt_bytes < min_bytes:
             exported = await self._client.async_export(request.chat)
         if exported is not None:
             await _async_answer(answer, const.HTTP_OK, body=exported)
@@ -205,21 +205,21 @@
         if not await self._client.async_import(request.chat, request.body):
             await _async_answer(answer, const.HTTP_NOT_FOUND)
             return
-        self._held.note(request.chat, request.prompt_bytes)
+        self._held.record(request.chat, request.prompt_bytes)
         await _async_answer(answer, const.HTTP_OK)
 
     async def _async_follow(self) -> None:
         while True:
-            await self._app.clock.async_sleep(const.EVENTS_MS)
+            await self._app.clock.async_sleep(const.EVENTS_POLL_MS)
             for evicted in await self._client.async_list_evicted():
                 evicted_bytes = evicted.tokens * const.BYTES_PER_TOKEN
-                self._held.note_evicted(evicted.chat, evicted_bytes)
+                self._held.record_eviction(evicted.chat, evicted_bytes)
 
     def _dump(self) -> dict[str, object]:
         return {
             "held_chats": len(self._held),
             "moved_chats": len(self._moved),
-            "handed_on": self._hand_on.count,
+            "handed_on": self._handoff.count,
         }
 
 
--- a/gypsumrouter/upstream/__init__.py
+++ b/gypsumrouter/upstream/__init__.py
@@ -14,9 +14,10 @@
     UpstreamClient,
 )
 from gypsumrouter.upstream.service import ServiceClient
-from gypsumrouter.upstream.transport import Transport, Unreached
+from gypsumrouter.upstream.transport import ConnectFailed, Transport
 
 __all__ = [
+    "ConnectFailed",
     "ConnectionBroken",
     "EngineClient",
     "HandOverDenied",
@@ -24,7 +25,6 @@
     "ServiceClient",
     "Sink",
     "Transport",
-    "Unreached",
     "UpstreamClient",
     "make_client",
 ]
--- a/gypsumrouter/upstream/client.py
+++ b/gypsumrouter/upstream/client.py
@@ -26,8 +26,8 @@
     LoadReport,
     Sink,
 )
-from gypsumrouter.upstream.run import ProtocolBroken, Run
-from gypsumrouter.upstream.transport import Transport, Unreached
+from gypsumrouter.upstream.run import ProtocolViolation, Run
+from gypsumrouter.upstream.transport import ConnectFailed, Transport
 from gypsumrouter.upstream.watch import Watchdog
 
 DUMP_SECTION: Final = "upstream"
@@ -39,11 +39,11 @@
 class Attempt(StrEnum):
     """How one connection of a run ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "complete"
     CANCELLED = "cancelled"
     BROKEN = "broken"
     SILENT = "silent"
-    UNREACHED = "unreached"
+    CONNECT_FAILED = "connect_failed"
     LOST = "lost"
 
 
@@ -116,9 +116,9 @@
         self._watchdog.start()
         self._health.start()
 
-    def on_died(self, listener: Callable[[], None]) -> Remove:
+    def on_crash(self, listener: Callable[[], None]) -> Remove:
         """Register a listener for the upstream's death while it ran requests."""
-        return self._health.on_died(listener)
+        return self._health.on_crash(listener)
 
     def on_models(self, listener: Callable[[], None]) -> Remove:
         """Register a listener for changes of the models that an engine holds."""
@@ -133,7 +133,7 @@
         if names == self._withdrawn:
             return
         self._withdrawn = names
-        self._health.tell_models()
+        self._health.notify_models()
 
     async def async_run(
         self,
@@ -151,7 +151,7 @@
         refused = check_request(request)
         if refused is not None:
             return refused
-        if self._health.dead:
+        if self._health.crashed:
             # What is handed to a dead upstream would count as the cause of another death.
             return make_unreachable()
         watch, remove = self._watchdog.watch(answer.cancelled)
@@ -168,11 +168,11 @@
             failure = await self._async_drive(run)
         except HandOverDenied as denied:
             return denied.failure
-        except ProtocolBroken as error:
+        except ProtocolViolation as error:
             failure = Failed(reason=Reason.UPSTREAM_PROTOCOL, message=str(error))
         finally:
             remove()
-        return _keep_truth(run, failure)
+        return _correct_outcome(run, failure)
 
     @abstractmethod
     async def _async_drive(self, run: Run) -> Failure | None:
@@ -192,14 +192,14 @@
                 return Attempt.CANCELLED
             self.silent_runs.inc()
             return Attempt.SILENT
-        except Unreached:
-            return Attempt.UNREACHED
+        except ConnectFailed:
+            return Attempt.CONNECT_FAILED
         except ConnectionBroken:
             self.broken_runs.inc()
             return Attempt.BROKEN
         except StreamLost:
             return Attempt.LOST
-        return Attempt.WHOLE
+        return Attempt.COMPLETE
 
     def _make_stream_id(self, request: Open) -> str:
         """Return an id that no other run has, also where callers use a request id twice."""
@@ -231,11 +231,11 @@
     )
 
 
-def _keep_truth(run: Run, failure: Failure | None) -> Failure | None:
+def _correct_outcome(run: Run, failure: Failure | None) -> Failure | None:
     """Return the failure with what the hand-over says of whether the request ran."""
     match failure:
-        case Refused() if run.handed:
+        case Refused() if run.was_handed_over:
             return Failed(reason=failure.reason, message=failure.message)
-        case Failed() if not run.handed:
+        case Failed() if not run.was_handed_over:
             return Refused(reason=failure.reason, message=failure.message)
     return failure
--- a/gypsumrouter/upstream/engine.py
+++ b/gypsumrouter/upstream/engine.py
@@ -17,19 +17,19 @@
     make_unreachable,
 )
 from gypsumrouter.upstream.const import (
-    CANCEL_MS,
+    CANCEL_TIMEOUT_MS,
     HEADER_PRIORITY,
     HTTP_NOT_FOUND,
     HTTP_OK,
-    MAX_OPENS,
+    MAX_RESUME_ATTEMPTS,
+    MAX_SENDS,
     PATH_STREAMS,
     RESUME_PAUSE_MS,
-    RESUME_TRIES,
 )
 from gypsumrouter.upstream.headers import select_request_headers
 from gypsumrouter.upstream.models import ConnectionBroken
 from gypsumrouter.upstream.run import Run
-from gypsumrouter.upstream.transport import Unreached
+from gypsumrouter.upstream.transport import ConnectFailed
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -50,28 +50,28 @@
         try:
             failure = await self._async_follow(run)
         except BaseException:
-            self._begin_cancel(run)
+            self._start_cancel(run)
             raise
         if failure is None:
             return None
-        if failure.reason is Reason.CANCELLED and run.handed:
+        if failure.reason is Reason.CANCELLED and run.was_handed_over:
             # Whoever gets the slot next should find the engine free.
             await self._async_cancel_stream(run.stream_id)
         else:
-            self._begin_cancel(run)
+            self._start_cancel(run)
         return failure
 
     async def _async_follow(self, run: Run) -> Failure | None:
         attempt = await self._async_attempt(run, self._async_open_stream)
-        tries = 0
+        attempts = 0
         was_silent = False
         while True:
             match attempt:
-                case Attempt.WHOLE:
-                    return run.check_whole()
+                case Attempt.COMPLETE:
+                    return run.check_complete()
                 case Attempt.CANCELLED:
                     return _fail(Reason.CANCELLED, "the request was cancelled")
-                case Attempt.UNREACHED if not run.handed:
+                case Attempt.CONNECT_FAILED if not run.was_handed_over:
                     return make_unreachable()
                 case Attempt.LOST if was_silent and self._may_open_again(run):
                     attempt = await self._async_open_again(run)
@@ -79,24 +79,24 @@
                 case Attempt.LOST:
                     return _fail(Reason.UPSTREAM_LOST, "the upstream lost the answer")
             was_silent = attempt is Attempt.SILENT
-            tries += 1
-            if tries > RESUME_TRIES:
-                return _give_reason(was_silent)
-            if await self._async_has_died(run, attempt):
+            attempts += 1
+            if attempts > MAX_RESUME_ATTEMPTS:
+                return _make_failure(was_silent)
+            if await self._async_has_crashed(run, attempt):
                 return _fail(Reason.UPSTREAM_LOST, "the upstream died")
             mark = (run.offset, run.heads)
-            attempt = await self._async_attempt(run, _Resume(client=self, pause=tries - 1))
-            if _has_moved(run, mark, attempt):
-                tries = 0
+            attempt = await self._async_attempt(run, _Resume(client=self, pause=attempts - 1))
+            if _has_progressed(run, mark, attempt):
+                attempts = 0
 
-    async def _async_has_died(self, run: Run, attempt: Attempt) -> bool:
+    async def _async_has_crashed(self, run: Run, attempt: Attempt) -> bool:
         """Return whether a new connection shows that the upstream is gone."""
         if attempt is not Attempt.BROKEN:
             return False
-        return await self._health.async_note_broken(run.generation)
+        return await self._health.async_check_crash(run.generation)
 
     async def _async_open_stream(self, run: Run) -> aiohttp.ClientResponse:
-        run.opens += 1
+        run.sends += 1
         run.watch.reading = True
         headers = [
             (name, value)
@@ -138,7 +138,7 @@
         """Return whether the request may be sent again: it can be repeated and nothing came."""
         if run.request.idempotency_key or run.head_sent:
             return False
-        return run.opens < MAX_OPENS
+        return run.sends < MAX_SENDS
 
     async def _async_open_again(self, run: Run) -> Attempt:
         """Send the request once more, under a new id, so that two answers can't be mixed."""
@@ -147,20 +147,20 @@
         run.stream_id = self._make_stream_id(run.request)
         return await self._async_attempt(run, self._async_open_stream)
 
-    def _begin_cancel(self, run: Run) -> None:
+    def _start_cancel(self, run: Run) -> None:
         """Tell the engine that nobody wants the stream any more, without waiting for it."""
-        if not run.handed:
+        if not run.was_handed_over:
             return
         self._app.async_create_task(self._async_cancel_stream(run.stream_id), "upstream cancel")
 
     async def _async_cancel_stream(self, stream_id: str) -> None:
         try:
-            async with asyncio.timeout(CANCEL_MS / MS_PER_S):
+            async with asyncio.timeout(CANCEL_TIMEOUT_MS / MS_PER_S):
                 response = await self._transport.async_open(
                     method="DELETE", path=_make_path(stream_id)
                 )
                 response.close()
-        except (Unreached, ConnectionBroken, TimeoutError) as error:
+        except (ConnectFailed, ConnectionBroken, TimeoutError) as error:
             _LOGGER.debug("Cancel of stream %s failed: %s", stream_id, error)
 
 
@@ -179,7 +179,7 @@
         return await self._client.async_resume_stream(run)
 
 
-def _has_moved(run: Run, mark: tuple[int, int], attempt: Attempt) -> bool:
+def _has_progressed(run: Run, mark: tuple[int, int], attempt: Attempt) -> bool:
     """Return whether a resumed stream is a living one: more bytes, or a head and then silence."""
     offset, heads = mark
     if run.offset > offset:
@@ -191,7 +191,7 @@
     return PATH_STREAMS + quote(stream_id, safe="")
 
 
-def _give_reason(was_silent: bool) -> Failed:
+def _make_failure(was_silent: bool) -> Failed:
     if was_silent:
         return _fail(Reason.UPSTREAM_SILENT, "the upstream is silent")
     return _fail(Reason.UPSTREAM_LOST, "the connection to the upstream broke")
--- a/gypsumrouter/upstream/health.py
+++ b/gypsumrouter/upstream/health.py
@@ -10,14 +10,14 @@
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.settings import Upstream
 from gypsumrouter.upstream.const import (
-    FAILED_POLLS_DOWN,
+    MAX_FAILED_POLLS,
     PATH_ENGINE_LOAD,
     PATH_ENGINE_MODELS,
     PATH_SERVICE_LOAD,
     PROBE_PAUSE_MS,
 )
 from gypsumrouter.upstream.models import ConnectionBroken, Liveness, LoadReport
-from gypsumrouter.upstream.transport import Transport, Unreached
+from gypsumrouter.upstream.transport import ConnectFailed, Transport
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -31,13 +31,13 @@
 
     __slots__ = (
         "_app",
-        "_died_listeners",
+        "_crash_listeners",
         "_failures",
         "_models_listeners",
         "_settings",
         "_transport",
         "_up_listeners",
-        "dead",
+        "crashed",
         "generation",
         "load_path",
         "models",
@@ -50,12 +50,12 @@
         self._settings = settings
         self._transport = transport
         self._failures = 0
-        self._died_listeners: list[Callable[[], None]] = []
+        self._crash_listeners: list[Callable[[], None]] = []
         self._models_listeners: list[Callable[[], None]] = []
         self._up_listeners: list[Callable[[bool], None]] = []
         is_engine = settings.kind is UpstreamKind.ENGINE
         self.load_path = PATH_ENGINE_LOAD if is_engine else PATH_SERVICE_LOAD
-        self.dead = False
+        self.crashed = False
         self.generation = 0
         self.models: tuple[str, ...] = ()
         self.report: LoadReport | None = None
@@ -70,22 +70,22 @@
         self._models_listeners.append(listener)
         return lambda: self._models_listeners.remove(listener)
 
-    def on_died(self, listener: Callable[[], None]) -> Remove:
+    def on_crash(self, listener: Callable[[], None]) -> Remove:
         """Register a listener for the upstream's death while it ran requests."""
-        self._died_listeners.append(listener)
-        return lambda: self._died_listeners.remove(listener)
+        self._crash_listeners.append(listener)
+        return lambda: self._crash_listeners.remove(listener)
 
     def on_up(self, listener: Callable[[bool], None]) -> Remove:
         """Register a listener for the upstream becoming reachable or unreachable."""
         self._up_listeners.append(listener)
         return lambda: self._up_listeners.remove(listener)
 
-    def tell_models(self) -> None:
+    def notify_models(self) -> None:
         """Call the listeners for the models."""
         for listener in tuple(self._models_listeners):
             listener()
 
-    async def async_note_broken(self, generation: int) -> bool:
+    async def async_check_crash(self, generation: int) -> bool:
         """Return whether a broken connection means that the upstream died.
 
         `generation` is the one in which the broken run began. A new connection that breaks too
@@ -95,20 +95,20 @@
         if liveness is Liveness.BROKEN:
             await self._app.clock.async_sleep(PROBE_PAUSE_MS)
             liveness = await self._transport.async_probe(self.load_path)
-        has_died = liveness in (Liveness.UNREACHABLE, Liveness.BROKEN)
-        if has_died:
-            self._note_died(generation)
-        return has_died
+        has_crashed = liveness in (Liveness.UNREACHABLE, Liveness.BROKEN)
+        if has_crashed:
+            self._handle_crash(generation)
+        return has_crashed
 
-    def _note_died(self, generation: int) -> None:
+    def _handle_crash(self, generation: int) -> None:
         if generation != self.generation:
             return
         self.generation += 1
-        self.dead = True
+        self.crashed = True
         _LOGGER.warning("The upstream died while it ran requests")
-        self._failures = FAILED_POLLS_DOWN
+        self._failures = MAX_FAILED_POLLS
         self._set_up(False)
-        for listener in tuple(self._died_listeners):
+        for listener in tuple(self._crash_listeners):
             listener()
 
     async def _async_poll(self) -> None:
@@ -119,15 +119,15 @@
     async def _async_poll_once(self) -> None:
         generation = self.generation
         try:
-            report = _read_report(await self._transport.async_fetch_json(self.load_path))
+            report = _parse_report(await self._transport.async_fetch_json(self.load_path))
             models = await self._async_get_models()
-        except (Unreached, ConnectionBroken, TimeoutError, ValueError) as error:
-            self._note_failed(error)
+        except (ConnectFailed, ConnectionBroken, TimeoutError, ValueError) as error:
+            self._handle_failed_poll(error)
             return
         if generation != self.generation:
             return
         self.report = report
-        self.dead = False
+        self.crashed = False
         self._failures = 0
         self._set_up(True)
         self._set_models(models)
@@ -135,12 +135,12 @@
     async def _async_get_models(self) -> tuple[str, ...]:
         if self._settings.kind is not UpstreamKind.ENGINE:
             return ()
-        return _read_models(await self._transport.async_fetch_json(PATH_ENGINE_MODELS))
+        return _parse_models(await self._transport.async_fetch_json(PATH_ENGINE_MODELS))
 
-    def _note_failed(self, error: Exception) -> None:
+    def _handle_failed_poll(self, error: Exception) -> None:
         self._failures += 1
         _LOGGER.debug("Poll of the upstream failed: %s", error)
-        if self._failures >= FAILED_POLLS_DOWN:
+        if self._failures >= MAX_FAILED_POLLS:
             self._set_up(False)
 
     def _set_up(self, up: bool) -> None:
@@ -159,29 +159,29 @@
             return
         self.models = models
         _LOGGER.info("The upstream holds the models %s", ", ".join(models))
-        self.tell_models()
+        self.notify_models()
 
 
-def _read_report(document: Any) -> LoadReport:
+def _parse_report(document: Any) -> LoadReport:
     if not isinstance(document, dict):
         raise ValueError("the load report is not an object")
     return LoadReport(
-        running=_read_int(document, "running"),
-        waiting=_read_int(document, "waiting"),
-        slots=_read_int(document, "slots"),
-        cached_tokens=_read_int(document, "cached_tokens"),
-        as_of_ms=_read_int(document, "as_of_ms"),
+        running=_parse_int(document, "running"),
+        waiting=_parse_int(document, "waiting"),
+        slots=_parse_int(document, "slots"),
+        cached_tokens=_parse_int(document, "cached_tokens"),
+        as_of_ms=_parse_int(document, "as_of_ms"),
     )
 
 
-def _read_int(document: dict[str, Any], name: str) -> int:
+def _parse_int(document: dict[str, Any], name: str) -> int:
     value = document.get(name, 0)
     if not isinstance(value, int):
         raise ValueError(f"{name} is not a whole number")
     return value
 
 
-def _read_models(document: Any) -> tuple[str, ...]:
+def _parse_models(document: Any) -> tuple[str, ...]:
     entries = document.get("data") if isinstance(document, dict) else None
     if not isinstance(entries, list):
         raise ValueError("the list of models has no data")
--- a/gypsumrouter/upstream/models.py
+++ b/gypsumrouter/upstream/models.py
@@ -67,7 +67,7 @@
         HandOverDenied. A Refused is only returned if nothing was handed over.
         """
 
-    def on_died(self, listener: Callable[[], None]) -> Callable[[], None]:
+    def on_crash(self, listener: Callable[[], None]) -> Callable[[], None]:
         """Register a listener for the upstream's death while it ran requests."""
 
     def on_models(self, listener: Callable[[], None]) -> Callable[[], None]:
--- a/gypsumrouter/upstream/budget.py
+++ b/gypsumrouter/upstream/retry_budget.py
@@ -2,24 +2,24 @@
 
 from __future__ import annotations
 
-from gypsumrouter.upstream.const import REOPEN_BURST, REOPEN_SHARE
+from gypsumrouter.upstream.const import RETRY_BUDGET_BURST, RETRY_BUDGET_SHARE
 
 
-class Budget:
+class RetryBudget:
     """Allow a second try for a fixed share of the runs, and a small burst."""
 
-    __slots__ = ("_left",)
+    __slots__ = ("_tokens",)
 
     def __init__(self) -> None:
-        self._left = REOPEN_BURST
+        self._tokens = RETRY_BUDGET_BURST
 
-    def note_run(self) -> None:
+    def record_run(self) -> None:
         """Count one run."""
-        self._left = min(REOPEN_BURST, self._left + REOPEN_SHARE)
+        self._tokens = min(RETRY_BUDGET_BURST, self._tokens + RETRY_BUDGET_SHARE)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one second try; False if the budget is spent."""
-        if self._left < 1:
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
--- a/gypsumrouter/upstream/run.py
+++ b/gypsumrouter/upstream/run.py
@@ -24,7 +24,7 @@
 _METHOD_HEAD = "HEAD"
 
 
-class ProtocolBroken(Exception):
+class ProtocolViolation(Exception):
     """The upstream's answer can't be checked for being whole."""
 
 
@@ -37,18 +37,18 @@
 
     __slots__ = (
         "_handed_over",
-        "_must_end",
+        "_needs_end_event",
         "_tail",
         "answer",
         "generation",
-        "handed",
         "head_sent",
         "heads",
         "offset",
-        "opens",
         "priority",
         "request",
+        "sends",
         "stream_id",
+        "was_handed_over",
         "watch",
     )
 
@@ -69,25 +69,25 @@
         self.watch = watch
         self.generation = generation
         self.stream_id = stream_id
-        self.handed = False
+        self.was_handed_over = False
         self.head_sent = False
         self.heads = 0
         self.offset = 0
-        self.opens = 0
+        self.sends = 0
         self._handed_over = handed_over
-        self._must_end = False
+        self._needs_end_event = False
         self._tail = b""
 
     def hand_over(self) -> None:
         """Note that the next thing to happen is the request's first byte on the wire."""
-        if self.handed:
+        if self.was_handed_over:
             return
         self._handed_over()
-        self.handed = True
+        self.was_handed_over = True
 
     async def async_relay(self, response: aiohttp.ClientResponse) -> None:
         """Pass the answer on to its end; raises ConnectionBroken or ProtocolBroken."""
-        self._take_head(response)
+        self._relay_head(response)
         watch = self.watch
         read = response.content.readany
         while True:
@@ -97,30 +97,30 @@
             except (aiohttp.ClientError, OSError) as error:
                 raise ConnectionBroken(f"{type(error).__name__}: {error}") from error
             watch.reading = False
-            watch.moves += 1
+            watch.progress += 1
             if not chunk:
                 return
             self.offset += len(chunk)
             self._tail = (self._tail + chunk)[-STREAM_TAIL_BYTES:]
             await self.answer.async_write(chunk)
 
-    def check_whole(self) -> Failed | None:
+    def check_complete(self) -> Failed | None:
         """Return why an answer that ended is not whole, None if it is."""
-        if not self._must_end or self._tail.rstrip().endswith(STREAM_END):
+        if not self._needs_end_event or self._tail.rstrip().endswith(STREAM_END):
             return None
         return Failed(
             reason=Reason.UPSTREAM_PROTOCOL, message="the stream ended without its last event"
         )
 
-    def _take_head(self, response: aiohttp.ClientResponse) -> None:
+    def _relay_head(self, response: aiohttp.ClientResponse) -> None:
         self.heads += 1
-        self.watch.moves += 1
+        self.watch.progress += 1
         if self.head_sent:
             return
         is_stream = response.content_type == CONTENT_TYPE_EVENTS and response.status == HTTP_OK
-        self._must_end = is_stream and self.request.stream
-        if not self._must_end and not self._is_framed(response):
-            raise ProtocolBroken("the answer has neither a length nor chunks")
+        self._needs_end_event = is_stream and self.request.stream
+        if not self._needs_end_event and not self._is_framed(response):
+            raise ProtocolViolation("the answer has neither a length nor chunks")
         headers = select_answer_headers(response.headers.items())
         self.answer.head(Head(status=response.status, headers=headers))
         self.head_sent = True
--- a/gypsumrouter/upstream/service.py
+++ b/gypsumrouter/upstream/service.py
@@ -11,14 +11,14 @@
 from gypsumrouter.core import Application
 from gypsumrouter.outcomes import Failed, Failure, Reason
 from gypsumrouter.settings import Upstream
-from gypsumrouter.upstream.budget import Budget
 from gypsumrouter.upstream.client import Attempt, BaseClient, make_unreachable
-from gypsumrouter.upstream.const import PROBE_TRIES
+from gypsumrouter.upstream.const import MAX_FAILED_PROBES
 from gypsumrouter.upstream.headers import select_request_headers
 from gypsumrouter.upstream.models import Cause, Interrupted, Liveness
+from gypsumrouter.upstream.retry_budget import RetryBudget
 from gypsumrouter.upstream.run import Run
 
-Head = asyncio.Task[aiohttp.ClientResponse]
+Call = asyncio.Task[aiohttp.ClientResponse]
 
 
 class ServiceClient(BaseClient):
@@ -30,74 +30,74 @@
     keepalive finds the connections whose path is gone.
     """
 
-    __slots__ = ("_budget",)
+    __slots__ = ("_retry_budget",)
 
     def __init__(self, *, app: Application, settings: Upstream) -> None:
         super().__init__(app=app, settings=settings)
-        self._budget = Budget()
+        self._retry_budget = RetryBudget()
 
     async def _async_drive(self, run: Run) -> Failure | None:
-        self._budget.note_run()
-        attempt = await self._async_attempt(run, self._async_open_patiently)
+        self._retry_budget.record_run()
+        attempt = await self._async_attempt(run, self._async_open_hedged)
         match attempt:
-            case Attempt.WHOLE:
-                return run.check_whole()
+            case Attempt.COMPLETE:
+                return run.check_complete()
             case Attempt.CANCELLED:
                 return Failed(reason=Reason.CANCELLED, message="the request was cancelled")
             case Attempt.SILENT:
                 return Failed(reason=Reason.UPSTREAM_SILENT, message="the upstream is silent")
-            case Attempt.UNREACHED if not run.handed:
+            case Attempt.CONNECT_FAILED if not run.was_handed_over:
                 return make_unreachable()
-        await self._health.async_note_broken(run.generation)
+        await self._health.async_check_crash(run.generation)
         return Failed(reason=Reason.UPSTREAM_LOST, message="the connection to the upstream broke")
 
-    async def _async_open_patiently(self, run: Run) -> aiohttp.ClientResponse:
+    async def _async_open_hedged(self, run: Run) -> aiohttp.ClientResponse:
         """Return the answer whose head comes first."""
-        heads: set[Head] = {self._open_call(run)}
+        calls: set[Call] = {self._open_call(run)}
         try:
-            return await self._async_await_head(run, heads)
+            return await self._async_await_first(run, calls)
         finally:
-            _abandon(heads)
+            _close_calls(calls)
 
-    async def _async_await_head(self, run: Run, heads: set[Head]) -> aiohttp.ClientResponse:
-        misses = 0
+    async def _async_await_first(self, run: Run, calls: set[Call]) -> aiohttp.ClientResponse:
+        failed_probes = 0
         while True:
-            head = await self._async_await_any(heads)
-            if head is not None:
-                heads.discard(head)
-                if head.exception() is None or not heads:
-                    return head.result()
+            call = await self._async_await_any(calls)
+            if call is not None:
+                calls.discard(call)
+                if call.exception() is None or not calls:
+                    return call.result()
                 continue
-            misses = await self._async_count_misses(misses)
-            if misses >= PROBE_TRIES:
+            failed_probes = await self._async_count_failed_probes(failed_probes)
+            if failed_probes >= MAX_FAILED_PROBES:
                 raise Interrupted(Cause.SILENT)
-            if misses == 0 and self._may_open_again(run):
+            if failed_probes == 0 and self._may_open_again(run):
                 self.silent_runs.inc()
-                heads.add(self._open_call(run))
+                calls.add(self._open_call(run))
 
-    async def _async_await_any(self, heads: set[Head]) -> Head | None:
+    async def _async_await_any(self, calls: set[Call]) -> Call | None:
         """Return the first call that ended, None after the time of a silence."""
         silence: asyncio.Task[Any] = asyncio.ensure_future(
             self._app.clock.async_sleep(self._settings.silence_ms)
         )
         try:
-            await asyncio.wait({silence, *heads}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({silence, *calls}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             silence.cancel()
-        return next((head for head in heads if head.done()), None)
+        return next((call for call in calls if call.done()), None)
 
-    async def _async_count_misses(self, misses: int) -> int:
+    async def _async_count_failed_probes(self, failed_probes: int) -> int:
         """Return how many probes in a row went without an answer."""
         liveness = await self._transport.async_probe(self._health.load_path)
-        return 0 if liveness is Liveness.ANSWERS else misses + 1
+        return 0 if liveness is Liveness.ANSWERS else failed_probes + 1
 
     def _may_open_again(self, run: Run) -> bool:
-        if run.request.idempotency_key or run.opens > 1:
+        if run.request.idempotency_key or run.sends > 1:
             return False
-        return self._budget.take()
+        return self._retry_budget.try_acquire()
 
-    def _open_call(self, run: Run) -> Head:
-        run.opens += 1
+    def _open_call(self, run: Run) -> Call:
+        run.sends += 1
         request = run.request
         headers = select_request_headers(request.headers)
         headers.append((HEADER_REQUEST_ID, request.request_id))
@@ -119,13 +119,13 @@
         )
 
 
-def _abandon(heads: set[Head]) -> None:
+def _close_calls(calls: set[Call]) -> None:
     """Close the connections of the calls whose answers are not wanted."""
-    for head in heads:
-        head.cancel()
-        head.add_done_callback(_close)
+    for call in calls:
+        call.cancel()
+        call.add_done_callback(_close)
 
 
-def _close(head: Head) -> None:
-    if not head.cancelled() and head.exception() is None:
-        head.result().close()
+def _close(call: Call) -> None:
+    if not call.cancelled() and call.exception() is None:
+        call.result().close()
--- a/gypsumrouter/upstream/transport.py
+++ b/gypsumrouter/upstream/transport.py
@@ -31,7 +31,7 @@
     KEEPALIVE_IDLE_S,
     KEEPALIVE_INTERVAL_S,
     KEEPALIVE_PROBES,
-    PROBE_MS,
+    PROBE_TIMEOUT_MS,
 )
 from gypsumrouter.upstream.models import ConnectionBroken, HandOverDenied, Liveness
 
@@ -42,7 +42,7 @@
 _BODILESS_METHODS: Final = frozenset({"GET", "HEAD", "OPTIONS", "DELETE", "TRACE"})
 
 
-class Unreached(Exception):
+class ConnectFailed(Exception):
     """No connection could be made, so nothing was sent."""
 
 
@@ -92,7 +92,7 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             trust_env=False,
-            middlewares=(_never_send_again,),
+            middlewares=(_prevent_resend,),
             skip_auto_headers=_SKIPPED_HEADERS,
             timeout=aiohttp.ClientTimeout(
                 total=None, sock_connect=self._settings.connect_ms / MS_PER_S
@@ -125,7 +125,7 @@
         `hand_over` raises through.
         """
         if self._session is None:
-            raise Unreached("the session is not open")
+            raise ConnectFailed("the session is not open")
         data = None if not body and method in _BODILESS_METHODS else body
         token = _HAND_OVER.set(hand_over)
         try:
@@ -137,7 +137,7 @@
                 allow_redirects=False,
             )
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            raise Unreached(_describe(error)) from error
+            raise ConnectFailed(_describe(error)) from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
             raise ConnectionBroken(_describe(error)) from error
         finally:
@@ -148,7 +148,7 @@
 
         Raises Unreached, ConnectionBroken, TimeoutError, or ValueError for another answer.
         """
-        async with asyncio.timeout(PROBE_MS / MS_PER_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_MS / MS_PER_S):
             response = await self.async_open(method="GET", path=path)
             try:
                 if response.status != HTTP_OK:
@@ -163,7 +163,7 @@
         """Find out on a new connection whether the upstream lives; any answer says so."""
         try:
             await self.async_fetch_json(path)
-        except Unreached:
+        except ConnectFailed:
             return Liveness.UNREACHABLE
         except ConnectionBroken:
             return Liveness.BROKEN
@@ -174,7 +174,7 @@
         return Liveness.ANSWERS
 
 
-async def _never_send_again(
+async def _prevent_resend(
     request: ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Keep aiohttp from repeating a request by itself when its connection breaks."""
--- a/gypsumrouter/upstream/watch.py
+++ b/gypsumrouter/upstream/watch.py
@@ -14,14 +14,14 @@
 class Watch:
     """What is known of one run; whoever runs it counts each sign of life in `moves`."""
 
-    __slots__ = ("_cause", "_scope", "_seen_moves", "_since_ms", "moves", "reading")
+    __slots__ = ("_cause", "_scope", "_seen_progress", "_since_ms", "progress", "reading")
 
     def __init__(self) -> None:
-        self.moves = 0
+        self.progress = 0
         self.reading = False
         self._cause: Cause | None = None
         self._scope: asyncio.Timeout | None = None
-        self._seen_moves = -1
+        self._seen_progress = -1
         self._since_ms = 0
 
     @asynccontextmanager
@@ -30,7 +30,7 @@
         if self._cause is Cause.CANCELLED:
             raise Interrupted(Cause.CANCELLED)
         self._cause = None
-        self._seen_moves = -1
+        self._seen_progress = -1
         try:
             async with asyncio.timeout(None) as self._scope:
                 yield
@@ -52,8 +52,8 @@
 
     def sweep(self, now_ms: int, silence_ms: int) -> None:
         """Interrupt the run if it has waited for the upstream for too long."""
-        if not self.reading or self.moves != self._seen_moves:
-            self._seen_moves = self.moves
+        if not self.reading or self.progress != self._seen_progress:
+            self._seen_progress = self.progress
             self._since_ms = now_ms
             return
         if now_ms - self._since_ms >= silence_ms:
--- a/tests/exchange/exchange_fakes.py
+++ b/tests/exchange/exchange_fakes.py
@@ -153,7 +153,7 @@
         for listener in self._died:
             listener()
 
-    def on_died(self, listener: Callable[[], None]) -> Remove:
+    def on_crash(self, listener: Callable[[], None]) -> Remove:
         self._died.append(listener)
         return lambda: self._died.remove(listener)
 
--- a/tests/orders/conftest.py
+++ b/tests/orders/conftest.py
@@ -5,13 +5,13 @@
 from collections.abc import AsyncIterator
 
 import pytest
-from orders_world import World
+from orders_fakes import Cluster
 
 
 @pytest.fixture
-async def world() -> AsyncIterator[World]:
+async def cluster() -> AsyncIterator[Cluster]:
     """Return a world without sides and engines; its weight store runs."""
-    world = World()
-    await world.weights.async_start()
-    yield world
-    await world.async_stop()
+    cluster = Cluster()
+    await cluster.weights.async_start()
+    yield cluster
+    await cluster.async_stop()
--- a/tests/orders/orders_world.py
+++ b/tests/orders/orders_fakes.py
@@ -35,7 +35,7 @@
 STORE_PER_S = 2.0
 STEP_MS = 25
 STEPS_MAX = 4_000
-LOOPS_A_STEP = 12
+LOOPS_PER_STEP = 12
 
 
 def make_orders(**changes: Any) -> PoolOrders:
@@ -58,7 +58,7 @@
     )
 
 
-class ScriptedLists:
+class FakeInstanceList:
     """The instance list as one side reads it."""
 
     def __init__(self, name: str) -> None:
@@ -85,11 +85,11 @@
             for fresh in self._fresh:
                 fresh(listed.as_of_ms)
             return
-        for told in self._lists:
-            told(listed)
+        for listener in self._lists:
+            listener(listed)
 
 
-class OfferedModels:
+class ServedModels:
     """What a side takes requests for."""
 
     def __init__(self, engine: Engine) -> None:
@@ -108,10 +108,10 @@
     """One side with its engine; `reads_list` is cleared where the list is out of its reach."""
 
     def __init__(
-        self, world: World, *, name: str, engine: Engine, address: Address, incarnation: int
+        self, cluster: Cluster, *, name: str, engine: Engine, address: Address, incarnation: int
     ) -> None:
         self.name = name
-        self.world = world
+        self.cluster = cluster
         self.engine = engine
         self.address = address
         self.reads_list = True
@@ -120,13 +120,13 @@
             role=Role.SIDE,
             data_centre="dc",
             region="r",
-            clock=world.clock,
+            clock=cluster.clock,
             incarnation=incarnation,
         )
-        self.lists = ScriptedLists(name)
+        self.lists = FakeInstanceList(name)
         self.notices = NoticeHub()
         self.store = ConfigurationStore(app=self.app)
-        self.offered = OfferedModels(engine)
+        self.offered = ServedModels(engine)
         settings = SideSettings(
             instance=Identity(name=name, data_centre="dc", region="r"),
             link=Link(),
@@ -144,13 +144,13 @@
         )
 
     async def async_start(self) -> None:
-        await self.store.async_offer(self.world.document)
-        self.orders.note_listening(self.address)
+        await self.store.async_offer(self.cluster.document)
+        self.orders.set_advertised_address(self.address)
         await self.orders.async_start()
 
     async def async_send(self, *, instance: Instance, notice: Notice) -> bool:
-        receiver = self.world.sides.get(instance.name)
-        if receiver is None or instance.name in self.world.cut or self.name in self.world.cut:
+        receiver = self.cluster.sides.get(instance.name)
+        if receiver is None or instance.name in self.cluster.cut or self.name in self.cluster.cut:
             return False
         hello = Hello(name=self.name, role=Role.SIDE, incarnation=self.app.incarnation)
         peer = Peer(hello=hello, connection=cast(Any, None), dialed=False)
@@ -171,7 +171,7 @@
         return name in self.engine.orders.models and name not in self.offered.withdrawn
 
 
-class World:
+class Cluster:
     """All sides, their engines, the weight store, and the platform's services."""
 
     def __init__(self) -> None:
@@ -190,9 +190,9 @@
         self._revision = 1
         self._listed: tuple[Instance, ...] = ()
         self._made = 0
-        self.least_serving: dict[str, int] = {}
+        self.min_serving: dict[str, int] = {}
 
-    def publish_to_new(self, orders: PoolOrders | None) -> None:
+    def set_configuration(self, orders: PoolOrders | None) -> None:
         """Set the configuration that sides start with."""
         models = () if orders is None else _list_names(orders)
         pool = Pool(
@@ -205,7 +205,7 @@
 
     async def async_publish(self, orders: PoolOrders | None) -> None:
         """Put a configuration in force in all sides."""
-        self.publish_to_new(orders)
+        self.set_configuration(orders)
         for side in self.sides.values():
             await side.store.async_offer(self.document)
 
@@ -244,7 +244,7 @@
             for side in self.sides.values()
             if side.name not in left
         )
-        self._tell_list()
+        self._deliver_list()
 
     async def async_run(self, duration_ms: int) -> None:
         """Let time pass, with all that comes due in it."""
@@ -284,15 +284,15 @@
 
     async def _async_step(self) -> None:
         self.clock.advance(STEP_MS)
-        self._tell_list()
+        self._deliver_list()
         # Calls to engines go over real sockets; each gets some turns of the loop to come back.
-        for _ in range(LOOPS_A_STEP):
+        for _ in range(LOOPS_PER_STEP):
             await asyncio.sleep(0)
-        for name in self.least_serving:
+        for name in self.min_serving:
             serving = sum(side.is_serving(name) for side in self.sides.values())
-            self.least_serving[name] = min(self.least_serving[name], serving)
+            self.min_serving[name] = min(self.min_serving[name], serving)
 
-    def _tell_list(self) -> None:
+    def _deliver_list(self) -> None:
         listed = InstanceList(
             revision=self._revision, as_of_ms=self.clock.wall_ms(), instances=self._listed
         )
--- a/tests/orders/test_orders_gates.py
+++ b/tests/orders/test_orders_gates.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 import pytest
-from orders_world import CHAT, REPORTS, make_holding, make_orders
+from orders_fakes import CHAT, REPORTS, make_holding, make_orders
 
 from gypsumrouter.configuration.models import OrderedAdapter, OrderedModel
 from gypsumrouter.link.models import HeldModel, Holding
 from gypsumrouter.orders.changes import choose_change
 from gypsumrouter.orders.gates import (
-    Step,
+    EngineProgress,
     choose_source,
-    find_obstacle,
-    find_store_obstacle,
-    find_turn_obstacle,
+    find_block_reason,
+    find_rollout_block_reason,
+    find_store_block_reason,
 )
 from gypsumrouter.orders.models import Change, EngineState, OrderKind
 from gypsumrouter.orders.ranks import rank_names
@@ -22,7 +22,7 @@
 RANKED = rank_names("v2", NAMES)
 
 
-def list_free(
+def list_allowed(
     *,
     done: set[str],
     changing: set[str] = frozenset(),  # type: ignore[assignment]
@@ -31,7 +31,7 @@
 ) -> set[str]:
     """Return which of the engines that are neither done nor changing may begin."""
     steps = [
-        Step(
+        EngineProgress(
             name=name,
             done=name in done,
             changing=name in changing,
@@ -42,7 +42,9 @@
     return {
         name
         for name in set(NAMES) - done - changing
-        if not find_turn_obstacle(own=name, purpose="v2", minimum=minimum, share=0.25, steps=steps)
+        if not find_rollout_block_reason(
+            own=name, purpose="v2", minimum=minimum, share=0.25, steps=steps
+        )
     }
 
 
@@ -51,25 +53,25 @@
 
 
 def test_one_engine_goes_first_alone_and_then_one_in_each_lane() -> None:
-    assert list_free(done=set()) == {RANKED[0]}
-    assert list_free(done=set(), changing={RANKED[0]}) == set()
-    assert list_free(done={RANKED[0]}) == {RANKED[1], RANKED[2]}
-    assert list_free(done={RANKED[0]}, changing={RANKED[1]}) == {RANKED[2]}
-    assert list_free(done={RANKED[0]}, changing={RANKED[1], RANKED[2]}) == set()
-    assert list_free(done=set(RANKED[:3])) == {RANKED[3], RANKED[4]}
+    assert list_allowed(done=set()) == {RANKED[0]}
+    assert list_allowed(done=set(), changing={RANKED[0]}) == set()
+    assert list_allowed(done={RANKED[0]}) == {RANKED[1], RANKED[2]}
+    assert list_allowed(done={RANKED[0]}, changing={RANKED[1]}) == {RANKED[2]}
+    assert list_allowed(done={RANKED[0]}, changing={RANKED[1], RANKED[2]}) == set()
+    assert list_allowed(done=set(RANKED[:3])) == {RANKED[3], RANKED[4]}
 
 
 def test_the_minimum_narrows_the_lanes() -> None:
-    assert list_free(done={RANKED[0]}, minimum=7) == {RANKED[1]}
-    assert list_free(done={RANKED[0]}, minimum=8) == set()
+    assert list_allowed(done={RANKED[0]}, minimum=7) == {RANKED[1]}
+    assert list_allowed(done={RANKED[0]}, minimum=8) == set()
 
 
 def test_an_engine_that_fails_holds_the_others_up_only_while_nothing_is_proven() -> None:
-    assert list_free(done=set(), failures={RANKED[0]: 2}) == {RANKED[0]}
-    assert list_free(done=set(), failures={RANKED[0]: 3}) == {RANKED[0], RANKED[1]}
+    assert list_allowed(done=set(), failures={RANKED[0]: 2}) == {RANKED[0]}
+    assert list_allowed(done=set(), failures={RANKED[0]: 3}) == {RANKED[0], RANKED[1]}
     failed = {RANKED[1]: 1}
-    assert list_free(done={RANKED[0]}, failures=failed) == set(RANKED[1:4])
-    assert list_free(done={RANKED[0]}, changing=set(RANKED[2:4]), failures=failed) == set()
+    assert list_allowed(done={RANKED[0]}, failures=failed) == set(RANKED[1:4])
+    assert list_allowed(done={RANKED[0]}, changing=set(RANKED[2:4]), failures=failed) == set()
 
 
 @pytest.mark.parametrize(
@@ -90,8 +92,8 @@
     orders = make_orders(models=(OrderedModel(name=CHAT, min_engines=2),))
     change = Change(kind=OrderKind.LOAD, name=REPORTS, drops=(CHAT,), withdraws=(CHAT,))
     holdings = [hold("a"), *others]
-    obstacle = find_obstacle(own="a", change=change, orders=orders, holdings=holdings)
-    assert (obstacle == "") is may
+    block_reason = find_block_reason(own="a", change=change, orders=orders, holdings=holdings)
+    assert (block_reason == "") is may
 
 
 def test_a_change_of_role_waits_for_its_lane_and_for_each_model() -> None:
@@ -100,9 +102,9 @@
     first, second = rank_names("decode", ("a", "b"))
     holdings = [hold("a"), hold("b")]
     for own, expected in ((first, ""), (second, f"{first} goes first")):
-        found = find_obstacle(own=own, change=change, orders=orders, holdings=holdings)
+        found = find_block_reason(own=own, change=change, orders=orders, holdings=holdings)
         assert found == expected
-    alone = find_obstacle(own="a", change=change, orders=orders, holdings=holdings[:1])
+    alone = find_block_reason(own="a", change=change, orders=orders, holdings=holdings[:1])
     assert alone == "only 0 other engines would serve chat, 1 are needed"
 
 
@@ -122,7 +124,7 @@
     def find(failures: int) -> str:
         loading = HeldModel(name=CHAT, next_version="2", serving=False, failures=failures)
         holdings = [hold("a"), make_holding("b", loading)]
-        return find_store_obstacle(own="a", name=CHAT, version="2", holdings=holdings)
+        return find_store_block_reason(own="a", name=CHAT, version="2", holdings=holdings)
 
     assert find(0) == "b is loading it"
     assert find(2) == "b is loading it"
--- a/tests/orders/test_orders_right.py
+++ b/tests/orders/test_orders_lease.py
@@ -6,30 +6,30 @@
 from itertools import pairwise
 
 import pytest
-from orders_world import LEASE_MS, make_instance
+from orders_fakes import LEASE_MS, make_instance
 
 from gypsumrouter.const import Role, UpstreamKind
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Address, InstanceList
+from gypsumrouter.orders.dispatcher import OrderDispatcher
 from gypsumrouter.orders.engine import OrderClient
-from gypsumrouter.orders.giver import OrderGiver
 from gypsumrouter.orders.lease import OrderLease
-from gypsumrouter.orders.models import Done, Given, NotGiven, OldFence, Order, OrderKind
+from gypsumrouter.orders.models import Done, NotSent, Order, OrderKind, StaleFence, Submission
 from gypsumrouter.orders.store_slots import StoreSlots
 from gypsumrouter.settings import Platform, Upstream
 from gypsumrouter.standins import Engine
 from gypsumrouter.util.clock import ManualClock
 
-HERE = Address(host="127.0.0.1", port=7_000)
-THERE = Address(host="127.0.0.1", port=7_001)
+OWN_ADDRESS = Address(host="127.0.0.1", port=7_000)
+OTHER_ADDRESS = Address(host="127.0.0.1", port=7_001)
 SKEW_MS = 100
-COVER_MS = LEASE_MS + 2 * SKEW_MS
+HANDOVER_DELAY_MS = LEASE_MS + 2 * SKEW_MS
 
 
 class Process:
     """One process of the slot `side-0`, and what its engine would be sent."""
 
-    def __init__(self, clock: ManualClock, address: Address = HERE) -> None:
+    def __init__(self, clock: ManualClock, address: Address = OWN_ADDRESS) -> None:
         self.clock = clock
         self.app = Application(
             name="side-0", role=Role.SIDE, data_centre="dc", region="r", clock=clock
@@ -44,25 +44,25 @@
             as_of_ms=self.clock.wall_ms() if as_of_ms is None else as_of_ms,
             instances=tuple(make_instance("side-0", address) for address in addresses),
         )
-        self.lease.note_list(listed)
+        self.lease.handle_list(listed)
 
 
 class PausedClient:
     """An engine's client whose process is paused right before the first byte would be sent."""
 
-    def __init__(self, clock: ManualClock, pause_ms: int, answer: Given) -> None:
+    def __init__(self, clock: ManualClock, pause_ms: int, answer: Submission) -> None:
         self.clock = clock
         self.pause_ms = pause_ms
         self.answer = answer
         self.sent = 0
 
-    async def async_give(
-        self, order: Order, *, fence: int, find_obstacle: Callable[[], str]
-    ) -> Given:
+    async def async_submit(
+        self, order: Order, *, fence: int, find_block_reason: Callable[[], str]
+    ) -> Submission:
         self.clock.advance(self.pause_ms)
-        obstacle = find_obstacle()
-        if obstacle:
-            return NotGiven(reason=obstacle)
+        block_reason = find_block_reason()
+        if block_reason:
+            return NotSent(reason=block_reason)
         self.sent += 1
         return self.answer
 
@@ -71,89 +71,89 @@
 def process() -> Process:
     """Return a process that has been listed for long enough and has read the list just now."""
     process = Process(ManualClock(now_ms=1_000))
-    process.read(1, HERE)
-    process.clock.advance(COVER_MS + 1)
-    process.lease.note_fresh(process.clock.wall_ms())
+    process.read(1, OWN_ADDRESS)
+    process.clock.advance(HANDOVER_DELAY_MS + 1)
+    process.lease.renew(process.clock.wall_ms())
     return process
 
 
-def make_giver(process: Process, client: PausedClient) -> OrderGiver:
-    return OrderGiver(
+def make_dispatcher(process: Process, client: PausedClient) -> OrderDispatcher:
+    return OrderDispatcher(
         app=process.app,
         client=client,  # type: ignore[arg-type]
         lease=process.lease,
-        is_leaving=lambda: False,
+        is_draining=lambda: False,
     )
 
 
 def test_a_listed_process_waits_until_an_earlier_one_has_lost_the_right(process: Process) -> None:
-    young = Process(process.clock)
-    young.read(1, HERE)
-    assert young.lease.find_obstacle() == "an earlier process may still give orders"
-    assert process.lease.find_obstacle() == ""
+    new_process = Process(process.clock)
+    new_process.read(1, OWN_ADDRESS)
+    assert new_process.lease.find_block_reason() == "an earlier process may still give orders"
+    assert process.lease.find_block_reason() == ""
 
 
-@pytest.mark.parametrize("addresses", [(), (THERE,)])
+@pytest.mark.parametrize("addresses", [(), (OTHER_ADDRESS,)])
 def test_only_the_address_of_the_list_gives_orders(
     process: Process, addresses: tuple[Address, ...]
 ) -> None:
     process.read(2, *addresses)
-    assert "does not name this process" in process.lease.find_obstacle()
+    assert "does not name this process" in process.lease.find_block_reason()
 
 
 def test_a_missed_state_may_have_named_another_process(process: Process) -> None:
-    process.read(3, HERE)
-    assert process.lease.find_obstacle() == "an earlier process may still give orders"
+    process.read(3, OWN_ADDRESS)
+    assert process.lease.find_block_reason() == "an earlier process may still give orders"
 
 
 def test_an_old_list_and_one_from_the_future_give_no_right(process: Process) -> None:
     process.clock.advance(LEASE_MS)
-    assert "ms old" in process.lease.find_obstacle()
-    process.lease.note_fresh(process.clock.wall_ms() + SKEW_MS + 1)
-    assert "ms old" in process.lease.find_obstacle()
+    assert "ms old" in process.lease.find_block_reason()
+    process.lease.renew(process.clock.wall_ms() + SKEW_MS + 1)
+    assert "ms old" in process.lease.find_block_reason()
 
 
 def test_numbers_of_a_replacement_are_higher_though_it_remembers_nothing(
     process: Process,
 ) -> None:
-    highest = max(process.lease.take_fence() for _ in range(50))
+    highest = max(process.lease.issue_fence() for _ in range(50))
     process.clock.advance(1)
-    replacement = Process(process.clock, THERE)
-    replacement.read(2, THERE)
-    assert replacement.lease.take_fence() > highest
+    replacement = Process(process.clock, OTHER_ADDRESS)
+    replacement.read(2, OTHER_ADDRESS)
+    assert replacement.lease.issue_fence() > highest
 
 
 async def test_an_order_is_not_sent_after_a_pause_beyond_the_lease(process: Process) -> None:
     client = PausedClient(process.clock, pause_ms=LEASE_MS, answer=Done())
-    given = await make_giver(process, client).async_give(
+    submission = await make_dispatcher(process, client).async_submit(
         Order(kind=OrderKind.UNLOAD, name="chat"), reason="test"
     )
-    assert isinstance(given, NotGiven)
+    assert isinstance(submission, NotSent)
     assert client.sent == 0
 
 
 async def test_a_pause_within_the_lease_makes_the_decision_old(process: Process) -> None:
     client = PausedClient(process.clock, pause_ms=1_001, answer=Done())
-    giver = make_giver(process, client)
+    dispatcher = make_dispatcher(process, client)
     order = Order(kind=OrderKind.UNLOAD, name="chat")
-    assert isinstance(await giver.async_give(order, reason="test"), NotGiven)
+    assert isinstance(await dispatcher.async_submit(order, reason="test"), NotSent)
     client.pause_ms = 0
-    assert await giver.async_give(order, reason="test") == Done()
-    assert [entry.result for entry in giver.journal] == ["not_given", "done"]
+    assert await dispatcher.async_submit(order, reason="test") == Done()
+    assert [entry.result for entry in dispatcher.journal] == ["not_given", "done"]
 
 
 async def test_after_a_refused_number_only_a_newer_list_gives_the_right_back(
     process: Process,
 ) -> None:
     newer = process.clock.wall_ms() + 500
-    client = PausedClient(process.clock, 0, OldFence(highest=newer * 1_000 + 3))
-    giver = make_giver(process, client)
-    await giver.async_give(Order(kind=OrderKind.UNLOAD, name="chat"), reason="test")
-    assert giver.find_obstacle() == "the engine has taken an order of a newer process"
+    client = PausedClient(process.clock, 0, StaleFence(highest=newer * 1_000 + 3))
+    dispatcher = make_dispatcher(process, client)
+    await dispatcher.async_submit(Order(kind=OrderKind.UNLOAD, name="chat"), reason="test")
+    assert dispatcher.find_block_reason() == "the engine has taken an order of a newer process"
     process.clock.advance(501)
-    process.lease.note_fresh(process.clock.wall_ms())
-    assert giver.find_obstacle() == ""
-    assert process.lease.take_fence() > newer * 1_000 + 3
+    process.lease.renew(process.clock.wall_ms())
+    assert dispatcher.find_block_reason() == ""
+    assert process.lease.issue_fence() > newer * 1_000 + 3
 
 
 async def test_an_order_that_is_stopped_at_the_last_moment_never_reaches_the_engine() -> None:
@@ -166,12 +166,12 @@
     await client.async_start()
     order = Order(kind=OrderKind.SET_ROLE, role="decode")
     try:
-        stopped = await client.async_give(order, fence=5, find_obstacle=lambda: "paused")
-        assert stopped == NotGiven(reason="paused")
+        stopped = await client.async_submit(order, fence=5, find_block_reason=lambda: "paused")
+        assert stopped == NotSent(reason="paused")
         assert not engine.orders.records
-        assert await client.async_give(order, fence=5, find_obstacle=str) == Done()
-        refused = await client.async_give(order, fence=4, find_obstacle=str)
-        assert refused == OldFence(highest=5)
+        assert await client.async_submit(order, fence=5, find_block_reason=str) == Done()
+        refused = await client.async_submit(order, fence=4, find_block_reason=str)
+        assert refused == StaleFence(highest=5)
     finally:
         await app.async_stop()
         await engine.async_stop()
@@ -180,7 +180,7 @@
 def test_members_take_turns_at_the_store_and_use_each_only_once() -> None:
     members = ("a", "b", "c")
     slots = {name: StoreSlots() for name in members}
-    loads: list[int] = []
+    load_scheduler: list[int] = []
     for wall_ms in range(1_700_000_000_000, 1_700_000_060_000, 10):
         for name in members:
             wait_ms = slots[name].get_wait_ms(
@@ -188,6 +188,6 @@
             )
             if wait_ms == 0:
                 slots[name].use(loads_per_s=0.5, wall_ms=wall_ms)
-                loads.append(wall_ms)
-    assert len(loads) == 30
-    assert min(after - before for before, after in pairwise(loads)) >= 2_000
+                load_scheduler.append(wall_ms)
+    assert len(load_scheduler) == 30
+    assert min(after - before for before, after in pairwise(load_scheduler)) >= 2_000
--- a/tests/orders/test_orders_machine.py
+++ b/tests/orders/test_orders_machine.py
@@ -8,15 +8,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from msgspec.structs import replace
-from orders_world import CHAT, POOL, REPORTS, make_orders
+from orders_fakes import CHAT, POOL, REPORTS, make_orders
 
 from gypsumrouter.configuration.models import OrderedModel, Pool, PoolOrders
 from gypsumrouter.const import UpstreamKind
 from gypsumrouter.orders.changes import choose_change, get_version
 from gypsumrouter.orders.demand import Demand
-from gypsumrouter.orders.gates import find_obstacle
+from gypsumrouter.orders.gates import find_block_reason
+from gypsumrouter.orders.local_engine import LocalEngine
 from gypsumrouter.orders.models import Change, EngineState, OrderKind
-from gypsumrouter.orders.own import OwnEngine
 from gypsumrouter.orders.planner import Planner
 from gypsumrouter.orders.retries import Retries
 from gypsumrouter.orders.table import HoldingTable
@@ -40,59 +40,59 @@
         self.demand = Demand(clock=clock)
         self.demand.window_ms = SHIFT_MS // 4
         self.retries = Retries(clock=clock, seed=1)
-        self.own = OwnEngine(name=name, clock=clock, demand=self.demand, retries=self.retries)
-        self.own.address = f"{name}:1"
-        self.own.state = EngineState(models={held: "1"})
+        self.local = LocalEngine(name=name, clock=clock, demand=self.demand, retries=self.retries)
+        self.local.address = f"{name}:1"
+        self.local.state = EngineState(models={held: "1"})
         self.table = HoldingTable(clock=clock)
         self.table.hold_ms = HOLD_MS
         self.planner = Planner(name=name, table=self.table)
 
     @property
     def models(self) -> dict[str, str]:
-        assert self.own.state is not None
-        return dict(self.own.state.models)
+        assert self.local.state is not None
+        return dict(self.local.state.models)
 
     def is_replacing(self, name: str) -> bool:
-        change = self.own.change
+        change = self.local.change
         replaces = change is not None and change.replaces and change.name == name
-        return replaces and self.own.confirmed
+        return replaces and self.local.confirmed
 
     def observe(self) -> Change | None:
         """Return the change that is due by what this side knows now."""
-        self.own.restamp(due_ms=1_000)
-        self.table.note(self.own.holding)
+        self.local.refresh(due_ms=1_000)
+        self.table.record(self.local.holding)
         pool = Pool(name=POOL, kind=UpstreamKind.ENGINE, slots=4, orders=self.orders)
         self.planner.update(pool, self.orders)
-        if self.planner.wished is None or self.own.state is None:
+        if self.planner.desired is None or self.local.state is None:
             return None
-        wished = frozenset(m.name for m in self.orders.models if m.name in self.planner.wished)
-        return choose_change(self.orders, wished, self.own.state)
+        desired = frozenset(m.name for m in self.orders.models if m.name in self.planner.desired)
+        return choose_change(self.orders, desired, self.local.state)
 
-    def may(self, change: Change) -> bool:
-        holdings = self.table.list_answering()
-        return not find_obstacle(
+    def is_allowed(self, change: Change) -> bool:
+        holdings = self.table.list_available()
+        return not find_block_reason(
             own=self.name, change=change, orders=self.orders, holdings=holdings
         )
 
     def begin(self) -> None:
         change = self.observe()
-        if self.own.change is None and change is not None and self.may(change):
-            self.own.begin(change)
+        if self.local.change is None and change is not None and self.is_allowed(change):
+            self.local.begin(change)
             self.observe()
 
     def end(self, *, loaded: bool) -> None:
         """Bring the change to its end; what was to be dropped is dropped in any case."""
-        change = self.own.change
-        if change is None or not self.own.confirmed:
+        change = self.local.change
+        if change is None or not self.local.confirmed:
             return
         models = {name: held for name, held in self.models.items() if name not in change.drops}
         if change.kind is OrderKind.LOAD and loaded:
             models[change.name] = change.version
-            self.retries.note_done(change.name)
+            self.retries.clear(change.name)
         elif change.kind is OrderKind.LOAD:
-            self.retries.note_failed(change.name, change.version, source="")
-        self.own.state = EngineState(models=models)
-        self.own.end()
+            self.retries.record_failure(change.name, change.version, source="")
+        self.local.state = EngineState(models=models)
+        self.local.end()
         self.observe()
 
 
@@ -114,54 +114,54 @@
         for name, model in zip(SIDES, (CHAT, CHAT, *held), strict=True):
             self.sides[name] = SimulatedSide(name, self.clock, self.orders, model)
         self._list_sides()
-        self._tell_all()
+        self._deliver_all()
 
-    @rule(teller=st.sampled_from(SIDES), hearers=st.sets(st.sampled_from(SIDES), min_size=1))
-    def tell(self, teller: str, hearers: set[str]) -> None:
-        side = self.sides.get(teller)
+    @rule(sender=st.sampled_from(SIDES), receivers=st.sets(st.sampled_from(SIDES), min_size=1))
+    def deliver(self, sender: str, receivers: set[str]) -> None:
+        side = self.sides.get(sender)
         if side is None:
             return
         side.observe()
-        for hearer in hearers & self.sides.keys():
-            self.sides[hearer].table.note(side.own.holding)
+        for receiver in receivers & self.sides.keys():
+            self.sides[receiver].table.record(side.local.holding)
 
     @rule(name=st.sampled_from(SIDES), loaded=st.sampled_from((True, True, False)))
-    def go_on(self, name: str, loaded: bool) -> None:
+    def advance_side(self, name: str, loaded: bool) -> None:
         """Let one side take its next step: announce a change, confirm it, or end it."""
         self.clock.advance(1)
         side = self.sides.get(name)
         if side is None:
             return
-        if side.own.change is None:
+        if side.local.change is None:
             side.begin()
-        elif side.own.confirmed:
+        elif side.local.confirmed:
             side.end(loaded=loaded)
         else:
             self._confirm(side)
 
     def _confirm(self, side: SimulatedSide) -> None:
         for other in self.sides.values():
-            other.table.note(side.own.holding)
-            side.table.note(other.own.holding)
-        change = side.own.change
-        if change is not None and side.may(change):
-            side.own.confirmed = True
+            other.table.record(side.local.holding)
+            side.table.record(other.local.holding)
+        change = side.local.change
+        if change is not None and side.is_allowed(change):
+            side.local.confirmed = True
         else:
-            side.own.end()
+            side.local.end()
 
     @rule(
         name=st.sampled_from((CHAT, REPORTS)),
         version=st.sampled_from("12"),
-        hearers=st.sets(st.sampled_from(SIDES)),
+        receivers=st.sets(st.sampled_from(SIDES)),
     )
-    def publish(self, name: str, version: str, hearers: set[str]) -> None:
+    def publish(self, name: str, version: str, receivers: set[str]) -> None:
         models = tuple(
             replace(model, version=version) if model.name == name else model
             for model in self.orders.models
         )
         self.orders = replace(self.orders, models=models)
-        for hearer in hearers & self.sides.keys():
-            self.sides[hearer].orders = self.orders
+        for receiver in receivers & self.sides.keys():
+            self.sides[receiver].orders = self.orders
 
     @rule(name=st.sampled_from(SIDES), requests=st.sampled_from((-8, 8)))
     def shift_demand(self, name: str, requests: int) -> None:
@@ -174,7 +174,7 @@
 
     @precondition(lambda self: len(self.sides) > 3)
     @rule(name=st.sampled_from(SIDES))
-    def lose(self, name: str) -> None:
+    def remove_side(self, name: str) -> None:
         self.sides.pop(name, None)
         self._list_sides()
         self.protected = set()
@@ -183,7 +183,7 @@
     def minimums_hold_once_they_were_reached(self) -> None:
         for name, least in MINIMUM.items():
             serving = sum(
-                name in side.models and name not in side.own.turned_away
+                name in side.models and name not in side.local.rejected_models
                 for side in self.sides.values()
             )
             if name in self.protected:
@@ -202,7 +202,7 @@
         """Let everything be told and carried out: all agree, and nothing is left to do."""
         self.clock.advance(HOLD_MS)
         for _ in range(ROUNDS):
-            if not self._play_round():
+            if not self._run_round():
                 break
         else:
             raise AssertionError("the sides do not come to rest")
@@ -214,31 +214,31 @@
             if len(held) > least:
                 assert set(held) == {get_version(self.orders, name)}
 
-    def _play_round(self) -> bool:
+    def _run_round(self) -> bool:
         """Give each side its turn with all news; return whether any of them did something."""
         before = [side.models for side in self.sides.values()]
         for name, side in self.sides.items():
             side.orders = self.orders
             for _ in STEPS:
-                self._tell_all()
-                self.go_on(name, loaded=True)
-        changing = any(side.own.change for side in self.sides.values())
+                self._deliver_all()
+                self.advance_side(name, loaded=True)
+        changing = any(side.local.change for side in self.sides.values())
         return changing or before != [side.models for side in self.sides.values()]
 
     def _list_sides(self) -> None:
         for side in self.sides.values():
             side.table.set_listed(tuple(sorted(self.sides)))
 
-    def _tell_all(self) -> None:
+    def _deliver_all(self) -> None:
         for side in self.sides.values():
             side.observe()
-        for teller, hearer in self._list_pairs():
-            hearer.table.note(teller.own.holding)
+        for sender, receiver in self._list_pairs():
+            receiver.table.record(sender.local.holding)
 
     def _list_pairs(self) -> Iterator[tuple[SimulatedSide, SimulatedSide]]:
-        for teller in self.sides.values():
-            for hearer in self.sides.values():
-                yield teller, hearer
+        for sender in self.sides.values():
+            for receiver in self.sides.values():
+                yield sender, receiver
 
 
 TestOrders = OrdersMachine.TestCase
--- a/tests/orders/test_orders_plan.py
+++ b/tests/orders/test_orders_plan.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from orders_world import make_orders
+from orders_fakes import make_orders
 
 from gypsumrouter.configuration.models import OrderedModel
 from gypsumrouter.orders.plan import Plan, PlannedEngine, plan_models
--- a/tests/orders/test_orders_sides.py
+++ b/tests/orders/test_orders_sides.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from orders_world import CHAT, LEASE_MS, REPORTS, SETTLE_MS, STORE_PER_S, Side, World, make_orders
+from orders_fakes import CHAT, LEASE_MS, REPORTS, SETTLE_MS, STORE_PER_S, Cluster, Side, make_orders
 
 from gypsumrouter.configuration.models import OrderedAdapter, OrderedModel
 from gypsumrouter.orders.ranks import rank_names
@@ -14,254 +14,256 @@
 NEW_VERSION = (OrderedModel(name=CHAT, version="2", min_engines=2),)
 
 
-async def async_make_sides(world: World, count: int, *models: str) -> list[Side]:
-    return [await world.async_add(f"side-{number}", *models) for number in range(count)]
+async def async_make_sides(cluster: Cluster, count: int, *models: str) -> list[Side]:
+    return [await cluster.async_add(f"side-{number}", *models) for number in range(count)]
 
 
-def count_holders(world: World, name: str) -> int:
-    return sum(name in side.held for side in world.sides.values())
+def count_holders(cluster: Cluster, name: str) -> int:
+    return sum(name in side.held for side in cluster.sides.values())
 
 
-async def test_nothing_is_ordered_where_the_pool_has_no_orders(world: World) -> None:
-    world.publish_to_new(None)
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(10_000)
-    assert not any(world.records(side) for side in sides)
+async def test_nothing_is_ordered_where_the_pool_has_no_orders(cluster: Cluster) -> None:
+    cluster.set_configuration(None)
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(10_000)
+    assert not any(cluster.records(side) for side in sides)
     assert sides[0].dump["configured"] is False
 
 
-async def test_each_model_gets_its_minimum_with_the_fewest_loads(world: World) -> None:
-    world.publish_to_new(make_orders(models=TWO_MODELS))
-    await async_make_sides(world, 4, CHAT)
-    world.least_serving = {CHAT: 4}
-    await world.async_run_until(lambda: count_holders(world, REPORTS) == 2)
-    await world.async_run(10_000)
-    assert world.count_loads() == 2
-    assert count_holders(world, CHAT) == 2
+async def test_each_model_gets_its_minimum_with_the_fewest_loads(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders(models=TWO_MODELS))
+    await async_make_sides(cluster, 4, CHAT)
+    cluster.min_serving = {CHAT: 4}
+    await cluster.async_run_until(lambda: count_holders(cluster, REPORTS) == 2)
+    await cluster.async_run(10_000)
+    assert cluster.count_loads() == 2
+    assert count_holders(cluster, CHAT) == 2
     # The second engine took the weights from the first, and not from the store.
-    assert len(world.weights.fetched_ms) == 1
-    assert world.weights.refused == 0
+    assert len(cluster.weights.fetched_ms) == 1
+    assert cluster.weights.refused == 0
 
 
-async def test_adapters_and_the_role_follow_the_model(world: World) -> None:
+async def test_adapters_and_the_role_follow_the_model(cluster: Cluster) -> None:
     models = (OrderedModel(name=CHAT, adapters=(OrderedAdapter(name="school", version="7"),)),)
-    world.publish_to_new(make_orders(models=models, role="decode"))
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run_until(
+    cluster.set_configuration(make_orders(models=models, role="decode"))
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run_until(
         lambda: all(side.held == {CHAT: "1", "school": "7"} for side in sides)
     )
     assert {side.engine.orders.role for side in sides} == {"decode"}
 
 
-async def test_a_change_of_version_keeps_the_minimum_serving(world: World) -> None:
-    world.publish_to_new(make_orders(models=(OrderedModel(name=CHAT, min_engines=2),)))
-    sides = await async_make_sides(world, 4, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
-    world.least_serving = {CHAT: 4}
-    await world.async_publish(make_orders(models=NEW_VERSION, change_share=1.0))
-    await world.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
+async def test_a_change_of_version_keeps_the_minimum_serving(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders(models=(OrderedModel(name=CHAT, min_engines=2),)))
+    sides = await async_make_sides(cluster, 4, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
+    cluster.min_serving = {CHAT: 4}
+    await cluster.async_publish(make_orders(models=NEW_VERSION, change_share=1.0))
+    await cluster.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
     # One goes first alone; then no more than the minimum leaves room for.
-    assert world.least_serving[CHAT] == 2
-    assert world.count_loads() == 4
-
-
-async def test_a_version_that_cannot_be_loaded_stops_at_the_first_engine(world: World) -> None:
-    world.publish_to_new(make_orders(models=(OrderedModel(name=CHAT, min_engines=2),)))
-    sides = await async_make_sides(world, 4, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
-    world.least_serving = {CHAT: 4}
-    await world.weights.async_set_outage(OutageKind.ERROR)
-    await world.async_publish(make_orders(models=NEW_VERSION))
-    await world.async_run(6_000)
-    tried = [side for side in sides if world.records(side, kind=OrderKind.LOAD)]
+    assert cluster.min_serving[CHAT] == 2
+    assert cluster.count_loads() == 4
+
+
+async def test_a_version_that_cannot_be_loaded_stops_at_the_first_engine(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders(models=(OrderedModel(name=CHAT, min_engines=2),)))
+    sides = await async_make_sides(cluster, 4, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
+    cluster.min_serving = {CHAT: 4}
+    await cluster.weights.async_set_outage(OutageKind.ERROR)
+    await cluster.async_publish(make_orders(models=NEW_VERSION))
+    await cluster.async_run(6_000)
+    tried = [side for side in sides if cluster.records(side, kind=OrderKind.LOAD)]
     assert len(tried) == 1
-    assert world.least_serving[CHAT] == 3
+    assert cluster.min_serving[CHAT] == 3
     assert all(side.held == {CHAT: "1"} for side in sides)
     assert tried[0].dump["last"]["reason"] == "fetch_status_503"
 
 
-async def test_a_minimum_that_leaves_no_room_blocks_the_change_and_says_so(world: World) -> None:
-    world.publish_to_new(make_orders(models=NEW_VERSION))
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(10_000)
-    assert not any(world.records(side) for side in sides)
+async def test_a_minimum_that_leaves_no_room_blocks_the_change_and_says_so(
+    cluster: Cluster,
+) -> None:
+    cluster.set_configuration(make_orders(models=NEW_VERSION))
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(10_000)
+    assert not any(cluster.records(side) for side in sides)
     assert sides[0].dump["waiting"] == "2 engines are needed and there are 2"
 
 
-async def test_running_requests_end_before_their_model_is_changed(world: World) -> None:
-    world.publish_to_new(make_orders())
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
+async def test_running_requests_end_before_their_model_is_changed(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders())
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
     for side in sides:
         side.orders.demand.add(CHAT, 1)
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
-    await world.async_run_until(lambda: any(side.offered.withdrawn for side in sides))
-    await world.async_run(3_000)
-    assert not any(world.records(side) for side in sides)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
+    await cluster.async_run_until(lambda: any(side.offered.withdrawn for side in sides))
+    await cluster.async_run(3_000)
+    assert not any(cluster.records(side) for side in sides)
     assert sum(side.is_serving(CHAT) for side in sides) == 1
     for side in sides:
         side.orders.demand.add(CHAT, -1)
-    await world.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
+    await cluster.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
 
 
-async def test_a_flap_moves_nothing_and_a_loss_moves_the_least(world: World) -> None:
+async def test_a_flap_moves_nothing_and_a_loss_moves_the_least(cluster: Cluster) -> None:
     models = (OrderedModel(name=CHAT, min_engines=2), OrderedModel(name=REPORTS, min_engines=2))
-    world.publish_to_new(make_orders(models=models))
+    cluster.set_configuration(make_orders(models=models))
     for number, model in enumerate((CHAT, CHAT, CHAT, REPORTS, REPORTS)):
-        await world.async_add(f"side-{number}", model)
-    await world.async_run(LEASE_MS + 1_000)
+        await cluster.async_add(f"side-{number}", model)
+    await cluster.async_run(LEASE_MS + 1_000)
     for _ in range(5):
-        world.list_sides(without=["side-3", "side-4"])
-        await world.async_run(SETTLE_MS - 300)
-        world.list_sides()
-        await world.async_run(50)
-    assert world.count_loads() == 0
-    side = world.sides.pop("side-4")
-    world.retired.append(side)
-    world.list_sides()
-    await world.async_run_until(lambda: count_holders(world, REPORTS) == 2)
-    await world.async_run(10_000)
-    assert world.count_loads() == 1
-
-
-async def test_demand_moves_an_engine_to_the_busy_model(world: World) -> None:
+        cluster.list_sides(without=["side-3", "side-4"])
+        await cluster.async_run(SETTLE_MS - 300)
+        cluster.list_sides()
+        await cluster.async_run(50)
+    assert cluster.count_loads() == 0
+    side = cluster.sides.pop("side-4")
+    cluster.retired.append(side)
+    cluster.list_sides()
+    await cluster.async_run_until(lambda: count_holders(cluster, REPORTS) == 2)
+    await cluster.async_run(10_000)
+    assert cluster.count_loads() == 1
+
+
+async def test_demand_moves_an_engine_to_the_busy_model(cluster: Cluster) -> None:
     models = (OrderedModel(name=CHAT), OrderedModel(name=REPORTS))
-    world.publish_to_new(make_orders(models=models))
+    cluster.set_configuration(make_orders(models=models))
     for number, model in enumerate((CHAT, CHAT, CHAT, REPORTS)):
-        await world.async_add(f"side-{number}", model)
-    await world.async_run(LEASE_MS + 1_000)
-    world.sides["side-3"].orders.demand.add(REPORTS, 3)
-    await world.async_run_until(lambda: count_holders(world, REPORTS) == 2)
-    await world.async_run(20_000)
+        await cluster.async_add(f"side-{number}", model)
+    await cluster.async_run(LEASE_MS + 1_000)
+    cluster.sides["side-3"].orders.demand.add(REPORTS, 3)
+    await cluster.async_run_until(lambda: count_holders(cluster, REPORTS) == 2)
+    await cluster.async_run(20_000)
     # Three requests make one engine of four slots busy, and leave two of them quiet enough.
-    assert world.count_loads() == 1
+    assert cluster.count_loads() == 1
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
 async def test_a_paused_side_that_was_replaced_gives_no_late_order(
-    world: World, checks_fence: bool
+    cluster: Cluster, checks_fence: bool
 ) -> None:
-    world.publish_to_new(make_orders())
-    engine = await world.async_add_engine(CHAT, checks_fence=checks_fence)
-    old = await world.async_add_side("side-0", engine)
-    await world.async_add("side-1", CHAT)
-    await world.async_run(LEASE_MS + 1_000)
+    cluster.set_configuration(make_orders())
+    engine = await cluster.async_add_engine(CHAT, checks_fence=checks_fence)
+    old = await cluster.async_add_side("side-0", engine)
+    await cluster.async_add("side-1", CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
     # It stops reading the list, as a process does that is cut off or paused, but goes on acting.
     old.reads_list = False
-    new = await world.async_add_side("side-0", engine)
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
-    await old.store.async_offer(world.document)
-    await world.async_run_until(lambda: engine.orders.models == {CHAT: "2"})
-    records = world.records(new)
+    new = await cluster.async_add_side("side-0", engine)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
+    await old.store.async_offer(cluster.document)
+    await cluster.async_run_until(lambda: engine.orders.models == {CHAT: "2"})
+    records = cluster.records(new)
     fences = [record.order.fence for record in records]
     assert fences == sorted(fences)
     assert old.dump["fence"] == 0 or old.dump["fence"] < new.dump["fence"]
     assert all(record.order.fence >= record.highest_fence for record in records)
-    await world.async_run(10_000)
+    await cluster.async_run(10_000)
     assert "ms old" in old.dump["may_order"]
 
 
-async def test_two_sides_beside_one_engine_leave_it_to_the_first_by_name(world: World) -> None:
+async def test_two_sides_beside_one_engine_leave_it_to_the_first_by_name(cluster: Cluster) -> None:
     # With this version it would be the turn of the second one to go first.
     names = ("side-0", "side-1", "side-2")
     version = next(v for v in "123456789" if rank_names(f"{CHAT}/{v}", names)[0] == names[1])
-    world.publish_to_new(make_orders(models=(OrderedModel(name=CHAT, version=version),)))
-    engine = await world.async_add_engine(CHAT)
-    first, second = [await world.async_add_side(name, engine) for name in names[:2]]
-    await world.async_add(names[2], CHAT)
-    await world.async_run_until(lambda: engine.orders.models == {CHAT: version})
+    cluster.set_configuration(make_orders(models=(OrderedModel(name=CHAT, version=version),)))
+    engine = await cluster.async_add_engine(CHAT)
+    first, second = [await cluster.async_add_side(name, engine) for name in names[:2]]
+    await cluster.async_add(names[2], CHAT)
+    await cluster.async_run_until(lambda: engine.orders.models == {CHAT: version})
     assert first.dump["journal"]
     assert not second.dump["journal"]
     assert second.dump["waiting"] == "side-0 is also beside this engine"
 
 
 async def test_an_engine_that_restarts_in_the_middle_of_a_load_is_loaded_again(
-    world: World,
+    cluster: Cluster,
 ) -> None:
-    world.publish_to_new(make_orders())
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
-    await world.weights.async_set_outage(OutageKind.HANG)
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
-    await world.async_run_until(lambda: any(world.records(side) for side in sides))
-    loading = next(side for side in sides if world.records(side))
+    cluster.set_configuration(make_orders())
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
+    await cluster.weights.async_set_outage(OutageKind.HANG)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
+    await cluster.async_run_until(lambda: any(cluster.records(side) for side in sides))
+    loading = next(side for side in sides if cluster.records(side))
     loading.engine.crash()
-    await world.weights.async_set_outage(OutageKind.NONE)
-    await world.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
-    assert world.records(loading)[0].state is OrderState.CANCELLED
+    await cluster.weights.async_set_outage(OutageKind.NONE)
+    await cluster.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
+    assert cluster.records(loading)[0].state is OrderState.CANCELLED
 
 
-async def test_a_store_that_does_not_answer_ends_in_a_cancelled_order(world: World) -> None:
-    world.publish_to_new(make_orders(load_ms=2_000))
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
-    await world.weights.async_set_outage(OutageKind.HANG)
+async def test_a_store_that_does_not_answer_ends_in_a_cancelled_order(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders(load_ms=2_000))
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
+    await cluster.weights.async_set_outage(OutageKind.HANG)
     models = (OrderedModel(name=CHAT, version="2"),)
-    await world.async_publish(make_orders(models=models, load_ms=2_000))
-    await world.async_run_until(lambda: any(side.dump["last"] for side in sides))
+    await cluster.async_publish(make_orders(models=models, load_ms=2_000))
+    await cluster.async_run_until(lambda: any(side.dump["last"] for side in sides))
     tried = next(side for side in sides if side.dump["last"])
     assert tried.dump["last"] == {"result": "failed", "reason": "it took too long"}
-    assert world.records(tried)[0].state is OrderState.CANCELLED
-    await world.async_run_until(lambda: tried.is_serving(CHAT))
-
-
-async def test_a_store_above_its_rate_is_asked_later_and_later(world: World) -> None:
-    world.publish_to_new(make_orders())
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
-    await world.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
-    world.weights.set_rate(0.0)
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="3"),)))
-    await world.async_run(30_000)
-    assert 3 <= world.weights.refused <= 10
-    world.weights.set_rate(STORE_PER_S)
-    await world.async_run_until(lambda: all(side.held == {CHAT: "3"} for side in sides))
-
-
-async def test_a_load_is_cancelled_when_the_wish_changes(world: World) -> None:
-    world.publish_to_new(make_orders())
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
-    await world.weights.async_set_outage(OutageKind.HANG)
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
-    await world.async_run_until(lambda: any(world.records(side) for side in sides))
-    await world.async_publish(make_orders())
-    await world.async_run(3_000)
-    records = [record for side in sides for record in world.records(side)]
+    assert cluster.records(tried)[0].state is OrderState.CANCELLED
+    await cluster.async_run_until(lambda: tried.is_serving(CHAT))
+
+
+async def test_a_store_above_its_rate_is_asked_later_and_later(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders())
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
+    await cluster.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
+    cluster.weights.set_rate(0.0)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="3"),)))
+    await cluster.async_run(30_000)
+    assert 3 <= cluster.weights.refused <= 10
+    cluster.weights.set_rate(STORE_PER_S)
+    await cluster.async_run_until(lambda: all(side.held == {CHAT: "3"} for side in sides))
+
+
+async def test_a_load_is_cancelled_when_the_wish_changes(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders())
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
+    await cluster.weights.async_set_outage(OutageKind.HANG)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
+    await cluster.async_run_until(lambda: any(cluster.records(side) for side in sides))
+    await cluster.async_publish(make_orders())
+    await cluster.async_run(3_000)
+    records = [record for side in sides for record in cluster.records(side)]
     assert [record.state for record in records] == [OrderState.CANCELLED]
     assert all(side.dump["pending"] is None for side in sides)
     cancelled = next(side for side in sides if side.dump["journal"])
     assert cancelled.dump["journal"][-1]["reason"] == "not wanted any more"
 
 
-async def test_a_neighbour_that_gives_no_weights_is_passed_over(world: World) -> None:
-    world.publish_to_new(make_orders(models=TWO_MODELS))
+async def test_a_neighbour_that_gives_no_weights_is_passed_over(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders(models=TWO_MODELS))
     for number, model in enumerate((CHAT, CHAT, REPORTS)):
-        await world.async_add(f"side-{number}", model, gives_weights=False)
-    await world.async_run_until(lambda: count_holders(world, REPORTS) == 2)
-    assert len(world.weights.fetched_ms) == 1
+        await cluster.async_add(f"side-{number}", model, gives_weights=False)
+    await cluster.async_run_until(lambda: count_holders(cluster, REPORTS) == 2)
+    assert len(cluster.weights.fetched_ms) == 1
 
 
-async def test_with_an_old_list_nothing_is_ordered(world: World) -> None:
-    world.publish_to_new(make_orders())
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
+async def test_with_an_old_list_nothing_is_ordered(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders())
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
     for side in sides:
         side.reads_list = False
-    await world.async_run(LEASE_MS)
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
-    await world.async_run(10_000)
-    assert not any(world.records(side) for side in sides)
+    await cluster.async_run(LEASE_MS)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
+    await cluster.async_run(10_000)
+    assert not any(cluster.records(side) for side in sides)
     assert all("ms old" in side.dump["waiting"] for side in sides)
 
 
-async def test_a_side_that_is_leaving_orders_nothing_more(world: World) -> None:
-    world.publish_to_new(make_orders())
-    sides = await async_make_sides(world, 2, CHAT)
-    await world.async_run(LEASE_MS + 1_000)
+async def test_a_side_that_is_leaving_orders_nothing_more(cluster: Cluster) -> None:
+    cluster.set_configuration(make_orders())
+    sides = await async_make_sides(cluster, 2, CHAT)
+    await cluster.async_run(LEASE_MS + 1_000)
     for side in sides:
         await side.app.async_drain()
-    await world.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
-    await world.async_run(5_000)
-    assert not any(world.records(side) for side in sides)
+    await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
+    await cluster.async_run(5_000)
+    assert not any(cluster.records(side) for side in sides)
--- a/tests/prefixes/prefixes_fakes.py
+++ b/tests/prefixes/prefixes_fakes.py
@@ -68,11 +68,11 @@
     name: str
     fleet: FakeFleet
     cut: set[str] = field(default_factory=set)
-    asked: list[tuple[str, str]] = field(default_factory=list)
-    told: list[str] = field(default_factory=list)
+    requested: list[tuple[str, str]] = field(default_factory=list)
+    notified: list[str] = field(default_factory=list)
 
     async def async_open(self, *, instance: Instance, request: Open) -> FakeExchange | Refused:
-        self.asked.append((instance.name, request.path))
+        self.requested.append((instance.name, request.path))
         if instance.name in self.cut:
             return Refused(reason=Reason.UNREACHABLE, elsewhere=True)
         answer = FakeAnswer()
@@ -81,7 +81,7 @@
         return FakeExchange(answer)
 
     async def async_send(self, *, instance: Instance, notice: Notice) -> bool:
-        self.told.append(instance.name)
+        self.notified.append(instance.name)
         hello = Hello(name=self.name, role=Role.SIDE, incarnation=1)
         peer = Peer(hello=hello, connection=None, dialed=False)  # type: ignore[arg-type]
         self.fleet.sides[instance.name].notices.publish(peer, notice)
--- a/tests/upstream/test_upstream_engine.py
+++ b/tests/upstream/test_upstream_engine.py
@@ -165,8 +165,8 @@
 async def test_crash_in_the_answer_is_told_once_and_ends_as_unknown(
     engine_caller: Caller, engine: Engine
 ) -> None:
-    deaths: list[bool] = []
-    engine_caller.client.on_died(lambda: deaths.append(engine_caller.client.up))
+    crashes: list[bool] = []
+    engine_caller.client.on_crash(lambda: crashes.append(engine_caller.client.up))
     other = Caller(client=engine_caller.client)
     runs = asyncio.gather(
         engine_caller.async_run(make_chat(tokens=500)),
@@ -179,14 +179,14 @@
     outcomes = await runs
 
     assert [type(outcome) for outcome in outcomes] == [Failed, Failed]
-    assert deaths == [False]
+    assert crashes == [False]
 
 
 async def test_request_that_comes_after_a_crash_is_not_run_and_counts_as_no_second_one(
     engine_caller: Caller, engine: Engine
 ) -> None:
-    deaths: list[bool] = []
-    engine_caller.client.on_died(lambda: deaths.append(True))
+    crashes: list[bool] = []
+    engine_caller.client.on_crash(lambda: crashes.append(True))
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
     await engine_caller.answer.async_wait_body()
     # The proxy before the engine still takes connections, and resets them.
@@ -198,7 +198,7 @@
 
     assert isinstance(outcome, Refused)
     assert outcome.elsewhere
-    assert len(deaths) == 1
+    assert len(crashes) == 1
 
 
 async def test_engine_that_forgot_the_answer_ends_as_unknown(
--- a/tests/upstream/test_upstream_service.py
+++ b/tests/upstream/test_upstream_service.py
@@ -97,15 +97,15 @@
 
 
 async def test_crash_is_told_and_ends_as_unknown(service_caller: Caller, service: Service) -> None:
-    deaths: list[bool] = []
-    service_caller.client.on_died(lambda: deaths.append(True))
+    crashes: list[bool] = []
+    service_caller.client.on_crash(lambda: crashes.append(True))
     service.delay_ms = 60_000
     run = asyncio.ensure_future(service_caller.async_run(make_call(key="key-1")))
     await async_until(lambda: bool(service.executions))
     service.crash()
 
     assert isinstance(await run, Failed)
-    assert deaths == [True]
+    assert crashes == [True]
     assert not service_caller.client.up
 
 
