--- a/gypsumrouter/orders/__init__.py
+++ b/gypsumrouter/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to the engine beside a side: which models, adapters and versions it holds, which role."""
+"""Orders to the local engine of a side: which models, adapter versions and role it must have."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/orders/changes.py
+++ b/gypsumrouter/orders/changes.py
@@ -1,4 +1,4 @@
-"""The next step of one engine from what it holds towards what it is to hold."""
+"""Selection of the next change that brings an engine from its actual to its desired state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def list_targets(orders: PoolOrders, models: frozenset[str]) -> dict[str, str]:
-    """Return the version of each model, and of its adapters, that an engine is to hold."""
+    """Return the desired version of each of the given models and of their adapters."""
     targets: dict[str, str] = {}
     for model in orders.models:
         if model.name not in models:
@@ -20,7 +20,7 @@
 
 
 def get_minimum(orders: PoolOrders, name: str) -> int:
-    """Return how many engines must serve a model or an adapter; 0 if it is not ordered."""
+    """Return the minimum number of engines for a model or adapter; 0 if it is not configured."""
     for model in orders.models:
         if name == model.name or any(name == adapter.name for adapter in model.adapters):
             return model.min_engines
@@ -28,13 +28,13 @@
 
 
 def get_version(orders: PoolOrders, name: str) -> str | None:
-    """Return the ordered version of a model or an adapter, None if it is not ordered."""
+    """Return the configured version of a model or adapter; None if it is not configured."""
     names = frozenset(model.name for model in orders.models)
     return list_targets(orders, names).get(name)
 
 
 def choose_change(orders: PoolOrders, models: frozenset[str], state: EngineState) -> Change | None:
-    """Return the next step, None where the engine holds just what it is to hold."""
+    """Return the next change, or None if the engine is in its desired state."""
     targets = list_targets(orders, models)
     return (
         _change_role(orders, state)
@@ -71,7 +71,7 @@
 def _load_model(
     orders: PoolOrders, targets: Mapping[str, str], state: EngineState, name: str
 ) -> Change:
-    """Return the load of a model, which takes the place of another one if there is none left."""
+    """Return the change that loads a model, replacing a surplus one if the engine is full."""
     bases = {model.name for model in orders.models}
     held = bases & state.models.keys()
     surplus = sorted(held - targets.keys())
@@ -89,7 +89,7 @@
 
 
 def _add_held_adapters(orders: PoolOrders, state: EngineState, names: list[str]) -> tuple[str, ...]:
-    """Return the models with those of their adapters that are held."""
+    """Return those of the models and of their adapters that the engine holds."""
     found = list_targets(orders, frozenset(names))
     return tuple(name for name in found if name in state.models)
 
--- a/gypsumrouter/orders/const.py
+++ b/gypsumrouter/orders/const.py
@@ -12,41 +12,46 @@
 HTTP_NOT_FOUND: Final = 404
 HTTP_CONFLICT: Final = 409
 
-# How often the engine is read: while nothing changes, and while a change is under way.
+# How often the engine is polled: while idle, and while a change is in progress.
 POLL_MS: Final = 1_000
 CHANGE_POLL_MS: Final = 250
 
-# What one call at the engine may take, and how old the decision may be when it is sent.
+# Timeout of one call to the engine, and the maximum age of a decision when its order is sent.
 CALL_TIMEOUT_MS: Final = 2_000
 MAX_DECISION_AGE_MS: Final = 1_000
 
-# A fencing number is the list's time and a counter; it stays exact as a JSON number.
+# A fencing number is the time of the instance list times FENCES_PER_MS, plus a counter. It is
+# small enough to be exact as a JSON number.
 FENCES_PER_MS: Final = 1_000
 LEASE_SKEWS: Final = 2
 
-# News of what engines hold.
+# Interval of the gossip about holdings, and the delay that batches changes into one message.
 GOSSIP_MS: Final = 1_000
 GOSSIP_BATCH_MS: Final = 50
 
-# A change that takes an engine from requests is announced for this long, and then checked again.
+# A change that stops an engine from serving a model is announced at least this long before its
+# preconditions are checked again.
 ANNOUNCE_MS: Final = 500
 REFRESH_MS: Final = 10_000
 REFRESH_MS_PER_MEMBER: Final = 250
 STALE_AFTER_REFRESHES: Final = 3
 MAX_GOSSIP_ENTRIES: Final = 16
 
-# Demand moves an engine only from a quiet model to a busy one, and only by a clear margin.
+# An engine is reassigned only to a model whose load per engine is at least BUSY_SHARE of the slots
+# and exceeds the resulting load of the donating model by the factor DEMAND_MARGIN.
 BUSY_SHARE: Final = 0.5
 DEMAND_MARGIN: Final = 1.5
 DEMAND_PRIOR: Final = 1.0
 SMOOTHING_SHARE: Final = 0.5
 
-# Loads that fail are tried again later and later; after a few failures others do not wait.
+# Failed loads are retried with exponential back-off. After MAX_LOAD_FAILURES failures in a row
+# other engines no longer wait for this one.
 BACKOFF_FIRST_MS: Final = 1_000
 BACKOFF_MAX_MS: Final = 300_000
 MAX_LOAD_FAILURES: Final = 3
 
-# Neighbours that gave no weights are avoided for a time; after a few of them the store is asked.
+# An engine from which a load failed is not used as a source for this time. After
+# MAX_NEIGHBOUR_FAILURES such failures weights are loaded from the store.
 NEIGHBOUR_AVOID_MS: Final = 300_000
 MAX_NEIGHBOUR_FAILURES: Final = 2
 
--- a/gypsumrouter/orders/demand.py
+++ b/gypsumrouter/orders/demand.py
@@ -1,4 +1,4 @@
-"""How many requests of each model are in hand at this side, now and smoothed."""
+"""Number of requests in progress at this side, by model: current and smoothed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Demand:
-    """Count the requests that wait or run, by model; `window_ms` is how long they are felt."""
+    """Count waiting and running requests by model; `window_ms` is the smoothing time constant."""
 
     __slots__ = ("_clock", "_counts", "window_ms")
 
@@ -30,7 +30,7 @@
         self.window_ms = DEFAULT_WINDOW_MS
 
     def wrap(self, handler: ExchangeHandler) -> ExchangeHandler:
-        """Return a handler that counts what passes through."""
+        """Return a handler that counts the requests passed to `handler`."""
 
         async def async_handle(hello: Hello, request: Open, answer: Answer) -> None:
             self.add(request.model, 1)
@@ -42,7 +42,7 @@
         return async_handle
 
     def add(self, name: str, change: int) -> None:
-        """Take in that a request of a model has come or ended."""
+        """Add a change to the number of requests of a model."""
         count = self._counts.get(name)
         if count is None:
             count = self._counts[name] = _Count(updated_ms=self._clock.now_ms())
@@ -50,12 +50,12 @@
         count.running += change
 
     def get_running(self, name: str) -> int:
-        """Return how many requests of a model are in hand."""
+        """Return the current number of requests of a model."""
         count = self._counts.get(name)
         return 0 if count is None else count.running
 
     def get_smoothed(self, name: str) -> float:
-        """Return the mean number over the last time, in which the newest counts most."""
+        """Return the exponentially weighted average number of requests of a model."""
         count = self._counts.get(name)
         if count is None:
             return 0.0
--- a/gypsumrouter/orders/diagnostics.py
+++ b/gypsumrouter/orders/diagnostics.py
@@ -1,4 +1,4 @@
-"""What orders add to the state dump."""
+"""Sections of the state dump about orders."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def dump_state(state: EngineState | None) -> dict[str, object] | None:
-    """Return what the engine holds as plain JSON data."""
+    """Return the engine's state as JSON data."""
     if state is None:
         return None
     return {
@@ -23,7 +23,7 @@
 def dump_change(
     change: Change | None, *, confirmed: bool, source: str, since_ms: int
 ) -> dict[str, object] | None:
-    """Return the change under way as plain JSON data; it is announced before it is confirmed."""
+    """Return the change in progress as JSON data."""
     if change is None:
         return None
     return {
@@ -40,7 +40,7 @@
 
 
 def dump_table(table: HoldingTable, now_ms: int) -> list[dict[str, object]]:
-    """Return what was heard of each engine of the pool."""
+    """Return the last holding received from each side of the pool as JSON data."""
     return [_dump_entry(name, received, now_ms) for name, received in table.list_received()]
 
 
--- a/gypsumrouter/orders/dispatcher.py
+++ b/gypsumrouter/orders/dispatcher.py
@@ -1,4 +1,4 @@
-"""Orders one by one: checked, numbered, given and written down."""
+"""Dispatch of orders to the local engine: permission check, fencing number and journal."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class JournalEntry(Struct, frozen=True, kw_only=True):
-    """One order as operators see it: why it was given and what the engine said."""
+    """A submitted order with its reason and its result, for the state dump."""
 
     wall_ms: int
     order: str
@@ -43,10 +43,10 @@
 
 
 class OrderDispatcher:
-    """Give orders only while this process has the right to, by its lease.
+    """Submit orders only while this process holds the order lease.
 
-    The right is checked before an order is made and again right before its first byte, where the
-    decision may not be older than a moment either.
+    The lease is checked before an order is created and again immediately before its first byte is
+    sent. The second check also rejects a decision older than MAX_DECISION_AGE_MS.
     """
 
     __slots__ = (
@@ -81,11 +81,11 @@
         )
 
     def find_block_reason(self) -> str:
-        """Return why no order may be given now, empty where one may."""
+        """Return why no order may be sent now, or an empty string."""
         return "this side is leaving" if self._is_draining() else self._lease.find_block_reason()
 
     async def async_submit(self, order: Order, *, reason: str) -> Submission:
-        """Give an order, unless this process may not."""
+        """Submit an order if this process may send one."""
         block_reason = self.find_block_reason()
         if block_reason:
             return NotSent(reason=block_reason)
@@ -99,7 +99,7 @@
         return submission
 
     async def async_cancel(self, name: str, version: str, *, reason: str) -> Submission:
-        """Cancel a pending load, unless this process may not."""
+        """Cancel a pending load if this process may send orders."""
         block_reason = self.find_block_reason()
         if block_reason:
             return NotSent(reason=block_reason)
@@ -146,14 +146,25 @@
             reason=f"{reason}; {detail}" if detail else reason,
         )
         self.journal.append(entry)
-        _LOGGER.info("Order %s %s %s: %s", kind, entry.name or entry.role, entry.version, result)
+        _LOGGER.info(
+            "Order to the engine: %s %s %s, result: %s",
+            kind,
+            entry.name or entry.role,
+            entry.version,
+            result,
+        )
         if not isinstance(submission, NotSent) and self._lease.find_block_reason():
             self._late_answers.inc()
-            _LOGGER.warning("Order %s %s was answered after the lease", kind, entry.name)
+            _LOGGER.warning(
+                "The engine responded to the order %s %s after the order lease of this process had "
+                "ended; another process may have sent orders in the meantime",
+                kind,
+                entry.name,
+            )
 
 
 def describe_submission(submission: Submission) -> tuple[str, str]:
-    """Return a word for what became of an order, and what more there is to say."""
+    """Return the result of an order as a metric label, and the details."""
     match submission:
         case Done():
             return "done", ""
--- a/gypsumrouter/orders/engine.py
+++ b/gypsumrouter/orders/engine.py
@@ -1,4 +1,4 @@
-"""Orders over HTTP to the engine beside this side."""
+"""HTTP client for the order API of the local engine."""
 
 from __future__ import annotations
 
@@ -50,14 +50,14 @@
 
 
 class OrderDenied(Exception):
-    """Raised right before an order would be sent, where it may not be sent any more."""
+    """Raised immediately before an order is sent if it may no longer be sent."""
 
 
 class OrderClient:
-    """Read one engine, give it orders and cancel them; each call has a short timeout.
+    """Read the state of one engine, submit orders and cancel loads; each call has a timeout.
 
-    `find_obstacle` is asked once the connection stands, right before the first byte is written,
-    so that a process that was paused meanwhile sends nothing.
+    `find_block_reason` is called once the connection is established, immediately before the first
+    byte is written, so that a process that was paused in between does not send a stale order.
     """
 
     __slots__ = ("_app", "_transport")
@@ -72,7 +72,7 @@
         self._app.on_stop(self._transport.async_close)
 
     async def async_read(self) -> EngineState | None:
-        """Return what the engine holds and loads, None where it gives no usable answer."""
+        """Return the state of the engine, or None without a valid response."""
         try:
             models = await self._transport.async_fetch_json(PATH_MODELS)
             orders = await self._transport.async_fetch_json(PATH_ORDERS)
@@ -83,7 +83,7 @@
     async def async_submit(
         self, order: Order, *, fence: int, find_block_reason: FindBlockReason
     ) -> Submission:
-        """Give an order and return what the engine says."""
+        """Submit an order and return its result."""
         payload = {
             "order": order.kind.value,
             "model": order.name,
--- a/gypsumrouter/orders/gates.py
+++ b/gypsumrouter/orders/gates.py
@@ -1,6 +1,6 @@
-"""Whether an engine may change now, by what the others say: pure functions.
+"""Preconditions of a change, given the holdings of the other engines; pure functions.
 
-Each returns the reason to wait, empty where there is none.
+Each `find_*_block_reason` returns why the change must wait, or an empty string.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EngineProgress(Struct, frozen=True, kw_only=True):
-    """How far one engine of many is with the same change."""
+    """The progress of one engine in a rollout to several engines."""
 
     name: str
     done: bool
@@ -27,16 +27,16 @@
 
 
 def find_model(holding: Holding, name: str) -> HeldModel | None:
-    """Return what a holding says of a model."""
+    """Return the entry of a model in a holding, or None."""
     return next((model for model in holding.models if model.name == name), None)
 
 
 def find_block_reason(
     *, own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
 ) -> str:
-    """Return why the engine of `own` may not begin a change now.
+    """Return why the engine of the side `own` may not start a change now.
 
-    `holdings` are those of the engines that answer, the own one among them.
+    `holdings` are those of all available engines, including its own.
     """
     block_reason = ""
     if change.replaces:
@@ -104,12 +104,12 @@
 def find_rollout_block_reason(
     *, own: str, purpose: str, minimum: int, share: float, steps: Sequence[EngineProgress]
 ) -> str:
-    """Return why it is not the turn of `own` in a change that many engines go through.
+    """Return why the engine of `own` has to wait in a rollout.
 
-    The engines are put into lanes by rank, one lane for each that may change at once. In a lane
-    each waits for those before it, so that it needs to know of no others. One engine goes first
-    alone; a lane passes over an engine that fails while others succeed, or that fails again and
-    again.
+    Engines are distributed by rank over as many lanes as engines may change at once, and each
+    engine waits for those before it in its lane. Until one engine has succeeded there is a single
+    lane. An engine is skipped after a failure if another one has succeeded, and otherwise after
+    MAX_LOAD_FAILURES failures.
     """
     room = len(steps) - minimum
     if room < 1:
@@ -131,7 +131,10 @@
 def choose_source(
     *, own: str, name: str, version: str, avoided: Iterable[str], holdings: Iterable[Holding]
 ) -> str:
-    """Return the engine of a neighbour that holds a version, empty where there is none."""
+    """Return the address of another engine that holds a version, or an empty string.
+
+    The choice depends on the rank of the engine for `own`, which spreads loads over the holders.
+    """
     sources = [
         holding.engine
         for holding in holdings
@@ -149,7 +152,7 @@
 ) -> str:
     """Return why the engine of `own` may not load a version from the weight store now.
 
-    One engine fetches it there, and the others from that one.
+    One engine fetches it from the store, and the others copy it from that engine.
     """
     for holding in holdings:
         model = find_model(holding, name)
--- a/gypsumrouter/orders/gossip.py
+++ b/gypsumrouter/orders/gossip.py
@@ -1,4 +1,4 @@
-"""How sides tell each other what their engines hold."""
+"""Gossip between the sides of a pool about the models that their engines hold."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class HoldingGossip:
-    """Hand entries that were not known before to a few neighbours of the pool, who do the same.
+    """Forward new holdings to a few neighbours in the pool, which do the same.
 
-    The neighbours are the same mutual ones that the spread of the configuration uses, taken among
-    the sides of the pool. An entry goes once over each link in one of its directions. What is
-    lost comes again with the next stamp. `on_news` is called where an engine has changed.
+    Neighbours are chosen as for the distribution of the configuration, among the sides of the
+    pool. An entry is sent at most once over a link and not back to where it came from. A lost
+    entry is replaced by the next refresh. `on_change` is called when an engine has changed.
     """
 
     __slots__ = (
@@ -62,11 +62,11 @@
         notices.subscribe(Holdings, self._handle)
 
     def start(self, is_enabled: Callable[[], bool]) -> None:
-        """Begin to tell news, at times when they are wanted."""
+        """Start to gossip while `is_enabled` returns true."""
         self._app.async_create_task(self._async_run(is_enabled), "order news")
 
     def announce(self) -> None:
-        """Tell what is new at once."""
+        """Send new entries without waiting for the next interval."""
         self._wake.set()
 
     async def _async_run(self, is_enabled: Callable[[], bool]) -> None:
@@ -79,14 +79,14 @@
             await asyncio.gather(*(self._async_send(route) for route in routes))
 
     async def _async_wait(self) -> None:
-        """Wait for the next round, or until shortly after there is something that is new."""
+        """Wait for the next interval, or for an announcement and the batch delay."""
         clock = self._app.clock
         if await async_wait(self._wake, clock=clock, timeout_ms=GOSSIP_MS):
             await clock.async_sleep(GOSSIP_BATCH_MS)
         self._wake.clear()
 
     async def _async_send(self, route: tuple[Instance, ...]) -> None:
-        """Tell the first instance of a route that can be reached what it may not know."""
+        """Send new entries to the first reachable instance of a route."""
         for instance in route:
             sent = self._sent.setdefault(instance.name, {})
             entries = [
@@ -119,7 +119,7 @@
             self._on_change()
 
     def _get_sent(self, peer: Peer) -> dict[str, int]:
-        """Return what a neighbour knows; a new process of its name knows nothing."""
+        """Return the stamps that a neighbour has; they are cleared when its process restarts."""
         name, incarnation = peer.hello.name, peer.hello.incarnation
         if self._incarnations.get(name) != incarnation:
             self._incarnations[name] = incarnation
@@ -134,7 +134,7 @@
         ]
 
     def _drop_former_neighbours(self, routes: Iterable[tuple[Instance, ...]]) -> None:
-        """Forget what was told to those that are no neighbours any more."""
+        """Drop the state of sides that are no longer neighbours."""
         kept = {instance.name for route in routes for instance in route}
         for name in self._sent.keys() - kept:
             del self._sent[name]
@@ -142,7 +142,7 @@
 
 
 def has_changed(before: Holding, after: Holding) -> bool:
-    """Return whether two holdings of one engine differ in more than loads and stamps."""
+    """Return whether two holdings of an engine differ in more than their loads and stamps."""
     return _strip(before) != _strip(after)
 
 
--- a/gypsumrouter/orders/lease.py
+++ b/gypsumrouter/orders/lease.py
@@ -1,4 +1,4 @@
-"""Whether this process may give orders now, by the published list alone, and with what number."""
+"""Permission to send orders, derived from the instance list, and fencing numbers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class OrderLease:
-    """The right to give orders, which the list gives to the address that it names.
+    """A lease on the local engine, held by the process whose address is in the instance list.
 
-    The list is one sequence of states. This process may give orders while the newest state that
-    it has read is younger than `list_lease_ms` and names it at its own address, and once it has
-    been named for longer than another process can still hold the same right. Numbers are made of
-    the list's time, so that those of a later process are higher though it remembers nothing.
+    This process may send orders while the newest instance list that it has read is younger than
+    `list_lease_ms` and has an entry with its own name and address. It must also have been listed
+    for longer than the lease of a previous process can last. Fencing numbers are derived from the
+    time of the list, so a replacement process issues higher ones without any stored state.
     """
 
     __slots__ = (
@@ -43,18 +43,18 @@
 
     @property
     def members(self) -> tuple[str, ...]:
-        """Return the names of the pool's live sides in the newest list, sorted."""
+        """Return the sorted names of the pool's live sides in the newest list."""
         if self._newest is None:
             return ()
         return tuple(item.name for item in self._newest.instances if self._is_member(item))
 
     @property
     def last_fence(self) -> int:
-        """Return the highest number that was used, 0 before the first."""
+        """Return the last fencing number issued, 0 before the first."""
         return self._last_fence
 
     def set_address(self, address: Address) -> None:
-        """Say where the list must name this process."""
+        """Set the address under which the list must contain this process."""
         self._address = address
         newest = self._newest
         self._newest = None
@@ -62,7 +62,7 @@
             self.handle_list(newest)
 
     def handle_list(self, listed: InstanceList) -> None:
-        """Take in the next list; a missed one may have named another process."""
+        """Handle a new list; after a gap in revisions another process may have been listed."""
         newest = self._newest
         if newest is None or listed.revision != newest.revision + 1:
             self._since_ms = None
@@ -73,12 +73,12 @@
             self._since_ms = listed.as_of_ms
 
     def renew(self, as_of_ms: int) -> None:
-        """Take in that the newest list was unchanged by `as_of_ms`."""
+        """Record that the newest list was still current at `as_of_ms`."""
         if self._newest is not None and as_of_ms > self._newest.as_of_ms:
             self._newest = replace(self._newest, as_of_ms=as_of_ms)
 
     def find_block_reason(self) -> str:
-        """Return why no order may be given now, empty where one may."""
+        """Return why no order may be sent now, or an empty string."""
         if self._newest is None:
             return "the instance list has not been read"
         if self._since_ms is None:
@@ -94,15 +94,15 @@
         return ""
 
     def issue_fence(self) -> int:
-        """Return the number of the next order."""
+        """Return the fencing number of the next order."""
         as_of_ms = 0 if self._newest is None else self._newest.as_of_ms
         self._last_fence = max(self._last_fence + 1, as_of_ms * FENCES_PER_MS)
         return self._last_fence
 
     def handle_stale_fence(self, highest: int) -> None:
-        """Take in that the engine knows a higher number.
+        """Record a higher fencing number that the engine has accepted from another process.
 
-        Orders go on only once the list names this process at a time beyond that number.
+        Orders are blocked until the time of the list is past that number.
         """
         self._engine_fence = max(self._engine_fence, highest)
 
--- a/gypsumrouter/orders/load_scheduler.py
+++ b/gypsumrouter/orders/load_scheduler.py
@@ -1,4 +1,4 @@
-"""Where a load comes from, and when it may begin."""
+"""Source and start time of a load."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class Deferred(Struct, frozen=True, kw_only=True):
-    """Why a change is not begun, and the milliseconds after which to look again."""
+    """Why a change does not start yet, and the time until the next check."""
 
     reason: str
     recheck_ms: int = POLL_MS
 
 
 class Source(Struct, frozen=True, kw_only=True):
-    """Where weights come from: a neighbouring engine, or the weight store where it is empty."""
+    """The address of the engine to load from; empty for the weight store."""
 
     engine: str = ""
 
 
 class LoadScheduler:
-    """Choose the source of a load and keep to the pace of the weight store."""
+    """Choose the source of a load and respect the rate limit of the weight store."""
 
     __slots__ = ("_app", "_lease", "_retries", "_slots", "_table")
 
@@ -44,7 +44,7 @@
         self._slots = StoreSlots()
 
     def schedule(self, change: Change, orders: PoolOrders) -> Source | Deferred:
-        """Return where a load comes from, or why it may not begin yet."""
+        """Return the source of a load, or why it may not start yet."""
         name, version = change.name, change.version
         pause_ms = self._retries.get_wait_ms(name, version)
         if pause_ms > 0:
@@ -77,7 +77,7 @@
         )
 
     def get_store_wait_ms(self, orders: PoolOrders) -> int:
-        """Return the time until this side may load from the store, 0 where it may now."""
+        """Return the time until this side may load from the store, 0 if it may now."""
         members = self._lease.members
         if self._app.name not in members:
             return POLL_MS
@@ -89,7 +89,7 @@
         )
 
     def acquire_store_slot(self, orders: PoolOrders) -> int:
-        """Use this side's turn at the store; return the time until it comes where it is not now."""
+        """Use the current store slot and return 0, or return the time until this side's slot."""
         wait_ms = self.get_store_wait_ms(orders)
         if wait_ms == 0:
             wall_ms = self._app.clock.wall_ms()
--- a/gypsumrouter/orders/local_engine.py
+++ b/gypsumrouter/orders/local_engine.py
@@ -1,4 +1,4 @@
-"""What this side knows and tells of its own engine."""
+"""State of the local engine, and the holding that is published for it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LocalEngine:
-    """The last state of the engine, the change under way, and the load that is tried again."""
+    """The last state read from the engine, the change in progress, and the load being retried."""
 
     __slots__ = (
         "_clock",
@@ -44,29 +44,29 @@
 
     @property
     def rejected_models(self) -> frozenset[str]:
-        """Return the models for which no new requests may be taken."""
+        """Return the models for which new requests are rejected."""
         return self._get_withdrawn() if self.confirmed else frozenset()
 
     def begin(self, change: Change) -> None:
-        """Announce a change; requests are turned away once it is confirmed."""
+        """Announce a change; requests are rejected once it is confirmed."""
         self.change = change
         self.confirmed = False
 
     def end(self) -> None:
-        """Note that no change is under way any more."""
+        """Clear the change in progress."""
         self.change = None
 
     def is_loading(self, change: Change) -> bool:
-        """Return whether the engine loads now what a change is about."""
+        """Return whether the engine is loading the model version of a change."""
         state = self.state
         if state is None or change.kind is not OrderKind.LOAD:
             return False
         return state.pending.get(change.name) == change.version
 
     def refresh(self, *, due_ms: int) -> bool:
-        """Bring the holding up to date; return whether others must hear of it at once.
+        """Update the holding; return whether it has changed and must be announced.
 
-        Without a difference it is stamped anew once it is older than `due_ms`.
+        An unchanged holding gets a new stamp once it is older than `due_ms`.
         """
         now_ms = self._clock.wall_ms()
         made = self._make(max(now_ms, self.holding.stamp_ms + 1))
@@ -113,5 +113,5 @@
 
 
 def _round(load: float) -> float:
-    """Return a load that is the same number after its way over a link."""
+    """Return a load rounded to a value that is exact after encoding for a link."""
     return round(load * LOAD_STEPS) / LOAD_STEPS
--- a/gypsumrouter/orders/models.py
+++ b/gypsumrouter/orders/models.py
@@ -1,4 +1,4 @@
-"""What an engine is read and ordered, as values."""
+"""Data classes for the state of an engine, orders and changes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an order asks for."""
+    """Kind of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -28,7 +28,7 @@
 
 
 class EngineState(Struct, frozen=True, kw_only=True):
-    """What an engine says that it holds and loads, by name; `failures` are reasons of the last."""
+    """State of an engine by name: held and pending versions, and reasons of failed loads."""
 
     models: Mapping[str, str]
     role: str = ""
@@ -36,20 +36,20 @@
     failures: Mapping[str, str] = field(default_factory=dict)
 
     def holds(self, name: str, version: str) -> bool:
-        """Return whether a version is held; an engine that names no versions holds any."""
+        """Return whether a version is held; an engine without versions matches any."""
         return name in self.models and self.models[name] in ("", version)
 
 
 class Done(Struct, frozen=True, kw_only=True):
-    """The engine has carried an order out, or holds already what was asked for."""
+    """The engine has executed the order, or was already in the requested state."""
 
 
 class Accepted(Struct, frozen=True, kw_only=True):
-    """The engine has begun to load."""
+    """The engine has started to load."""
 
 
 class StaleFence(Struct, frozen=True, kw_only=True):
-    """The engine knows a higher fencing number: another process gives it orders."""
+    """The engine has seen a higher fencing number, so another process sends it orders."""
 
     highest: int
 
@@ -61,7 +61,7 @@
 
 
 class Indeterminate(Struct, frozen=True, kw_only=True):
-    """The order may or may not have reached the engine, or was not understood."""
+    """The order may or may not have been executed: no response, or an unexpected status."""
 
     reason: str
 
@@ -70,9 +70,10 @@
 
 
 class Change(Struct, frozen=True, kw_only=True):
-    """The next step of an engine towards what it is to hold.
+    """One step of an engine towards its desired state.
 
-    `drops` are unloaded first. Requests for `withdraws` are turned away and finished before.
+    New requests for the models in `withdraws` are rejected and running ones are drained first.
+    Then the models in `drops` are unloaded.
     """
 
     kind: OrderKind
@@ -85,17 +86,17 @@
 
     @property
     def replaces(self) -> bool:
-        """Return whether another version of the same model is held until then."""
+        """Return whether the change replaces another version of the same model."""
         return self.kind is OrderKind.LOAD and self.name in self.withdraws
 
     @property
     def skips_settling(self) -> bool:
-        """Return whether the configuration alone calls for it, so that it need not settle."""
+        """Return whether it depends on the configuration only, so it starts without settling."""
         return self.replaces or self.kind is OrderKind.SET_ROLE
 
 
 def is_same_step(one: Change | None, other: Change | None) -> bool:
-    """Return whether two changes do the same, for whatever reason."""
+    """Return whether two changes are equal except for their reasons."""
     if one is None or other is None:
         return one is other
     return replace(one, reason="") == replace(other, reason="")
@@ -111,7 +112,7 @@
 
 
 class ChangeOutcome(Struct, frozen=True, kw_only=True):
-    """The end of a change; `source` is where the load came from."""
+    """The outcome of a change; `source` is the source of the load."""
 
     result: Result
     reason: str = ""
--- a/gypsumrouter/orders/orders.py
+++ b/gypsumrouter/orders/orders.py
@@ -1,4 +1,4 @@
-"""The side's part in what the engines of its pool hold: plan, wait for its turn, give orders."""
+"""Model placement at a side: plan the pool, wait for the preconditions, order changes."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 
 
 class Orders:
-    """Make the engine beside this side hold what the configuration and the view call for.
+    """Bring the local engine to the state that the plan of the pool assigns to it.
 
-    Every side works the same plan out from the configuration, the published list and what the
-    sides tell each other, and changes its own engine alone. Without `orders` in the pool's
-    configuration it does nothing. `demand` counts the requests of each model.
+    Every side computes the same plan from the configuration, the instance list and the holdings
+    that sides gossip, and changes its own engine only. Nothing is done unless the configuration
+    of the pool has `orders`. `demand` counts the requests of each model.
     """
 
     __slots__ = (
@@ -136,16 +136,16 @@
         return self.demand.wrap(handler)
 
     def set_advertised_address(self, address: Address) -> None:
-        """Say at which address the list must name this process for it to give orders."""
+        """Set the address under which the list must contain this process for it to send orders."""
         self._lease.set_address(address)
         upstream = self._settings.upstream
-        # Neighbours reach an engine that is named by a loopback address at the side's own host.
+        # An engine on a loopback address is reached by its neighbours at the host of this side.
         is_loopback = ipaddress.ip_address(upstream.host).is_loopback
         host = address.host if is_loopback else upstream.host
         self._local.address = str(Address(host=host, port=upstream.port))
 
     async def async_start(self) -> None:
-        """Begin to look after the engine."""
+        """Start to manage the engine."""
         await self._engine.async_start()
         self._app.add_dump_section(DUMP_SECTION, self._dump)
         self._gossip.start(lambda: self._get_orders() is not None)
@@ -167,7 +167,7 @@
                 await async_wait(self._wake, clock=clock, timeout_ms=remaining_ms)
 
     async def _async_step(self) -> int:
-        """Look at the engine, and change it where that is due; return the time until the next."""
+        """Poll the engine and apply a due change; return the time until the next poll."""
         if self._get_orders() is None:
             self._deactivate()
             return POLL_MS
@@ -191,7 +191,7 @@
         self._client.withdraw(frozenset())
 
     async def _async_observe(self) -> None:
-        """Read the engine, tell the others of it, and work out what it is to hold."""
+        """Read the engine, publish its holding, and update the plan."""
         self._local.state = await self._engine.async_read()
         self._publish_holding()
         self._plan()
@@ -213,13 +213,13 @@
         self._planner.update(pool, pool.orders)
 
     def _withdraw(self) -> None:
-        """Turn requests away for what is changed, and for what the engine has lost unnoticed."""
+        """Withdraw models that are being changed, and models that the engine no longer holds."""
         state = self._local.state
         lost = () if state is None else set(self._client.held_models).difference(state.models)
         self._client.withdraw(self._local.rejected_models.union(lost))
 
     async def _async_cancel_unwanted(self) -> None:
-        """Cancel loads that are not wished, such as those of an earlier process."""
+        """Cancel loads that are not in the plan, such as those of a previous process."""
         state, desired = self._local.state, self._planner.desired
         if state is None or desired is None:
             return
@@ -228,7 +228,7 @@
                 await self._dispatcher.async_cancel(name, version, reason="not wished here")
 
     def _choose_change(self) -> Change | None:
-        """Return the next change, None where there is none or too little is known."""
+        """Return the next change; None if there is none or there is no plan."""
         orders, state, desired = self._get_orders(), self._local.state, self._planner.desired
         change = None
         if orders is None or state is None or desired is None:
@@ -255,7 +255,7 @@
         return self._lease.find_block_reason()
 
     def _choose_source(self, change: Change, orders: PoolOrders) -> Source | Deferred:
-        """Return where a change takes its weights from, or why it may not begin now."""
+        """Return the source of the weights for a change, or why it may not start now."""
         block_reason = self._dispatcher.find_block_reason()
         if block_reason:
             return Deferred(reason=block_reason)
@@ -275,7 +275,7 @@
         )
 
     def _find_change_block_reason(self, change: Change) -> str:
-        """Return why the other engines do not allow a change now."""
+        """Return why the holdings of the other engines block a change now."""
         orders = self._get_orders()
         if orders is None:
             return NOT_CONFIGURED
@@ -302,7 +302,12 @@
         self._withdraw()
 
     def _record_outcome(self, change: Change, outcome: ChangeOutcome) -> None:
-        _LOGGER.info("Change %s %s: %s", change.name or change.role, outcome.result, outcome.reason)
+        _LOGGER.info(
+            "Change of %s ended, result: %s, reason: %s",
+            change.name or change.role,
+            outcome.result,
+            outcome.reason,
+        )
         self._last = outcome
         self._candidate = None
         match outcome.result:
@@ -311,12 +316,12 @@
             case Result.FAILED:
                 self._retries.record_failure(change.name, change.version, source=outcome.source)
                 self._local.retrying = change
-                # The rest of the change is tried again without another time to settle.
+                # The remaining part is retried without waiting for settle_ms again.
                 left = tuple(name for name in change.withdraws if name not in change.drops)
                 self._candidate = replace(change, drops=(), withdraws=left)
 
     def _is_needed(self, change: Change) -> bool:
-        """Return whether a change follows from the configuration and the plan of now."""
+        """Return whether the current configuration and plan still require a change."""
         orders, desired = self._get_orders(), self._planner.desired
         if orders is None:
             return False
--- a/gypsumrouter/orders/plan.py
+++ b/gypsumrouter/orders/plan.py
@@ -1,7 +1,8 @@
-"""Which engine is to hold which models: a pure function, the same in every process.
+"""Assignment of models to engines: a pure function with the same result in every process.
 
-The plan starts from what the engines hold and changes as little as it can: first every model gets
-its minimum, then free places are filled, then demand moves engines from quiet models to busy ones.
+Planning starts from the models that the engines hold and makes few changes. First every model
+gets its minimum number of engines, then free capacity is filled, and then engines are reassigned
+from models with little demand to busy ones.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class PlannedEngine(Struct, frozen=True, kw_only=True):
-    """An engine that answers, with the models that it holds or is loading."""
+    """An available engine with the models that it holds or is loading."""
 
     name: str
     models: frozenset[str]
@@ -32,10 +33,10 @@
     demand: Mapping[str, float],
     slots: int,
 ) -> Plan:
-    """Return the models that each engine is to hold, by its name.
+    """Return the models assigned to each engine, by the engine's name.
 
-    `demand` is the number of requests of each model, `slots` what one engine runs at once. A plan
-    of its own result is the same again.
+    `demand` is the number of requests of each model, `slots` the concurrency of one engine. The
+    function is idempotent: planning from its own result returns the same plan.
     """
     draft = _Draft(orders=orders, engines=engines, demand=demand)
     draft.trim()
@@ -46,7 +47,7 @@
 
 
 class _Draft:
-    """A plan in the making."""
+    """A plan that is being computed."""
 
     __slots__ = ("_counts", "_demand", "_limit", "_models", "held")
 
@@ -64,31 +65,31 @@
                 self._counts[name] += 1
 
     def trim(self) -> None:
-        """Drop what is more than an engine may hold, the models with the most to spare first."""
+        """Drop models above the limit per engine, those furthest above their minimum first."""
         for engine, models in self.held.items():
             while len(models) > self._limit:
                 spare = max(models, key=lambda name: (self._get_spare(name), name))
                 self._drop(engine, spare)
 
     def reach_minimum(self) -> None:
-        """Give each model its smallest number of engines, as far as there are any."""
+        """Assign engines to models below their minimum, as far as possible."""
         self._repeat(self._list_short)
 
     def fill(self) -> None:
-        """Use the free places for the models with the most demand for each engine."""
+        """Assign free capacity to the models with the most demand per engine."""
         while any(self._is_free(engine) for engine in self.held):
             wanted = sorted(self._models, key=self._get_need, reverse=True)
             if not any(self._place_free(name) for name in wanted):
                 return
 
     def follow_demand(self, *, busy: float) -> None:
-        """Move engines to models that are busy, as long as that is worth it by a margin."""
+        """Reassign engines to busy models while the load differs by more than DEMAND_MARGIN."""
         self._repeat(lambda: self._list_busy(busy), self._move_for_demand)
 
     def _repeat(
         self, list_names: Callable[[], list[str]], place: Callable[[str], bool] | None = None
     ) -> None:
-        """Place one model after the other until none of those listed can be placed."""
+        """Place the first listed model that can be placed, until there is none."""
         for _ in range(len(self.held) * self._limit + 1):
             if not any((place or self._place)(name) for name in list_names()):
                 return
@@ -124,7 +125,7 @@
         return self._add_best(name, holders, drop=donor)
 
     def _add_best(self, name: str, engines: list[str], *, drop: str | None) -> bool:
-        """Give a model to the first of some engines by rank that does not hold it yet."""
+        """Assign a model to the first engine by rank that does not hold it yet."""
         fit = [engine for engine in engines if name not in self.held[engine]]
         if not fit:
             return False
@@ -140,7 +141,7 @@
         self._counts[name] -= 1
 
     def _list_donors(self, name: str) -> list[str]:
-        """Return the models that can spare an engine, those that would miss it least first."""
+        """Return models above their minimum, those with the lowest resulting load first."""
         donors = [other for other in self._models if other != name and self._get_spare(other) > 0]
         return sorted(donors, key=lambda other: (self._get_load_after(other), other))
 
@@ -163,7 +164,7 @@
         return (self._demand.get(name, 0.0) + DEMAND_PRIOR) / count
 
     def _get_load_after(self, donor: str) -> float:
-        """Return the load of each engine of a model that has given one away."""
+        """Return the load per engine of a model after it has lost one engine."""
         left = self._counts[donor] - 1
         demand = self._demand.get(donor, 0.0)
         if left == 0:
--- a/gypsumrouter/orders/planner.py
+++ b/gypsumrouter/orders/planner.py
@@ -1,4 +1,4 @@
-"""What the engine of this side is to hold, worked out anew from all that is known now."""
+"""The desired state of the local engine, computed from the plan of the pool."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class Planner:
-    """Keep the plan's part for this side.
+    """Compute the plan and keep the part for this side.
 
-    `wished` is the version of each model and adapter that the engine is to hold, None while too
-    little is known. `counts` is how many engines the plan gives to each model.
+    `desired` has the version of each model and adapter that the engine should hold; it is None
+    while holdings are missing. `counts` is the number of engines that the plan assigns to each
+    model.
     """
 
     __slots__ = ("_name", "_table", "counts", "demand", "desired")
@@ -29,13 +30,13 @@
         self.demand: Mapping[str, float] = {}
 
     def reset(self) -> None:
-        """Wish nothing, because too little is known or nothing is configured."""
+        """Clear the plan, because holdings are missing or nothing is configured."""
         self.desired = None
         self.counts = {}
         self.demand = {}
 
     def update(self, pool: Pool, orders: PoolOrders) -> None:
-        """Work the plan out."""
+        """Compute the plan from the current holdings."""
         holdings = self._table.list_available()
         if self._table.list_unreported() or all(item.name != self._name for item in holdings):
             self.reset()
@@ -52,7 +53,7 @@
 
 
 def sum_demand(orders: PoolOrders, holdings: Iterable[Holding]) -> dict[str, float]:
-    """Return the requests in hand for each model; those for adapters count for their model."""
+    """Return the number of requests of each model, including those for its adapters."""
     bases = {model.name: model.name for model in orders.models}
     for model in orders.models:
         bases |= {adapter.name: model.name for adapter in model.adapters}
--- a/gypsumrouter/orders/ports.py
+++ b/gypsumrouter/orders/ports.py
@@ -1,4 +1,4 @@
-"""What orders need of the rest of a side."""
+"""Interfaces that orders require from other parts of a side."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class Membership(Protocol):
-    """The published list, and the instances that this process believes in."""
+    """The instance list, and the instances that this process considers present."""
 
     def peers(self) -> tuple[Instance, ...]:
         """Return every other instance."""
 
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
-        """Register a listener for every list that is accepted, in their order."""
+        """Register a listener for every accepted list, in order."""
 
     def on_fresh(self, listener: Callable[[int], None]) -> Remove:
-        """Register a listener for the time by which the list was still unchanged."""
+        """Register a listener for the time at which the list was still unchanged."""
 
 
 class Sender(Protocol):
@@ -31,11 +31,11 @@
 
 
 class ServedModels(Protocol):
-    """The models for which requests are taken at the engine."""
+    """The models for which the engine accepts requests."""
 
     @property
     def held_models(self) -> tuple[str, ...]:
         """Return the models that the engine held at the last poll."""
 
     def withdraw(self, names: frozenset[str]) -> None:
-        """Take no new requests for these models, and for all others again."""
+        """Reject new requests for exactly these models; earlier withdrawals end."""
--- a/gypsumrouter/orders/ranks.py
+++ b/gypsumrouter/orders/ranks.py
@@ -1,4 +1,4 @@
-"""Ranks of engines by name, the same in every process."""
+"""Rendezvous ranks of engine names, the same in every process."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def rank_names(purpose: str, names: Iterable[str]) -> list[str]:
-    """Return names in the order of their digests; each purpose gives an order of its own."""
+    """Return names ordered by their digests; the order differs by purpose."""
     return sorted(names, key=lambda name: get_rank(purpose, name))
 
 
 def get_rank(purpose: str, name: str) -> tuple[int, str]:
-    """Return what a name is sorted by; the name itself settles equal digests."""
+    """Return the sort key of a name; the name itself breaks ties."""
     return (xxhash.xxh3_64_intdigest(f"{purpose}/{name}".encode()), name)
--- a/gypsumrouter/orders/retries.py
+++ b/gypsumrouter/orders/retries.py
@@ -1,4 +1,4 @@
-"""Loads that failed: how often, from where, and when to try again."""
+"""Failed loads: their number, their sources and the back-off before the next attempt."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class Retries:
-    """Count failed loads by model; another version begins anew.
+    """Count failed loads by model; the count restarts with another version.
 
-    A neighbour that did not give weights is avoided for some minutes, or until the store has
-    failed as well. The pause doubles with each failure at the store, with jitter, so that many
-    sides do not come back at once.
+    An engine from which a load failed is avoided for NEIGHBOUR_AVOID_MS, or until a load from the
+    store has failed as well. The back-off doubles with each failure at the store, with jitter to
+    spread the retries of many sides.
     """
 
     __slots__ = ("_avoided_until_ms", "_clock", "_random", "_records")
@@ -39,7 +39,7 @@
         self._avoided_until_ms: dict[str, int] = {}
 
     def record_failure(self, name: str, version: str, *, source: str) -> None:
-        """Take in that a load failed; an empty `source` is the weight store."""
+        """Record a failed load; an empty `source` is the weight store."""
         record = self._get_or_create(name, version)
         now_ms = self._clock.now_ms()
         if source:
@@ -54,30 +54,30 @@
         record.not_before_ms = now_ms + self._jitter(pause_ms)
 
     def clear(self, name: str) -> None:
-        """Forget the failures of a model that was loaded, or is not wanted any more."""
+        """Clear the failures of a model that was loaded or is no longer needed."""
         self._records.pop(name, None)
 
     def get_failures(self, name: str) -> int:
-        """Return how often a model could not be loaded since it last could."""
+        """Return the number of failures since the last successful load of a model."""
         record = self._records.get(name)
         return 0 if record is None else record.failures
 
     def get_wait_ms(self, name: str, version: str) -> int:
-        """Return the milliseconds until the next try is due."""
+        """Return the time until the next attempt is due."""
         record = self._records.get(name)
         if record is None or record.version != version:
             return 0
         return max(0, record.not_before_ms - self._clock.now_ms())
 
     def list_avoided(self) -> frozenset[str]:
-        """Return the neighbours that gave no weights a short time ago."""
+        """Return the engines that are not used as sources at present."""
         now_ms = self._clock.now_ms()
         return frozenset(
             engine for engine, until_ms in self._avoided_until_ms.items() if now_ms < until_ms
         )
 
     def may_try_neighbours(self, name: str, version: str) -> bool:
-        """Return whether a version is worth another try at a neighbour."""
+        """Return whether a version may be loaded from another engine."""
         record = self._records.get(name)
         if record is None or record.version != version:
             return True
--- a/gypsumrouter/orders/runner.py
+++ b/gypsumrouter/orders/runner.py
@@ -1,4 +1,4 @@
-"""One change of the engine, written straight down: requests out, orders, and wait for the end."""
+"""Execution of one change of the engine: drain requests, send orders, wait for completion."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 
 
 class ChangeLimits(Struct, frozen=True, kw_only=True):
-    """How long the requests of a model may take to end, and a load to come to its end."""
+    """Timeouts for draining the requests of a model and for loading one."""
 
     drain_ms: int
     load_ms: int
 
 
 class ChangeRunner:
-    """Carry out changes of one engine, one at a time.
+    """Apply changes to one engine, one at a time.
 
-    `observe` reads the engine and works out anew what it is to hold. `is_wanted` says whether a
-    change still follows from that, `find_obstacle` why other engines do not allow it.
-    `take_store_slot` returns the time until a load from the weight store may begin, and uses the
-    slot when that is 0.
+    `observe` reads the engine and updates the plan. `is_needed` returns whether the plan still
+    requires a change, and `find_block_reason` why the holdings of other engines block it.
+    `acquire_store_slot` returns the time until a load from the weight store may start, and uses
+    the slot if that is 0.
     """
 
     __slots__ = (
@@ -81,7 +81,7 @@
     async def async_run(
         self, change: Change, *, source: str, limits: ChangeLimits
     ) -> ChangeOutcome:
-        """Carry out a change; `source` is a neighbour to load from, empty for the store."""
+        """Apply a change; `source` is the engine to load from, empty for the weight store."""
         outcome = await self._async_confirm(change)
         outcome = outcome or await self._async_drain(change, limits.drain_ms)
         if outcome is not None:
@@ -101,10 +101,10 @@
                 return await self._async_load(change, source, limits.load_ms)
 
     async def _async_confirm(self, change: Change) -> ChangeOutcome | None:
-        """Let the others hear of the change, and hear of theirs; None where it may go on.
+        """Check the preconditions again after the announcement; return None to continue.
 
-        Two engines that announce at the same time both see the other. The pause differs, so that
-        one of them gives way and the other one goes on.
+        Two sides that announce at the same time each see the change of the other. The delay is
+        randomized so that one of them aborts first and the other one can continue.
         """
         if change.withdraws:
             pause_ms = round(ANNOUNCE_MS * self._random.uniform(1.0, 2.0))
@@ -118,7 +118,7 @@
         return None
 
     async def _async_drain(self, change: Change, drain_ms: int) -> ChangeOutcome | None:
-        """Wait until no request for what is withdrawn is left; None when that is so."""
+        """Wait for the running requests of the withdrawn models; return None to continue."""
         deadline_ms = self._app.clock.now_ms() + drain_ms
         while any(self._demand.get_running(name) for name in change.withdraws):
             outcome = self._find_abort(change)
@@ -131,7 +131,7 @@
         return self._find_abort(change)
 
     def _find_abort(self, change: Change) -> ChangeOutcome | None:
-        """Return why a change must not go on, None where it may."""
+        """Return the outcome of a change that must be aborted, None if it may continue."""
         block_reason = self._dispatcher.find_block_reason()
         if block_reason:
             return ChangeOutcome(result=Result.ABANDONED, reason=block_reason)
@@ -161,7 +161,7 @@
         return await self._async_follow_load(change, source, deadline_ms)
 
     async def _async_begin_load(self, change: Change, source: str) -> ChangeOutcome | None:
-        """Give the order to load; None once the engine has begun."""
+        """Send the order to load; return None once the engine has started."""
         outcome = None if source else await self._async_wait_for_store(change)
         if outcome is not None:
             return outcome
@@ -171,7 +171,7 @@
             case Done():
                 return ChangeOutcome(result=Result.DONE, source=source)
             case Accepted() | Indeterminate():
-                # An order that got no answer may still have been taken: the engine will tell.
+                # An order without a response may have been accepted; the engine's state shows it.
                 await self._observe()
                 return None
         return _abandon(submission)
@@ -201,7 +201,7 @@
                 failed = await self._async_cancel(change, Result.FAILED, "it took too long")
                 return replace(failed, source=source)
             if self._dispatcher.find_block_reason():
-                # Whoever acts now finds the pending load at the engine.
+                # The process that holds the lease now sees the pending load at the engine.
                 return ChangeOutcome(
                     result=Result.ABANDONED, reason=self._dispatcher.find_block_reason()
                 )
--- a/gypsumrouter/orders/store_slots.py
+++ b/gypsumrouter/orders/store_slots.py
@@ -1,4 +1,4 @@
-"""How a pool keeps to its part of the weight store's rate without a word between its sides."""
+"""Time slots that limit a pool's rate of loads from the weight store without coordination."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from gypsumrouter.const import MS_PER_S
 
-# A load begins in the first part of its slot, so that small differences of clocks do not matter.
+# A load may start only in this first part of its slot, which tolerates small clock differences.
 USABLE_SHARE = 0.5
 
 
 class StoreSlots:
-    """Wall time cut into slots of one load each, which the members take by turns.
+    """Slots of wall time for one load each, assigned round-robin to the members of the pool.
 
-    The turn follows from the order of the names, so two sides agree on it while their lists do.
+    The assignment follows from the order of the names, so sides with the same list agree on it.
     Each slot is used once.
     """
 
@@ -25,7 +25,7 @@
     def get_wait_ms(
         self, *, own: str, members: Sequence[str], loads_per_s: float, wall_ms: int
     ) -> int:
-        """Return the milliseconds until the next slot of `own`, 0 in one that is unused."""
+        """Return the time until the next slot of `own`, 0 within an unused one."""
         slot_ms = MS_PER_S / loads_per_s
         turn = members.index(own)
         number = int(wall_ms // slot_ms)
@@ -36,5 +36,5 @@
         return max(1, round((number + steps) * slot_ms - wall_ms))
 
     def use(self, *, loads_per_s: float, wall_ms: int) -> None:
-        """Note that the slot of this time is used."""
+        """Mark the slot at this time as used."""
         self._used = int(wall_ms // (MS_PER_S / loads_per_s))
--- a/gypsumrouter/orders/table.py
+++ b/gypsumrouter/orders/table.py
@@ -1,4 +1,4 @@
-"""What this side has heard of the engines of its pool."""
+"""Holdings received from the sides of the pool."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class ReceivedHolding(Struct, frozen=True, kw_only=True):
-    """What a side said of its engine, and when the newest of it came; times are monotonic."""
+    """The newest holding of a side and the monotonic time of its receipt."""
 
     holding: Holding
     received_ms: int
 
 
 class HoldingTable:
-    """The newest holding of each side; it is fresh while its side goes on to stamp it.
+    """The newest holding of each side; it becomes stale unless its side refreshes it.
 
-    A side that leaves the list still counts as holding its models for `hold_ms`, so that a flap
-    changes no plan, but not as serving them. A side that is listed and was never heard is awaited
-    for as long as a silent one counts.
+    A side that was removed from the list still counts as holding its models for `hold_ms`, but not
+    as serving them, so a flapping entry does not change the plan. A listed side that has not
+    reported yet is awaited for the time after which a holding becomes stale.
     """
 
     __slots__ = ("_clock", "_entries", "_listed_since_ms", "_removed_ms", "hold_ms")
@@ -38,13 +38,13 @@
 
     @property
     def refresh_ms(self) -> int:
-        """Return how often a side says anew what its engine holds; longer in a large pool."""
+        """Return the interval at which a side refreshes its holding; longer in a large pool."""
         return max(
             min(REFRESH_MS, self.hold_ms), REFRESH_MS_PER_MEMBER * len(self._listed_since_ms)
         )
 
     def set_listed(self, names: tuple[str, ...]) -> None:
-        """Take in the sides of the pool in the next list; each list must be told."""
+        """Set the sides of the pool; must be called for every instance list."""
         now_ms = self._clock.now_ms()
         for name in self._listed_since_ms.keys() - set(names):
             self._removed_ms[name] = now_ms
@@ -54,7 +54,7 @@
         self._drop_expired()
 
     def record(self, holding: Holding) -> bool:
-        """Take in what is said of an engine; return whether it is newer than what was known."""
+        """Store a holding; return False if it is not newer, or its side is unknown."""
         known = self._entries.get(holding.name)
         if known is not None and known.holding.stamp_ms >= holding.stamp_ms:
             return False
@@ -66,11 +66,11 @@
         return True
 
     def get(self, name: str) -> ReceivedHolding | None:
-        """Return what was heard of a side."""
+        """Return the newest holding of a side, or None."""
         return self._entries.get(name)
 
     def list_unreported(self) -> list[str]:
-        """Return the sides that have not been heard of yet and may still be."""
+        """Return the listed sides that have not reported yet and are still awaited."""
         now_ms = self._clock.now_ms()
         return [
             name
@@ -79,9 +79,9 @@
         ]
 
     def list_available(self) -> list[Holding]:
-        """Return what the engines hold that answer, sorted by the names of their sides.
+        """Return the fresh holdings of available engines, sorted by the names of their sides.
 
-        Of several sides beside one engine the first speaks for it.
+        If several sides report the same engine, only the first by name counts.
         """
         held = self._list_recently_removed()
         found = [
@@ -99,18 +99,18 @@
         ]
 
     def find_conflicting_side(self, own: Holding) -> str:
-        """Return the side that speaks for the engine of `own` in its place, if there is one."""
+        """Return the side with precedence over `own` for the same engine, or an empty string."""
         names = (item.name for item in self.list_fresh() if item.engine == own.engine)
         first = min(names, default=own.name)
         return first if first < own.name else ""
 
     def list_fresh(self) -> list[Holding]:
-        """Return every holding that is worth telling others."""
+        """Return every holding that is not stale."""
         names = (*self._listed_since_ms, *self._list_recently_removed())
         return [self._entries[name].holding for name in names if self._is_fresh(name)]
 
     def list_received(self) -> Iterator[tuple[str, ReceivedHolding | None]]:
-        """Return each listed side and what was heard of it."""
+        """Return each listed side with its newest holding."""
         return ((name, self._entries.get(name)) for name in self._listed_since_ms)
 
     def _list_recently_removed(self) -> list[str]:
@@ -142,6 +142,6 @@
 
 
 def _mark_removed(holding: Holding) -> Holding:
-    """Return the holding of a side that has left the list a moment ago."""
+    """Return the holding of a recently removed side with no model serving."""
     models = tuple(replace(model, serving=False) for model in holding.models)
     return replace(holding, engine="", models=models)
