--- a/gypsumrouter/prefixes/__init__.py
+++ b/gypsumrouter/prefixes/__init__.py
@@ -1,4 +1,4 @@
-"""Cached prompt prefixes: fetched from the engine that has them, handed on before a stop."""
+"""Transfer of cached prompt prefixes between engines, on demand and before a planned stop."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/prefixes/const.py
+++ b/gypsumrouter/prefixes/const.py
@@ -1,4 +1,4 @@
-"""Constants of the moves of prefixes; times are in milliseconds."""
+"""Constants of the transfer of prefixes; times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 BYTES_PER_TOKEN: Final = 4
 
 MAX_HELD_CHATS: Final = 65_536
-# Below this, computing the rest of a prompt again costs less than asking for it, see decision 0011.
+# A smaller missing part is prefilled again, which costs less than a transfer (decision 0011).
 MIN_FETCH_BYTES: Final = 1_024
 MAX_MOVED_CHATS: Final = 65_536
 PRIMARY_HOLDERS: Final = 2
@@ -21,7 +21,7 @@
 CALL_TIMEOUT_MS: Final = 1_000
 EVENTS_POLL_MS: Final = 500
 
-# A planned stop hands on what was used last, in this time.
+# Limits of the handoff of recently used prefixes during a planned stop.
 HANDOFF_TIMEOUT_MS: Final = 5_000
 MAX_CONCURRENT_HANDOFFS: Final = 8
 MAX_HANDOFF_CHATS: Final = 4_096
--- a/gypsumrouter/prefixes/engine.py
+++ b/gypsumrouter/prefixes/engine.py
@@ -1,4 +1,4 @@
-"""Calls to the KV cache of the engine beside this side."""
+"""HTTP client for the KV cache API of the local engine."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# The session raises RuntimeError once a stop has closed it.
+# The session raises RuntimeError after it has been closed by a stop.
 CALL_ERRORS: Final = (
     ConnectFailed,
     ConnectionBroken,
@@ -40,14 +40,14 @@
 
 
 class Evicted(Struct, frozen=True, kw_only=True):
-    """Tokens of a chat that the engine no longer holds."""
+    """A number of tokens of a chat that the engine has evicted."""
 
     chat: str
     tokens: int
 
 
 class CacheClient:
-    """Export, import and follow what one engine caches; a call that fails gives nothing."""
+    """Export and import prefixes and read eviction events; failed calls return no result."""
 
     __slots__ = ("_app", "_next_event", "_transport")
 
@@ -62,11 +62,11 @@
         self._app.on_stop(self._transport.async_close)
 
     async def async_export(self, chat: str) -> bytes | None:
-        """Return the cached prefix of a chat, None where there is none."""
+        """Return the cached prefix of a chat, or None."""
         return await self._async_call(HTTPMethod.POST, PATH_EXPORT, {"chat": chat})
 
     async def async_import(self, chat: str, exported: bytes) -> bool:
-        """Give the engine a prefix that another one exported."""
+        """Import a prefix that another engine exported; return whether it was accepted."""
         try:
             document = json.loads(exported)
             payload = {"chat": chat, "tokens": document["tokens"], "blocks": document["blocks"]}
@@ -75,7 +75,7 @@
         return await self._async_call(HTTPMethod.POST, PATH_IMPORT, payload) is not None
 
     async def async_list_evicted(self) -> tuple[Evicted, ...]:
-        """Return what the engine has told since the last call; events come late, some never."""
+        """Return the evictions since the last call; events may be delayed or lost."""
         body = await self._async_call(
             HTTPMethod.GET, f"{PATH_EVENTS}?after={self._next_event}", None
         )
@@ -107,5 +107,5 @@
                 finally:
                     response.close()
         except CALL_ERRORS as error:
-            _LOGGER.debug("Call %s to the cache failed: %s", path, error)
+            _LOGGER.debug("Request %s to the engine's cache API failed: %s", path, error)
             return None
--- a/gypsumrouter/prefixes/handoff.py
+++ b/gypsumrouter/prefixes/handoff.py
@@ -1,4 +1,4 @@
-"""Prefixes handed on to the chats' next places before a planned stop."""
+"""Handoff of cached prefixes to other engines before a planned stop."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class PrefixHandoff:
-    """Give the engines that come next what this one holds, once this process stops.
+    """Transfer the cached prefixes of idle chats to the engines that will serve them next.
 
-    `list_chats` returns up to a number of idle chats, those served last first. What runs while the
-    stop begins is handed on when it has ended.
+    `list_chats` returns up to the given number of idle chats, most recently served first. Chats
+    that are running when the stop begins are transferred when their runs have ended.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
         )
 
     def start(self) -> None:
-        """Take part in a planned stop from now on."""
+        """Start to wait for a planned stop."""
         self._app.on_drain(self._async_drain)
         self._app.async_create_task(self._async_run(), "prefix hand-on")
 
@@ -71,12 +71,16 @@
         await self._async_hand_off_idle()
 
     async def _async_drain(self) -> None:
-        """Hand on what ran until now; the runs have ended when this hook is called."""
+        """Transfer the chats of the last runs; all runs have ended when this hook is called."""
         try:
             async with asyncio.timeout(HANDOFF_TIMEOUT_MS / MS_PER_S):
                 await self._async_hand_off_idle()
         except TimeoutError:
-            _LOGGER.info("The time to hand prefixes on is over after %d", self.count)
+            _LOGGER.info(
+                "Handoff of prefixes reached its time limit after %d prefixes; the others are "
+                "prefilled again at their next engines",
+                self.count,
+            )
 
     async def _async_hand_off_idle(self) -> None:
         others = tuple(item for item in self._list_members() if item.name != self._app.name)
--- a/gypsumrouter/prefixes/held.py
+++ b/gypsumrouter/prefixes/held.py
@@ -1,4 +1,4 @@
-"""What the engine beside this side holds, as far as the side can know."""
+"""Estimate of the prefixes that the local engine holds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HeldPrefixes:
-    """Bytes of the prompts that were last served here, by the engine's name of the chat."""
+    """Prompt bytes of the chats that were last served here, by the engine's name of the chat."""
 
     __slots__ = ("_bytes",)
 
@@ -19,18 +19,18 @@
         return len(self._bytes)
 
     def get(self, chat: str) -> int:
-        """Return how much of a chat is held."""
+        """Return how many prompt bytes of a chat are held."""
         return self._bytes.get(chat, 0)
 
     def record(self, chat: str, prompt_bytes: int) -> None:
-        """Note that a prompt was served."""
+        """Record that a prompt was served."""
         self._bytes[chat] = prompt_bytes
         self._bytes.move_to_end(chat)
         if len(self._bytes) > MAX_HELD_CHATS:
             self._bytes.popitem(last=False)
 
     def record_eviction(self, chat: str, evicted_bytes: int) -> None:
-        """Note that the engine needed the memory for something else."""
+        """Record that the engine has evicted a part of a chat."""
         held = self._bytes.get(chat)
         if held is None:
             return
@@ -40,10 +40,10 @@
             self._bytes[chat] = held - evicted_bytes
 
     def clear(self) -> None:
-        """Forget everything, as an engine does that starts again."""
+        """Clear all entries after a restart of the engine."""
         self._bytes.clear()
 
     def list_newest(self, limit: int) -> list[str]:
-        """Return the chats that were served last, newest first."""
+        """Return the most recently served chats, newest first."""
         newest = reversed(self._bytes)
         return [chat for chat, _ in zip(newest, range(limit), strict=False)]
--- a/gypsumrouter/prefixes/moved.py
+++ b/gypsumrouter/prefixes/moved.py
@@ -1,4 +1,4 @@
-"""Where chats of this side's own order were served last, when it was not here."""
+"""Locations of chats that belong to this side and were last served by another one."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class ChatLocation(Struct, frozen=True, kw_only=True):
-    """The instance that served a chat elsewhere, and how long its prompt was."""
+    """The instance that last served a chat, and the length of the prompt."""
 
     name: str
     prompt_bytes: int
 
 
 class MovedChats:
-    """The last news of each chat, by the digest of its name; bounded, the oldest go."""
+    """The last known location of each chat, by the digest of its name; a bounded LRU table."""
 
     __slots__ = ("_moved",)
 
@@ -28,16 +28,16 @@
         return len(self._moved)
 
     def record(self, chat: int, moved: ChatLocation) -> None:
-        """Take in that a chat was served elsewhere."""
+        """Record that a chat was served by another instance."""
         self._moved[chat] = moved
         self._moved.move_to_end(chat)
         if len(self._moved) > MAX_MOVED_CHATS:
             self._moved.popitem(last=False)
 
     def get(self, chat: int) -> ChatLocation | None:
-        """Return who served a chat last, None if it was this side or nothing is known."""
+        """Return the location of a chat; None if it is here or unknown."""
         return self._moved.get(chat)
 
     def forget(self, chat: int) -> None:
-        """Forget a chat that was served here again."""
+        """Remove a chat that was served here again."""
         self._moved.pop(chat, None)
--- a/gypsumrouter/prefixes/peers.py
+++ b/gypsumrouter/prefixes/peers.py
@@ -1,4 +1,4 @@
-"""Requests for prefixes between sides, over the links that carry requests."""
+"""Requests for prefixes to other sides, over the same links as callers' requests."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     """The links to other processes."""
 
     async def async_open(self, *, instance: Instance, request: Open) -> Exchange | Refused:
-        """Send a request; `Refused` means that it was never sent."""
+        """Send a request; return `Refused` if it was not sent."""
 
     async def async_send(self, *, instance: Instance, notice: Notice) -> bool:
         """Send a notice; return False if the instance cannot be reached."""
 
 
 class Reply(Struct, frozen=True, kw_only=True):
-    """What another side answers; `place` is the name of a third one that knows better."""
+    """The response of another side; `location` names the side to which it redirects."""
 
     status: int
     body: bytes = b""
@@ -36,7 +36,7 @@
 async def async_request(
     *, links: Links, instance: Instance, path: str, chat: str, body: bytes = b""
 ) -> Reply | None:
-    """Return what the side of `instance` answers, None without a whole answer."""
+    """Send a request to the side of `instance`; return None without a complete response."""
     request = _make_request(instance, path, chat, body)
     exchange = await links.async_open(instance=instance, request=request)
     if isinstance(exchange, Refused):
--- a/gypsumrouter/prefixes/prefixes.py
+++ b/gypsumrouter/prefixes/prefixes.py
@@ -1,4 +1,4 @@
-"""The side's part in moving cached prefixes between the engines of a pool."""
+"""Transfer of cached prefixes between the engines of a pool, as seen by one side."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Members(Protocol):
-    """The instances that this process believes in."""
+    """The instances that this process considers present."""
 
     def get(self, name: str) -> Instance | None:
         """Return an instance by its name."""
@@ -34,12 +34,13 @@
 
 
 class Prefixes:
-    """Move prefixes to where their chats run.
+    """Transfer prefixes to the engines that serve their chats.
 
-    A chat that runs away from its usual place fetches its prefix from the places that the router
-    names, and the side that served it tells the first of them, which so knows where to ask. Before
-    a planned stop the chats used last are handed on to their next places. All of it is only for
-    speed: whatever fails, the engine computes the prompt again.
+    Before a request runs, the missing prefix of its chat is fetched from the holders that the
+    router names in the request. After it, the side notifies the first of these, the primary, which
+    redirects later requests for the prefix. Before a planned stop recently used prefixes are
+    handed off to other engines. This is an optimization: if a transfer fails, the engine prefills
+    the prompt again.
     """
 
     __slots__ = (
@@ -83,7 +84,7 @@
         )
 
     def wrap(self, handler: ExchangeHandler) -> ExchangeHandler:
-        """Return a handler that answers other sides' requests for prefixes itself."""
+        """Return a handler that serves prefix requests of sides and passes on all others."""
 
         async def async_handle(hello: Hello, request: Open, answer: Answer) -> None:
             if hello.role is not Role.SIDE:
@@ -100,14 +101,14 @@
         return async_handle
 
     async def async_start(self) -> None:
-        """Follow what the engine evicts, and take part in a planned stop."""
+        """Start to read eviction events and to wait for a planned stop."""
         await self._client.async_start()
         self._handoff.start()
         self._app.add_dump_section(DUMP_SECTION, self._dump)
         self._app.async_create_task(self._async_follow(), "prefix events")
 
     async def async_fetch(self, request: Open) -> None:
-        """Bring the prefix of a request here where that costs less than computing it."""
+        """Fetch the prefix of a request if enough of it is missing here."""
         if not request.chat:
             return
         chat = make_engine_chat(request.workspace, request.chat)
@@ -123,7 +124,7 @@
         self._fetches.inc(labels=(("result", "fetched" if fetched else "not_found"),))
 
     def note_served(self, request: Open, *, whole: bool) -> None:
-        """Note that the engine ran a request, to its end if it was `whole`."""
+        """Record that the engine ran a request; ignored unless the response was `whole`."""
         if not whole or not request.chat:
             return
         chat = make_engine_chat(request.workspace, request.chat)
@@ -135,7 +136,7 @@
             self._app.async_create_task(self._async_notify(primary, news), "prefix news")
 
     def note_ended(self, request: Open) -> None:
-        """Note the end of a run that began with a fetch."""
+        """Record the end of a run that began with `async_fetch`."""
         if not request.chat:
             return
         chat = make_engine_chat(request.workspace, request.chat)
@@ -144,14 +145,14 @@
             self._running[chat] = running
 
     def note_engine_died(self) -> None:
-        """Forget what the engine held before it started again."""
+        """Clear the estimate of what the engine held before it crashed."""
         self._held.clear()
 
     def _list_idle(self, limit: int) -> list[str]:
         return [chat for chat in self._held.list_newest(limit) if chat not in self._running]
 
     def _list_sources(self, request: Open, chat: str) -> list[str]:
-        """Return where to ask: the hinted place, where the chat moved to, its usual places."""
+        """Return the candidates in order: hinted holders, last known location, primaries."""
         primaries = list(request.holders[: const.PRIMARY_HOLDERS])
         hinted = list(request.holders[const.PRIMARY_HOLDERS :])
         moved = self._moved.get(digest_chat(chat))
@@ -187,7 +188,7 @@
         self._moved.record(news.chat, moved)
 
     async def _async_export(self, request: Open, answer: Answer) -> None:
-        """Answer with the cached prefix, or with the place that holds more of it."""
+        """Respond with the cached prefix, or redirect to a side that holds more of it."""
         moved = self._moved.get(digest_chat(request.chat))
         min_bytes = self._held.get(request.chat) + const.MIN_FETCH_BYTES
         exported = None
@@ -224,7 +225,7 @@
 
 
 def digest_chat(chat: str) -> int:
-    """Return the number that stands for a chat in news."""
+    """Return the digest that identifies a chat in a `PrefixNews` notice."""
     return xxhash.xxh64_intdigest(chat.encode())
 
 
--- a/gypsumrouter/upstream/__init__.py
+++ b/gypsumrouter/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards the upstream beside a side: an engine or a service."""
+"""HTTP clients for the local upstream of a side, an engine or a service."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def make_client(*, app: Application, settings: Upstream) -> UpstreamClient:
-    """Return the client for the kind of upstream that the settings name."""
+    """Return the client for the configured kind of upstream."""
     match settings.kind:
         case UpstreamKind.ENGINE:
             return EngineClient(app=app, settings=settings)
--- a/gypsumrouter/upstream/retry_budget.py
+++ b/gypsumrouter/upstream/budget.py
@@ -1,4 +1,4 @@
-"""A budget for requests that are sent a second time, so that a slow upstream isn't multiplied."""
+"""Retry budget that limits the additional load which hedged requests cause at a slow upstream."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RetryBudget:
-    """Allow a second try for a fixed share of the runs, and a small burst."""
+    """Token bucket that allows retries for a fixed share of the requests, plus a burst."""
 
     __slots__ = ("_tokens",)
 
@@ -14,11 +14,11 @@
         self._tokens = RETRY_BUDGET_BURST
 
     def record_run(self) -> None:
-        """Count one run."""
+        """Add the share of a token that one request earns."""
         self._tokens = min(RETRY_BUDGET_BURST, self._tokens + RETRY_BUDGET_SHARE)
 
     def try_acquire(self) -> bool:
-        """Take one second try; False if the budget is spent."""
+        """Take a token for one retry; return False if the budget is exhausted."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/gypsumrouter/upstream/client.py
+++ b/gypsumrouter/upstream/client.py
@@ -1,4 +1,4 @@
-"""What the clients of engines and of services have in common."""
+"""Base class of the clients for engines and services."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Attempt(StrEnum):
-    """How one connection of a run ended."""
+    """Result of one connection of a run."""
 
     COMPLETE = "complete"
     CANCELLED = "cancelled"
@@ -48,11 +48,11 @@
 
 
 class StreamLost(Exception):
-    """The upstream does not know a stream any more."""
+    """The upstream no longer has a stream that was to be resumed."""
 
 
 class BaseClient(ABC):
-    """Run requests at one upstream over HTTP, each on its own connection."""
+    """Send requests to one upstream over HTTP, each on its own connection."""
 
     __slots__ = (
         "_app",
@@ -90,26 +90,26 @@
 
     @property
     def up(self) -> bool:
-        """Return whether the upstream answers."""
+        """Return whether the upstream responds to polls."""
         return self._health.up
 
     @property
     def models(self) -> tuple[str, ...]:
-        """Return the models that an engine holds for requests, sorted; empty for services."""
+        """Return the sorted models that an engine holds and that are not withdrawn."""
         return tuple(name for name in self._health.models if name not in self._withdrawn)
 
     @property
     def held_models(self) -> tuple[str, ...]:
-        """Return the models that an engine held at the last poll, also the withdrawn ones."""
+        """Return the models that an engine held at the last poll, including withdrawn ones."""
         return self._health.models
 
     @property
     def report(self) -> LoadReport | None:
-        """Return the newest load that the upstream reported of itself."""
+        """Return the last load report of the upstream, or None."""
         return self._health.report
 
     async def async_start(self) -> None:
-        """Open the session and begin to poll."""
+        """Open the session and start to poll."""
         self._transport.open_session()
         self._app.on_stop(self._transport.async_close)
         self._app.add_dump_section(DUMP_SECTION, self._dump)
@@ -117,19 +117,19 @@
         self._health.start()
 
     def on_crash(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for the upstream's death while it ran requests."""
+        """Register a listener for crashes of the upstream while it runs requests."""
         return self._health.on_crash(listener)
 
     def on_models(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for changes of the models that an engine holds."""
+        """Register a listener for changes of the models of an engine."""
         return self._health.on_models(listener)
 
     def on_up(self, listener: Callable[[bool], None]) -> Remove:
-        """Register a listener for the upstream becoming reachable or unreachable."""
+        """Register a listener for changes of `up`."""
         return self._health.on_up(listener)
 
     def withdraw(self, names: frozenset[str]) -> None:
-        """Take no new requests for these models, and for all others again."""
+        """Offer all models of the engine except these; replaces earlier withdrawals."""
         if names == self._withdrawn:
             return
         self._withdrawn = names
@@ -143,16 +143,16 @@
         priority: int,
         handed_over: Callable[[], None],
     ) -> Failure | None:
-        """Run one request; None after a whole answer.
+        """Run one request; return None after a complete response.
 
-        `handed_over` is called right before the first byte may reach the upstream, and may raise
-        HandOverDenied. A Refused is only returned if nothing was handed over.
+        `handed_over` is called immediately before the first byte is written to the upstream, and
+        may raise HandOverDenied. Refused is returned only if it was not called successfully.
         """
         refused = check_request(request)
         if refused is not None:
             return refused
         if self._health.crashed:
-            # What is handed to a dead upstream would count as the cause of another death.
+            # A request handed over to a crashed upstream would be counted as a cause of a crash.
             return make_unreachable()
         watch, remove = self._watchdog.watch(answer.cancelled)
         run = Run(
@@ -176,10 +176,10 @@
 
     @abstractmethod
     async def _async_drive(self, run: Run) -> Failure | None:
-        """Run a request to its end."""
+        """Run a request with all its attempts."""
 
     async def _async_attempt(self, run: Run, opener: Opener) -> Attempt:
-        """Open one connection and pass on what comes until it ends in any way."""
+        """Open one connection with `opener` and relay the response until it ends or fails."""
         try:
             async with run.watch.guard():
                 response = await opener(run)
@@ -202,7 +202,7 @@
         return Attempt.COMPLETE
 
     def _make_stream_id(self, request: Open) -> str:
-        """Return an id that no other run has, also where callers use a request id twice."""
+        """Return an id that is unique even if callers reuse a request id."""
         incarnation = self._app.incarnation & _INCARNATION_MASK
         return f"{request.request_id}.{incarnation:08x}.{next(self._numbers):x}"
 
@@ -222,7 +222,7 @@
 
 
 def make_unreachable() -> Refused:
-    """Return the outcome of a request for which no connection could be made."""
+    """Return the refusal of a request for which no connection could be made."""
     return Refused(
         reason=Reason.UNREACHABLE,
         message="the upstream takes no connection",
@@ -232,7 +232,7 @@
 
 
 def _correct_outcome(run: Run, failure: Failure | None) -> Failure | None:
-    """Return the failure with what the hand-over says of whether the request ran."""
+    """Return Refused only for a request that was not handed over, and Failed for one that was."""
     match failure:
         case Refused() if run.was_handed_over:
             return Failed(reason=failure.reason, message=failure.message)
--- a/gypsumrouter/upstream/const.py
+++ b/gypsumrouter/upstream/const.py
@@ -1,4 +1,4 @@
-"""Constants of the HTTP side towards an upstream."""
+"""Constants of the HTTP clients for upstreams."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/upstream/engine.py
+++ b/gypsumrouter/upstream/engine.py
@@ -1,4 +1,4 @@
-"""Requests at a model engine: streams that can be resumed and cancelled."""
+"""Client for model engines, whose streams can be resumed and cancelled."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 
 
 class EngineClient(BaseClient):
-    """Run requests at an engine.
+    """Send requests to an engine.
 
-    An engine may be silent for long before its first token. So a silent connection is not taken
-    for a dead one: the stream is taken over on a new connection, from the byte after the last,
-    and the engine says whether it still has it.
+    An engine may send nothing for a long time before its first token, so an idle connection is not
+    treated as failed. Instead the stream is resumed on a new connection at the current offset, and
+    the engine responds whether it still has the stream.
     """
 
     __slots__ = ()
@@ -55,7 +55,7 @@
         if failure is None:
             return None
         if failure.reason is Reason.CANCELLED and run.was_handed_over:
-            # Whoever gets the slot next should find the engine free.
+            # Wait for the cancellation, so that the slot is free at the engine for the next run.
             await self._async_cancel_stream(run.stream_id)
         else:
             self._start_cancel(run)
@@ -90,7 +90,7 @@
                 attempts = 0
 
     async def _async_has_crashed(self, run: Run, attempt: Attempt) -> bool:
-        """Return whether a new connection shows that the upstream is gone."""
+        """Return whether a probe after a broken connection shows that the upstream crashed."""
         if attempt is not Attempt.BROKEN:
             return False
         return await self._health.async_check_crash(run.generation)
@@ -117,7 +117,11 @@
         )
 
     async def async_resume_stream(self, run: Run) -> aiohttp.ClientResponse:
-        """Return the answer from the first byte that is missing; raises StreamLost."""
+        """Resume the response at the current offset.
+
+        Raises StreamLost if the engine no longer has the stream, and ConnectionBroken for any
+        other status.
+        """
         run.watch.reading = True
         response = await self._transport.async_open(
             method="POST", path=f"{_make_path(run.stream_id)}/resume?offset={run.offset}"
@@ -128,27 +132,30 @@
         response.close()
         if response.status == HTTP_NOT_FOUND:
             raise StreamLost
-        raise ConnectionBroken(f"status {response.status}")
+        raise ConnectionBroken(f"resume of a stream: expected status 200, got {response.status}")
 
     async def async_pause(self, pause_ms: int) -> None:
-        """Wait before the next try to resume."""
+        """Wait before the next attempt to resume."""
         await self._app.clock.async_sleep(pause_ms)
 
     def _may_open_again(self, run: Run) -> bool:
-        """Return whether the request may be sent again: it can be repeated and nothing came."""
+        """Return whether the request may be sent again: no idempotency key and no head yet."""
         if run.request.idempotency_key or run.head_sent:
             return False
         return run.sends < MAX_SENDS
 
     async def _async_open_again(self, run: Run) -> Attempt:
-        """Send the request once more, under a new id, so that two answers can't be mixed."""
-        _LOGGER.debug("Request %s never reached the upstream", run.request.request_id)
+        """Send the request again under a new stream id, so that two responses can't be mixed."""
+        _LOGGER.debug(
+            "Request %s did not reach the upstream; sending it again with a new stream id",
+            run.request.request_id,
+        )
         await self._async_cancel_stream(run.stream_id)
         run.stream_id = self._make_stream_id(run.request)
         return await self._async_attempt(run, self._async_open_stream)
 
     def _start_cancel(self, run: Run) -> None:
-        """Tell the engine that nobody wants the stream any more, without waiting for it."""
+        """Start to cancel the stream at the engine without waiting for the response."""
         if not run.was_handed_over:
             return
         self._app.async_create_task(self._async_cancel_stream(run.stream_id), "upstream cancel")
@@ -161,11 +168,11 @@
                 )
                 response.close()
         except (ConnectFailed, ConnectionBroken, TimeoutError) as error:
-            _LOGGER.debug("Cancel of stream %s failed: %s", stream_id, error)
+            _LOGGER.debug("Failed to cancel stream %s at the engine: %s", stream_id, error)
 
 
 class _Resume:
-    """Open a stream again, after a pause that grows with the tries before."""
+    """Resume a stream after a pause that grows with the number of previous attempts."""
 
     __slots__ = ("_client", "_pause")
 
@@ -180,7 +187,7 @@
 
 
 def _has_progressed(run: Run, mark: tuple[int, int], attempt: Attempt) -> bool:
-    """Return whether a resumed stream is a living one: more bytes, or a head and then silence."""
+    """Return whether a resumed stream made progress: more bytes, or a head before going idle."""
     offset, heads = mark
     if run.offset > offset:
         return True
--- a/gypsumrouter/upstream/headers.py
+++ b/gypsumrouter/upstream/headers.py
@@ -1,4 +1,4 @@
-"""Which headers cross a side, and which requests are safe to write on a connection."""
+"""Selection of forwarded headers, and validation of requests before they are written as HTTP."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def check_request(request: Open) -> Refused | None:
-    """Return why a request cannot be written as HTTP, None if it can."""
+    """Return a refusal if a request can't be written as valid HTTP, or None."""
     if _METHOD.fullmatch(request.method) is None:
         return _refuse("the method is not valid")
     if _PATH.fullmatch(request.path) is None:
@@ -58,13 +58,13 @@
 
 
 def select_request_headers(headers: Headers) -> list[tuple[str, str]]:
-    """Return the headers that go on to an upstream."""
+    """Return the request headers that are forwarded to an upstream."""
     dropped = _list_hop_by_hop(headers) | _OWN_IN_REQUESTS
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
 def select_answer_headers(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Return the headers that go back to the caller."""
+    """Return the response headers that are forwarded to the caller."""
     listed = tuple((str(name), str(value)) for name, value in headers)
     dropped = _list_hop_by_hop(listed) | _OWN_IN_ANSWERS
     return tuple((name, value) for name, value in listed if name.lower() not in dropped)
--- a/gypsumrouter/upstream/health.py
+++ b/gypsumrouter/upstream/health.py
@@ -1,4 +1,4 @@
-"""How an upstream is doing: polled, and noticed by the runs that break."""
+"""Health of an upstream, from polls and from the broken connections of runs."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 class Health:
     """Poll one upstream; keep its models, its load report and whether it is up.
 
-    `generation` grows with each death of the upstream, so that runs which break together count
-    as one death. It is `dead` from a death until it answers a poll again.
+    `generation` counts the crashes of the upstream, so that runs which fail in the same crash count
+    as one. `crashed` is true from a crash until the upstream responds to a poll again.
     """
 
     __slots__ = (
@@ -62,21 +62,21 @@
         self.up = False
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start to poll."""
         self._app.async_create_task(self._async_poll(), "upstream poll")
 
     def on_models(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for changes of the models that an engine holds."""
+        """Register a listener for changes of the models of an engine."""
         self._models_listeners.append(listener)
         return lambda: self._models_listeners.remove(listener)
 
     def on_crash(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for the upstream's death while it ran requests."""
+        """Register a listener for crashes of the upstream while it runs requests."""
         self._crash_listeners.append(listener)
         return lambda: self._crash_listeners.remove(listener)
 
     def on_up(self, listener: Callable[[bool], None]) -> Remove:
-        """Register a listener for the upstream becoming reachable or unreachable."""
+        """Register a listener for changes of `up`."""
         self._up_listeners.append(listener)
         return lambda: self._up_listeners.remove(listener)
 
@@ -86,10 +86,10 @@
             listener()
 
     async def async_check_crash(self, generation: int) -> bool:
-        """Return whether a broken connection means that the upstream died.
+        """Probe the upstream after a broken connection; return whether it has crashed.
 
-        `generation` is the one in which the broken run began. A new connection that breaks too
-        is tried once more, since whatever cut the first may have cut it as well.
+        `generation` is the one in which the failed run began. A probe whose connection breaks is
+        repeated once, since the same network fault may have broken both connections.
         """
         liveness = await self._transport.async_probe(self.load_path)
         if liveness is Liveness.BROKEN:
@@ -105,7 +105,10 @@
             return
         self.generation += 1
         self.crashed = True
-        _LOGGER.warning("The upstream died while it ran requests")
+        _LOGGER.warning(
+            "The upstream crashed while it ran requests; rejecting requests until it responds to "
+            "polls again"
+        )
         self._failures = MAX_FAILED_POLLS
         self._set_up(False)
         for listener in tuple(self._crash_listeners):
@@ -139,7 +142,7 @@
 
     def _handle_failed_poll(self, error: Exception) -> None:
         self._failures += 1
-        _LOGGER.debug("Poll of the upstream failed: %s", error)
+        _LOGGER.debug("Failed to poll the upstream: %s", error)
         if self._failures >= MAX_FAILED_POLLS:
             self._set_up(False)
 
@@ -148,9 +151,9 @@
             return
         self.up = up
         if up:
-            _LOGGER.info("The upstream answers")
+            _LOGGER.info("The upstream responds to polls and is up")
         else:
-            _LOGGER.warning("The upstream does not answer")
+            _LOGGER.warning("The upstream does not respond to polls and is down")
         for listener in tuple(self._up_listeners):
             listener(up)
 
@@ -158,13 +161,13 @@
         if models == self.models:
             return
         self.models = models
-        _LOGGER.info("The upstream holds the models %s", ", ".join(models))
+        _LOGGER.info("Models of the upstream changed to: %s", ", ".join(models))
         self.notify_models()
 
 
 def _parse_report(document: Any) -> LoadReport:
     if not isinstance(document, dict):
-        raise ValueError("the load report is not an object")
+        raise ValueError(f"load report: expected a JSON object, got {document!r:.100}")
     return LoadReport(
         running=_parse_int(document, "running"),
         waiting=_parse_int(document, "waiting"),
@@ -177,13 +180,13 @@
 def _parse_int(document: dict[str, Any], name: str) -> int:
     value = document.get(name, 0)
     if not isinstance(value, int):
-        raise ValueError(f"{name} is not a whole number")
+        raise ValueError(f"load report: expected an integer for {name}, got {value!r:.100}")
     return value
 
 
 def _parse_models(document: Any) -> tuple[str, ...]:
     entries = document.get("data") if isinstance(document, dict) else None
     if not isinstance(entries, list):
-        raise ValueError("the list of models has no data")
+        raise ValueError(f"model list: expected an object with a data list, got {document!r:.100}")
     names = {str(entry["id"]) for entry in entries if isinstance(entry, dict) and "id" in entry}
     return tuple(sorted(names))
--- a/gypsumrouter/upstream/models.py
+++ b/gypsumrouter/upstream/models.py
@@ -1,4 +1,4 @@
-"""What the HTTP side towards an upstream exchanges with the rest of a side."""
+"""Interfaces and data classes of the clients for upstreams."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HandOverDenied(Exception):
-    """Raised by a hand-over callback that no longer allows the request to be sent."""
+    """Raised by a hand-over callback if the request may not be sent."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.message)
@@ -22,36 +22,36 @@
 
 
 class Sink(Protocol):
-    """Where an upstream's answer goes; a link's `Answer` is one."""
+    """Receiver of an upstream's response, such as a link's `Answer`."""
 
     @property
     def cancelled(self) -> asyncio.Event:
-        """Return the event that says that nobody wants the answer any more."""
+        """Return the event that is set when the request has been cancelled."""
 
     def head(self, head: Head) -> None:
-        """Take the beginning of the answer."""
+        """Handle the head of the response."""
 
     async def async_write(self, body: bytes) -> None:
-        """Take a part of the body, waiting while the reader is slow."""
+        """Handle a part of the body; waits while the receiver applies backpressure."""
 
 
 class UpstreamClient(Protocol):
-    """Run requests at one upstream and know how it is doing."""
+    """Send requests to one upstream and monitor its health."""
 
     @property
     def up(self) -> bool:
-        """Return whether the upstream answers."""
+        """Return whether the upstream responds to polls."""
 
     @property
     def models(self) -> tuple[str, ...]:
-        """Return the models that an engine holds, sorted; empty for services."""
+        """Return the sorted models that an engine offers; empty for services."""
 
     @property
     def report(self) -> LoadReport | None:
-        """Return the newest load that the upstream reported of itself."""
+        """Return the last load report of the upstream, or None."""
 
     async def async_start(self) -> None:
-        """Open the sessions and begin to poll."""
+        """Open the session and start to poll."""
 
     async def async_run(
         self,
@@ -61,24 +61,24 @@
         priority: int,
         handed_over: Callable[[], None],
     ) -> Failure | None:
-        """Run one request; None after a whole answer.
+        """Run one request; return None after a complete response.
 
-        `handed_over` is called right before the first byte may reach the upstream, and may raise
-        HandOverDenied. A Refused is only returned if nothing was handed over.
+        `handed_over` is called immediately before the first byte is written to the upstream, and
+        may raise HandOverDenied. Refused is returned only if it was not called successfully.
         """
 
     def on_crash(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Register a listener for the upstream's death while it ran requests."""
+        """Register a listener for crashes of the upstream while it runs requests."""
 
     def on_models(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Register a listener for changes of the models that an engine holds."""
+        """Register a listener for changes of the models of an engine."""
 
     def on_up(self, listener: Callable[[bool], None]) -> Callable[[], None]:
-        """Register a listener for the upstream becoming reachable or unreachable."""
+        """Register a listener for changes of `up`."""
 
 
 class LoadReport(Struct, frozen=True, kw_only=True):
-    """What an upstream says of its load, and when (`as_of_ms`, its wall time)."""
+    """The load reported by an upstream, and its wall time of the report (`as_of_ms`)."""
 
     running: int
     waiting: int
@@ -88,7 +88,7 @@
 
 
 class Liveness(StrEnum):
-    """What a probe on a new connection found."""
+    """Result of a probe on a new connection."""
 
     ANSWERS = "answers"
     BROKEN = "broken"
@@ -112,4 +112,4 @@
 
 
 class ConnectionBroken(Exception):
-    """The connection ended or broke the protocol before the answer was whole."""
+    """The connection failed or violated the protocol before the response was complete."""
--- a/gypsumrouter/upstream/run.py
+++ b/gypsumrouter/upstream/run.py
@@ -1,4 +1,4 @@
-"""One request at an upstream: what was handed over, passed on and checked."""
+"""State of one request at an upstream: hand-over, relay and check of the response."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class ProtocolViolation(Exception):
-    """The upstream's answer can't be checked for being whole."""
+    """The response has no framing that shows whether it is complete."""
 
 
 class Run:
     """The state of one request at an upstream.
 
-    `offset` counts the bytes of the body that were passed on, `opens` the connections on which
-    the request itself was sent, `heads` the heads that came back.
+    `offset` is the number of body bytes relayed, `sends` the number of connections on which the
+    request was sent, `heads` the number of response heads received.
     """
 
     __slots__ = (
@@ -79,14 +79,14 @@
         self._tail = b""
 
     def hand_over(self) -> None:
-        """Note that the next thing to happen is the request's first byte on the wire."""
+        """Call the hand-over callback, once, before the first byte of the request is written."""
         if self.was_handed_over:
             return
         self._handed_over()
         self.was_handed_over = True
 
     async def async_relay(self, response: aiohttp.ClientResponse) -> None:
-        """Pass the answer on to its end; raises ConnectionBroken or ProtocolBroken."""
+        """Relay the response to its end; raises ConnectionBroken or ProtocolViolation."""
         self._relay_head(response)
         watch = self.watch
         read = response.content.readany
@@ -105,7 +105,7 @@
             await self.answer.async_write(chunk)
 
     def check_complete(self) -> Failed | None:
-        """Return why an answer that ended is not whole, None if it is."""
+        """Return the failure of a response that ended incomplete, or None."""
         if not self._needs_end_event or self._tail.rstrip().endswith(STREAM_END):
             return None
         return Failed(
--- a/gypsumrouter/upstream/service.py
+++ b/gypsumrouter/upstream/service.py
@@ -1,4 +1,4 @@
-"""Requests at a plain service, whose answers can't be resumed."""
+"""Client for plain services, whose responses can't be resumed."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from gypsumrouter.core import Application
 from gypsumrouter.outcomes import Failed, Failure, Reason
 from gypsumrouter.settings import Upstream
+from gypsumrouter.upstream.budget import RetryBudget
 from gypsumrouter.upstream.client import Attempt, BaseClient, make_unreachable
 from gypsumrouter.upstream.const import MAX_FAILED_PROBES
 from gypsumrouter.upstream.headers import select_request_headers
 from gypsumrouter.upstream.models import Cause, Interrupted, Liveness
-from gypsumrouter.upstream.retry_budget import RetryBudget
 from gypsumrouter.upstream.run import Run
 
 Call = asyncio.Task[aiohttp.ClientResponse]
 
 
 class ServiceClient(BaseClient):
-    """Run requests at a service.
+    """Send requests to a service.
 
-    A service that says nothing may be slow, or its connection may be dead. A call that may be
-    repeated is sent once more on a second connection, within a budget, and the first head wins.
-    One that may not be repeated waits for its deadline while the service lives; the kernel's
-    keepalive finds the connections whose path is gone.
+    If a connection is idle, the service may be slow or the connection lost. A request without an
+    idempotency key is then hedged: it is sent once more on a second connection, within a retry
+    budget, and the first response is used. A request with a key waits until its deadline while
+    probes of the service succeed; TCP keepalive detects connections whose path is lost.
     """
 
     __slots__ = ("_retry_budget",)
@@ -52,7 +52,7 @@
         return Failed(reason=Reason.UPSTREAM_LOST, message="the connection to the upstream broke")
 
     async def _async_open_hedged(self, run: Run) -> aiohttp.ClientResponse:
-        """Return the answer whose head comes first."""
+        """Return the first response, with a hedged request if the connection is idle."""
         calls: set[Call] = {self._open_call(run)}
         try:
             return await self._async_await_first(run, calls)
@@ -76,7 +76,7 @@
                 calls.add(self._open_call(run))
 
     async def _async_await_any(self, calls: set[Call]) -> Call | None:
-        """Return the first call that ended, None after the time of a silence."""
+        """Return a call that has ended, or None after `silence_ms`."""
         silence: asyncio.Task[Any] = asyncio.ensure_future(
             self._app.clock.async_sleep(self._settings.silence_ms)
         )
@@ -87,7 +87,7 @@
         return next((call for call in calls if call.done()), None)
 
     async def _async_count_failed_probes(self, failed_probes: int) -> int:
-        """Return how many probes in a row went without an answer."""
+        """Probe the service and return the number of consecutive failed probes."""
         liveness = await self._transport.async_probe(self._health.load_path)
         return 0 if liveness is Liveness.ANSWERS else failed_probes + 1
 
@@ -120,7 +120,7 @@
 
 
 def _close_calls(calls: set[Call]) -> None:
-    """Close the connections of the calls whose answers are not wanted."""
+    """Cancel the remaining calls and close their connections."""
     for call in calls:
         call.cancel()
         call.add_done_callback(_close)
--- a/gypsumrouter/upstream/transport.py
+++ b/gypsumrouter/upstream/transport.py
@@ -1,7 +1,7 @@
-"""Connections to one upstream: a new one for each request, with the moment of hand-over known.
+"""Connections to one upstream: a new one for each request, with a callback before the first byte.
 
-A connection is never used twice. The upstream stands beside its side, so that a new connection
-costs a fraction of a millisecond, and a request can't be written on one that has died meanwhile.
+Connections are not reused. The upstream is local, so a new connection is cheap, and a request
+is never written on a connection that the upstream has already closed.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
 
 
 class ConnectFailed(Exception):
-    """No connection could be made, so nothing was sent."""
+    """No connection could be established, so nothing was sent."""
 
 
 class _HandOverConnector(ShieldedConnector):
-    """Call the request's hand-over callback between the connect and the first byte written."""
+    """Call the request's hand-over callback after the connect, before the first byte is written."""
 
     async def connect(
         self, req: ClientRequest, traces: list[Trace], timeout: aiohttp.ClientTimeout
@@ -78,7 +78,10 @@
         self._session: aiohttp.ClientSession | None = None
 
     def open_session(self) -> None:
-        """Make the session; it must be closed. Raises SettingsInvalid for wrong TLS files."""
+        """Create the session; raises SettingsInvalid for invalid TLS files.
+
+        The caller must close it with `async_close`.
+        """
         tls = self._settings.tls
         connector = _HandOverConnector(
             limit=0,
@@ -100,7 +103,10 @@
         )
 
     def _make_ssl_context(self, tls: Tls) -> ssl.SSLContext:
-        """Return a context that is kept up to date; our own authority vouches for any address."""
+        """Return a context that follows changes of the TLS files.
+
+        With a configured CA file the host name is not checked.
+        """
         context = make_client_context(tls, check_hostname=tls.ca_file is None)
         TlsFiles(app=self._app, tls=tls, context=context).async_start()
         return context
@@ -119,13 +125,13 @@
         body: bytes = b"",
         hand_over: HandOver | None = None,
     ) -> aiohttp.ClientResponse:
-        """Send a request and return its answer once the head is there.
+        """Send a request and return its response once the head has been received.
 
-        Raises Unreached before `hand_over` was called, ConnectionBroken after it, and lets what
-        `hand_over` raises through.
+        Raises ConnectFailed if no connection was established and ConnectionBroken if the exchange
+        failed after that. Exceptions of `hand_over` are propagated.
         """
         if self._session is None:
-            raise ConnectFailed("the session is not open")
+            raise ConnectFailed("the HTTP session is not open; open_session must be called first")
         data = None if not body and method in _BODILESS_METHODS else body
         token = _HAND_OVER.set(hand_over)
         try:
@@ -146,13 +152,13 @@
     async def async_fetch_json(self, path: str) -> Any:
         """Return a JSON document of the upstream.
 
-        Raises Unreached, ConnectionBroken, TimeoutError, or ValueError for another answer.
+        Raises ConnectFailed, ConnectionBroken, TimeoutError, or ValueError for any other response.
         """
         async with asyncio.timeout(PROBE_TIMEOUT_MS / MS_PER_S):
             response = await self.async_open(method="GET", path=path)
             try:
                 if response.status != HTTP_OK:
-                    raise ValueError(f"status {response.status}")
+                    raise ValueError(f"{path}: expected status 200, got {response.status}")
                 return json.loads(await response.read())
             except (aiohttp.ClientError, OSError) as error:
                 raise ConnectionBroken(_describe(error)) from error
@@ -160,7 +166,7 @@
                 response.close()
 
     async def async_probe(self, path: str) -> Liveness:
-        """Find out on a new connection whether the upstream lives; any answer says so."""
+        """Probe the upstream on a new connection; any response counts as alive."""
         try:
             await self.async_fetch_json(path)
         except ConnectFailed:
@@ -177,7 +183,7 @@
 async def _prevent_resend(
     request: ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep aiohttp from repeating a request by itself when its connection breaks."""
+    """Prevent aiohttp from resending a request by itself when its connection breaks."""
     try:
         return await handler(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError, HandOverDenied):
@@ -187,7 +193,7 @@
 
 
 def _make_socket(info: aiohttp.AddrInfoType) -> socket.socket:
-    """Return a socket on which the kernel notices a silent path by itself."""
+    """Return a socket with TCP keepalive, which detects a lost network path."""
     family, kind, protocol, _, _ = info
     made = socket.socket(family, kind, protocol)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/gypsumrouter/upstream/watch.py
+++ b/gypsumrouter/upstream/watch.py
@@ -1,4 +1,4 @@
-"""Interruption of runs at an upstream: silence and cancellation."""
+"""Interruption of runs at an upstream: idle timeout and cancellation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Watch:
-    """What is known of one run; whoever runs it counts each sign of life in `moves`."""
+    """Idle timer and cancellation of one run; the run increments `progress` for received data."""
 
     __slots__ = ("_cause", "_scope", "_seen_progress", "_since_ms", "progress", "reading")
 
@@ -26,7 +26,7 @@
 
     @asynccontextmanager
     async def guard(self) -> AsyncIterator[None]:
-        """Run a block that raises Interrupted when it is interrupted from outside."""
+        """Run a block that raises Interrupted when `interrupt` is called."""
         if self._cause is Cause.CANCELLED:
             raise Interrupted(Cause.CANCELLED)
         self._cause = None
@@ -43,7 +43,7 @@
             self.reading = False
 
     def interrupt(self, cause: Cause) -> None:
-        """Interrupt the guarded block; a cancellation also holds for the next one."""
+        """Interrupt the guarded block; a cancellation also interrupts later blocks."""
         if self._cause is Cause.CANCELLED:
             return
         self._cause = cause
@@ -51,7 +51,7 @@
             self._scope.reschedule(asyncio.get_running_loop().time())
 
     def sweep(self, now_ms: int, silence_ms: int) -> None:
-        """Interrupt the run if it has waited for the upstream for too long."""
+        """Interrupt the run if it has waited for data for `silence_ms`."""
         if not self.reading or self.progress != self._seen_progress:
             self._seen_progress = self.progress
             self._since_ms = now_ms
@@ -61,7 +61,7 @@
 
 
 class Watchdog:
-    """Sweep all runs of one upstream, so that a chunk costs no timer."""
+    """Check all runs of one upstream in one task, which avoids a timer for each chunk."""
 
     __slots__ = ("_app", "_silence_ms", "_sweep_ms", "_watches")
 
@@ -73,11 +73,11 @@
 
     @property
     def runs(self) -> int:
-        """Return how many runs are watched."""
+        """Return the number of watched runs."""
         return len(self._watches)
 
     def start(self) -> None:
-        """Begin to sweep."""
+        """Start the periodic check."""
         self._app.async_create_task(self._async_sweep(), "upstream watchdog")
 
     def watch(self, cancelled: asyncio.Event) -> tuple[Watch, Remove]:
