--- a/tests/orders/conftest.py
+++ b/tests/orders/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of orders to engines."""
+"""Fixtures for the tests of orders."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 async def cluster() -> AsyncIterator[Cluster]:
-    """Return a world without sides and engines; its weight store runs."""
+    """Return a cluster without sides and engines and with a running weight store."""
     cluster = Cluster()
     await cluster.weights.async_start()
     yield cluster
--- a/tests/orders/orders_fakes.py
+++ b/tests/orders/orders_fakes.py
@@ -1,4 +1,4 @@
-"""Sides with stand-in engines in one process: their own clock, list, links and configuration."""
+"""A cluster of sides with stand-in engines in one process, with a manual clock and fake links."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class FakeInstanceList:
-    """The instance list as one side reads it."""
+    """The instance list as read by one side."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -90,7 +90,7 @@
 
 
 class ServedModels:
-    """What a side takes requests for."""
+    """The models for which a side accepts requests."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -105,7 +105,7 @@
 
 
 class Side:
-    """One side with its engine; `reads_list` is cleared where the list is out of its reach."""
+    """One side with its engine; `reads_list` is False while it can't reach the instance list."""
 
     def __init__(
         self, cluster: Cluster, *, name: str, engine: Engine, address: Address, incarnation: int
@@ -172,7 +172,10 @@
 
 
 class Cluster:
-    """All sides, their engines, the weight store, and the platform's services."""
+    """All sides, their engines, the weight store and the instance list.
+
+    `min_serving` records, for each model that is a key, the lowest number of serving sides seen.
+    """
 
     def __init__(self) -> None:
         self.clock = ManualClock(now_ms=1_000)
@@ -193,7 +196,7 @@
         self.min_serving: dict[str, int] = {}
 
     def set_configuration(self, orders: PoolOrders | None) -> None:
-        """Set the configuration that sides start with."""
+        """Set the configuration for sides that are started later."""
         models = () if orders is None else _list_names(orders)
         pool = Pool(
             name=POOL, kind=UpstreamKind.ENGINE, models=models or (CHAT,), slots=4, orders=orders
@@ -204,7 +207,7 @@
         self.document = msgspec.json.encode(self.configuration)
 
     async def async_publish(self, orders: PoolOrders | None) -> None:
-        """Put a configuration in force in all sides."""
+        """Set the configuration and apply it at all running sides."""
         self.set_configuration(orders)
         for side in self.sides.values():
             await side.store.async_offer(self.document)
@@ -221,7 +224,7 @@
         return engine
 
     async def async_add_side(self, name: str, engine: Engine) -> Side:
-        """Start a process; one of the same name is replaced in the list and lives on."""
+        """Start a side; one of the same name is replaced in the list but keeps running."""
         self._made += 1
         address = Address(host="127.0.0.1", port=20_000 + self._made)
         side = Side(self, name=name, engine=engine, address=address, incarnation=self._made)
@@ -236,7 +239,7 @@
         return await self.async_add_side(name, await self.async_add_engine(*models, **settings))
 
     def list_sides(self, *, without: Iterable[str] = ()) -> None:
-        """Publish the list of the sides that run now."""
+        """Publish a list of the current sides."""
         self._revision += 1
         left = set(without)
         self._listed = tuple(
@@ -247,20 +250,20 @@
         self._deliver_list()
 
     async def async_run(self, duration_ms: int) -> None:
-        """Let time pass, with all that comes due in it."""
+        """Advance the clock in steps and run the event loop after each."""
         for _ in range(duration_ms // STEP_MS):
             await self._async_step()
 
     async def async_run_until(self, condition: Callable[[], bool]) -> None:
-        """Let time pass until a condition holds."""
+        """Advance the clock until a condition is true."""
         for _ in range(STEPS_MAX):
             if condition():
                 return
             await self._async_step()
-        raise AssertionError("it did not come about")
+        raise AssertionError(f"condition is still false after {STEPS_MAX} steps of {STEP_MS} ms")
 
     def records(self, side: Side, *, kind: OrderKind | None = None) -> list[OrderRecord]:
-        """Return the orders that an engine got."""
+        """Return the orders that the engine of a side received."""
         return [
             record
             for record in side.engine.orders.records
@@ -268,7 +271,7 @@
         ]
 
     def count_loads(self) -> int:
-        """Return how many loads all engines have carried out."""
+        """Return the number of loads completed by all engines."""
         return sum(
             record.order.kind is OrderKind.LOAD and record.state is OrderState.APPLIED
             for engine in self.engines
@@ -285,7 +288,7 @@
     async def _async_step(self) -> None:
         self.clock.advance(STEP_MS)
         self._deliver_list()
-        # Calls to engines go over real sockets; each gets some turns of the loop to come back.
+        # Calls to engines use real sockets and need several iterations of the event loop.
         for _ in range(LOOPS_PER_STEP):
             await asyncio.sleep(0)
         for name in self.min_serving:
--- a/tests/orders/test_orders_gates.py
+++ b/tests/orders/test_orders_gates.py
@@ -1,4 +1,4 @@
-"""When an engine may change: lanes, minimums, sources, and steps one after the other."""
+"""Preconditions of changes: rollout lanes, minimums, load sources, and the order of changes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     failures: dict[str, int] | None = None,
     minimum: int = 0,
 ) -> set[str]:
-    """Return which of the engines that are neither done nor changing may begin."""
+    """Return the engines, of those neither done nor changing, that may start to change."""
     steps = [
         EngineProgress(
             name=name,
@@ -52,7 +52,7 @@
     return make_holding(name, HeldModel(name=CHAT, version=version, serving=serving))
 
 
-def test_one_engine_goes_first_alone_and_then_one_in_each_lane() -> None:
+def test_rollout_starts_with_one_engine_then_one_per_lane() -> None:
     assert list_allowed(done=set()) == {RANKED[0]}
     assert list_allowed(done=set(), changing={RANKED[0]}) == set()
     assert list_allowed(done={RANKED[0]}) == {RANKED[1], RANKED[2]}
@@ -61,12 +61,12 @@
     assert list_allowed(done=set(RANKED[:3])) == {RANKED[3], RANKED[4]}
 
 
-def test_the_minimum_narrows_the_lanes() -> None:
+def test_minimum_limits_number_of_lanes() -> None:
     assert list_allowed(done={RANKED[0]}, minimum=7) == {RANKED[1]}
     assert list_allowed(done={RANKED[0]}, minimum=8) == set()
 
 
-def test_an_engine_that_fails_holds_the_others_up_only_while_nothing_is_proven() -> None:
+def test_failed_engine_is_skipped_after_another_success_or_three_failures() -> None:
     assert list_allowed(done=set(), failures={RANKED[0]: 2}) == {RANKED[0]}
     assert list_allowed(done=set(), failures={RANKED[0]: 3}) == {RANKED[0], RANKED[1]}
     failed = {RANKED[1]: 1}
@@ -86,7 +86,7 @@
         ),
     ],
 )
-def test_requests_are_turned_away_only_while_enough_others_serve(
+def test_withdrawal_requires_minimum_of_other_serving_engines(
     others: tuple[Holding, ...], may: bool
 ) -> None:
     orders = make_orders(models=(OrderedModel(name=CHAT, min_engines=2),))
@@ -96,7 +96,7 @@
     assert (block_reason == "") is may
 
 
-def test_a_change_of_role_waits_for_its_lane_and_for_each_model() -> None:
+def test_role_change_waits_for_lane_and_minimum() -> None:
     orders = make_orders(role="decode")
     change = Change(kind=OrderKind.SET_ROLE, role="decode", withdraws=(CHAT,))
     first, second = rank_names("decode", ("a", "b"))
@@ -108,7 +108,7 @@
     assert alone == "only 0 other engines would serve chat, 1 are needed"
 
 
-def test_weights_come_from_a_neighbour_that_holds_just_that_version() -> None:
+def test_source_is_engine_that_holds_requested_version() -> None:
     holdings = [hold("a", "2"), hold("b", "1"), hold("c", "2"), hold("d", "2")]
 
     def choose(*avoided: str) -> str:
@@ -120,7 +120,7 @@
     assert choose("c:1", "d:1") == ""
 
 
-def test_only_one_engine_fetches_a_version_from_the_store_unless_it_fails() -> None:
+def test_one_engine_loads_version_from_store_until_third_failure() -> None:
     def find(failures: int) -> str:
         loading = HeldModel(name=CHAT, next_version="2", serving=False, failures=failures)
         holdings = [hold("a"), make_holding("b", loading)]
@@ -131,7 +131,7 @@
     assert find(3) == ""
 
 
-def test_an_engine_goes_through_its_steps_in_order() -> None:
+def test_changes_are_chosen_in_order() -> None:
     model = OrderedModel(
         name=CHAT, version="2", adapters=(OrderedAdapter(name="school", version="7"),)
     )
--- a/tests/orders/test_orders_lease.py
+++ b/tests/orders/test_orders_lease.py
@@ -1,4 +1,4 @@
-"""The right to give orders: the list's lease, fencing numbers, pauses, and the store's turns."""
+"""The order lease: expiry, fencing numbers, paused processes, and the slots of the store."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Process:
-    """One process of the slot `side-0`, and what its engine would be sent."""
+    """One process of the instance `side-0` with its order lease."""
 
     def __init__(self, clock: ManualClock, address: Address = OWN_ADDRESS) -> None:
         self.clock = clock
@@ -48,7 +48,7 @@
 
 
 class PausedClient:
-    """An engine's client whose process is paused right before the first byte would be sent."""
+    """An order client whose process is paused immediately before the first byte is sent."""
 
     def __init__(self, clock: ManualClock, pause_ms: int, answer: Submission) -> None:
         self.clock = clock
@@ -69,7 +69,7 @@
 
 @pytest.fixture
 def process() -> Process:
-    """Return a process that has been listed for long enough and has read the list just now."""
+    """Return a process that holds the lease and has just read the list."""
     process = Process(ManualClock(now_ms=1_000))
     process.read(1, OWN_ADDRESS)
     process.clock.advance(HANDOVER_DELAY_MS + 1)
@@ -86,7 +86,7 @@
     )
 
 
-def test_a_listed_process_waits_until_an_earlier_one_has_lost_the_right(process: Process) -> None:
+def test_new_process_waits_until_previous_lease_has_expired(process: Process) -> None:
     new_process = Process(process.clock)
     new_process.read(1, OWN_ADDRESS)
     assert new_process.lease.find_block_reason() == "an earlier process may still give orders"
@@ -94,26 +94,26 @@
 
 
 @pytest.mark.parametrize("addresses", [(), (OTHER_ADDRESS,)])
-def test_only_the_address_of_the_list_gives_orders(
+def test_process_at_unlisted_address_sends_no_orders(
     process: Process, addresses: tuple[Address, ...]
 ) -> None:
     process.read(2, *addresses)
     assert "does not name this process" in process.lease.find_block_reason()
 
 
-def test_a_missed_state_may_have_named_another_process(process: Process) -> None:
+def test_gap_in_list_revisions_restarts_wait(process: Process) -> None:
     process.read(3, OWN_ADDRESS)
     assert process.lease.find_block_reason() == "an earlier process may still give orders"
 
 
-def test_an_old_list_and_one_from_the_future_give_no_right(process: Process) -> None:
+def test_old_list_and_list_from_future_block_orders(process: Process) -> None:
     process.clock.advance(LEASE_MS)
     assert "ms old" in process.lease.find_block_reason()
     process.lease.renew(process.clock.wall_ms() + SKEW_MS + 1)
     assert "ms old" in process.lease.find_block_reason()
 
 
-def test_numbers_of_a_replacement_are_higher_though_it_remembers_nothing(
+def test_replacement_process_issues_higher_fencing_numbers(
     process: Process,
 ) -> None:
     highest = max(process.lease.issue_fence() for _ in range(50))
@@ -123,7 +123,7 @@
     assert replacement.lease.issue_fence() > highest
 
 
-async def test_an_order_is_not_sent_after_a_pause_beyond_the_lease(process: Process) -> None:
+async def test_order_is_not_sent_after_pause_beyond_lease(process: Process) -> None:
     client = PausedClient(process.clock, pause_ms=LEASE_MS, answer=Done())
     submission = await make_dispatcher(process, client).async_submit(
         Order(kind=OrderKind.UNLOAD, name="chat"), reason="test"
@@ -132,7 +132,7 @@
     assert client.sent == 0
 
 
-async def test_a_pause_within_the_lease_makes_the_decision_old(process: Process) -> None:
+async def test_order_is_not_sent_if_decision_is_too_old(process: Process) -> None:
     client = PausedClient(process.clock, pause_ms=1_001, answer=Done())
     dispatcher = make_dispatcher(process, client)
     order = Order(kind=OrderKind.UNLOAD, name="chat")
@@ -142,7 +142,7 @@
     assert [entry.result for entry in dispatcher.journal] == ["not_given", "done"]
 
 
-async def test_after_a_refused_number_only_a_newer_list_gives_the_right_back(
+async def test_stale_fence_blocks_orders_until_newer_list(
     process: Process,
 ) -> None:
     newer = process.clock.wall_ms() + 500
@@ -156,7 +156,7 @@
     assert process.lease.issue_fence() > newer * 1_000 + 3
 
 
-async def test_an_order_that_is_stopped_at_the_last_moment_never_reaches_the_engine() -> None:
+async def test_order_blocked_before_first_byte_does_not_reach_engine() -> None:
     clock = ManualClock()
     engine = Engine(clock=clock)
     address = await engine.async_start()
@@ -177,7 +177,7 @@
         await engine.async_stop()
 
 
-def test_members_take_turns_at_the_store_and_use_each_only_once() -> None:
+def test_store_slots_limit_rate_across_members() -> None:
     members = ("a", "b", "c")
     slots = {name: StoreSlots() for name in members}
     load_scheduler: list[int] = []
--- a/tests/orders/test_orders_machine.py
+++ b/tests/orders/test_orders_machine.py
@@ -1,4 +1,4 @@
-"""Sides that plan and change on views that lag: minimums hold, and all come to one plan."""
+"""State machine of sides with outdated views: minimums are kept and all plans converge."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class SimulatedSide:
-    """One side without its I/O: what it knows, and the change of its engine."""
+    """One side without I/O: its table of holdings and the state of its engine."""
 
     def __init__(self, name: str, clock: ManualClock, orders: PoolOrders, held: str) -> None:
         self.name = name
@@ -58,7 +58,7 @@
         return replaces and self.local.confirmed
 
     def observe(self) -> Change | None:
-        """Return the change that is due by what this side knows now."""
+        """Return the change that is due according to the table of this side."""
         self.local.refresh(due_ms=1_000)
         self.table.record(self.local.holding)
         pool = Pool(name=POOL, kind=UpstreamKind.ENGINE, slots=4, orders=self.orders)
@@ -81,7 +81,7 @@
             self.observe()
 
     def end(self, *, loaded: bool) -> None:
-        """Bring the change to its end; what was to be dropped is dropped in any case."""
+        """Finish the change; models in `drops` are unloaded even if the load fails."""
         change = self.local.change
         if change is None or not self.local.confirmed:
             return
@@ -97,7 +97,10 @@
 
 
 class OrdersMachine(RuleBasedStateMachine):
-    """The only assumption: an announcement has reached those that can be reached when it ends."""
+    """Sides that receive holdings at random times.
+
+    The only assumption is that an announcement has reached all sides before it is confirmed.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -127,7 +130,7 @@
 
     @rule(name=st.sampled_from(SIDES), loaded=st.sampled_from((True, True, False)))
     def advance_side(self, name: str, loaded: bool) -> None:
-        """Let one side take its next step: announce a change, confirm it, or end it."""
+        """Advance the change of one side: announce, confirm or finish it."""
         self.clock.advance(1)
         side = self.sides.get(name)
         if side is None:
@@ -165,7 +168,7 @@
 
     @rule(name=st.sampled_from(SIDES), requests=st.sampled_from((-8, 8)))
     def shift_demand(self, name: str, requests: int) -> None:
-        """Let the requests for what an engine holds grow or fall."""
+        """Change the number of requests for the models of one engine."""
         side = self.sides.get(name)
         for model in () if side is None else side.models:
             if side is not None and side.demand.get_running(model) + requests >= 0:
@@ -180,7 +183,7 @@
         self.protected = set()
 
     @invariant()
-    def minimums_hold_once_they_were_reached(self) -> None:
+    def minimum_is_kept_once_reached(self) -> None:
         for name, least in MINIMUM.items():
             serving = sum(
                 name in side.models and name not in side.local.rejected_models
@@ -192,20 +195,20 @@
                 self.protected.add(name)
 
     @invariant()
-    def only_a_share_of_a_model_changes_its_version_at_once(self) -> None:
+    def version_changes_are_limited_to_share(self) -> None:
         for name in MINIMUM:
             holders = [side for side in self.sides.values() if name in side.models]
             changing = [side for side in holders if side.is_replacing(name)]
             assert len(changing) <= max(1, int(len(holders) * SHARE))
 
     def teardown(self) -> None:
-        """Let everything be told and carried out: all agree, and nothing is left to do."""
+        """Run rounds with full exchange of holdings until nothing changes; check convergence."""
         self.clock.advance(HOLD_MS)
         for _ in range(ROUNDS):
             if not self._run_round():
                 break
         else:
-            raise AssertionError("the sides do not come to rest")
+            raise AssertionError(f"the sides did not converge within {ROUNDS} rounds")
         for side in self.sides.values():
             assert side.planner.counts == next(iter(self.sides.values())).planner.counts
         for name, least in MINIMUM.items():
@@ -215,7 +218,7 @@
                 assert set(held) == {get_version(self.orders, name)}
 
     def _run_round(self) -> bool:
-        """Give each side its turn with all news; return whether any of them did something."""
+        """Advance each side with current holdings; return whether any of them changed."""
         before = [side.models for side in self.sides.values()]
         for name, side in self.sides.items():
             side.orders = self.orders
--- a/tests/orders/test_orders_plan.py
+++ b/tests/orders/test_orders_plan.py
@@ -1,4 +1,4 @@
-"""The plan: the same everywhere, with the fewest moves, never below a minimum."""
+"""The plan: deterministic, with few changes, and never below a minimum."""
 
 from __future__ import annotations
 
@@ -36,37 +36,37 @@
     return Counter(name for models in found.values() for name in models)
 
 
-def test_what_serves_the_minimum_stays_as_it_is() -> None:
+def test_assignment_that_meets_minimum_is_unchanged() -> None:
     engines = make_engines("a", "a", "a", "b")
     assert plan(engines) == {engine.name: engine.models for engine in engines}
 
 
-def test_a_model_without_engines_takes_the_fewest_it_needs() -> None:
+def test_model_without_engines_gets_only_its_minimum() -> None:
     found = plan(make_engines("a", "a", "a", "a"), minimum=2)
     assert count(found) == {"a": 2, "b": 2}
 
 
-def test_an_empty_engine_gets_the_model_with_the_most_demand() -> None:
+def test_empty_engine_gets_model_with_most_demand() -> None:
     found = plan(make_engines("a", "b", ""), demand={"a": 1.0, "b": 1.5})
     assert found["e2"] == {"b"}
 
 
-def test_a_small_difference_in_demand_moves_nothing() -> None:
+def test_small_demand_difference_changes_nothing() -> None:
     engines = make_engines("a", "a", "b", "b")
     found = plan(engines, demand={"a": 7.0, "b": 5.0})
     assert count(found) == {"a": 2, "b": 2}
 
 
-def test_a_surge_moves_engines_but_for_the_minimum() -> None:
+def test_surge_reassigns_engines_above_minimum() -> None:
     found = plan(make_engines("a", "a", "a", "b"), demand={"b": 40.0})
     assert count(found) == {"a": 1, "b": 3}
 
 
-def test_models_that_are_not_ordered_take_no_part() -> None:
+def test_unconfigured_models_are_ignored() -> None:
     assert plan(make_engines("a stranger", "b")) == {"e0": {"a"}, "e1": {"b"}}
 
 
-def test_an_engine_with_too_much_drops_what_others_hold_most_often() -> None:
+def test_engine_above_limit_drops_most_replicated_model() -> None:
     found = plan(make_engines("a b", "a", "a"))
     assert found["e0"] == {"b"}
 
@@ -87,7 +87,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(case=make_case(), shuffled=st.randoms(use_true_random=False))
-def test_any_plan_is_the_same_for_all_final_and_within_its_bounds(
+def test_plan_is_deterministic_idempotent_and_within_limits(
     case: tuple[Engines, tuple[OrderedModel, ...], dict[str, float], int], shuffled: object
 ) -> None:
     engines, models, demand, limit = case
--- a/tests/orders/test_orders_sides.py
+++ b/tests/orders/test_orders_sides.py
@@ -1,4 +1,4 @@
-"""Sides that look after their engines together: changes, failures, and two processes at once."""
+"""Sides that manage the engines of a pool: rollouts, failures, and concurrent processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return sum(name in side.held for side in cluster.sides.values())
 
 
-async def test_nothing_is_ordered_where_the_pool_has_no_orders(cluster: Cluster) -> None:
+async def test_pool_without_orders_gets_no_orders(cluster: Cluster) -> None:
     cluster.set_configuration(None)
     sides = await async_make_sides(cluster, 2, CHAT)
     await cluster.async_run(10_000)
@@ -30,7 +30,7 @@
     assert sides[0].dump["configured"] is False
 
 
-async def test_each_model_gets_its_minimum_with_the_fewest_loads(cluster: Cluster) -> None:
+async def test_each_model_reaches_minimum_with_fewest_loads(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders(models=TWO_MODELS))
     await async_make_sides(cluster, 4, CHAT)
     cluster.min_serving = {CHAT: 4}
@@ -38,12 +38,12 @@
     await cluster.async_run(10_000)
     assert cluster.count_loads() == 2
     assert count_holders(cluster, CHAT) == 2
-    # The second engine took the weights from the first, and not from the store.
+    # The second engine copied the weights from the first.
     assert len(cluster.weights.fetched_ms) == 1
     assert cluster.weights.refused == 0
 
 
-async def test_adapters_and_the_role_follow_the_model(cluster: Cluster) -> None:
+async def test_adapters_and_role_are_applied(cluster: Cluster) -> None:
     models = (OrderedModel(name=CHAT, adapters=(OrderedAdapter(name="school", version="7"),)),)
     cluster.set_configuration(make_orders(models=models, role="decode"))
     sides = await async_make_sides(cluster, 2, CHAT)
@@ -53,19 +53,19 @@
     assert {side.engine.orders.role for side in sides} == {"decode"}
 
 
-async def test_a_change_of_version_keeps_the_minimum_serving(cluster: Cluster) -> None:
+async def test_version_rollout_keeps_minimum_serving(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders(models=(OrderedModel(name=CHAT, min_engines=2),)))
     sides = await async_make_sides(cluster, 4, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
     cluster.min_serving = {CHAT: 4}
     await cluster.async_publish(make_orders(models=NEW_VERSION, change_share=1.0))
     await cluster.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
-    # One goes first alone; then no more than the minimum leaves room for.
+    # One engine changes first, then as many at once as the minimum permits.
     assert cluster.min_serving[CHAT] == 2
     assert cluster.count_loads() == 4
 
 
-async def test_a_version_that_cannot_be_loaded_stops_at_the_first_engine(cluster: Cluster) -> None:
+async def test_rollout_of_unloadable_version_stops_at_first_engine(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders(models=(OrderedModel(name=CHAT, min_engines=2),)))
     sides = await async_make_sides(cluster, 4, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
@@ -80,7 +80,7 @@
     assert tried[0].dump["last"]["reason"] == "fetch_status_503"
 
 
-async def test_a_minimum_that_leaves_no_room_blocks_the_change_and_says_so(
+async def test_rollout_blocked_by_minimum_is_reported(
     cluster: Cluster,
 ) -> None:
     cluster.set_configuration(make_orders(models=NEW_VERSION))
@@ -90,7 +90,7 @@
     assert sides[0].dump["waiting"] == "2 engines are needed and there are 2"
 
 
-async def test_running_requests_end_before_their_model_is_changed(cluster: Cluster) -> None:
+async def test_running_requests_are_drained_before_change(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders())
     sides = await async_make_sides(cluster, 2, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
@@ -106,7 +106,7 @@
     await cluster.async_run_until(lambda: all(side.held == {CHAT: "2"} for side in sides))
 
 
-async def test_a_flap_moves_nothing_and_a_loss_moves_the_least(cluster: Cluster) -> None:
+async def test_flapping_list_causes_no_loads_and_lost_side_causes_one(cluster: Cluster) -> None:
     models = (OrderedModel(name=CHAT, min_engines=2), OrderedModel(name=REPORTS, min_engines=2))
     cluster.set_configuration(make_orders(models=models))
     for number, model in enumerate((CHAT, CHAT, CHAT, REPORTS, REPORTS)):
@@ -126,7 +126,7 @@
     assert cluster.count_loads() == 1
 
 
-async def test_demand_moves_an_engine_to_the_busy_model(cluster: Cluster) -> None:
+async def test_demand_reassigns_engine_to_busy_model(cluster: Cluster) -> None:
     models = (OrderedModel(name=CHAT), OrderedModel(name=REPORTS))
     cluster.set_configuration(make_orders(models=models))
     for number, model in enumerate((CHAT, CHAT, CHAT, REPORTS)):
@@ -135,12 +135,12 @@
     cluster.sides["side-3"].orders.demand.add(REPORTS, 3)
     await cluster.async_run_until(lambda: count_holders(cluster, REPORTS) == 2)
     await cluster.async_run(20_000)
-    # Three requests make one engine of four slots busy, and leave two of them quiet enough.
+    # Three requests exceed the busy share of one engine with four slots, but not of two engines.
     assert cluster.count_loads() == 1
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-async def test_a_paused_side_that_was_replaced_gives_no_late_order(
+async def test_replaced_side_with_stale_list_sends_no_orders(
     cluster: Cluster, checks_fence: bool
 ) -> None:
     cluster.set_configuration(make_orders())
@@ -148,7 +148,7 @@
     old = await cluster.async_add_side("side-0", engine)
     await cluster.async_add("side-1", CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
-    # It stops reading the list, as a process does that is cut off or paused, but goes on acting.
+    # The old side no longer reads the list, like a partitioned process, but keeps running.
     old.reads_list = False
     new = await cluster.async_add_side("side-0", engine)
     await cluster.async_publish(make_orders(models=(OrderedModel(name=CHAT, version="2"),)))
@@ -163,8 +163,8 @@
     assert "ms old" in old.dump["may_order"]
 
 
-async def test_two_sides_beside_one_engine_leave_it_to_the_first_by_name(cluster: Cluster) -> None:
-    # With this version it would be the turn of the second one to go first.
+async def test_first_side_by_name_manages_shared_engine(cluster: Cluster) -> None:
+    # With this version the second side ranks first in the rollout.
     names = ("side-0", "side-1", "side-2")
     version = next(v for v in "123456789" if rank_names(f"{CHAT}/{v}", names)[0] == names[1])
     cluster.set_configuration(make_orders(models=(OrderedModel(name=CHAT, version=version),)))
@@ -177,7 +177,7 @@
     assert second.dump["waiting"] == "side-0 is also beside this engine"
 
 
-async def test_an_engine_that_restarts_in_the_middle_of_a_load_is_loaded_again(
+async def test_load_is_repeated_after_engine_restart(
     cluster: Cluster,
 ) -> None:
     cluster.set_configuration(make_orders())
@@ -193,7 +193,7 @@
     assert cluster.records(loading)[0].state is OrderState.CANCELLED
 
 
-async def test_a_store_that_does_not_answer_ends_in_a_cancelled_order(cluster: Cluster) -> None:
+async def test_load_from_hanging_store_is_cancelled_after_timeout(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders(load_ms=2_000))
     sides = await async_make_sides(cluster, 2, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
@@ -207,7 +207,7 @@
     await cluster.async_run_until(lambda: tried.is_serving(CHAT))
 
 
-async def test_a_store_above_its_rate_is_asked_later_and_later(cluster: Cluster) -> None:
+async def test_rate_limited_store_is_retried_with_backoff(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders())
     sides = await async_make_sides(cluster, 2, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
@@ -221,7 +221,7 @@
     await cluster.async_run_until(lambda: all(side.held == {CHAT: "3"} for side in sides))
 
 
-async def test_a_load_is_cancelled_when_the_wish_changes(cluster: Cluster) -> None:
+async def test_load_is_cancelled_when_desired_version_changes(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders())
     sides = await async_make_sides(cluster, 2, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
@@ -237,7 +237,7 @@
     assert cancelled.dump["journal"][-1]["reason"] == "not wanted any more"
 
 
-async def test_a_neighbour_that_gives_no_weights_is_passed_over(cluster: Cluster) -> None:
+async def test_neighbour_that_serves_no_weights_is_skipped(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders(models=TWO_MODELS))
     for number, model in enumerate((CHAT, CHAT, REPORTS)):
         await cluster.async_add(f"side-{number}", model, gives_weights=False)
@@ -245,7 +245,7 @@
     assert len(cluster.weights.fetched_ms) == 1
 
 
-async def test_with_an_old_list_nothing_is_ordered(cluster: Cluster) -> None:
+async def test_old_list_blocks_orders(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders())
     sides = await async_make_sides(cluster, 2, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
@@ -258,7 +258,7 @@
     assert all("ms old" in side.dump["waiting"] for side in sides)
 
 
-async def test_a_side_that_is_leaving_orders_nothing_more(cluster: Cluster) -> None:
+async def test_draining_side_sends_no_orders(cluster: Cluster) -> None:
     cluster.set_configuration(make_orders())
     sides = await async_make_sides(cluster, 2, CHAT)
     await cluster.async_run(LEASE_MS + 1_000)
--- a/tests/prefixes/conftest.py
+++ b/tests/prefixes/conftest.py
@@ -1,4 +1,4 @@
-"""Three sides of one pool."""
+"""Fixture with three sides of one pool."""
 
 from __future__ import annotations
 
--- a/tests/prefixes/prefixes_fakes.py
+++ b/tests/prefixes/prefixes_fakes.py
@@ -1,4 +1,4 @@
-"""Sides with real stand-in engines, joined by links that are plain calls."""
+"""Sides with stand-in engines, connected by fake links that call each other directly."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class FakeLinks:
-    """What one side reaches; `cut` names sides that it doesn't."""
+    """The links of one side; sides in `cut` are unreachable."""
 
     name: str
     fleet: FakeFleet
@@ -125,7 +125,7 @@
         await self.engine.async_stop()
 
     async def async_serve(self, request: Open) -> None:
-        """Do what the exchange does around a run, and what the engine does in it."""
+        """Simulate one run: fetch the prefix, fill the cache of the engine, record the run."""
         await self.prefixes.async_fetch(request)
         self.engine.cache.store(chat=make_engine_chat(WORKSPACE, request.chat), blocks=BLOCKS)
         self.prefixes.note_served(request, whole=True)
--- a/tests/prefixes/test_prefixes.py
+++ b/tests/prefixes/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Prefixes follow their chats from engine to engine, and nothing but speed depends on it."""
+"""Transfer of cached prefixes between engines; a failed transfer must not fail a request."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 EXPORT = "/v1/cache/export"
 
 
-async def test_a_chat_that_runs_elsewhere_finds_its_prefix_there(sides: Sides) -> None:
+async def test_prefix_is_fetched_from_primary_holder(sides: Sides) -> None:
     primary, other, _ = sides
     await primary.async_serve(make_request("engine-1", "engine-2"))
     await other.prefixes.async_fetch(make_request("engine-1", "engine-2"))
     assert other.count_held() == WHOLE
 
 
-async def test_the_first_place_knows_where_a_chat_went_and_sends_others_there(
+async def test_primary_redirects_to_side_that_served_chat(
     sides: Sides,
 ) -> None:
     _, other, third = sides
@@ -40,27 +40,27 @@
     assert other.links.requested == [("engine-1", EXPORT), ("engine-3", EXPORT)]
 
 
-async def test_a_chat_that_comes_home_brings_its_prefix_back(sides: Sides) -> None:
+async def test_primary_fetches_prefix_of_returning_chat(sides: Sides) -> None:
     primary, _, third = sides
     await third.async_serve(make_request("engine-1", "engine-2"))
     await primary.prefixes.async_fetch(make_request("engine-1", "engine-2"))
     assert primary.count_held() == WHOLE
 
 
-async def test_a_hinted_place_is_asked_first(sides: Sides) -> None:
+async def test_hinted_holder_is_requested_first(sides: Sides) -> None:
     primary, _, third = sides
     await third.async_serve(make_request("engine-1", "engine-2", "engine-3"))
     await primary.prefixes.async_fetch(make_request("engine-1", "engine-2", "engine-3"))
     assert primary.links.requested == [("engine-3", EXPORT)]
 
 
-async def test_a_chat_that_nobody_holds_is_computed_again(sides: Sides) -> None:
+async def test_fetch_without_holders_imports_nothing(sides: Sides) -> None:
     _, other, _ = sides
     await other.prefixes.async_fetch(make_request("engine-1", "engine-2"))
     assert other.count_held() == 0
 
 
-async def test_places_that_cannot_be_reached_or_are_gone_do_not_stop_a_request(
+async def test_unreachable_and_unknown_holders_are_skipped(
     sides: Sides,
 ) -> None:
     primary, other, _ = sides
@@ -70,7 +70,7 @@
     assert other.count_held() == 0
 
 
-async def test_places_that_name_each_other_are_not_asked_for_ever(sides: Sides) -> None:
+async def test_redirect_loop_is_bounded(sides: Sides) -> None:
     primary, other, third = sides
     await third.async_serve(make_request("engine-1", "engine-2"))
     await primary.async_serve(make_request("engine-3", "engine-1"))
@@ -80,7 +80,7 @@
     assert len(other.links.requested) <= 3
 
 
-async def test_a_prefix_of_which_little_is_missing_is_not_asked_for(sides: Sides) -> None:
+async def test_small_missing_part_is_not_fetched(sides: Sides) -> None:
     _, other, _ = sides
     await other.async_serve(make_request("engine-2", "engine-1"))
     other.links.requested.clear()
@@ -89,7 +89,7 @@
     assert other.links.requested == []
 
 
-async def test_what_an_engine_lost_in_a_crash_is_fetched_again(sides: Sides) -> None:
+async def test_prefix_lost_in_crash_is_fetched_again(sides: Sides) -> None:
     primary, other, _ = sides
     await primary.async_serve(make_request("engine-1", "engine-2"))
     await other.async_serve(make_request("engine-1", "engine-2"))
@@ -99,14 +99,14 @@
     assert primary.count_held() == WHOLE
 
 
-async def test_a_planned_stop_hands_idle_chats_on_to_where_they_go_next(sides: Sides) -> None:
+async def test_planned_stop_hands_off_idle_chats(sides: Sides) -> None:
     leaving, other, third = sides
     await leaving.async_serve(make_request("engine-1", "engine-2"))
     await leaving.app.async_drain()
     assert sorted([other.count_held(), third.count_held()]) == [0, WHOLE]
 
 
-async def test_a_planned_stop_hands_on_what_ran_while_it_began(sides: Sides) -> None:
+async def test_planned_stop_hands_off_chats_that_were_running(sides: Sides) -> None:
     leaving, other, third = sides
     request = make_request("engine-1", "engine-2")
     await leaving.prefixes.async_fetch(request)
@@ -116,13 +116,13 @@
         leaving.prefixes.note_served(request, whole=True)
         leaving.prefixes.note_ended(request)
 
-    # The drain hooks of the runs come before those of the prefixes.
+    # The drain hooks of runs are called before those of prefixes.
     leaving.app._drain_hooks.insert(0, async_end_run)
     await leaving.app.async_drain()
     assert sorted([other.count_held(), third.count_held()]) == [0, WHOLE]
 
 
-async def test_only_sides_may_read_the_cache(sides: Sides) -> None:
+async def test_prefix_requests_from_routers_are_not_served(sides: Sides) -> None:
     primary, _, _ = sides
     await primary.async_serve(make_request("engine-1", "engine-2"))
     router = Hello(name="router-1", role=Role.ROUTER, incarnation=1)
@@ -131,5 +131,5 @@
     assert primary.passed == [request]
 
 
-def test_no_two_workspaces_share_the_name_of_a_chat() -> None:
+def test_engine_chat_name_includes_workspace() -> None:
     assert make_engine_chat("plant", "a") != make_engine_chat("school", "a")
--- a/tests/upstream/conftest.py
+++ b/tests/upstream/conftest.py
@@ -1,4 +1,4 @@
-"""An engine and a service behind a fault proxy, and clients of them."""
+"""Fixtures with an engine and a service behind fault proxies, and clients for them."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 @pytest.fixture
 async def serve(make_started: MakeClient) -> AsyncIterator[Serve]:
-    """Return a caller of an upstream that answers all requests with the same bytes and hangs up."""
+    """Return a factory of callers for an upstream that sends fixed bytes and disconnects."""
     servers: list[asyncio.Server] = []
 
     async def async_serve(answer: bytes, kind: UpstreamKind) -> Caller:
--- a/tests/upstream/test_upstream_engine.py
+++ b/tests/upstream/test_upstream_engine.py
@@ -1,4 +1,4 @@
-"""Requests at an engine under faults."""
+"""Engine client under connection faults, crashes and cancellations."""
 
 from __future__ import annotations
 
@@ -27,18 +27,20 @@
     return [content for content in contents if content]
 
 
-def list_contents(body: bytes) -> str:
+def join_contents(body: bytes) -> str:
     return "".join(list_tokens(body))
 
 
 async def async_get_contents(engine_caller: Caller) -> str:
-    """Return what the engine answers when nothing fails."""
+    """Return the engine's response contents without faults."""
     undisturbed = Caller(client=engine_caller.client)
     assert await undisturbed.async_run(make_chat()) is None
-    return list_contents(undisturbed.answer.body)
+    return join_contents(undisturbed.answer.body)
 
 
-async def test_streamed_answer_is_passed_on_whole(engine_caller: Caller, engine: Engine) -> None:
+async def test_streamed_response_is_relayed_completely(
+    engine_caller: Caller, engine: Engine
+) -> None:
     outcome = await engine_caller.async_run(make_chat(tokens=12))
 
     assert outcome is None
@@ -49,7 +51,7 @@
     assert engine_caller.client.models == ("gypsum-chat",)
 
 
-async def test_whole_answer_keeps_its_head_without_hop_by_hop_headers(
+async def test_unstreamed_response_has_no_hop_by_hop_headers(
     engine_caller: Caller,
 ) -> None:
     outcome = await engine_caller.async_run(make_chat(stream=False))
@@ -61,7 +63,7 @@
     assert json.loads(engine_caller.answer.body)["usage"]["completion_tokens"] == 40
 
 
-async def test_refused_connection_is_refused_as_not_run(
+async def test_refused_connection_returns_refusal(
     engine_caller: Caller, engine_proxy: FaultProxy
 ) -> None:
     engine_proxy.refuse()
@@ -90,7 +92,7 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-async def test_stream_whose_connection_fails_is_resumed_exactly(
+async def test_stream_is_resumed_at_offset_after_connection_failure(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine, silent: bool
 ) -> None:
     expected = await async_get_contents(engine_caller)
@@ -103,12 +105,12 @@
 
     assert await run is None
     assert len(engine_caller.answer.heads) == 1
-    assert list_contents(engine_caller.answer.body) == expected
+    assert join_contents(engine_caller.answer.body) == expected
     assert engine_caller.answer.body.count(DONE) == 1
     assert engine.requests == 2
 
 
-async def test_whole_answer_whose_connection_is_cut_is_resumed(
+async def test_unstreamed_response_is_resumed_after_cut(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine
 ) -> None:
     expected = await async_get_contents(engine_caller)
@@ -121,7 +123,7 @@
     assert message["content"] == expected
 
 
-async def test_connection_that_falls_silent_before_the_head_is_taken_over(
+async def test_idle_connection_before_head_is_resumed(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine
 ) -> None:
     expected = await async_get_contents(engine_caller)
@@ -132,11 +134,11 @@
     engine.batch.resume()
 
     assert await run is None
-    assert list_contents(engine_caller.answer.body) == expected
+    assert join_contents(engine_caller.answer.body) == expected
     assert engine.requests == 2
 
 
-async def test_request_that_never_arrived_is_sent_again_on_another_connection(
+async def test_request_that_did_not_arrive_is_sent_again(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine
 ) -> None:
     outcome = await engine_caller.client.async_run(
@@ -151,7 +153,7 @@
     assert engine_caller.answer.body.endswith(DONE)
 
 
-async def test_silent_engine_ends_as_unknown(engine_caller: Caller, engine: Engine) -> None:
+async def test_silent_engine_returns_failure(engine_caller: Caller, engine: Engine) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
     await engine_caller.answer.async_wait_body()
     engine.freeze()
@@ -162,7 +164,7 @@
     assert outcome.reason is Reason.UPSTREAM_SILENT
 
 
-async def test_crash_in_the_answer_is_told_once_and_ends_as_unknown(
+async def test_crash_during_responses_is_reported_once(
     engine_caller: Caller, engine: Engine
 ) -> None:
     crashes: list[bool] = []
@@ -182,14 +184,14 @@
     assert crashes == [False]
 
 
-async def test_request_that_comes_after_a_crash_is_not_run_and_counts_as_no_second_one(
+async def test_request_after_crash_is_refused_and_reports_no_crash(
     engine_caller: Caller, engine: Engine
 ) -> None:
     crashes: list[bool] = []
     engine_caller.client.on_crash(lambda: crashes.append(True))
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
     await engine_caller.answer.async_wait_body()
-    # The proxy before the engine still takes connections, and resets them.
+    # The proxy in front of the engine still accepts connections and resets them.
     engine.crash()
     await run
     late = Caller(client=engine_caller.client)
@@ -201,7 +203,7 @@
     assert len(crashes) == 1
 
 
-async def test_engine_that_forgot_the_answer_ends_as_unknown(
+async def test_engine_that_lost_stream_returns_failure(
     engine_caller: Caller, engine: Engine, engine_proxy: FaultProxy
 ) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
@@ -215,7 +217,7 @@
     assert outcome.reason is Reason.UPSTREAM_LOST
 
 
-async def test_stream_without_its_last_event_is_not_whole(serve: Serve) -> None:
+async def test_stream_without_end_event_is_incomplete(serve: Serve) -> None:
     events = b'data: {"choices": []}\n\n'
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: "
     caller = await serve(head + b"%d\r\n\r\n" % len(events) + events, UpstreamKind.ENGINE)
@@ -226,14 +228,16 @@
     assert outcome.reason is Reason.UPSTREAM_PROTOCOL
 
 
-async def test_error_of_the_engine_is_passed_on(engine_caller: Caller) -> None:
+async def test_error_status_of_engine_is_relayed(engine_caller: Caller) -> None:
     outcome = await engine_caller.async_run(replace(make_chat(), body=b"{}"))
 
     assert outcome is None
     assert engine_caller.answer.heads[0].status == 400
 
 
-async def test_cancel_reaches_the_engine(engine_caller: Caller, engine: Engine) -> None:
+async def test_cancelled_request_is_cancelled_at_engine(
+    engine_caller: Caller, engine: Engine
+) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=5000)))
     await engine_caller.answer.async_wait_body()
     engine_caller.answer.cancelled.set()
@@ -245,7 +249,7 @@
     await async_until(lambda: engine.cancelled == 1 and engine.load == 0)
 
 
-async def test_cancelled_task_reaches_the_engine(engine_caller: Caller, engine: Engine) -> None:
+async def test_cancelled_task_is_cancelled_at_engine(engine_caller: Caller, engine: Engine) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=5000)))
     await engine_caller.answer.async_wait_body()
     run.cancel()
@@ -255,7 +259,7 @@
     await async_until(lambda: engine.cancelled == 1)
 
 
-async def test_same_request_id_of_two_callers_does_not_cross_answers(
+async def test_same_request_id_of_two_callers_does_not_mix_responses(
     engine_caller: Caller, engine: Engine, engine_proxy: FaultProxy
 ) -> None:
     other = Caller(client=engine_caller.client)
@@ -289,7 +293,7 @@
         ("request_id", "a\nb"),
     ],
 )
-async def test_request_that_is_no_http_is_refused_as_not_run(
+async def test_request_that_is_invalid_http_is_refused(
     engine_caller: Caller, engine: Engine, field: str, value: object
 ) -> None:
     outcome = await engine_caller.async_run(replace(make_chat(), **{field: value}))
--- a/tests/upstream/test_upstream_service.py
+++ b/tests/upstream/test_upstream_service.py
@@ -1,4 +1,4 @@
-"""Calls of a plain service under faults."""
+"""Service client under connection faults, crashes and invalid responses."""
 
 from __future__ import annotations
 
@@ -13,9 +13,7 @@
 from gypsumrouter.standins import FaultProxy, Service
 
 
-async def test_call_reaches_the_service_as_it_was_sent(
-    service_caller: Caller, service: Service
-) -> None:
+async def test_call_is_forwarded_unchanged(service_caller: Caller, service: Service) -> None:
     call = make_call(key="key-1", headers=(("X-Standin-Delay-Ms", "1"), ("Connection", "X-Hop")))
 
     outcome = await service_caller.async_run(call)
@@ -26,13 +24,13 @@
     assert service.executions_by_request == {"call-1": 1}
 
 
-async def test_head_call_has_no_body(service_caller: Caller) -> None:
+async def test_head_response_has_no_body(service_caller: Caller) -> None:
     assert await service_caller.async_run(make_call(method="HEAD")) is None
     assert service_caller.answer.heads[0].status == 200
     assert service_caller.answer.body == b""
 
 
-async def test_refused_connection_is_refused_as_not_run(
+async def test_refused_connection_returns_refusal(
     service_caller: Caller, service_proxy: FaultProxy
 ) -> None:
     service_proxy.refuse()
@@ -46,7 +44,7 @@
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE", "GET"])
 @pytest.mark.parametrize("key", ["", "key-1"])
-async def test_connection_cut_before_the_head_ends_as_unknown_and_is_not_sent_again(
+async def test_connection_cut_before_head_fails_without_retry(
     service_caller: Caller,
     service_proxy: FaultProxy,
     service: Service,
@@ -65,7 +63,7 @@
     assert len(service.executions) == 1
 
 
-async def test_silent_connection_of_a_repeatable_call_is_replaced(
+async def test_idle_connection_of_call_without_key_is_hedged(
     service_caller: Caller, service_proxy: FaultProxy, service: Service
 ) -> None:
     service.delay_ms = 100
@@ -78,7 +76,7 @@
     assert len(service.executions) == 2
 
 
-async def test_slow_call_that_must_not_be_repeated_is_waited_for(
+async def test_slow_call_with_key_is_not_sent_again(
     service_caller: Caller, service: Service
 ) -> None:
     service.delay_ms = 1_000
@@ -87,7 +85,7 @@
     assert len(service.executions) == 1
 
 
-async def test_frozen_service_ends_as_unknown(service_caller: Caller, service: Service) -> None:
+async def test_frozen_service_returns_failure(service_caller: Caller, service: Service) -> None:
     service.freeze()
 
     outcome = await service_caller.async_run(make_call(key="key-1"))
@@ -96,7 +94,9 @@
     assert outcome.reason is Reason.UPSTREAM_SILENT
 
 
-async def test_crash_is_told_and_ends_as_unknown(service_caller: Caller, service: Service) -> None:
+async def test_crash_is_reported_and_returns_failure(
+    service_caller: Caller, service: Service
+) -> None:
     crashes: list[bool] = []
     service_caller.client.on_crash(lambda: crashes.append(True))
     service.delay_ms = 60_000
@@ -123,7 +123,7 @@
         (b"", Reason.UPSTREAM_LOST),
     ],
 )
-async def test_answer_that_is_not_whole_is_never_taken_for_whole(
+async def test_incomplete_response_returns_failure(
     serve: Serve, answer: bytes, reason: Reason
 ) -> None:
     caller = await serve(answer, UpstreamKind.SERVICE)
@@ -134,7 +134,7 @@
     assert outcome.reason is reason
 
 
-async def test_redirect_is_passed_on_and_not_followed(serve: Serve) -> None:
+async def test_redirect_is_relayed_and_not_followed(serve: Serve) -> None:
     caller = await serve(
         b"HTTP/1.1 307 Temporary\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n",
         UpstreamKind.SERVICE,
@@ -144,7 +144,7 @@
     assert caller.answer.heads[0].status == 307
 
 
-async def test_compressed_answer_is_passed_on_as_it_is(serve: Serve) -> None:
+async def test_compressed_response_is_relayed_unchanged(serve: Serve) -> None:
     caller = await serve(
         b"HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\n\x1f\x8b\x08\x00",
         UpstreamKind.SERVICE,
--- a/tests/upstream/upstream_fakes.py
+++ b/tests/upstream/upstream_fakes.py
@@ -1,4 +1,4 @@
-"""A fake answer, a caller and requests for the tests of the upstream."""
+"""A fake answer, a caller and request factories for the tests of upstream clients."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeAnswer:
-    """Collect an answer, and tell how far it has come."""
+    """Collect a response and wait for its body to reach a length."""
 
     def __init__(self) -> None:
         self.cancelled = asyncio.Event()
@@ -48,7 +48,7 @@
 
 @dataclass(kw_only=True)
 class Caller:
-    """Run requests with a client and note the hand-overs."""
+    """Run requests with a client and count the hand-overs."""
 
     client: UpstreamClient
     handed_over: int = 0
@@ -65,7 +65,7 @@
 
 
 async def async_until(condition: Callable[[], bool]) -> None:
-    """Let the loop run until a stand-in has come to where the test wants it."""
+    """Run the event loop until a condition of a stand-in is true."""
     async with asyncio.timeout(LIMIT_S):
         while not condition():  # noqa: ASYNC110 (stand-ins have no events)
             await asyncio.sleep(0)
