--- a/gypsumrouter/orders/gates.py
+++ b/gypsumrouter/orders/gates.py
@@ -66,7 +66,7 @@
 def _find_replace_block_reason(
     own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
 ) -> str:
-    steps = [
+    engines = [
         EngineProgress(
             name=holding.name,
             done=model.version == change.version,
@@ -81,14 +81,14 @@
         purpose=f"{change.name}/{change.version}",
         minimum=get_minimum(orders, change.name),
         share=orders.change_share,
-        steps=steps,
+        engines=engines,
     )
 
 
 def _find_role_block_reason(
     own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
 ) -> str:
-    steps = [
+    engines = [
         EngineProgress(
             name=holding.name,
             done=holding.role == change.role,
@@ -97,12 +97,12 @@
         for holding in holdings
     ]
     return find_rollout_block_reason(
-        own=own, purpose=change.role, minimum=0, share=orders.change_share, steps=steps
+        own=own, purpose=change.role, minimum=0, share=orders.change_share, engines=engines
     )
 
 
 def find_rollout_block_reason(
-    *, own: str, purpose: str, minimum: int, share: float, steps: Sequence[EngineProgress]
+    *, own: str, purpose: str, minimum: int, share: float, engines: Sequence[EngineProgress]
 ) -> str:
     """Return why the engine of `own` has to wait in a rollout.
 
@@ -111,19 +111,19 @@
     lane. An engine is skipped after a failure if another one has succeeded, and otherwise after
     MAX_LOAD_FAILURES failures.
     """
-    room = len(steps) - minimum
-    if room < 1:
-        return f"{minimum} engines are needed and there are {len(steps)}"
-    proven = any(step.done for step in steps)
-    width = min(room, max(1, int(len(steps) * share))) if proven else 1
-    changing = sum(1 for step in steps if step.changing and step.name != own)
+    max_changing = len(engines) - minimum
+    if max_changing < 1:
+        return f"{minimum} engines are needed and there are {len(engines)}"
+    any_done = any(engine.done for engine in engines)
+    width = min(max_changing, max(1, int(len(engines) * share))) if any_done else 1
+    changing = sum(1 for engine in engines if engine.changing and engine.name != own)
     if changing >= width:
-        return f"{changing} of {len(steps)} engines are changing, {width} may"
-    by_name = {step.name: step for step in steps}
+        return f"{changing} of {len(engines)} engines are changing, {width} may"
+    by_name = {engine.name: engine for engine in engines}
     ranked = rank_names(purpose, by_name)
     position = ranked.index(own)
     for name in ranked[position % width : position : width]:
-        if not _is_skipped(by_name[name], proven=proven):
+        if not _is_skipped(by_name[name], any_done=any_done):
             return f"{name} goes first"
     return ""
 
@@ -167,7 +167,7 @@
     return model.serving and bool(model.version)
 
 
-def _is_skipped(step: EngineProgress, *, proven: bool) -> bool:
-    if step.done:
+def _is_skipped(engine: EngineProgress, *, any_done: bool) -> bool:
+    if engine.done:
         return True
-    return step.failures >= MAX_LOAD_FAILURES or (proven and step.failures > 0)
+    return engine.failures >= MAX_LOAD_FAILURES or (any_done and engine.failures > 0)
--- a/gypsumrouter/orders/gossip.py
+++ b/gypsumrouter/orders/gossip.py
@@ -23,18 +23,18 @@
     """Forward new holdings to a few neighbours in the pool, which do the same.
 
     Neighbours are chosen as for the distribution of the configuration, among the sides of the
-    pool. An entry is sent at most once over a link and not back to where it came from. A lost
-    entry is replaced by the next refresh. `on_change` is called when an engine has changed.
+    pool. An entry is not sent back to a neighbour from which it was received. A lost entry is
+    replaced by the next refresh. `on_change` is called when an engine has changed.
     """
 
     __slots__ = (
         "_app",
         "_fleet",
         "_incarnations",
+        "_known_stamps",
         "_links",
         "_on_change",
         "_pool",
-        "_sent",
         "_table",
         "_wake",
     )
@@ -56,7 +56,7 @@
         self._pool = pool
         self._table = table
         self._on_change = on_change
-        self._sent: dict[str, dict[str, int]] = {}
+        self._known_stamps: dict[str, dict[str, int]] = {}
         self._incarnations: dict[str, int] = {}
         self._wake = asyncio.Event()
         notices.subscribe(Holdings, self._handle)
@@ -88,29 +88,29 @@
     async def _async_send(self, route: tuple[Instance, ...]) -> None:
         """Send new entries to the first reachable instance of a route."""
         for instance in route:
-            sent = self._sent.setdefault(instance.name, {})
+            known_stamps = self._known_stamps.setdefault(instance.name, {})
             entries = [
                 entry
                 for entry in self._table.list_fresh()
-                if sent.get(entry.name, 0) < entry.stamp_ms
+                if known_stamps.get(entry.name, 0) < entry.stamp_ms
             ][:MAX_GOSSIP_ENTRIES]
             if not entries:
                 return
             notice = Holdings(pool=self._pool, entries=tuple(entries))
             if await self._links.async_send(instance=instance, notice=notice):
-                sent |= {entry.name: entry.stamp_ms for entry in entries}
+                known_stamps |= {entry.name: entry.stamp_ms for entry in entries}
                 return
 
     def _handle(self, peer: Peer, notice: Holdings) -> None:
         if notice.pool != self._pool or peer.hello.role is not Role.SIDE:
             return
-        sent = self._get_sent(peer)
+        known_stamps = self._get_known_stamps(peer)
         for entry in notice.entries:
             if entry.name != self._app.name:
-                self._handle_entry(entry, sent)
+                self._handle_entry(entry, known_stamps)
 
-    def _handle_entry(self, entry: Holding, sent: dict[str, int]) -> None:
-        sent[entry.name] = max(entry.stamp_ms, sent.get(entry.name, 0))
+    def _handle_entry(self, entry: Holding, known_stamps: dict[str, int]) -> None:
+        known_stamps[entry.name] = max(entry.stamp_ms, known_stamps.get(entry.name, 0))
         known = self._table.get(entry.name)
         if not self._table.record(entry):
             return
@@ -118,13 +118,13 @@
             self.announce()
             self._on_change()
 
-    def _get_sent(self, peer: Peer) -> dict[str, int]:
+    def _get_known_stamps(self, peer: Peer) -> dict[str, int]:
         """Return the stamps that a neighbour has; they are cleared when its process restarts."""
         name, incarnation = peer.hello.name, peer.hello.incarnation
         if self._incarnations.get(name) != incarnation:
             self._incarnations[name] = incarnation
-            self._sent[name] = {}
-        return self._sent.setdefault(name, {})
+            self._known_stamps[name] = {}
+        return self._known_stamps.setdefault(name, {})
 
     def _list_sides(self) -> list[Instance]:
         return [
@@ -136,8 +136,8 @@
     def _drop_former_neighbours(self, routes: Iterable[tuple[Instance, ...]]) -> None:
         """Drop the state of sides that are no longer neighbours."""
         kept = {instance.name for route in routes for instance in route}
-        for name in self._sent.keys() - kept:
-            del self._sent[name]
+        for name in self._known_stamps.keys() - kept:
+            del self._known_stamps[name]
             self._incarnations.pop(name, None)
 
 
--- a/gypsumrouter/orders/local_engine.py
+++ b/gypsumrouter/orders/local_engine.py
@@ -11,6 +11,7 @@
 from gypsumrouter.orders.retries import Retries
 from gypsumrouter.util.clock import Clock
 
+# Published loads are multiples of 1 / LOAD_STEPS.
 LOAD_STEPS = 4
 
 
--- a/gypsumrouter/orders/orders.py
+++ b/gypsumrouter/orders/orders.py
@@ -49,7 +49,7 @@
     __slots__ = (
         "_app",
         "_candidate",
-        "_candidate_ms",
+        "_candidate_since_ms",
         "_client",
         "_dispatcher",
         "_engine",
@@ -89,7 +89,7 @@
         self._client = client
         self._started_ms = 0
         self._candidate: Change | None = None
-        self._candidate_ms = 0
+        self._candidate_since_ms = 0
         self._last: ChangeOutcome | None = None
         self._source = ""
         self._waiting = NOT_CONFIGURED
@@ -123,7 +123,7 @@
         self._runner = ChangeRunner(
             app=app,
             dispatcher=self._dispatcher,
-            own=self._local,
+            local_engine=self._local,
             demand=self.demand,
             observe=self._async_observe,
             is_needed=self._is_needed,
@@ -239,7 +239,7 @@
             self._waiting = ""
         if not is_same_step(change, self._candidate):
             self._candidate = change
-            self._candidate_ms = self._app.clock.now_ms()
+            self._candidate_since_ms = self._app.clock.now_ms()
             self._local.retrying = None
         return change
 
@@ -261,7 +261,7 @@
             return Deferred(reason=block_reason)
         if self._local.is_loading(change):
             return Source()
-        settle_left_ms = self._candidate_ms + orders.settle_ms - self._app.clock.now_ms()
+        settle_left_ms = self._candidate_since_ms + orders.settle_ms - self._app.clock.now_ms()
         if settle_left_ms > 0 and not change.skips_settling:
             reason = f"{change.reason}, if that lasts for {orders.settle_ms} ms"
             return Deferred(reason=reason, recheck_ms=settle_left_ms)
@@ -317,8 +317,8 @@
                 self._retries.record_failure(change.name, change.version, source=outcome.source)
                 self._local.retrying = change
                 # The remaining part is retried without waiting for settle_ms again.
-                left = tuple(name for name in change.withdraws if name not in change.drops)
-                self._candidate = replace(change, drops=(), withdraws=left)
+                remaining = tuple(name for name in change.withdraws if name not in change.drops)
+                self._candidate = replace(change, drops=(), withdraws=remaining)
 
     def _is_needed(self, change: Change) -> bool:
         """Return whether the current configuration and plan still require a change."""
--- a/gypsumrouter/orders/runner.py
+++ b/gypsumrouter/orders/runner.py
@@ -61,7 +61,7 @@
         *,
         app: Application,
         dispatcher: OrderDispatcher,
-        own: LocalEngine,
+        local_engine: LocalEngine,
         demand: Demand,
         observe: Callable[[], Awaitable[None]],
         is_needed: Callable[[Change], bool],
@@ -70,7 +70,7 @@
     ) -> None:
         self._app = app
         self._dispatcher = dispatcher
-        self._local = own
+        self._local = local_engine
         self._demand = demand
         self._observe = observe
         self._is_needed = is_needed
--- a/gypsumrouter/orders/store_slots.py
+++ b/gypsumrouter/orders/store_slots.py
@@ -27,13 +27,13 @@
     ) -> int:
         """Return the time until the next slot of `own`, 0 within an unused one."""
         slot_ms = MS_PER_S / loads_per_s
-        turn = members.index(own)
+        index = members.index(own)
         number = int(wall_ms // slot_ms)
-        ahead = (turn - number) % len(members)
-        if ahead == 0 and number != self._used and wall_ms % slot_ms < slot_ms * USABLE_SHARE:
+        slots_ahead = (index - number) % len(members)
+        if slots_ahead == 0 and number != self._used and wall_ms % slot_ms < slot_ms * USABLE_SHARE:
             return 0
-        steps = ahead or len(members)
-        return max(1, round((number + steps) * slot_ms - wall_ms))
+        slots_left = slots_ahead or len(members)
+        return max(1, round((number + slots_left) * slot_ms - wall_ms))
 
     def use(self, *, loads_per_s: float, wall_ms: int) -> None:
         """Mark the slot at this time as used."""
--- a/gypsumrouter/prefixes/const.py
+++ b/gypsumrouter/prefixes/const.py
@@ -11,11 +11,15 @@
 KIND_EVICTED: Final = "evicted"
 BYTES_PER_TOKEN: Final = 4
 
+# Maximum number of chats whose cached prefix is tracked.
 MAX_HELD_CHATS: Final = 65_536
 # A smaller missing part is prefilled again, which costs less than a transfer (decision 0011).
 MIN_FETCH_BYTES: Final = 1_024
+# Maximum number of chats whose location at another side is tracked.
 MAX_MOVED_CHATS: Final = 65_536
+# The first holders in a request are the primaries of the chat; further ones are hints.
 PRIMARY_HOLDERS: Final = 2
+# Maximum number of sides requested for one prefix.
 MAX_SOURCES: Final = 3
 FETCH_TIMEOUT_MS: Final = 250
 CALL_TIMEOUT_MS: Final = 1_000
--- a/gypsumrouter/upstream/const.py
+++ b/gypsumrouter/upstream/const.py
@@ -11,6 +11,7 @@
 PATH_SERVICE_LOAD: Final = "/load"
 PATH_STREAMS: Final = "/v1/streams/"
 
+# The last event of a complete stream, and the number of last bytes kept to find it.
 STREAM_END: Final = b"data: [DONE]"
 STREAM_TAIL_BYTES: Final = 32
 CONTENT_TYPE_EVENTS: Final = "text/event-stream"
@@ -26,14 +27,19 @@
 PROBE_PAUSE_MS: Final = 100
 MAX_FAILED_PROBES: Final = 3
 RESUME_PAUSE_MS: Final = 200
+# Maximum number of connections on which one request is sent to an engine.
 MAX_SENDS: Final = 2
 RETRY_AFTER_MS: Final = 500
+# Number of checks for idle runs within silence_ms.
 SWEEPS_PER_SILENCE: Final = 8
+# Consecutive failed polls after which the upstream is down.
 MAX_FAILED_POLLS: Final = 3
 
+# TCP keepalive of connections to the upstream.
 KEEPALIVE_IDLE_S: Final = 1
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
 
+# Tokens of the retry budget that each request adds, and the size of the bucket.
 RETRY_BUDGET_SHARE: Final = 0.1
 RETRY_BUDGET_BURST: Final = 5.0
--- a/gypsumrouter/upstream/engine.py
+++ b/gypsumrouter/upstream/engine.py
@@ -48,7 +48,7 @@
 
     async def _async_drive(self, run: Run) -> Failure | None:
         try:
-            failure = await self._async_follow(run)
+            failure = await self._async_run_attempts(run)
         except BaseException:
             self._start_cancel(run)
             raise
@@ -61,9 +61,9 @@
             self._start_cancel(run)
         return failure
 
-    async def _async_follow(self, run: Run) -> Failure | None:
+    async def _async_run_attempts(self, run: Run) -> Failure | None:
         attempt = await self._async_attempt(run, self._async_open_stream)
-        attempts = 0
+        resumes = 0
         was_silent = False
         while True:
             match attempt:
@@ -73,21 +73,21 @@
                     return _fail(Reason.CANCELLED, "the request was cancelled")
                 case Attempt.CONNECT_FAILED if not run.was_handed_over:
                     return make_unreachable()
-                case Attempt.LOST if was_silent and self._may_open_again(run):
-                    attempt = await self._async_open_again(run)
+                case Attempt.LOST if was_silent and self._may_resend(run):
+                    attempt = await self._async_resend(run)
                     continue
                 case Attempt.LOST:
                     return _fail(Reason.UPSTREAM_LOST, "the upstream lost the answer")
             was_silent = attempt is Attempt.SILENT
-            attempts += 1
-            if attempts > MAX_RESUME_ATTEMPTS:
+            resumes += 1
+            if resumes > MAX_RESUME_ATTEMPTS:
                 return _make_failure(was_silent)
             if await self._async_has_crashed(run, attempt):
                 return _fail(Reason.UPSTREAM_LOST, "the upstream died")
-            mark = (run.offset, run.heads)
-            attempt = await self._async_attempt(run, _Resume(client=self, pause=attempts - 1))
-            if _has_progressed(run, mark, attempt):
-                attempts = 0
+            before = (run.offset, run.heads)
+            attempt = await self._async_attempt(run, _Resume(client=self, pause=resumes - 1))
+            if _has_progressed(run, before, attempt):
+                resumes = 0
 
     async def _async_has_crashed(self, run: Run, attempt: Attempt) -> bool:
         """Return whether a probe after a broken connection shows that the upstream crashed."""
@@ -138,13 +138,13 @@
         """Wait before the next attempt to resume."""
         await self._app.clock.async_sleep(pause_ms)
 
-    def _may_open_again(self, run: Run) -> bool:
+    def _may_resend(self, run: Run) -> bool:
         """Return whether the request may be sent again: no idempotency key and no head yet."""
         if run.request.idempotency_key or run.head_sent:
             return False
         return run.sends < MAX_SENDS
 
-    async def _async_open_again(self, run: Run) -> Attempt:
+    async def _async_resend(self, run: Run) -> Attempt:
         """Send the request again under a new stream id, so that two responses can't be mixed."""
         _LOGGER.debug(
             "Request %s did not reach the upstream; sending it again with a new stream id",
@@ -186,9 +186,9 @@
         return await self._client.async_resume_stream(run)
 
 
-def _has_progressed(run: Run, mark: tuple[int, int], attempt: Attempt) -> bool:
+def _has_progressed(run: Run, before: tuple[int, int], attempt: Attempt) -> bool:
     """Return whether a resumed stream made progress: more bytes, or a head before going idle."""
-    offset, heads = mark
+    offset, heads = before
     if run.offset > offset:
         return True
     return attempt is Attempt.SILENT and run.heads > heads
--- a/gypsumrouter/upstream/service.py
+++ b/gypsumrouter/upstream/service.py
@@ -71,19 +71,19 @@
             failed_probes = await self._async_count_failed_probes(failed_probes)
             if failed_probes >= MAX_FAILED_PROBES:
                 raise Interrupted(Cause.SILENT)
-            if failed_probes == 0 and self._may_open_again(run):
+            if failed_probes == 0 and self._may_hedge(run):
                 self.silent_runs.inc()
                 calls.add(self._open_call(run))
 
     async def _async_await_any(self, calls: set[Call]) -> Call | None:
         """Return a call that has ended, or None after `silence_ms`."""
-        silence: asyncio.Task[Any] = asyncio.ensure_future(
+        timeout: asyncio.Task[Any] = asyncio.ensure_future(
             self._app.clock.async_sleep(self._settings.silence_ms)
         )
         try:
-            await asyncio.wait({silence, *calls}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({timeout, *calls}, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            silence.cancel()
+            timeout.cancel()
         return next((call for call in calls if call.done()), None)
 
     async def _async_count_failed_probes(self, failed_probes: int) -> int:
@@ -91,7 +91,7 @@
         liveness = await self._transport.async_probe(self._health.load_path)
         return 0 if liveness is Liveness.ANSWERS else failed_probes + 1
 
-    def _may_open_again(self, run: Run) -> bool:
+    def _may_hedge(self, run: Run) -> bool:
         if run.request.idempotency_key or run.sends > 1:
             return False
         return self._retry_budget.try_acquire()
--- a/tests/orders/test_orders_gates.py
+++ b/tests/orders/test_orders_gates.py
@@ -30,7 +30,7 @@
     minimum: int = 0,
 ) -> set[str]:
     """Return the engines, of those neither done nor changing, that may start to change."""
-    steps = [
+    engines = [
         EngineProgress(
             name=name,
             done=name in done,
@@ -43,7 +43,7 @@
         name
         for name in set(NAMES) - done - changing
         if not find_rollout_block_reason(
-            own=name, purpose="v2", minimum=minimum, share=0.25, steps=steps
+            own=name, purpose="v2", minimum=minimum, share=0.25, engines=engines
         )
     }
 
--- a/tests/orders/test_orders_lease.py
+++ b/tests/orders/test_orders_lease.py
@@ -180,7 +180,7 @@
 def test_store_slots_limit_rate_across_members() -> None:
     members = ("a", "b", "c")
     slots = {name: StoreSlots() for name in members}
-    load_scheduler: list[int] = []
+    load_times_ms: list[int] = []
     for wall_ms in range(1_700_000_000_000, 1_700_000_060_000, 10):
         for name in members:
             wait_ms = slots[name].get_wait_ms(
@@ -188,6 +188,6 @@
             )
             if wait_ms == 0:
                 slots[name].use(loads_per_s=0.5, wall_ms=wall_ms)
-                load_scheduler.append(wall_ms)
-    assert len(load_scheduler) == 30
-    assert min(after - before for before, after in pairwise(load_scheduler)) >= 2_000
+                load_times_ms.append(wall_ms)
+    assert len(load_times_ms) == 30
+    assert min(after - before for before, after in pairwise(load_times_ms)) >= 2_000
