--- a/gypsumrouter/prefixes/prefixes.py
+++ b/gypsumrouter/prefixes/prefixes.py
@@ -78,7 +78,7 @@
             client=self._client,
             list_chats=self._list_idle,
         )
-        notices.subscribe(PrefixNews, self._handle_news)
+        notices.subscribe(PrefixNews, self._handle_notice)
         self._fetches = app.metrics.counter(
             "gypsumrouter_prefix_fetches_total", "Prefixes asked for at other engines, by result"
         )
@@ -132,8 +132,8 @@
         self._moved.forget(digest_chat(chat))
         primary = self._get_other(request.holders[0]) if request.holders else None
         if primary is not None:
-            news = PrefixNews(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
-            self._app.async_create_task(self._async_notify(primary, news), "prefix news")
+            notice = PrefixNews(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
+            self._app.async_create_task(self._async_notify(primary, notice), "prefix news")
 
     def note_ended(self, request: Open) -> None:
         """Record the end of a run that began with `async_fetch`."""
@@ -180,12 +180,12 @@
     def _get_other(self, name: str) -> Instance | None:
         return None if name == self._app.name else self._fleet.get(name)
 
-    async def _async_notify(self, primary: Instance, news: PrefixNews) -> None:
-        await self._links.async_send(instance=primary, notice=news)
+    async def _async_notify(self, primary: Instance, notice: PrefixNews) -> None:
+        await self._links.async_send(instance=primary, notice=notice)
 
-    def _handle_news(self, peer: Peer, news: PrefixNews) -> None:
-        moved = ChatLocation(name=peer.hello.name, prompt_bytes=news.prompt_bytes)
-        self._moved.record(news.chat, moved)
+    def _handle_notice(self, peer: Peer, notice: PrefixNews) -> None:
+        moved = ChatLocation(name=peer.hello.name, prompt_bytes=notice.prompt_bytes)
+        self._moved.record(notice.chat, moved)
 
     async def _async_export(self, request: Open, answer: Answer) -> None:
         """Respond with the cached prefix, or redirect to a side that holds more of it."""
--- a/tests/prefixes/test_prefixes.py
+++ b/tests/prefixes/test_prefixes.py
@@ -17,7 +17,7 @@
 from gypsumrouter.standins.tokens import TOKENS_PER_BLOCK
 
 Sides = tuple[Side, Side, Side]
-WHOLE = len(BLOCKS) * TOKENS_PER_BLOCK
+ALL_TOKENS = len(BLOCKS) * TOKENS_PER_BLOCK
 ENGINE_CHAT = make_engine_chat(WORKSPACE, CHAT)
 EXPORT = "/v1/cache/export"
 
@@ -26,7 +26,7 @@
     primary, other, _ = sides
     await primary.async_serve(make_request("engine-1", "engine-2"))
     await other.prefixes.async_fetch(make_request("engine-1", "engine-2"))
-    assert other.count_held() == WHOLE
+    assert other.count_held() == ALL_TOKENS
 
 
 async def test_primary_redirects_to_side_that_served_chat(
@@ -36,7 +36,7 @@
     await third.async_serve(make_request("engine-1", "engine-2"))
     assert third.links.notified == ["engine-1"]
     await other.prefixes.async_fetch(make_request("engine-1", "engine-2"))
-    assert other.count_held() == WHOLE
+    assert other.count_held() == ALL_TOKENS
     assert other.links.requested == [("engine-1", EXPORT), ("engine-3", EXPORT)]
 
 
@@ -44,7 +44,7 @@
     primary, _, third = sides
     await third.async_serve(make_request("engine-1", "engine-2"))
     await primary.prefixes.async_fetch(make_request("engine-1", "engine-2"))
-    assert primary.count_held() == WHOLE
+    assert primary.count_held() == ALL_TOKENS
 
 
 async def test_hinted_holder_is_requested_first(sides: Sides) -> None:
@@ -96,30 +96,30 @@
     primary.engine.cache.clear()
     primary.prefixes.note_engine_died()
     await primary.prefixes.async_fetch(make_request("engine-1", "engine-2"))
-    assert primary.count_held() == WHOLE
+    assert primary.count_held() == ALL_TOKENS
 
 
 async def test_planned_stop_hands_off_idle_chats(sides: Sides) -> None:
-    leaving, other, third = sides
-    await leaving.async_serve(make_request("engine-1", "engine-2"))
-    await leaving.app.async_drain()
-    assert sorted([other.count_held(), third.count_held()]) == [0, WHOLE]
+    draining, other, third = sides
+    await draining.async_serve(make_request("engine-1", "engine-2"))
+    await draining.app.async_drain()
+    assert sorted([other.count_held(), third.count_held()]) == [0, ALL_TOKENS]
 
 
 async def test_planned_stop_hands_off_chats_that_were_running(sides: Sides) -> None:
-    leaving, other, third = sides
+    draining, other, third = sides
     request = make_request("engine-1", "engine-2")
-    await leaving.prefixes.async_fetch(request)
+    await draining.prefixes.async_fetch(request)
 
     async def async_end_run() -> None:
-        leaving.engine.cache.store(chat=ENGINE_CHAT, blocks=BLOCKS)
-        leaving.prefixes.note_served(request, whole=True)
-        leaving.prefixes.note_ended(request)
+        draining.engine.cache.store(chat=ENGINE_CHAT, blocks=BLOCKS)
+        draining.prefixes.note_served(request, whole=True)
+        draining.prefixes.note_ended(request)
 
     # The drain hooks of runs are called before those of prefixes.
-    leaving.app._drain_hooks.insert(0, async_end_run)
-    await leaving.app.async_drain()
-    assert sorted([other.count_held(), third.count_held()]) == [0, WHOLE]
+    draining.app._drain_hooks.insert(0, async_end_run)
+    await draining.app.async_drain()
+    assert sorted([other.count_held(), third.count_held()]) == [0, ALL_TOKENS]
 
 
 async def test_prefix_requests_from_routers_are_not_served(sides: Sides) -> None:
