--- a/bench/member_host.py
+++ b/bench/member_host.py
@@ -11,7 +11,7 @@
 
 from bench.child import Child, Command, async_serve
 from bench.two_year import Place
-from gypsumrouter.configuration import ConfigurationSpread, ConfigurationStore
+from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.configuration.models import Configuration
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.core import Application
@@ -54,7 +54,7 @@
         self._pool.on_contact(fleet.note_contact)
         store = ConfigurationStore(app=self.app)
         store.on_change(self._note)
-        spread = ConfigurationSpread(
+        replicator = ConfigurationReplicator(
             app=self.app,
             settings=platform,
             store=store,
@@ -63,7 +63,7 @@
             notices=self._notices,
         )
         await fleet.async_start()
-        await spread.async_start()
+        await replicator.async_start()
         self.app.async_started()
 
     def _note(self, configuration: Configuration) -> None:
--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from gypsumrouter.admission import Admission
-from gypsumrouter.configuration import ConfigurationSpread, ConfigurationStore
+from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.const import UpstreamKind
 from gypsumrouter.core import Application
 from gypsumrouter.exchange import ExchangeRunner
@@ -45,7 +45,7 @@
     links: LinkPool
     fleet: Fleet
     store: ConfigurationStore
-    spread: ConfigurationSpread
+    replicator: ConfigurationReplicator
 
 
 async def async_setup(
@@ -248,7 +248,7 @@
     source = HttpInstanceListSource(app=app, settings=settings.platform)
     fleet = Fleet(app=app, settings=settings.platform, source=source)
     store = ConfigurationStore(app=app)
-    spread = ConfigurationSpread(
+    replicator = ConfigurationReplicator(
         app=app,
         settings=settings.platform,
         store=store,
@@ -264,7 +264,7 @@
         links=links,
         fleet=fleet,
         store=store,
-        spread=spread,
+        replicator=replicator,
     )
 
 
@@ -297,7 +297,7 @@
 async def async_start_shared_parts(parts: SharedParts) -> None:
     """Start what both roles need."""
     await parts.fleet.async_start()
-    await parts.spread.async_start()
+    await parts.replicator.async_start()
 
 
 def make_operators(
--- a/gypsumrouter/configuration/__init__.py
+++ b/gypsumrouter/configuration/__init__.py
@@ -33,8 +33,8 @@
 from gypsumrouter.util.checked import Name
 
 if TYPE_CHECKING:
+    from gypsumrouter.configuration.replicator import ConfigurationReplicator
     from gypsumrouter.configuration.source import ConfigurationSource, HttpConfigurationSource
-    from gypsumrouter.configuration.spread import ConfigurationSpread
 
 __all__ = [
     "Accepted",
@@ -42,8 +42,8 @@
     "CallPattern",
     "CallerClass",
     "Configuration",
+    "ConfigurationReplicator",
     "ConfigurationSource",
-    "ConfigurationSpread",
     "ConfigurationStore",
     "HttpConfigurationSource",
     "Name",
@@ -72,12 +72,12 @@
     "run_sliced",
 ]
 
-_LATE: Final = ("ConfigurationSource", "ConfigurationSpread", "HttpConfigurationSource")
+_LATE: Final = ("ConfigurationSource", "ConfigurationReplicator", "HttpConfigurationSource")
 
 
 def __getattr__(name: str) -> Any:
     if name not in _LATE:
         raise AttributeError(name)
-    from gypsumrouter.configuration import source, spread
+    from gypsumrouter.configuration import replicator, source
 
-    return getattr(spread if hasattr(spread, name) else source, name)
+    return getattr(replicator if hasattr(replicator, name) else source, name)
--- a/gypsumrouter/configuration/spread.py
+++ b/gypsumrouter/configuration/replicator.py
@@ -33,7 +33,7 @@
 ASK_VERSION: Final = PartsRequest(version=0)
 
 
-class ConfigurationSpread:
+class ConfigurationReplicator:
     """Tell neighbours of each new version, fetch what they have, and read the platform.
 
     Every process tells its few neighbours on common rings, and asks one of them now and then
--- a/tests/configuration/configuration_fakes.py
+++ b/tests/configuration/configuration_fakes.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from gypsumrouter.configuration import ConfigurationSpread, ConfigurationStore
+from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.configuration.const import WATCH_TURN_MS
 from gypsumrouter.configuration.neighbours import list_watchers
 from gypsumrouter.configuration.source import Document, SourceAnswer, Unavailable, Unchanged
@@ -135,7 +135,7 @@
         )
         self.store = ConfigurationStore(app=self.app)
         self.store.on_change(lambda configuration: self.versions.append(configuration.version))
-        self.spread = ConfigurationSpread(
+        self.replicator = ConfigurationReplicator(
             app=self.app,
             settings=Platform(),
             store=self.store,
@@ -203,7 +203,7 @@
         instance = next(i for i in self.instances if i.name == name)
         process = FakeProcess(fleet=self, instance=instance, seed=seed)
         self.processes[name] = process
-        await process.spread.async_start()
+        await process.replicator.async_start()
         return process
 
     async def async_start_all(self) -> None:
--- a/tests/configuration/configuration_links.py
+++ b/tests/configuration/configuration_links.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from gypsumrouter.configuration import ConfigurationSpread, ConfigurationStore
+from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.instances import Instance
@@ -52,7 +52,7 @@
             handler=None,
             answer_memory_bytes=1024,
         )
-        self.spread = ConfigurationSpread(
+        self.replicator = ConfigurationReplicator(
             app=self.app,
             settings=Platform(configuration=origins),
             store=self.store,
--- a/tests/configuration/measure_configuration.py
+++ b/tests/configuration/measure_configuration.py
@@ -181,7 +181,7 @@
     for process in processes:
         await process.async_listen()
     for process in processes:
-        await process.spread.async_start()
+        await process.replicator.async_start()
     for process in processes:
         await process.async_wait(1)
     await asyncio.sleep(2)
--- a/tests/configuration/test_configuration_links.py
+++ b/tests/configuration/test_configuration_links.py
@@ -48,7 +48,7 @@
 ) -> None:
     service.publish(encode(make_document(1, workspaces=2_000)))
     for process in processes:
-        await process.spread.async_start()
+        await process.replicator.async_start()
     for process in processes:
         await process.async_wait(1)
     service.publish(encode(make_document(2, workspaces=2_001)))
@@ -63,8 +63,8 @@
     first, last = processes[0], processes[-1]
     await first.store.async_offer(encode(make_document(1, workspaces=5_000)))
     await service.async_set_outage(OutageKind.ERROR)
-    await first.spread.async_start()
-    await last.spread.async_start()
+    await first.replicator.async_start()
+    await last.replicator.async_start()
     await last.async_wait(1)
     assert last.store.current == first.store.current
 
--- a/tests/configuration/test_configuration_machine.py
+++ b/tests/configuration/test_configuration_machine.py
@@ -23,7 +23,7 @@
 some_names = st.sets(some_name, min_size=1, max_size=4)
 
 
-class SpreadMachine(RuleBasedStateMachine):
+class ReplicationMachine(RuleBasedStateMachine):
     """Five processes under every fault that the platform and the network may bring."""
 
     def __init__(self) -> None:
@@ -121,7 +121,7 @@
 
 def test_versions_never_fall_and_all_agree_in_the_end() -> None:
     run_state_machine_as_test(
-        SpreadMachine,
+        ReplicationMachine,
         settings=settings(
             derandomize=True,
             deadline=None,
