--- a/gypsumrouter/configuration/neighbours.py
+++ b/gypsumrouter/configuration/neighbours.py
@@ -9,10 +9,10 @@
 from gypsumrouter.configuration.const import RING_ATTEMPTS, RINGS, WATCHERS_IN_REGION
 from gypsumrouter.instances import Instance
 
-Route = tuple[Instance, ...]
+RingNeighbours = tuple[Instance, ...]
 
 
-def list_routes(name: str, peers: Iterable[Instance]) -> tuple[Route, ...]:
+def list_ring_neighbours(name: str, peers: Iterable[Instance]) -> tuple[RingNeighbours, ...]:
     """Return the instances to tell news to: one route for each direction of each ring.
 
     Every process puts all names on the same rings, in the order of their digests, and talks to
@@ -21,7 +21,7 @@
     neighbours. A route goes on along its ring for when the first instance cannot be reached.
     """
     known = tuple(peer for peer in peers if peer.name != name)
-    routes: list[Route] = []
+    routes: list[RingNeighbours] = []
     for ring in range(RINGS):
         routes += _list_ring_routes(ring, name, known)
     return tuple(routes)
@@ -50,7 +50,9 @@
     return frozenset(chosen)
 
 
-def _list_ring_routes(ring: int, name: str, peers: tuple[Instance, ...]) -> Iterator[Route]:
+def _list_ring_routes(
+    ring: int, name: str, peers: tuple[Instance, ...]
+) -> Iterator[RingNeighbours]:
     here = (_rank(str(ring), name), name)
     ranked = [((_rank(str(ring), peer.name), peer.name), peer) for peer in peers]
     order = sorted(ranked, key=lambda entry: entry[0])
--- a/gypsumrouter/configuration/replicator.py
+++ b/gypsumrouter/configuration/replicator.py
@@ -15,7 +15,7 @@
 )
 from gypsumrouter.configuration.fetch import PartsFetcher, Sender, answer_parts_request
 from gypsumrouter.configuration.models import Configuration
-from gypsumrouter.configuration.neighbours import Route, list_routes
+from gypsumrouter.configuration.neighbours import RingNeighbours, list_ring_neighbours
 from gypsumrouter.configuration.reader import PlatformReader
 from gypsumrouter.configuration.source import ConfigurationSource, HttpConfigurationSource
 from gypsumrouter.configuration.store import ConfigurationStore
@@ -83,7 +83,7 @@
             source=source or HttpConfigurationSource(app=app, origins=settings.configuration),
             rng=self._rng,
         )
-        self._routes: tuple[Route, ...] | None = None
+        self._routes: tuple[RingNeighbours, ...] | None = None
         self._told: dict[str, int] = {}
         self._asked_at_ms = app.clock.now_ms()
         self._conflicts = 0
@@ -137,7 +137,7 @@
         sends = [self._async_tell(route, self._get_news()) for route in self._get_routes()]
         await asyncio.gather(*sends)
 
-    async def _async_tell(self, route: Route, news: ConfigurationNews) -> None:
+    async def _async_tell(self, route: RingNeighbours, news: ConfigurationNews) -> None:
         """Tell the first instance of a route that can be reached and does not know yet."""
         for instance in route:
             if self._told.get(instance.name, 0) >= news.version:
@@ -179,7 +179,7 @@
         if routes:
             await self._async_ask(self._rng.choice(routes))
 
-    async def _async_ask(self, route: Route) -> None:
+    async def _async_ask(self, route: RingNeighbours) -> None:
         """Ask the first instance of a route that can be reached which version it has."""
         for instance in route:
             if await self._pool.async_send(instance=instance, notice=ASK_VERSION):
@@ -188,9 +188,9 @@
     def _get_news(self) -> ConfigurationNews:
         return ConfigurationNews(version=self._store.parts.version, digest=self._store.parts.digest)
 
-    def _get_routes(self) -> tuple[Route, ...]:
+    def _get_routes(self) -> tuple[RingNeighbours, ...]:
         if self._routes is None:
-            self._routes = list_routes(self._app.name, self._fleet.peers())
+            self._routes = list_ring_neighbours(self._app.name, self._fleet.peers())
             names = {instance.name for route in self._routes for instance in route}
             self._told = {name: told for name, told in self._told.items() if name in names}
         return self._routes
--- a/gypsumrouter/orders/news.py
+++ b/gypsumrouter/orders/news.py
@@ -7,7 +7,7 @@
 
 from msgspec.structs import replace
 
-from gypsumrouter.configuration.neighbours import list_routes
+from gypsumrouter.configuration.neighbours import list_ring_neighbours
 from gypsumrouter.configuration.waiting import async_wait
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
@@ -74,7 +74,7 @@
             await self._async_wait()
             if not is_wanted():
                 continue
-            routes = list_routes(self._app.name, self._list_sides())
+            routes = list_ring_neighbours(self._app.name, self._list_sides())
             self._forget_strangers(routes)
             await asyncio.gather(*(self._async_tell(route) for route in routes))
 
--- a/gypsumrouter/suspect_news.py
+++ b/gypsumrouter/suspect_news.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Collection
 
-from gypsumrouter.configuration.neighbours import list_routes
+from gypsumrouter.configuration.neighbours import list_ring_neighbours
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Fleet, Instance
 from gypsumrouter.link import LinkPool
@@ -51,7 +51,7 @@
         self._app.async_create_task(self._async_spread(news, direct), "suspect news")
 
     async def _async_spread(self, news: SuspectNews, direct: list[tuple[Instance]]) -> None:
-        routes = list_routes(self._app.name, self._fleet.peers())
+        routes = list_ring_neighbours(self._app.name, self._fleet.peers())
         await asyncio.gather(*(self._async_tell(route, news) for route in (*direct, *routes)))
 
     async def _async_tell(self, route: tuple[Instance, ...], news: SuspectNews) -> None:
--- a/tests/configuration/test_configuration_replicator.py
+++ b/tests/configuration/test_configuration_replicator.py
@@ -8,7 +8,7 @@
 
 from gypsumrouter.configuration.const import WATCHERS_IN_REGION
 from gypsumrouter.configuration.fetch import answer_parts_request
-from gypsumrouter.configuration.neighbours import list_routes, list_watchers
+from gypsumrouter.configuration.neighbours import list_ring_neighbours, list_watchers
 from gypsumrouter.const import Role
 from gypsumrouter.instances import Address, Instance
 from gypsumrouter.link.models import ConfigurationNews, PartsRequest
@@ -241,7 +241,7 @@
 def test_routes_join_the_whole_fleet_with_few_neighbours_each() -> None:
     instances = make_instances(300)
     neighbours = {
-        instance.name: {route[0].name for route in list_routes(instance.name, instances)}
+        instance.name: {route[0].name for route in list_ring_neighbours(instance.name, instances)}
         for instance in instances
     }
     assert max(len(names) for names in neighbours.values()) <= 6
@@ -256,7 +256,7 @@
 
 def test_a_route_goes_on_behind_an_instance_that_is_gone() -> None:
     instances = make_instances(20)
-    for route in list_routes("side-0", instances):
+    for route in list_ring_neighbours("side-0", instances):
         assert len({instance.name for instance in route}) == len(route) > 1
         assert "side-0" not in {instance.name for instance in route}
 
