--- a/gypsumrouter/fleet/fleet.py
+++ b/gypsumrouter/fleet/fleet.py
@@ -31,14 +31,14 @@
     """What this process knows of the other instances.
 
     Lists are taken in the order of `revision`, and never with an older `as_of_ms`. `members` is
-    the softened view; `on_list` and `on_fresh` tell what the list itself says.
+    the softened view; `on_list` and `on_confirmed` tell what the list itself says.
     """
 
     __slots__ = (
         "_app",
         "_change_listeners",
+        "_confirmed_listeners",
         "_evidence",
-        "_fresh_listeners",
         "_list",
         "_list_listeners",
         "_lost",
@@ -64,7 +64,7 @@
         self._members_until_ms = 0
         self._change_listeners: list[Callable[[], None]] = []
         self._list_listeners: list[Callable[[InstanceList], None]] = []
-        self._fresh_listeners: list[Callable[[int], None]] = []
+        self._confirmed_listeners: list[Callable[[int], None]] = []
         self._reads = app.metrics.counter(
             "gypsum_instance_list_reads_total", "Reads of the instance list by their result"
         )
@@ -144,9 +144,9 @@
             listener(self._list)
         return _register(self._list_listeners, listener)
 
-    def on_fresh(self, listener: Callable[[int], None]) -> Remove:
+    def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
         """Register a listener for the wall time by which the accepted list was still unchanged."""
-        return _register(self._fresh_listeners, listener)
+        return _register(self._confirmed_listeners, listener)
 
     async def _async_follow(self) -> None:
         while True:
@@ -205,7 +205,7 @@
         self._note_read("unchanged", usable=True)
         self._list = replace(current, as_of_ms=as_of_ms)
         self._view.note_read(self._app.clock.now_ms())
-        for listener in tuple(self._fresh_listeners):
+        for listener in tuple(self._confirmed_listeners):
             listener(as_of_ms)
 
     def _forget_replaced(self, answer: InstanceList) -> None:
--- a/gypsumrouter/idempotency/calls.py
+++ b/gypsumrouter/idempotency/calls.py
@@ -34,7 +34,7 @@
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
         """Register a listener for every list that is accepted."""
 
-    def on_fresh(self, listener: Callable[[int], None]) -> Remove:
+    def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
         """Register a listener for the wall time by which the list was unchanged."""
 
 
@@ -65,7 +65,7 @@
         )
         self._add_gauges()
         fleet.on_list(self._tenure.note_list)
-        fleet.on_fresh(self._tenure.note_fresh)
+        fleet.on_confirmed(self._tenure.note_fresh)
         app.add_dump_section(DUMP_SECTION, self._dump)
 
     def note_listening(self, address: Address) -> None:
--- a/gypsumrouter/orders/orders.py
+++ b/gypsumrouter/orders/orders.py
@@ -102,7 +102,7 @@
         self._planner = Planner(name=app.name, table=self._table)
         self._lease = OrderLease(app=app, settings=settings.platform, pool=pool)
         fleet.on_list(self._take_list)
-        fleet.on_fresh(self._lease.note_fresh)
+        fleet.on_confirmed(self._lease.note_fresh)
         self._loads = LoadTurns(
             app=app, lease=self._lease, retries=self._retries, table=self._table
         )
--- a/gypsumrouter/orders/ports.py
+++ b/gypsumrouter/orders/ports.py
@@ -19,7 +19,7 @@
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
         """Register a listener for every list that is accepted, in their order."""
 
-    def on_fresh(self, listener: Callable[[int], None]) -> Remove:
+    def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
         """Register a listener for the time by which the list was still unchanged."""
 
 
--- a/tests/exchange/exchange_fakes.py
+++ b/tests/exchange/exchange_fakes.py
@@ -175,7 +175,7 @@
         self._on_list.append(listener)
         return lambda: self._on_list.remove(listener)
 
-    def on_fresh(self, listener: Callable[[int], None]) -> Remove:
+    def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
         self._on_fresh.append(listener)
         return lambda: self._on_fresh.remove(listener)
 
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -41,7 +41,7 @@
 ) -> None:
     caplog.set_level("INFO", logger="gypsumrouter.fleet")
     fresh: list[int] = []
-    world.fleet.on_fresh(fresh.append)
+    world.fleet.on_confirmed(fresh.append)
     await world.async_list(1, *make_engines(1))
     for _ in range(3):
         await world.async_answer(None)
--- a/tests/orders/orders_world.py
+++ b/tests/orders/orders_world.py
@@ -75,7 +75,7 @@
         self._lists.append(listener)
         return lambda: self._lists.remove(listener)
 
-    def on_fresh(self, listener: Callable[[int], None]) -> Remove:
+    def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
         self._fresh.append(listener)
         return lambda: self._fresh.remove(listener)
 
