--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -272,11 +272,11 @@
     """Tell the fleet what the links find out."""
 
     def take_status(hello: Hello, status: Status) -> None:
-        fleet.note_incarnation(hello.name, hello.incarnation)
+        fleet.record_incarnation(hello.name, hello.incarnation)
         if status.leaving:
-            fleet.note_leaving(hello.name, hello.incarnation)
+            fleet.record_leaving(hello.name, hello.incarnation)
 
-    links.on_contact(fleet.note_contact)
+    links.on_contact(fleet.record_contact)
     links.on_status(take_status)
 
 
--- a/gypsumrouter/configuration/reader.py
+++ b/gypsumrouter/configuration/reader.py
@@ -99,7 +99,7 @@
         self._fleet.on_change(self._forget_watchers)
         self._app.async_create_task(self._async_run(), "configuration reader")
 
-    def note_contact(self) -> None:
+    def record_contact(self) -> None:
         """Note that another process has been heard of, which brings news if there are any."""
         self._contact_at_ms = self._app.clock.now_ms()
 
--- a/gypsumrouter/configuration/replicator.py
+++ b/gypsumrouter/configuration/replicator.py
@@ -103,7 +103,7 @@
         self._reader.async_start()
 
     def _take_news(self, peer: Sender, news: ConfigurationNews) -> None:
-        self._reader.note_contact()
+        self._reader.record_contact()
         mine = self._store.parts
         self._told[peer.hello.name] = max(news.version, mine.version)
         if news.version > mine.version:
@@ -114,11 +114,11 @@
             self._note_conflict(peer, news)
 
     def _answer_request(self, peer: Sender, request: PartsRequest) -> None:
-        self._reader.note_contact()
+        self._reader.record_contact()
         peer.send(answer_parts_request(self._store, request))
 
     def _take_parts(self, peer: Sender, parts: Parts) -> None:
-        self._reader.note_contact()
+        self._reader.record_contact()
         self._fetcher.take(parts)
 
     def _note_conflict(self, peer: Sender, news: ConfigurationNews) -> None:
--- a/gypsumrouter/fleet/evidence.py
+++ b/gypsumrouter/fleet/evidence.py
@@ -48,7 +48,7 @@
     leaving: bool = False
     leaving_until_ms: int = 0
 
-    def note_contact(self, reachable: bool, now_ms: int) -> None:
+    def record_contact(self, reachable: bool, now_ms: int) -> None:
         """Take in one success or failure of a link."""
         if reachable:
             self.reachable = True
@@ -57,7 +57,7 @@
             self._note_failure(now_ms)
         self.contact_ms = now_ms
 
-    def note_incarnation(self, incarnation: int) -> None:
+    def record_incarnation(self, incarnation: int) -> None:
         """Forget what an earlier process of this name said of itself."""
         if incarnation in (self.incarnation, self.replaced_incarnation):
             return
@@ -65,9 +65,9 @@
         self.incarnation = incarnation
         self.leaving = False
 
-    def note_leaving(self, incarnation: int, now_ms: int) -> None:
+    def record_leaving(self, incarnation: int, now_ms: int) -> None:
         """Take in the instance's own word that it is leaving, unless it has been replaced."""
-        self.note_incarnation(incarnation)
+        self.record_incarnation(incarnation)
         if incarnation != self.incarnation:
             return
         self.leaving = True
--- a/gypsumrouter/fleet/fleet.py
+++ b/gypsumrouter/fleet/fleet.py
@@ -109,26 +109,26 @@
             return None
         return max(0, self._app.clock.wall_ms() - self._list.as_of_ms)
 
-    def note_contact(self, name: str, reachable: bool) -> None:
+    def record_contact(self, name: str, reachable: bool) -> None:
         """Take in one success or failure of a link to an instance."""
         evidence = self._evidence.obtain(name)
         now_ms = self._app.clock.now_ms()
         same = evidence.reachable is reachable
-        evidence.note_contact(reachable, now_ms)
+        evidence.record_contact(reachable, now_ms)
         if not (same and reachable):
             self._refresh(now_ms)
 
-    def note_incarnation(self, name: str, incarnation: int) -> None:
+    def record_incarnation(self, name: str, incarnation: int) -> None:
         """Take in which process stands behind a name; a new one is not leaving."""
         evidence = self._evidence.obtain(name)
         if evidence.incarnation != incarnation:
-            evidence.note_incarnation(incarnation)
+            evidence.record_incarnation(incarnation)
             self._refresh(self._app.clock.now_ms())
 
-    def note_leaving(self, name: str, incarnation: int) -> None:
+    def record_leaving(self, name: str, incarnation: int) -> None:
         """Take in an instance's own word that it is leaving."""
         now_ms = self._app.clock.now_ms()
-        self._evidence.obtain(name).note_leaving(incarnation, now_ms)
+        self._evidence.obtain(name).record_leaving(incarnation, now_ms)
         self._refresh(now_ms)
 
     def on_change(self, listener: Callable[[], None]) -> Remove:
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -76,7 +76,7 @@
     kept: list[list[str]] = []
     while world.clock.now_ms() < end_ms:
         kept.append(world.names())
-        world.fleet.note_contact("e5", True)
+        world.fleet.record_contact("e5", True)
         await world.async_answer(Unchanged(as_of_ms=world.clock.wall_ms()))
     assert kept[-1] == ["e0", "e1", "e5"]
     assert world.names() == ["e0", "e1"]
@@ -88,7 +88,7 @@
     for _ in range(100):
         await world.async_answer(Unchanged(as_of_ms=world.clock.wall_ms()))
     assert len(world.names()) == 3
-    world.fleet.note_contact("e0", False)
+    world.fleet.record_contact("e0", False)
     world.clock.advance(MEMBERS_CACHE_MS)
     assert world.names() == ["e1", "e2"]
 
@@ -96,7 +96,7 @@
 async def test_single_missing_instance_goes_at_once_unless_links_reach_it(world: World) -> None:
     engines = make_engines(6)
     await world.async_list(1, *engines)
-    world.fleet.note_contact("e4", True)
+    world.fleet.record_contact("e4", True)
     await world.async_list(2, *engines[:4], engines[4])
     assert "e5" not in world.names()
     await world.async_list(3, *engines[:4])
@@ -107,20 +107,20 @@
 
 async def test_instances_own_word_to_leave_holds_until_its_name_starts_anew(world: World) -> None:
     await world.async_list(1, *make_engines(2))
-    world.fleet.note_leaving("e0", incarnation=7)
+    world.fleet.record_leaving("e0", incarnation=7)
     assert world.names() == ["e1"]
-    world.fleet.note_incarnation("e0", incarnation=7)
+    world.fleet.record_incarnation("e0", incarnation=7)
     assert world.names() == ["e1"]
-    world.fleet.note_incarnation("e0", incarnation=8)
+    world.fleet.record_incarnation("e0", incarnation=8)
     assert world.names() == ["e0", "e1"]
-    world.fleet.note_leaving("e0", incarnation=7)
+    world.fleet.record_leaving("e0", incarnation=7)
     assert world.names() == ["e0", "e1"]
 
 
 async def test_word_to_leave_ends_with_its_time_or_with_another_address(world: World) -> None:
     await world.async_list(1, *make_engines(2))
-    world.fleet.note_leaving("e0", incarnation=7)
-    world.fleet.note_leaving("e1", incarnation=8)
+    world.fleet.record_leaving("e0", incarnation=7)
+    world.fleet.record_leaving("e1", incarnation=8)
     await world.async_list(2, make_engine("e0", port=7001), make_engine("e1"))
     assert world.names() == ["e0"]
     world.clock.advance(LEAVING_HOLD_MS)
@@ -130,24 +130,24 @@
 async def test_unreachable_instance_is_tried_again_after_a_growing_hold(world: World) -> None:
     await world.async_list(1, *make_engines(2))
     changes = world.changes
-    world.fleet.note_contact("e0", False)
+    world.fleet.record_contact("e0", False)
     assert world.names() == ["e1"]
     assert world.changes == changes + 1
     world.clock.advance(UNREACHABLE_HOLD_MS + MEMBERS_CACHE_MS)
     assert world.names() == ["e0", "e1"]
-    world.fleet.note_contact("e0", False)
+    world.fleet.record_contact("e0", False)
     world.clock.advance(UNREACHABLE_HOLD_MS + MEMBERS_CACHE_MS)
     assert world.names() == ["e1"]
-    world.fleet.note_contact("e0", True)
+    world.fleet.record_contact("e0", True)
     assert world.names() == ["e0", "e1"]
 
 
 async def test_flapping_instance_is_damped_until_its_penalty_has_decayed(world: World) -> None:
     await world.async_list(1, *make_engines(2))
     for _ in range(3):
-        world.fleet.note_contact("e0", True)
-        world.fleet.note_contact("e0", False)
-    world.fleet.note_contact("e0", True)
+        world.fleet.record_contact("e0", True)
+        world.fleet.record_contact("e0", False)
+    world.fleet.record_contact("e0", True)
     assert world.names() == ["e1"]
     world.clock.advance(FLAP_HALF_LIFE_MS)
     assert world.names() == ["e1"]
@@ -157,16 +157,16 @@
 
 async def test_least_bad_instances_are_used_where_none_is_good(world: World) -> None:
     await world.async_list(1, make_engine("e0"), make_engine("e1"), make_engine("e2", leaving=True))
-    world.fleet.note_contact("e0", False)
-    world.fleet.note_leaving("e1", incarnation=1)
+    world.fleet.record_contact("e0", False)
+    world.fleet.record_leaving("e1", incarnation=1)
     assert world.names() == ["e0"]
-    world.fleet.note_leaving("e0", incarnation=2)
+    world.fleet.record_leaving("e0", incarnation=2)
     assert world.names() == ["e0", "e1", "e2"]
 
 
 async def test_dump_and_metrics_tell_the_view(world: World) -> None:
     await world.async_list(1, *make_engines(2))
-    world.fleet.note_leaving("e0", incarnation=7)
+    world.fleet.record_leaving("e0", incarnation=7)
     dump = world.app.dump()["fleet"]
     assert isinstance(dump, dict)
     assert dump["revision"] == 1
