--- a/gypsumrouter/fleet/__init__.py
+++ b/gypsumrouter/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: the platform's list, the evidence of links and the instances' own word combined."""
+"""Membership: the platform's list, the health of links and the instances' own word combined."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/fleet/diagnostics.py
+++ b/gypsumrouter/fleet/diagnostics.py
@@ -2,36 +2,36 @@
 
 from __future__ import annotations
 
-from gypsumrouter.fleet.evidence import EvidenceBook, Standing
-from gypsumrouter.fleet.view import View
+from gypsumrouter.fleet.health import HealthStatus, HealthTracker
+from gypsumrouter.fleet.view import MembershipView
 from gypsumrouter.helpers.metrics import Labels
 from gypsumrouter.instances import Instance
 
 LABEL_STANDING = "standing"
 
 
-def count_standings(view: View, evidence: EvidenceBook) -> dict[Labels, float]:
-    """Return the number of instances for each standing."""
-    counts: dict[Labels, float] = {_label(standing): 0.0 for standing in Standing}
+def count_by_status(view: MembershipView, health: HealthTracker) -> dict[Labels, float]:
+    """Return the number of instances for each status."""
+    counts: dict[Labels, float] = {_label(status): 0.0 for status in HealthStatus}
     for instance in view.list_all():
-        counts[_label(evidence.get_standing(instance))] += 1
+        counts[_label(health.get_status(instance))] += 1
     return counts
 
 
-def dump_instance(instance: Instance, evidence: EvidenceBook, now_ms: int) -> dict[str, object]:
+def dump_instance(instance: Instance, health: HealthTracker, now_ms: int) -> dict[str, object]:
     """Return one instance as plain JSON data."""
-    entry = evidence.get(instance.name)
+    entry = health.get(instance.name)
     return {
         "name": instance.name,
         "role": instance.role.value,
         "pool": instance.pool,
         "address": str(instance.address),
         "state": instance.state.value,
-        "standing": evidence.get_standing(instance).name.lower(),
+        "standing": health.get_status(instance).name.lower(),
         "reachable": entry.reachable,
         "penalty": round(entry.get_penalty(now_ms), 1),
     }
 
 
-def _label(standing: Standing) -> Labels:
-    return ((LABEL_STANDING, standing.name.lower()),)
+def _label(status: HealthStatus) -> Labels:
+    return ((LABEL_STANDING, status.name.lower()),)
--- a/gypsumrouter/fleet/fleet.py
+++ b/gypsumrouter/fleet/fleet.py
@@ -10,10 +10,10 @@
 
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.fleet.const import MEMBERS_CACHE_MS
-from gypsumrouter.fleet.diagnostics import count_standings, dump_instance
-from gypsumrouter.fleet.evidence import EvidenceBook, Standing
+from gypsumrouter.fleet.diagnostics import count_by_status, dump_instance
+from gypsumrouter.fleet.health import HealthStatus, HealthTracker
 from gypsumrouter.fleet.source import InstanceListSource, Unchanged
-from gypsumrouter.fleet.view import View
+from gypsumrouter.fleet.view import MembershipView
 from gypsumrouter.helpers.metrics import NO_LABELS, Labels
 from gypsumrouter.instances import Instance, InstanceList
 
@@ -38,16 +38,16 @@
         "_app",
         "_change_listeners",
         "_confirmed_listeners",
-        "_evidence",
+        "_health",
         "_list",
         "_list_listeners",
-        "_lost",
+        "_list_unavailable",
         "_members",
         "_members_until_ms",
         "_reads",
-        "_seen",
         "_settings",
         "_source",
+        "_statuses",
         "_view",
     )
 
@@ -56,10 +56,10 @@
         self._settings = settings
         self._source = source
         self._list: InstanceList | None = None
-        self._lost = False
-        self._evidence = EvidenceBook(clock=app.clock)
-        self._view = View(reached=self._evidence.get_reached)
-        self._seen: list[tuple[Instance, Standing]] = []
+        self._list_unavailable = False
+        self._health = HealthTracker(clock=app.clock)
+        self._view = MembershipView(reachability=self._health.get_reachability)
+        self._statuses: list[tuple[Instance, HealthStatus]] = []
         self._members: dict[str, tuple[Instance, ...]] = {}
         self._members_until_ms = 0
         self._change_listeners: list[Callable[[], None]] = []
@@ -69,18 +69,18 @@
             "gypsum_instance_list_reads_total", "Reads of the instance list by their result"
         )
         app.metrics.gauge(
-            "gypsum_instance_list_age_ms", "Age of the newest state of the list", self._read_age
+            "gypsum_instance_list_age_ms", "Age of the newest state of the list", self._collect_age
         )
         app.metrics.gauge(
             "gypsum_instances",
             "Instances by standing",
-            lambda: count_standings(self._view, self._evidence),
+            lambda: count_by_status(self._view, self._health),
         )
 
     async def async_start(self) -> None:
         """Begin to follow the list."""
         self._app.add_dump_section(DUMP_SECTION, self._dump)
-        self._app.async_create_task(self._async_follow(), "fleet list")
+        self._app.async_create_task(self._async_poll(), "fleet list")
 
     def members(self, pool: str) -> tuple[Instance, ...]:
         """Return the instances of a pool to use now, sorted by name.
@@ -96,7 +96,7 @@
         return found
 
     def peers(self) -> tuple[Instance, ...]:
-        """Return every other instance, of any role and standing."""
+        """Return every other instance, of any role and status."""
         return tuple(item for item in self._view.list_all() if item.name != self._app.name)
 
     def get(self, name: str) -> Instance | None:
@@ -111,28 +111,28 @@
 
     def record_contact(self, name: str, reachable: bool) -> None:
         """Take in one success or failure of a link to an instance."""
-        evidence = self._evidence.obtain(name)
+        health = self._health.get_or_create(name)
         now_ms = self._app.clock.now_ms()
-        same = evidence.reachable is reachable
-        evidence.record_contact(reachable, now_ms)
+        same = health.reachable is reachable
+        health.record_contact(reachable, now_ms)
         if not (same and reachable):
             self._refresh(now_ms)
 
     def record_incarnation(self, name: str, incarnation: int) -> None:
         """Take in which process stands behind a name; a new one is not leaving."""
-        evidence = self._evidence.obtain(name)
-        if evidence.incarnation != incarnation:
-            evidence.record_incarnation(incarnation)
+        health = self._health.get_or_create(name)
+        if health.incarnation != incarnation:
+            health.record_incarnation(incarnation)
             self._refresh(self._app.clock.now_ms())
 
     def record_leaving(self, name: str, incarnation: int) -> None:
         """Take in an instance's own word that it is leaving."""
         now_ms = self._app.clock.now_ms()
-        self._evidence.obtain(name).record_leaving(incarnation, now_ms)
+        self._health.get_or_create(name).record_leaving(incarnation, now_ms)
         self._refresh(now_ms)
 
     def on_change(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for changes of the view or of an instance's standing."""
+        """Register a listener for changes of the view or of an instance's status."""
         return _register(self._change_listeners, listener)
 
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
@@ -148,99 +148,99 @@
         """Register a listener for the wall time by which the accepted list was still unchanged."""
         return _register(self._confirmed_listeners, listener)
 
-    async def _async_follow(self) -> None:
+    async def _async_poll(self) -> None:
         while True:
             began_ms = self._app.clock.now_ms()
             after = self._list.revision if self._list else None
-            answer = await self._source.async_fetch(after_revision=after)
-            changed = self._take_answer(answer)
+            result = await self._source.async_fetch(after_revision=after)
+            changed = self._handle_result(result)
             now_ms = self._app.clock.now_ms()
             self._refresh(now_ms)
             if not changed:
                 pause_ms = self._settings.list_poll_ms - (now_ms - began_ms)
                 await self._app.clock.async_sleep(max(0, pause_ms))
 
-    def _take_answer(self, answer: InstanceList | Unchanged | None) -> bool:
-        match answer:
+    def _handle_result(self, result: InstanceList | Unchanged | None) -> bool:
+        match result:
             case None:
-                self._note_read("failed", usable=False)
+                self._record_read("failed", usable=False)
                 return False
             case Unchanged():
-                self._take_fresh(answer.as_of_ms)
+                self._handle_unchanged(result.as_of_ms)
                 return False
             case InstanceList():
-                return self._take_list(answer)
+                return self._handle_list(result)
 
-    def _take_list(self, answer: InstanceList) -> bool:
+    def _handle_list(self, result: InstanceList) -> bool:
         current = self._list
         if current is None:
-            self._accept(answer)
+            self._accept(result)
             return True
-        if answer.revision < current.revision or answer.as_of_ms < current.as_of_ms:
-            self._note_read("stale", usable=False)
+        if result.revision < current.revision or result.as_of_ms < current.as_of_ms:
+            self._record_read("stale", usable=False)
             return False
-        if answer.revision > current.revision:
-            self._accept(answer)
+        if result.revision > current.revision:
+            self._accept(result)
             return True
-        if answer.instances != current.instances:
-            self._note_read("contradiction", usable=False)
+        if result.instances != current.instances:
+            self._record_read("contradiction", usable=False)
             return False
-        self._take_fresh(answer.as_of_ms)
+        self._handle_unchanged(result.as_of_ms)
         return False
 
-    def _accept(self, answer: InstanceList) -> None:
-        self._note_read("changed", usable=True)
-        self._forget_replaced(answer)
-        self._list = answer
-        self._view.replace(answer.instances, self._app.clock.now_ms())
-        self._evidence.forget_idle(instance.name for instance in self._view.list_all())
+    def _accept(self, result: InstanceList) -> None:
+        self._record_read("changed", usable=True)
+        self._remove_replaced(result)
+        self._list = result
+        self._view.replace(result.instances, self._app.clock.now_ms())
+        self._health.remove_idle(instance.name for instance in self._view.list_all())
         for listener in tuple(self._list_listeners):
-            listener(answer)
+            listener(result)
 
-    def _take_fresh(self, as_of_ms: int) -> None:
+    def _handle_unchanged(self, as_of_ms: int) -> None:
         current = self._list
         if current is None or as_of_ms < current.as_of_ms:
-            self._note_read("stale", usable=False)
+            self._record_read("stale", usable=False)
             return
-        self._note_read("unchanged", usable=True)
+        self._record_read("unchanged", usable=True)
         self._list = replace(current, as_of_ms=as_of_ms)
-        self._view.note_read(self._app.clock.now_ms())
+        self._view.record_read(self._app.clock.now_ms())
         for listener in tuple(self._confirmed_listeners):
             listener(as_of_ms)
 
-    def _forget_replaced(self, answer: InstanceList) -> None:
-        """Drop the evidence of names that now stand at another address."""
-        for instance in answer.instances:
-            known = self._view.get(instance.name)
-            if known is not None and known.address != instance.address:
-                self._evidence.forget(instance.name)
+    def _remove_replaced(self, result: InstanceList) -> None:
+        """Drop the health of names that now stand at another address."""
+        for instance in result.instances:
+            previous = self._view.get(instance.name)
+            if previous is not None and previous.address != instance.address:
+                self._health.remove(instance.name)
 
-    def _note_read(self, result: str, *, usable: bool) -> None:
+    def _record_read(self, result: str, *, usable: bool) -> None:
         self._reads.inc(labels=((LABEL_RESULT, result),))
-        if not usable and not self._lost:
+        if not usable and not self._list_unavailable:
             _LOGGER.warning("The instance list gives no new state (%s), the view is kept", result)
-        if usable and self._lost:
+        if usable and self._list_unavailable:
             _LOGGER.info("The instance list is back")
-        self._lost = not usable
+        self._list_unavailable = not usable
 
     def _choose_members(self, pool: str) -> tuple[Instance, ...]:
-        ranked = [(standing, item) for item, standing in self._seen if item.pool == pool]
-        best = min((standing for standing, _ in ranked), default=Standing.USABLE)
-        return tuple(item for standing, item in ranked if standing is best)
+        ranked = [(status, item) for item, status in self._statuses if item.pool == pool]
+        best = min((status for status, _ in ranked), default=HealthStatus.USABLE)
+        return tuple(item for status, item in ranked if status is best)
 
     def _refresh(self, now_ms: int) -> None:
         """Work the view out again, and tell the listeners if it has changed."""
         self._view.prune(now_ms)
         self._members_until_ms = now_ms + MEMBERS_CACHE_MS
-        seen = [(item, self._evidence.get_standing(item)) for item in self._view.list_all()]
-        if seen == self._seen:
+        statuses = [(item, self._health.get_status(item)) for item in self._view.list_all()]
+        if statuses == self._statuses:
             return
-        self._seen = seen
+        self._statuses = statuses
         self._members.clear()
         for listener in tuple(self._change_listeners):
             listener()
 
-    def _read_age(self) -> dict[Labels, float]:
+    def _collect_age(self) -> dict[Labels, float]:
         age_ms = self.list_age_ms()
         return {} if age_ms is None else {NO_LABELS: age_ms}
 
@@ -250,10 +250,10 @@
             "revision": self._list.revision if self._list else None,
             "as_of_ms": self._list.as_of_ms if self._list else None,
             "age_ms": self.list_age_ms(),
-            "list_lost": self._lost,
+            "list_lost": self._list_unavailable,
             "held": [absence.instance.name for absence in self._view.absent],
             "instances": [
-                dump_instance(item, self._evidence, now_ms) for item in self._view.list_all()
+                dump_instance(item, self._health, now_ms) for item in self._view.list_all()
             ],
         }
 
--- a/gypsumrouter/fleet/evidence.py
+++ b/gypsumrouter/fleet/health.py
@@ -9,22 +9,22 @@
 
 from gypsumrouter.const import InstanceState
 from gypsumrouter.fleet.const import (
-    FLAP_CEILING,
-    FLAP_FORGET,
     FLAP_HALF_LIFE_MS,
     FLAP_PENALTY,
-    FLAP_REUSE,
-    FLAP_SUPPRESS,
-    LEAVING_HOLD_MS,
+    FLAP_PENALTY_MAX,
+    FLAP_PENALTY_MIN,
+    FLAP_REUSE_THRESHOLD,
+    FLAP_SUPPRESS_THRESHOLD,
+    LEAVING_TIMEOUT_MS,
     RECENT_CONTACT_MS,
-    UNREACHABLE_HOLD_MAX_MS,
-    UNREACHABLE_HOLD_MS,
+    UNREACHABLE_RETRY_MAX_MS,
+    UNREACHABLE_RETRY_MS,
 )
 from gypsumrouter.instances import Instance
 from gypsumrouter.util.clock import Clock
 
 
-class Standing(IntEnum):
+class HealthStatus(IntEnum):
     """How usable an instance is; the lower, the better."""
 
     USABLE = 0
@@ -33,15 +33,15 @@
     LEAVING = 3
 
 
-class Evidence(Struct, kw_only=True):
-    """The evidence of one instance; times are monotonic."""
+class InstanceHealth(Struct, kw_only=True):
+    """The health of one instance; times are monotonic."""
 
     reachable: bool | None = None
-    contact_ms: int = 0
+    last_contact_ms: int = 0
     failures: int = 0
-    retry_ms: int = 0
+    retry_at_ms: int = 0
     penalty: float = 0.0
-    penalty_ms: int = 0
+    penalty_updated_ms: int = 0
     damped: bool = False
     incarnation: int | None = None
     replaced_incarnation: int | None = None
@@ -54,8 +54,8 @@
             self.reachable = True
             self.failures = 0
         else:
-            self._note_failure(now_ms)
-        self.contact_ms = now_ms
+            self._record_failure(now_ms)
+        self.last_contact_ms = now_ms
 
     def record_incarnation(self, incarnation: int) -> None:
         """Forget what an earlier process of this name said of itself."""
@@ -71,85 +71,85 @@
         if incarnation != self.incarnation:
             return
         self.leaving = True
-        self.leaving_until_ms = now_ms + LEAVING_HOLD_MS
+        self.leaving_until_ms = now_ms + LEAVING_TIMEOUT_MS
 
-    def get_standing(self, now_ms: int) -> Standing:
+    def get_status(self, now_ms: int) -> HealthStatus:
         """Return how usable the instance is now."""
         if self.leaving and now_ms < self.leaving_until_ms:
-            return Standing.LEAVING
-        if self.reachable is False and now_ms < self.retry_ms:
-            return Standing.UNREACHABLE
+            return HealthStatus.LEAVING
+        if self.reachable is False and now_ms < self.retry_at_ms:
+            return HealthStatus.UNREACHABLE
         if self._is_damped(now_ms):
-            return Standing.DAMPED
-        return Standing.USABLE
+            return HealthStatus.DAMPED
+        return HealthStatus.USABLE
 
     def had_recent_contact(self, now_ms: int) -> bool:
         """Return whether a link reached the instance a moment ago."""
-        return self.reachable is True and now_ms - self.contact_ms <= RECENT_CONTACT_MS
+        return self.reachable is True and now_ms - self.last_contact_ms <= RECENT_CONTACT_MS
 
     def get_penalty(self, now_ms: int) -> float:
         """Return the penalty for flapping, decayed until now."""
-        return float(self.penalty * 0.5 ** ((now_ms - self.penalty_ms) / FLAP_HALF_LIFE_MS))
+        return float(self.penalty * 0.5 ** ((now_ms - self.penalty_updated_ms) / FLAP_HALF_LIFE_MS))
 
     def is_idle(self, now_ms: int) -> bool:
-        """Return whether there is nothing left to remember."""
-        quiet = now_ms - self.contact_ms > UNREACHABLE_HOLD_MAX_MS
-        left = self.leaving and now_ms < self.leaving_until_ms
-        return quiet and not left and self.get_penalty(now_ms) < FLAP_FORGET
+        """Return whether there is nothing leaving to remember."""
+        inactive = now_ms - self.last_contact_ms > UNREACHABLE_RETRY_MAX_MS
+        leaving = self.leaving and now_ms < self.leaving_until_ms
+        return inactive and not leaving and self.get_penalty(now_ms) < FLAP_PENALTY_MIN
 
-    def _note_failure(self, now_ms: int) -> None:
+    def _record_failure(self, now_ms: int) -> None:
         if self.reachable is True:
-            self.penalty = min(self.get_penalty(now_ms) + FLAP_PENALTY, FLAP_CEILING)
-            self.penalty_ms = now_ms
+            self.penalty = min(self.get_penalty(now_ms) + FLAP_PENALTY, FLAP_PENALTY_MAX)
+            self.penalty_updated_ms = now_ms
         self.reachable = False
-        hold_ms = min(UNREACHABLE_HOLD_MS << min(self.failures, 16), UNREACHABLE_HOLD_MAX_MS)
+        delay_ms = min(UNREACHABLE_RETRY_MS << min(self.failures, 16), UNREACHABLE_RETRY_MAX_MS)
         self.failures += 1
-        self.retry_ms = now_ms + hold_ms
+        self.retry_at_ms = now_ms + delay_ms
 
     def _is_damped(self, now_ms: int) -> bool:
         penalty = self.get_penalty(now_ms)
-        self.damped = penalty >= (FLAP_REUSE if self.damped else FLAP_SUPPRESS)
+        self.damped = penalty >= (FLAP_REUSE_THRESHOLD if self.damped else FLAP_SUPPRESS_THRESHOLD)
         return self.damped
 
 
-class EvidenceBook:
-    """The evidence of every instance, by name."""
+class HealthTracker:
+    """The health of every instance, by name."""
 
     __slots__ = ("_clock", "_entries")
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._entries: dict[str, Evidence] = {}
+        self._entries: dict[str, InstanceHealth] = {}
 
-    def get(self, name: str) -> Evidence:
-        """Return the evidence of an instance, empty where there is none yet."""
-        return self._entries.get(name) or Evidence()
+    def get(self, name: str) -> InstanceHealth:
+        """Return the health of an instance, empty where there is none yet."""
+        return self._entries.get(name) or InstanceHealth()
 
-    def obtain(self, name: str) -> Evidence:
-        """Return the evidence of an instance for a change."""
-        return self._entries.setdefault(name, Evidence())
+    def get_or_create(self, name: str) -> InstanceHealth:
+        """Return the health of an instance for a change."""
+        return self._entries.setdefault(name, InstanceHealth())
 
-    def forget(self, name: str) -> None:
-        """Drop the evidence of an instance that another one has replaced."""
+    def remove(self, name: str) -> None:
+        """Drop the health of an instance that another one has replaced."""
         self._entries.pop(name, None)
 
-    def forget_idle(self, kept: Iterable[str]) -> None:
+    def remove_idle(self, keep: Iterable[str]) -> None:
         """Drop what is idle, but for the instances that are `kept`."""
         now_ms = self._clock.now_ms()
-        for name in set(self._entries).difference(kept):
+        for name in set(self._entries).difference(keep):
             if self._entries[name].is_idle(now_ms):
                 del self._entries[name]
 
-    def get_reached(self, name: str) -> bool | None:
+    def get_reachability(self, name: str) -> bool | None:
         """Return whether links reached an instance a moment ago, failed to, or say nothing."""
-        evidence = self.get(name)
-        if evidence.had_recent_contact(self._clock.now_ms()):
+        health = self.get(name)
+        if health.had_recent_contact(self._clock.now_ms()):
             return True
-        return False if evidence.reachable is False else None
+        return False if health.reachable is False else None
 
-    def get_standing(self, instance: Instance) -> Standing:
-        """Return how usable an instance is now, by the list's word and its evidence."""
+    def get_status(self, instance: Instance) -> HealthStatus:
+        """Return how usable an instance is now, by the list's word and its health."""
         if instance.state is InstanceState.LEAVING:
-            return Standing.LEAVING
-        evidence = self._entries.get(instance.name)
-        return evidence.get_standing(self._clock.now_ms()) if evidence else Standing.USABLE
+            return HealthStatus.LEAVING
+        health = self._entries.get(instance.name)
+        return health.get_status(self._clock.now_ms()) if health else HealthStatus.USABLE
--- a/gypsumrouter/fleet/source.py
+++ b/gypsumrouter/fleet/source.py
@@ -14,14 +14,14 @@
 from gypsumrouter.core import Application
 from gypsumrouter.exceptions import DocumentInvalid
 from gypsumrouter.fleet.const import (
-    ANSWER_MARGIN_MS,
     HEADER_AS_OF,
-    LEASE_READS,
     LONG_POLL_MS,
     MAX_LIST_BYTES,
     PARAM_AFTER,
     PARAM_TIMEOUT,
     PATH_INSTANCES,
+    READS_PER_LEASE,
+    RESPONSE_MARGIN_MS,
 )
 from gypsumrouter.fleet.document import check_instance_list
 from gypsumrouter.helpers.connector import ShieldedConnector
@@ -55,35 +55,37 @@
     An origin is kept until it fails, or answers with an older state than one seen before.
     """
 
-    __slots__ = ("_app", "_current", "_newest_as_of_ms", "_origins", "_poll_ms", "_session")
+    __slots__ = ("_app", "_current_origin", "_newest_as_of_ms", "_origins", "_poll_ms", "_session")
 
     def __init__(self, *, app: Application, settings: Platform) -> None:
         self._app = app
         self._origins = settings.instances
-        self._poll_ms = min(LONG_POLL_MS, settings.list_lease_ms // LEASE_READS)
-        self._current = 0
+        self._poll_ms = min(LONG_POLL_MS, settings.list_lease_ms // READS_PER_LEASE)
+        self._current_origin = 0
         self._newest_as_of_ms = 0
         self._session: aiohttp.ClientSession | None = None
 
     async def async_fetch(self, *, after_revision: int | None) -> InstanceList | Unchanged | None:
         """Return the next usable answer, or None when no origin gave one."""
         for _ in self._origins:
-            answer = await self._async_ask(self._origins[self._current], after_revision)
-            if answer is not None and answer.as_of_ms >= self._newest_as_of_ms:
-                self._newest_as_of_ms = answer.as_of_ms
-                return answer
-            self._current = (self._current + 1) % len(self._origins)
+            result = await self._async_fetch_from(
+                self._origins[self._current_origin], after_revision
+            )
+            if result is not None and result.as_of_ms >= self._newest_as_of_ms:
+                self._newest_as_of_ms = result.as_of_ms
+                return result
+            self._current_origin = (self._current_origin + 1) % len(self._origins)
         return None
 
-    async def _async_ask(
+    async def _async_fetch_from(
         self, origin: str, after_revision: int | None
     ) -> InstanceList | Unchanged | None:
         params = {PARAM_TIMEOUT: str(self._poll_ms)}
         if after_revision is not None:
             params[PARAM_AFTER] = str(after_revision)
         try:
-            async with self._open_session().get(origin + PATH_INSTANCES, params=params) as response:
-                return await _async_read(response)
+            async with self._get_session().get(origin + PATH_INSTANCES, params=params) as response:
+                return await _async_parse_response(response)
         except (aiohttp.ClientError, TimeoutError, OSError, RuntimeError, ValueError) as error:
             # The loop's library raises RuntimeError for a descriptor that is still in its hands.
             _LOGGER.debug("Instance list at %s failed: %s", origin, error)
@@ -91,18 +93,20 @@
             _LOGGER.debug("Instance list at %s is malformed: %s", origin, error)
         return None
 
-    def _open_session(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            total_ms = self._poll_ms + ANSWER_MARGIN_MS
+            total_ms = self._poll_ms + RESPONSE_MARGIN_MS
             timeout = aiohttp.ClientTimeout(
-                total=total_ms / MS_PER_S, sock_connect=ANSWER_MARGIN_MS / MS_PER_S
+                total=total_ms / MS_PER_S, sock_connect=RESPONSE_MARGIN_MS / MS_PER_S
             )
             self._session = aiohttp.ClientSession(connector=ShieldedConnector(), timeout=timeout)
             self._app.on_stop(self._session.close)
         return self._session
 
 
-async def _async_read(response: aiohttp.ClientResponse) -> InstanceList | Unchanged | None:
+async def _async_parse_response(
+    response: aiohttp.ClientResponse,
+) -> InstanceList | Unchanged | None:
     if response.status == HTTPStatus.NO_CONTENT:
         return Unchanged(as_of_ms=int(response.headers.get(HEADER_AS_OF, "")))
     if response.status != HTTPStatus.OK:
--- a/gypsumrouter/fleet/view.py
+++ b/gypsumrouter/fleet/view.py
@@ -9,20 +9,20 @@
 
 from gypsumrouter.const import Role
 from gypsumrouter.fleet.const import (
-    ABSENT_HOLD_MS,
+    ABSENT_RETENTION_MS,
     SHRINK_CONFIRM_MS,
     SHRINK_CONFIRM_READS,
     SHRINK_COUNT,
-    SHRINK_HOLD_MS,
+    SHRINK_RETENTION_MS,
     SHRINK_SHARE,
 )
 from gypsumrouter.instances import Instance
 
 Group = tuple[Role, str]
-ReadEvidence = Callable[[str], bool | None]
+ReachabilityLookup = Callable[[str], bool | None]
 
 
-class Absence(Struct, kw_only=True):
+class AbsentInstance(Struct, kw_only=True):
     """An instance that the newest list lacks; `bulk` marks one of many that went together."""
 
     instance: Instance
@@ -36,23 +36,23 @@
     return (instance.role, instance.pool)
 
 
-class View:
+class MembershipView:
     """The listed instances, and the absent ones that are held for a bounded time.
 
-    `reached` tells whether links reached an instance a moment ago (True), failed to (False), or
+    `reachable` tells whether links reachable an instance a moment ago (True), failed to (False), or
     say nothing (None). The last instances of a group are held until links fail to reach them.
     """
 
-    __slots__ = ("_absent", "_listed", "_reached", "_sorted")
+    __slots__ = ("_absent", "_listed", "_reachability", "_sorted")
 
-    def __init__(self, *, reached: ReadEvidence) -> None:
-        self._reached = reached
+    def __init__(self, *, reachability: ReachabilityLookup) -> None:
+        self._reachability = reachability
         self._listed: dict[str, Instance] = {}
-        self._absent: dict[str, Absence] = {}
+        self._absent: dict[str, AbsentInstance] = {}
         self._sorted: list[Instance] | None = None
 
     @property
-    def absent(self) -> tuple[Absence, ...]:
+    def absent(self) -> tuple[AbsentInstance, ...]:
         """Return what is held although the list lacks it."""
         return tuple(self._absent.values())
 
@@ -81,31 +81,33 @@
             self._absent.pop(name, None)
         for instance in lost:
             bulk = get_group(instance) in bulk_groups
-            self._absent[instance.name] = Absence(instance=instance, since_ms=now_ms, bulk=bulk)
+            self._absent[instance.name] = AbsentInstance(
+                instance=instance, since_ms=now_ms, bulk=bulk
+            )
         self._listed = listed
         self._sorted = None
         self.prune(now_ms)
 
-    def note_read(self, now_ms: int) -> bool:
+    def record_read(self, now_ms: int) -> bool:
         """Count a fresh read that confirms the newest list; returns whether the view changed."""
         for absence in self._absent.values():
             absence.reads += 1
         return self.prune(now_ms)
 
     def prune(self, now_ms: int) -> bool:
-        """Drop the absent instances whose time is over; returns whether there were any."""
+        """Drop the absent instances whose time is expired; returns whether there were any."""
         if not self._absent:
             return False
         listed_groups = {get_group(instance) for instance in self._listed.values()}
-        over = [
+        expired = [
             name
             for name, absence in self._absent.items()
-            if self._is_over(absence, get_group(absence.instance) in listed_groups, now_ms)
+            if self._is_expired(absence, get_group(absence.instance) in listed_groups, now_ms)
         ]
-        for name in over:
+        for name in expired:
             del self._absent[name]
             self._sorted = None
-        return bool(over)
+        return bool(expired)
 
     def _find_bulk_groups(self, lost: list[Instance]) -> set[Group]:
         sizes = Counter(get_group(instance) for instance in self._listed.values())
@@ -117,14 +119,14 @@
             or (count >= SHRINK_COUNT and count > SHRINK_SHARE * sizes[group])
         }
 
-    def _is_over(self, absence: Absence, has_listed_peers: bool, now_ms: int) -> bool:
-        reached = self._reached(absence.instance.name)
+    def _is_expired(self, absence: AbsentInstance, has_listed_peers: bool, now_ms: int) -> bool:
+        reachable = self._reachability(absence.instance.name)
         age_ms = now_ms - absence.since_ms
         if not absence.bulk:
-            return reached is not True or age_ms >= ABSENT_HOLD_MS
+            return reachable is not True or age_ms >= ABSENT_RETENTION_MS
         confirmed = absence.reads >= SHRINK_CONFIRM_READS and age_ms >= SHRINK_CONFIRM_MS
         if not confirmed:
             return False
         if not has_listed_peers:
-            return reached is False
-        return reached is not True or age_ms >= SHRINK_HOLD_MS
+            return reachable is False
+        return reachable is not True or age_ms >= SHRINK_RETENTION_MS
--- a/tests/fleet/fleet_world.py
+++ b/tests/fleet/fleet_world.py
@@ -12,22 +12,22 @@
 
 POOL = "engines"
 START_MS = 1_700_000_000_000
-Answer = InstanceList | Unchanged | None
+FetchResult = InstanceList | Unchanged | None
 
 
 class ScriptedSource:
     """A source that gives the answers that it is told, one for each fetch."""
 
     def __init__(self) -> None:
-        self.asked: list[int | None] = []
-        self._answers: asyncio.Queue[Answer] = asyncio.Queue()
+        self.fetches: list[int | None] = []
+        self._results: asyncio.Queue[FetchResult] = asyncio.Queue()
 
-    def put(self, answer: Answer) -> None:
-        self._answers.put_nowait(answer)
+    def put(self, result: FetchResult) -> None:
+        self._results.put_nowait(result)
 
-    async def async_fetch(self, *, after_revision: int | None) -> Answer:
-        self.asked.append(after_revision)
-        return await self._answers.get()
+    async def async_fetch(self, *, after_revision: int | None) -> FetchResult:
+        self.fetches.append(after_revision)
+        return await self._results.get()
 
 
 class World:
@@ -44,18 +44,18 @@
         self.changes = 0
         self.fleet.on_change(self._note_change)
 
-    async def async_answer(self, answer: Answer) -> None:
+    async def async_respond(self, result: FetchResult) -> None:
         """Let the fleet take one answer and begin its next fetch."""
-        asked = len(self.source.asked)
-        self.source.put(answer)
-        while len(self.source.asked) <= asked:
+        fetches = len(self.source.fetches)
+        self.source.put(result)
+        while len(self.source.fetches) <= fetches:
             await asyncio.sleep(0)
             self.clock.advance(self.settings.list_poll_ms)
 
-    async def async_list(self, revision: int, *instances: Instance) -> None:
-        await self.async_answer(make_list(revision, *instances, as_of_ms=self.clock.wall_ms()))
+    async def async_publish(self, revision: int, *instances: Instance) -> None:
+        await self.async_respond(make_list(revision, *instances, as_of_ms=self.clock.wall_ms()))
 
-    def names(self, pool: str = POOL) -> list[str]:
+    def member_names(self, pool: str = POOL) -> list[str]:
         return [instance.name for instance in self.fleet.members(pool)]
 
     def _note_change(self) -> None:
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -7,33 +7,33 @@
 
 from gypsumrouter.fleet import InstanceList, Unchanged
 from gypsumrouter.fleet.const import (
-    ABSENT_HOLD_MS,
+    ABSENT_RETENTION_MS,
     FLAP_HALF_LIFE_MS,
-    LEAVING_HOLD_MS,
+    LEAVING_TIMEOUT_MS,
     MEMBERS_CACHE_MS,
-    SHRINK_HOLD_MS,
-    UNREACHABLE_HOLD_MS,
+    SHRINK_RETENTION_MS,
+    UNREACHABLE_RETRY_MS,
 )
 
 
 async def test_members_are_live_sorted_and_of_the_pool(world: World) -> None:
-    await world.async_list(1, make_engine("b"), make_engine("a"), make_engine("c", leaving=True))
-    assert world.names() == ["a", "b"]
-    assert world.names("records") == []
+    await world.async_publish(1, make_engine("b"), make_engine("a"), make_engine("c", leaving=True))
+    assert world.member_names() == ["a", "b"]
+    assert world.member_names("records") == []
     assert [peer.name for peer in world.fleet.peers()] == ["a", "b", "c"]
 
 
 async def test_older_states_and_contradictions_are_ignored(world: World) -> None:
     accepted: list[InstanceList] = []
     world.fleet.on_list(accepted.append)
-    await world.async_list(5, *make_engines(2))
+    await world.async_publish(5, *make_engines(2))
     as_of_ms = accepted[0].as_of_ms
-    await world.async_answer(make_list(4, *make_engines(9), as_of_ms=as_of_ms + 9))
-    await world.async_answer(make_list(6, *make_engines(9), as_of_ms=as_of_ms - 1))
-    await world.async_answer(make_list(5, *make_engines(9), as_of_ms=as_of_ms + 9))
-    await world.async_answer(Unchanged(as_of_ms=as_of_ms - 1))
+    await world.async_respond(make_list(4, *make_engines(9), as_of_ms=as_of_ms + 9))
+    await world.async_respond(make_list(6, *make_engines(9), as_of_ms=as_of_ms - 1))
+    await world.async_respond(make_list(5, *make_engines(9), as_of_ms=as_of_ms + 9))
+    await world.async_respond(Unchanged(as_of_ms=as_of_ms - 1))
     assert [listed.revision for listed in accepted] == [5]
-    assert world.names() == ["e0", "e1"]
+    assert world.member_names() == ["e0", "e1"]
 
 
 async def test_unchanged_list_tells_its_time_and_loss_is_logged_once(
@@ -42,130 +42,132 @@
     caplog.set_level("INFO", logger="gypsumrouter.fleet")
     fresh: list[int] = []
     world.fleet.on_confirmed(fresh.append)
-    await world.async_list(1, *make_engines(1))
+    await world.async_publish(1, *make_engines(1))
     for _ in range(3):
-        await world.async_answer(None)
-    assert world.names() == ["e0"]
-    await world.async_answer(Unchanged(as_of_ms=START_MS + 60_000))
+        await world.async_respond(None)
+    assert world.member_names() == ["e0"]
+    await world.async_respond(Unchanged(as_of_ms=START_MS + 60_000))
     assert fresh == [START_MS + 60_000]
     assert [record.levelname for record in caplog.records] == ["WARNING", "INFO"]
 
 
 async def test_later_listener_is_told_the_newest_list(world: World) -> None:
-    await world.async_list(3, *make_engines(1))
+    await world.async_publish(3, *make_engines(1))
     accepted: list[InstanceList] = []
     world.fleet.on_list(accepted.append)
     assert [listed.revision for listed in accepted] == [3]
 
 
 async def test_list_that_shrinks_suddenly_is_confirmed_first(world: World) -> None:
-    await world.async_list(1, *make_engines(6))
-    await world.async_list(2, *make_engines(2))
-    assert len(world.names()) == 6
+    await world.async_publish(1, *make_engines(6))
+    await world.async_publish(2, *make_engines(2))
+    assert len(world.member_names()) == 6
     for _ in range(6):
-        await world.async_answer(Unchanged(as_of_ms=world.clock.wall_ms()))
-    assert world.names() == ["e0", "e1"]
+        await world.async_respond(Unchanged(as_of_ms=world.clock.wall_ms()))
+    assert world.member_names() == ["e0", "e1"]
 
 
 async def test_links_that_reach_what_the_list_lost_keep_it_for_a_bounded_time(
     world: World,
 ) -> None:
-    await world.async_list(1, *make_engines(6))
-    await world.async_list(2, *make_engines(2))
-    end_ms = world.clock.now_ms() + SHRINK_HOLD_MS
+    await world.async_publish(1, *make_engines(6))
+    await world.async_publish(2, *make_engines(2))
+    end_ms = world.clock.now_ms() + SHRINK_RETENTION_MS
     kept: list[list[str]] = []
     while world.clock.now_ms() < end_ms:
-        kept.append(world.names())
+        kept.append(world.member_names())
         world.fleet.record_contact("e5", True)
-        await world.async_answer(Unchanged(as_of_ms=world.clock.wall_ms()))
+        await world.async_respond(Unchanged(as_of_ms=world.clock.wall_ms()))
     assert kept[-1] == ["e0", "e1", "e5"]
-    assert world.names() == ["e0", "e1"]
+    assert world.member_names() == ["e0", "e1"]
 
 
 async def test_empty_list_never_empties_the_view_until_links_fail(world: World) -> None:
-    await world.async_list(1, *make_engines(3))
-    await world.async_list(2)
+    await world.async_publish(1, *make_engines(3))
+    await world.async_publish(2)
     for _ in range(100):
-        await world.async_answer(Unchanged(as_of_ms=world.clock.wall_ms()))
-    assert len(world.names()) == 3
+        await world.async_respond(Unchanged(as_of_ms=world.clock.wall_ms()))
+    assert len(world.member_names()) == 3
     world.fleet.record_contact("e0", False)
     world.clock.advance(MEMBERS_CACHE_MS)
-    assert world.names() == ["e1", "e2"]
+    assert world.member_names() == ["e1", "e2"]
 
 
 async def test_single_missing_instance_goes_at_once_unless_links_reach_it(world: World) -> None:
     engines = make_engines(6)
-    await world.async_list(1, *engines)
+    await world.async_publish(1, *engines)
     world.fleet.record_contact("e4", True)
-    await world.async_list(2, *engines[:4], engines[4])
-    assert "e5" not in world.names()
-    await world.async_list(3, *engines[:4])
-    assert "e4" in world.names()
-    world.clock.advance(ABSENT_HOLD_MS)
-    assert "e4" not in world.names()
+    await world.async_publish(2, *engines[:4], engines[4])
+    assert "e5" not in world.member_names()
+    await world.async_publish(3, *engines[:4])
+    assert "e4" in world.member_names()
+    world.clock.advance(ABSENT_RETENTION_MS)
+    assert "e4" not in world.member_names()
 
 
 async def test_instances_own_word_to_leave_holds_until_its_name_starts_anew(world: World) -> None:
-    await world.async_list(1, *make_engines(2))
+    await world.async_publish(1, *make_engines(2))
     world.fleet.record_leaving("e0", incarnation=7)
-    assert world.names() == ["e1"]
+    assert world.member_names() == ["e1"]
     world.fleet.record_incarnation("e0", incarnation=7)
-    assert world.names() == ["e1"]
+    assert world.member_names() == ["e1"]
     world.fleet.record_incarnation("e0", incarnation=8)
-    assert world.names() == ["e0", "e1"]
+    assert world.member_names() == ["e0", "e1"]
     world.fleet.record_leaving("e0", incarnation=7)
-    assert world.names() == ["e0", "e1"]
+    assert world.member_names() == ["e0", "e1"]
 
 
 async def test_word_to_leave_ends_with_its_time_or_with_another_address(world: World) -> None:
-    await world.async_list(1, *make_engines(2))
+    await world.async_publish(1, *make_engines(2))
     world.fleet.record_leaving("e0", incarnation=7)
     world.fleet.record_leaving("e1", incarnation=8)
-    await world.async_list(2, make_engine("e0", port=7001), make_engine("e1"))
-    assert world.names() == ["e0"]
-    world.clock.advance(LEAVING_HOLD_MS)
-    assert world.names() == ["e0", "e1"]
+    await world.async_publish(2, make_engine("e0", port=7001), make_engine("e1"))
+    assert world.member_names() == ["e0"]
+    world.clock.advance(LEAVING_TIMEOUT_MS)
+    assert world.member_names() == ["e0", "e1"]
 
 
 async def test_unreachable_instance_is_tried_again_after_a_growing_hold(world: World) -> None:
-    await world.async_list(1, *make_engines(2))
+    await world.async_publish(1, *make_engines(2))
     changes = world.changes
     world.fleet.record_contact("e0", False)
-    assert world.names() == ["e1"]
+    assert world.member_names() == ["e1"]
     assert world.changes == changes + 1
-    world.clock.advance(UNREACHABLE_HOLD_MS + MEMBERS_CACHE_MS)
-    assert world.names() == ["e0", "e1"]
+    world.clock.advance(UNREACHABLE_RETRY_MS + MEMBERS_CACHE_MS)
+    assert world.member_names() == ["e0", "e1"]
     world.fleet.record_contact("e0", False)
-    world.clock.advance(UNREACHABLE_HOLD_MS + MEMBERS_CACHE_MS)
-    assert world.names() == ["e1"]
+    world.clock.advance(UNREACHABLE_RETRY_MS + MEMBERS_CACHE_MS)
+    assert world.member_names() == ["e1"]
     world.fleet.record_contact("e0", True)
-    assert world.names() == ["e0", "e1"]
+    assert world.member_names() == ["e0", "e1"]
 
 
 async def test_flapping_instance_is_damped_until_its_penalty_has_decayed(world: World) -> None:
-    await world.async_list(1, *make_engines(2))
+    await world.async_publish(1, *make_engines(2))
     for _ in range(3):
         world.fleet.record_contact("e0", True)
         world.fleet.record_contact("e0", False)
     world.fleet.record_contact("e0", True)
-    assert world.names() == ["e1"]
+    assert world.member_names() == ["e1"]
     world.clock.advance(FLAP_HALF_LIFE_MS)
-    assert world.names() == ["e1"]
+    assert world.member_names() == ["e1"]
     world.clock.advance(FLAP_HALF_LIFE_MS)
-    assert world.names() == ["e0", "e1"]
+    assert world.member_names() == ["e0", "e1"]
 
 
 async def test_least_bad_instances_are_used_where_none_is_good(world: World) -> None:
-    await world.async_list(1, make_engine("e0"), make_engine("e1"), make_engine("e2", leaving=True))
+    await world.async_publish(
+        1, make_engine("e0"), make_engine("e1"), make_engine("e2", leaving=True)
+    )
     world.fleet.record_contact("e0", False)
     world.fleet.record_leaving("e1", incarnation=1)
-    assert world.names() == ["e0"]
+    assert world.member_names() == ["e0"]
     world.fleet.record_leaving("e0", incarnation=2)
-    assert world.names() == ["e0", "e1", "e2"]
+    assert world.member_names() == ["e0", "e1", "e2"]
 
 
 async def test_dump_and_metrics_tell_the_view(world: World) -> None:
-    await world.async_list(1, *make_engines(2))
+    await world.async_publish(1, *make_engines(2))
     world.fleet.record_leaving("e0", incarnation=7)
     dump = world.app.dump()["fleet"]
     assert isinstance(dump, dict)
--- a/tests/fleet/test_instance_list_source.py
+++ b/tests/fleet/test_instance_list_source.py
@@ -31,7 +31,7 @@
 DOCUMENT = {"revision": 3, "as_of_ms": 500, "instances": [ENTRY]}
 
 
-class Origin:
+class FakeOrigin:
     """One origin of the platform, which answers what it is told."""
 
     def __init__(self) -> None:
@@ -48,12 +48,12 @@
 
 
 @pytest.fixture
-def origins() -> list[Origin]:
-    return [Origin(), Origin()]
+def origins() -> list[FakeOrigin]:
+    return [FakeOrigin(), FakeOrigin()]
 
 
 @pytest.fixture
-async def source(origins: list[Origin], world: World) -> AsyncIterator[HttpInstanceListSource]:
+async def source(origins: list[FakeOrigin], world: World) -> AsyncIterator[HttpInstanceListSource]:
     servers = []
     for origin in origins:
         app = web.Application()
@@ -68,7 +68,7 @@
 
 
 async def test_list_is_read_and_the_next_state_is_asked_for(
-    source: HttpInstanceListSource, origins: list[Origin]
+    source: HttpInstanceListSource, origins: list[FakeOrigin]
 ) -> None:
     listed = await source.async_fetch(after_revision=None)
     assert isinstance(listed, InstanceList)
@@ -92,7 +92,7 @@
 )
 async def test_next_origin_is_asked_when_one_gives_no_usable_answer(
     source: HttpInstanceListSource,
-    origins: list[Origin],
+    origins: list[FakeOrigin],
     status: int,
     document: object,
     as_of: str,
@@ -106,7 +106,7 @@
 
 
 async def test_origin_that_is_behind_is_left(
-    source: HttpInstanceListSource, origins: list[Origin]
+    source: HttpInstanceListSource, origins: list[FakeOrigin]
 ) -> None:
     await source.async_fetch(after_revision=None)
     origins[0].document = {**DOCUMENT, "revision": 2, "as_of_ms": 400}
