--- a/gypsumrouter/configuration/__init__.py
+++ b/gypsumrouter/configuration/__init__.py
@@ -25,7 +25,7 @@
     When,
     Workspace,
 )
-from gypsumrouter.configuration.outcomes import Accepted, Offer, Older, Rejected
+from gypsumrouter.configuration.outcomes import Accepted, OfferOutcome, Rejected, Stale
 from gypsumrouter.configuration.paths import collapse_path, is_ambiguous, normalise_path
 from gypsumrouter.configuration.rule_checks import get_rule_kind
 from gypsumrouter.configuration.slices import Sliced, async_run_sliced, run_sliced
@@ -47,8 +47,7 @@
     "ConfigurationStore",
     "HttpConfigurationSource",
     "Name",
-    "Offer",
-    "Older",
+    "OfferOutcome",
     "OpaqueKeys",
     "OrderCheck",
     "OrderedAdapter",
@@ -58,6 +57,7 @@
     "Rejected",
     "Rule",
     "Sliced",
+    "Stale",
     "Then",
     "When",
     "Workspace",
@@ -72,11 +72,11 @@
     "run_sliced",
 ]
 
-_LATE: Final = ("ConfigurationSource", "ConfigurationReplicator", "HttpConfigurationSource")
+_LAZY_IMPORTS: Final = ("ConfigurationSource", "ConfigurationReplicator", "HttpConfigurationSource")
 
 
 def __getattr__(name: str) -> Any:
-    if name not in _LATE:
+    if name not in _LAZY_IMPORTS:
         raise AttributeError(name)
     from gypsumrouter.configuration import replicator, source
 
--- a/gypsumrouter/configuration/assembly.py
+++ b/gypsumrouter/configuration/assembly.py
@@ -80,13 +80,13 @@
     if unpacked is None or unpacked[0] != digest:
         return None
     try:
-        reading = yield from read_elements(unpacked[1])
+        parsed = yield from read_elements(unpacked[1])
     except DocumentInvalid:
         return None
-    reading.members[FIELD_VERSION] = 1
-    if check_members(reading) is None or reading.errors:
+    parsed.members[FIELD_VERSION] = 1
+    if check_members(parsed) is None or parsed.errors:
         return None
-    filled = [(section, found) for section, found in reading.entries.items() if found]
+    filled = [(section, found) for section, found in parsed.entries.items() if found]
     if len(filled) != 1:
         return None
     section, entries = filled[0]
--- a/gypsumrouter/configuration/check.py
+++ b/gypsumrouter/configuration/check.py
@@ -20,7 +20,7 @@
 )
 from gypsumrouter.configuration.elements import (
     Entry,
-    Reading,
+    ParsedDocument,
     check_members,
     read_elements,
 )
@@ -86,25 +86,25 @@
     )
 
 
-def sort_by_name(entries: Iterable[Entry]) -> list[Entry]:
+def sort_workspaces(entries: Iterable[Entry]) -> list[Entry]:
     """Return the entries of workspaces in the order of their names."""
     return sorted(entries, key=attrgetter("value.name"))
 
 
 def _check(document: bytes, limit_bytes: int) -> Sliced[CheckedDocument]:
     _check_size(len(document), limit_bytes)
-    reading = yield from read_elements(document)
-    header = check_members(reading)
-    if header is None or reading.errors:
-        raise DocumentInvalid(tuple(reading.errors))
-    _check_size(_get_canonical_size(reading), MAX_CANONICAL_BYTES)
+    parsed = yield from read_elements(document)
+    header = check_members(parsed)
+    if header is None or parsed.errors:
+        raise DocumentInvalid(tuple(parsed.errors))
+    _check_size(_get_canonical_size(parsed), MAX_CANONICAL_BYTES)
     yield
-    errors = yield from check_references(_build(header, reading.entries))
+    errors = yield from check_references(_build(header, parsed.entries))
     if errors:
         raise DocumentInvalid(tuple(errors))
     yield
-    entries = reading.entries
-    entries[SECTION_WORKSPACES] = sort_by_name(entries[SECTION_WORKSPACES])
+    entries = parsed.entries
+    entries[SECTION_WORKSPACES] = sort_workspaces(entries[SECTION_WORKSPACES])
     yield
     return CheckedDocument(configuration=_build(header, entries), entries=entries)
 
@@ -116,8 +116,8 @@
     )
 
 
-def _get_canonical_size(reading: Reading) -> int:
-    return sum(len(entry.body) + 1 for entries in reading.entries.values() for entry in entries)
+def _get_canonical_size(parsed: ParsedDocument) -> int:
+    return sum(len(entry.body) + 1 for entries in parsed.entries.values() for entry in entries)
 
 
 def _check_size(size: int, limit: int) -> None:
--- a/gypsumrouter/configuration/conditions.py
+++ b/gypsumrouter/configuration/conditions.py
@@ -50,7 +50,7 @@
         returning=when.returning,
         min_bytes=when.min_bytes or 0,
         max_bytes=when.max_bytes,
-        minutes=_list_minutes(when),
+        minutes=_build_minutes_mask(when),
         weekdays=_ALL_DAYS if when.weekdays is None else frozenset(when.weekdays),
     )
 
@@ -100,15 +100,15 @@
     return kinds
 
 
-def _list_minutes(when: When) -> int:
+def _build_minutes_mask(when: When) -> int:
     first = when.from_minute or 0
     last = MINUTES_IN_DAY if when.to_minute is None else when.to_minute
     if first <= last:
-        return _list_first(last) & ~_list_first(first)
-    return _list_first(MINUTES_IN_DAY) & ~_list_first(first) | _list_first(last)
+        return _mask_before(last) & ~_mask_before(first)
+    return _mask_before(MINUTES_IN_DAY) & ~_mask_before(first) | _mask_before(last)
 
 
-def _list_first(minutes: int) -> int:
+def _mask_before(minutes: int) -> int:
     return (1 << minutes) - 1
 
 
--- a/gypsumrouter/configuration/elements.py
+++ b/gypsumrouter/configuration/elements.py
@@ -38,7 +38,7 @@
     body: bytes
 
 
-class Reading(Struct, kw_only=True):
+class ParsedDocument(Struct, kw_only=True):
     """What was read of a document: checked elements, other fields as they came, and errors."""
 
     entries: dict[str, list[Entry]] = field(
@@ -48,34 +48,34 @@
     errors: list[FieldError] = field(default_factory=list)
 
 
-def read_elements(document: bytes) -> Sliced[Reading]:
+def read_elements(document: bytes) -> Sliced[ParsedDocument]:
     """Read and check every element, in slices; raises DocumentInvalid if it is no JSON object."""
-    reading = Reading()
+    parsed = ParsedDocument()
     for count, item in enumerate(scan_document(document), start=1):
         match item:
             case Member(name=name, value=value):
-                reading.members[name] = value
+                parsed.members[name] = value
             case Element():
-                _check_element(item, reading)
+                _check_element(item, parsed)
         if count % SLICE_ITEMS == 0:
             yield
-    return reading
+    return parsed
 
 
-def check_members(reading: Reading) -> Configuration | None:
+def check_members(parsed: ParsedDocument) -> Configuration | None:
     """Check the other fields; return a configuration of these alone, or None and the errors."""
     try:
         # Text that is no Unicode is found where it is written.
-        _ENCODER.encode(reading.members).encode()
-        header = check_value(kind=Configuration, value=reading.members)
+        _ENCODER.encode(parsed.members).encode()
+        header = check_value(kind=Configuration, value=parsed.members)
     except UnicodeEncodeError:
-        reading.errors.append(FieldError(path=ROOT, message="not valid Unicode"))
+        parsed.errors.append(FieldError(path=ROOT, message="not valid Unicode"))
         return None
     except DocumentInvalid as error:
-        reading.errors.extend(error.errors)
+        parsed.errors.extend(error.errors)
         return None
     if header.default_class is not None:
-        reading.entries[FIELD_DEFAULT_CLASS] = [make_default_class(header.default_class)]
+        parsed.entries[FIELD_DEFAULT_CLASS] = [make_default_class(header.default_class)]
     return header
 
 
@@ -84,22 +84,22 @@
     return Entry(value=name, body=_ENCODER.encode(name).encode())
 
 
-def _check_element(element: Element, reading: Reading) -> None:
+def _check_element(element: Element, parsed: ParsedDocument) -> None:
     path = f"{ROOT}.{element.section}[{element.index}]"
     try:
         body = _ENCODER.encode(element.value).encode()
     except UnicodeEncodeError:
-        reading.errors.append(FieldError(path=path, message="not valid Unicode"))
+        parsed.errors.append(FieldError(path=path, message="not valid Unicode"))
         return
     try:
         value = check_value(kind=_KINDS[element.section], value=element.value)
     except DocumentInvalid as error:
-        reading.errors.extend(_place_errors(error, path))
+        parsed.errors.extend(_prefix_errors(error, path))
         return
-    reading.entries[element.section].append(Entry(value, body))
+    parsed.entries[element.section].append(Entry(value, body))
 
 
-def _place_errors(error: DocumentInvalid, path: str) -> list[FieldError]:
+def _prefix_errors(error: DocumentInvalid, path: str) -> list[FieldError]:
     return [
         FieldError(path=path + found.path.removeprefix(ROOT), message=found.message)
         for found in error.errors
--- a/gypsumrouter/configuration/fetch.py
+++ b/gypsumrouter/configuration/fetch.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING, Protocol
 
 from gypsumrouter.configuration.const import (
-    FETCH_WAIT_MS,
-    MAX_PARTS_BYTES,
-    MAX_PARTS_IN_REQUEST,
+    FETCH_TIMEOUT_MS,
+    MAX_PARTS_MESSAGE_BYTES,
+    MAX_PARTS_PER_REQUEST,
 )
 from gypsumrouter.configuration.outcomes import Rejected
-from gypsumrouter.configuration.parts import is_manifest, unpack_part
+from gypsumrouter.configuration.parts import matches_manifest_digest, unpack_part
 from gypsumrouter.configuration.store import ConfigurationStore
 from gypsumrouter.configuration.waiting import async_wait
 from gypsumrouter.link.models import ConfigurationNews, Hello, Notice, Parts, PartsRequest
@@ -22,10 +22,10 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-_MAX_REFUSED = 64
+_MAX_REJECTED_DIGESTS = 64
 
 
-class Sender(Protocol):
+class PeerLink(Protocol):
     """The end of an open link that a notice came from."""
 
     @property
@@ -37,18 +37,18 @@
 
 
 class PartsFetcher:
-    """Bring the newest version that peers have told of into the store, one at a time."""
+    """Bring the target version that peers have told of into the store, one at a time."""
 
     __slots__ = (
         "_app",
         "_bodies",
         "_manifest",
-        "_newest",
+        "_peers",
         "_received",
-        "_refused",
+        "_rejected_digests",
         "_running",
-        "_sources",
         "_store",
+        "_target",
         "fetched",
         "received_bytes",
     )
@@ -56,38 +56,43 @@
     def __init__(self, *, app: Application, store: ConfigurationStore) -> None:
         self._app = app
         self._store = store
-        self._newest: ConfigurationNews | None = None
-        self._sources: dict[str, Sender] = {}
+        self._target: ConfigurationNews | None = None
+        self._peers: dict[str, PeerLink] = {}
         self._received = asyncio.Event()
         self._manifest: tuple[int, ...] = ()
         self._bodies: dict[int, bytes] = {}
-        self._refused: dict[int, None] = {}
+        self._rejected_digests: dict[int, None] = {}
         self._running = False
         self.fetched = 0
         self.received_bytes = 0
 
-    def offer(self, peer: Sender, news: ConfigurationNews) -> None:
+    def handle_announcement(self, peer: PeerLink, announcement: ConfigurationNews) -> None:
         """Note that a peer has a version; fetch it if it is newer than what is in force."""
-        if news.version <= self._store.current.version or news.digest in self._refused:
+        if (
+            announcement.version <= self._store.current.version
+            or announcement.digest in self._rejected_digests
+        ):
             return
-        newest = self._newest
-        if newest is None or news.version > newest.version:
-            self._newest = news
-            self._sources = {}
+        target = self._target
+        if target is None or announcement.version > target.version:
+            self._target = announcement
+            self._peers = {}
             self._received.set()
-        elif news != newest:
+        elif announcement != target:
             return
-        self._sources[peer.hello.name] = peer
+        self._peers[peer.hello.name] = peer
         if not self._running:
             self._running = True
             self._app.async_create_task(self._async_fetch_all(), "configuration fetch")
 
-    def take(self, parts: Parts) -> None:
+    def handle_parts(self, parts: Parts) -> None:
         """Keep what a peer sent of the version that is fetched now."""
-        newest = self._newest
-        if newest is None or parts.version != newest.version:
+        target = self._target
+        if target is None or parts.version != target.version:
             return
-        if parts.manifest and is_manifest(newest.version, parts.manifest, newest.digest):
+        if parts.manifest and matches_manifest_digest(
+            target.version, parts.manifest, target.digest
+        ):
             self._manifest = parts.manifest
         missing = set(self._list_missing())
         for body in parts.parts:
@@ -99,58 +104,60 @@
 
     async def _async_fetch_all(self) -> None:
         try:
-            while self._newest is not None:
-                news = self._newest
-                if not await self._async_fetch(news) and self._newest is news:
-                    self._forget()
+            while self._target is not None:
+                announcement = self._target
+                if not await self._async_fetch(announcement) and self._target is announcement:
+                    self._reset()
         finally:
             self._running = False
 
-    async def _async_fetch(self, news: ConfigurationNews) -> bool:
+    async def _async_fetch(self, announcement: ConfigurationNews) -> bool:
         """Fetch one version from the peers that have it; return whether that is settled."""
         self._manifest = ()
-        while self._newest is news and self._sources:
-            name = next(iter(self._sources))
-            peer = self._sources.pop(name)
-            if not await self._async_fetch_from(peer, news):
+        while self._target is announcement and self._peers:
+            name = next(iter(self._peers))
+            peer = self._peers.pop(name)
+            if not await self._async_fetch_from(peer, announcement):
                 continue
-            if await self._async_apply(news):
+            if await self._async_apply(announcement):
                 return True
         return False
 
-    async def _async_fetch_from(self, peer: Sender, news: ConfigurationNews) -> bool:
-        while self._newest is news:
-            wanted = self._list_missing()
-            if self._manifest and not wanted:
+    async def _async_fetch_from(self, peer: PeerLink, announcement: ConfigurationNews) -> bool:
+        while self._target is announcement:
+            missing = self._list_missing()
+            if self._manifest and not missing:
                 return True
-            request = PartsRequest(version=news.version, parts=wanted[:MAX_PARTS_IN_REQUEST])
-            if not await self._async_ask(peer, request):
+            request = PartsRequest(
+                version=announcement.version, parts=missing[:MAX_PARTS_PER_REQUEST]
+            )
+            if not await self._async_request_parts(peer, request):
                 _LOGGER.debug("Peer %s did not hand on the configuration", peer.hello.name)
                 return False
         return False
 
-    async def _async_ask(self, peer: Sender, request: PartsRequest) -> bool:
+    async def _async_request_parts(self, peer: PeerLink, request: PartsRequest) -> bool:
         """Ask for parts and wait; return whether anything that was missing has come."""
         before = (bool(self._manifest), len(self._bodies))
         self._received.clear()
         if not peer.send(request):
             return False
-        await async_wait(self._received, clock=self._app.clock, timeout_ms=FETCH_WAIT_MS)
+        await async_wait(self._received, clock=self._app.clock, timeout_ms=FETCH_TIMEOUT_MS)
         return (bool(self._manifest), len(self._bodies)) != before
 
-    async def _async_apply(self, news: ConfigurationNews) -> bool:
+    async def _async_apply(self, announcement: ConfigurationNews) -> bool:
         outcome = await self._store.async_offer_parts(
-            version=news.version, manifest=self._manifest, bodies=self._bodies
+            version=announcement.version, manifest=self._manifest, bodies=self._bodies
         )
         match outcome:
             case None:
                 return False
             case Rejected():
-                self._refuse(news.digest)
+                self._record_rejected(announcement.digest)
             case _:
                 self.fetched += 1
-        if self._newest is news:
-            self._forget()
+        if self._target is announcement:
+            self._reset()
         return True
 
     def _list_missing(self) -> tuple[int, ...]:
@@ -158,17 +165,17 @@
         unique = dict.fromkeys(self._manifest)
         return tuple(d for d in unique if d not in held and d not in self._bodies)
 
-    def _forget(self) -> None:
-        self._newest = None
-        self._sources = {}
+    def _reset(self) -> None:
+        self._target = None
+        self._peers = {}
         self._manifest = ()
         self._bodies = {}
 
-    def _refuse(self, digest: int) -> None:
+    def _record_rejected(self, digest: int) -> None:
         """Remember content that this process rejects, so that it is not fetched again."""
-        self._refused[digest] = None
-        while len(self._refused) > _MAX_REFUSED:
-            del self._refused[next(iter(self._refused))]
+        self._rejected_digests[digest] = None
+        while len(self._rejected_digests) > _MAX_REJECTED_DIGESTS:
+            del self._rejected_digests[next(iter(self._rejected_digests))]
 
 
 def answer_parts_request(
@@ -186,12 +193,12 @@
         return Parts(version=held.version, manifest=held.manifest)
     bodies: list[bytes] = []
     size = 0
-    for digest in request.parts[:MAX_PARTS_IN_REQUEST]:
+    for digest in request.parts[:MAX_PARTS_PER_REQUEST]:
         part = held.parts.get(digest)
         if part is None:
             continue
         size += len(part.body)
-        if bodies and size > MAX_PARTS_BYTES:
+        if bodies and size > MAX_PARTS_MESSAGE_BYTES:
             break
         bodies.append(part.body)
     return Parts(version=held.version, parts=tuple(bodies))
--- a/gypsumrouter/configuration/neighbours.py
+++ b/gypsumrouter/configuration/neighbours.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from gypsumrouter.configuration.const import RING_ATTEMPTS, RINGS, WATCHERS_IN_REGION
+from gypsumrouter.configuration.const import RING_ATTEMPTS, RINGS, WATCHERS_PER_REGION
 from gypsumrouter.instances import Instance
 
 RingNeighbours = tuple[Instance, ...]
@@ -15,54 +15,52 @@
 def list_ring_neighbours(name: str, peers: Iterable[Instance]) -> tuple[RingNeighbours, ...]:
     """Return the instances to tell news to: one route for each direction of each ring.
 
-    Every process puts all names on the same rings, in the order of their digests, and talks to
+    Every process puts all names on the same rings, in the ring_order of their digests, and talks to
     the next one and the one before on each. The union of a few such rings is connected, has a
     diameter that grows with the logarithm of the fleet, and gives each process the same few
     neighbours. A route goes on along its ring for when the first instance cannot be reached.
     """
     known = tuple(peer for peer in peers if peer.name != name)
-    routes: list[RingNeighbours] = []
+    neighbours: list[RingNeighbours] = []
     for ring in range(RINGS):
-        routes += _list_ring_routes(ring, name, known)
-    return tuple(routes)
+        neighbours += _list_on_ring(ring, name, known)
+    return tuple(neighbours)
 
 
-def list_watchers(members: Iterable[Instance], region: str, turn: int) -> frozenset[str]:
-    """Return the names of those that watch the platform for a region in one turn.
+def list_watchers(members: Iterable[Instance], region: str, rotation: int) -> frozenset[str]:
+    """Return the names of those that watch the platform for a region in one rotation.
 
     The first by rank of each data centre of the region, filled up to a few by rank. Each change
-    costs a watcher the whole document, so ranks differ from turn to turn and all take their
+    costs a watcher the whole document, so ranks differ from rotation to rotation and all take their
     share.
     """
     ranked = sorted(
         (member for member in members if member.region == region),
-        key=lambda member: (_rank(f"watch/{turn}", member.name), member.name),
+        key=lambda member: (_rank(f"watch/{rotation}", member.name), member.name),
     )
     first: dict[str, str] = {}
     for member in ranked:
         first.setdefault(member.data_centre, member.name)
     chosen = list(first.values())
     for member in ranked:
-        if len(chosen) >= WATCHERS_IN_REGION:
+        if len(chosen) >= WATCHERS_PER_REGION:
             break
         if member.name not in chosen:
             chosen.append(member.name)
     return frozenset(chosen)
 
 
-def _list_ring_routes(
-    ring: int, name: str, peers: tuple[Instance, ...]
-) -> Iterator[RingNeighbours]:
-    here = (_rank(str(ring), name), name)
+def _list_on_ring(ring: int, name: str, peers: tuple[Instance, ...]) -> Iterator[RingNeighbours]:
+    own_position = (_rank(str(ring), name), name)
     ranked = [((_rank(str(ring), peer.name), peer.name), peer) for peer in peers]
-    order = sorted(ranked, key=lambda entry: entry[0])
-    places = [place for place, _ in order]
-    start = sum(1 for place in places if place < here)
-    ahead = [peer for _, peer in order[start:] + order[:start]]
-    if not ahead:
+    ring_order = sorted(ranked, key=lambda entry: entry[0])
+    positions = [position for position, _ in ring_order]
+    start = sum(1 for position in positions if position < own_position)
+    successors = [peer for _, peer in ring_order[start:] + ring_order[:start]]
+    if not successors:
         return
-    yield tuple(ahead[:RING_ATTEMPTS])
-    yield tuple(reversed(ahead[-RING_ATTEMPTS:]))
+    yield tuple(successors[:RING_ATTEMPTS])
+    yield tuple(reversed(successors[-RING_ATTEMPTS:]))
 
 
 def _rank(purpose: str, name: str) -> int:
--- a/gypsumrouter/configuration/outcomes.py
+++ b/gypsumrouter/configuration/outcomes.py
@@ -21,11 +21,11 @@
     errors: tuple[FieldError, ...]
 
 
-class Older(Struct, frozen=True, kw_only=True):
+class Stale(Struct, frozen=True, kw_only=True):
     """The document is older than what is in force."""
 
     version: int
     in_force: int
 
 
-Offer = Accepted | Rejected | Older
+OfferOutcome = Accepted | Rejected | Stale
--- a/gypsumrouter/configuration/parts.py
+++ b/gypsumrouter/configuration/parts.py
@@ -18,9 +18,9 @@
 from gypsumrouter.configuration.const import (
     FIELD_DEFAULT_CLASS,
     FIELD_VERSION,
-    ITEMS_IN_PART,
+    ITEMS_PER_PART,
     MAX_CANONICAL_BYTES,
-    MAX_MANIFEST,
+    MAX_MANIFEST_ENTRIES,
     SECTION_CLASSES,
     SECTION_POOLS,
     SECTION_RULES,
@@ -58,7 +58,7 @@
 EMPTY_PARTS: Final = PartSet(version=0, digest=0, manifest=(), parts={})
 
 
-def cut_into_parts(document: CheckedDocument, known: PartSet = EMPTY_PARTS) -> Sliced[PartSet]:
+def split_into_parts(document: CheckedDocument, known: PartSet = EMPTY_PARTS) -> Sliced[PartSet]:
     """Return the parts of a checked document, in slices of bounded work.
 
     Those that `known` holds already are taken from there.
@@ -94,9 +94,9 @@
     )
 
 
-def is_manifest(version: int, manifest: tuple[int, ...], digest: int) -> bool:
+def matches_manifest_digest(version: int, manifest: tuple[int, ...], digest: int) -> bool:
     """Return whether a manifest is the one that `digest` names."""
-    return len(manifest) <= MAX_MANIFEST and digest_manifest(version, manifest) == digest
+    return len(manifest) <= MAX_MANIFEST_ENTRIES and digest_manifest(version, manifest) == digest
 
 
 def unpack_part(body: bytes) -> tuple[int, bytes] | None:
@@ -154,8 +154,8 @@
         yield FIELD_DEFAULT_CLASS, document.entries[FIELD_DEFAULT_CLASS]
     for section in (SECTION_CLASSES, SECTION_POOLS, SECTION_RULES):
         entries = document.entries[section]
-        for start in range(0, len(entries), ITEMS_IN_PART):
-            yield section, entries[start : start + ITEMS_IN_PART]
+        for start in range(0, len(entries), ITEMS_PER_PART):
+            yield section, entries[start : start + ITEMS_PER_PART]
     for bucket in buckets:
         if bucket:
             yield SECTION_WORKSPACES, bucket
--- a/gypsumrouter/configuration/paths.py
+++ b/gypsumrouter/configuration/paths.py
@@ -8,7 +8,7 @@
 from urllib.parse import unquote
 
 _PLAIN: Final = re.compile(r"(/[a-z0-9_~-]+)*/?")
-_ODD: Final = re.compile(r"[%;\\\x00-\x1f\x7f\ufffd]")
+_AMBIGUOUS: Final = re.compile(r"[%;\\\x00-\x1f\x7f\ufffd]")
 _SLASHES: Final = re.compile(r"/{2,}")
 
 
@@ -24,8 +24,8 @@
 
 def collapse_path(path: str) -> str:
     """Return the path decoded, without empty segments and in lower case; dots stay."""
-    bare = path.partition("?")[0].partition("#")[0]
-    decoded = unquote(bare).replace("\\", "/")
+    path_only = path.partition("?")[0].partition("#")[0]
+    decoded = unquote(path_only).replace("\\", "/")
     collapsed = _SLASHES.sub("/", f"/{decoded}")
     return unicodedata.normalize("NFKC", collapsed).casefold()
 
@@ -38,8 +38,8 @@
     """
     if _PLAIN.fullmatch(path) is not None:
         return False
-    bare = path.partition("?")[0].partition("#")[0]
-    return _ODD.search(unquote(bare)) is not None
+    path_only = path.partition("?")[0].partition("#")[0]
+    return _AMBIGUOUS.search(unquote(path_only)) is not None
 
 
 def _resolve_dots(path: str) -> str:
@@ -52,5 +52,5 @@
         elif part not in ("", "."):
             segments.append(part)
     resolved = "/" + "/".join(segments)
-    ends_open = parts[-1] in ("", ".", "..")
-    return f"{resolved}/" if ends_open and segments else resolved
+    has_trailing_slash = parts[-1] in ("", ".", "..")
+    return f"{resolved}/" if has_trailing_slash and segments else resolved
--- a/gypsumrouter/configuration/references.py
+++ b/gypsumrouter/configuration/references.py
@@ -45,10 +45,12 @@
     first: dict[str, int] = {}
     for index, name in enumerate(names):
         if first.setdefault(name, index) != index:
-            yield _make_double(section, index, first, name)
+            yield _build_duplicate_error(section, index, first, name)
 
 
-def _make_double(section: str, index: int, first: dict[str, int], name: str) -> FieldError:
+def _build_duplicate_error(
+    section: str, index: int, first: dict[str, int], name: str
+) -> FieldError:
     message = f"{name!r} is already the name of $.{section}[{first[name]}]"
     return FieldError(path=f"$.{section}[{index}].name", message=message)
 
@@ -93,7 +95,7 @@
     for index, workspace in enumerate(configuration.workspaces):
         path = f"$.{SECTION_WORKSPACES}[{index}]"
         if names.setdefault(workspace.name, index) != index:
-            errors.append(_make_double(SECTION_WORKSPACES, index, names, workspace.name))
+            errors.append(_build_duplicate_error(SECTION_WORKSPACES, index, names, workspace.name))
         errors += _check_keys(path, workspace, owners)
         if workspace.default_class is not None and workspace.default_class not in classes:
             message = f"no class is named {workspace.default_class!r}"
--- a/gypsumrouter/configuration/replicator.py
+++ b/gypsumrouter/configuration/replicator.py
@@ -9,11 +9,11 @@
 
 from gypsumrouter.configuration.const import (
     ANTI_ENTROPY_MS,
-    PAUSE_MS,
-    START_ASK_MS,
+    PAUSE_THRESHOLD_MS,
+    START_QUERY_INTERVAL_MS,
     TICK_MS,
 )
-from gypsumrouter.configuration.fetch import PartsFetcher, Sender, answer_parts_request
+from gypsumrouter.configuration.fetch import PartsFetcher, PeerLink, answer_parts_request
 from gypsumrouter.configuration.models import Configuration
 from gypsumrouter.configuration.neighbours import RingNeighbours, list_ring_neighbours
 from gypsumrouter.configuration.reader import PlatformReader
@@ -30,7 +30,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 DUMP_SECTION: Final = "configuration_spread"
-ASK_VERSION: Final = PartsRequest(version=0)
+VERSION_QUERY: Final = PartsRequest(version=0)
 
 
 class ConfigurationReplicator:
@@ -42,19 +42,19 @@
 
     __slots__ = (
         "_app",
-        "_asked_at_ms",
         "_conflict_version",
         "_conflicts",
         "_fetcher",
         "_fleet",
+        "_known_versions",
+        "_last_query_ms",
+        "_neighbours",
         "_notices",
+        "_pauses",
         "_pool",
         "_reader",
         "_rng",
-        "_routes",
         "_store",
-        "_told",
-        "_wakeups",
     )
 
     def __init__(
@@ -83,128 +83,139 @@
             source=source or HttpConfigurationSource(app=app, origins=settings.configuration),
             rng=self._rng,
         )
-        self._routes: tuple[RingNeighbours, ...] | None = None
-        self._told: dict[str, int] = {}
-        self._asked_at_ms = app.clock.now_ms()
+        self._neighbours: tuple[RingNeighbours, ...] | None = None
+        self._known_versions: dict[str, int] = {}
+        self._last_query_ms = app.clock.now_ms()
         self._conflicts = 0
         self._conflict_version = 0
-        self._wakeups = 0
+        self._pauses = 0
 
     async def async_start(self) -> None:
         """Begin to ask peers and the platform; the store's `ready` says when one has answered."""
-        self._notices.subscribe(ConfigurationNews, self._take_news)
-        self._notices.subscribe(PartsRequest, self._answer_request)
-        self._notices.subscribe(Parts, self._take_parts)
+        self._notices.subscribe(ConfigurationNews, self._handle_announcement)
+        self._notices.subscribe(PartsRequest, self._handle_parts_request)
+        self._notices.subscribe(Parts, self._handle_parts)
         self._store.on_change(self._announce)
-        self._fleet.on_change(self._forget_routes)
+        self._fleet.on_change(self._invalidate_neighbours)
         self._app.add_dump_section(DUMP_SECTION, self._dump)
-        self._app.async_create_task(self._async_ask_until_ready(), "configuration start")
-        self._app.async_create_task(self._async_keep_in_step(), "configuration anti-entropy")
+        self._app.async_create_task(self._async_query_until_ready(), "configuration start")
+        self._app.async_create_task(self._async_run_anti_entropy(), "configuration anti-entropy")
         self._reader.async_start()
 
-    def _take_news(self, peer: Sender, news: ConfigurationNews) -> None:
+    def _handle_announcement(self, peer: PeerLink, announcement: ConfigurationNews) -> None:
         self._reader.record_contact()
-        mine = self._store.parts
-        self._told[peer.hello.name] = max(news.version, mine.version)
-        if news.version > mine.version:
-            self._fetcher.offer(peer, news)
-        elif news.version < mine.version:
-            peer.send(self._get_news())
-        elif news.digest != mine.digest:
-            self._note_conflict(peer, news)
-
-    def _answer_request(self, peer: Sender, request: PartsRequest) -> None:
+        own = self._store.parts
+        self._known_versions[peer.hello.name] = max(announcement.version, own.version)
+        if announcement.version > own.version:
+            self._fetcher.handle_announcement(peer, announcement)
+        elif announcement.version < own.version:
+            peer.send(self._build_announcement())
+        elif announcement.digest != own.digest:
+            self._record_conflict(peer, announcement)
+
+    def _handle_parts_request(self, peer: PeerLink, request: PartsRequest) -> None:
         self._reader.record_contact()
         peer.send(answer_parts_request(self._store, request))
 
-    def _take_parts(self, peer: Sender, parts: Parts) -> None:
+    def _handle_parts(self, peer: PeerLink, parts: Parts) -> None:
         self._reader.record_contact()
-        self._fetcher.take(parts)
+        self._fetcher.handle_parts(parts)
 
-    def _note_conflict(self, peer: Sender, news: ConfigurationNews) -> None:
+    def _record_conflict(self, peer: PeerLink, announcement: ConfigurationNews) -> None:
         self._conflicts += 1
-        if news.version == self._conflict_version:
+        if announcement.version == self._conflict_version:
             return
-        self._conflict_version = news.version
+        self._conflict_version = announcement.version
         _LOGGER.warning(
-            "Instance %s has another content of configuration %s", peer.hello.name, news.version
+            "Instance %s has another content of configuration %s",
+            peer.hello.name,
+            announcement.version,
         )
 
     def _announce(self, configuration: Configuration) -> None:
         self._app.async_create_task(self._async_announce(), "configuration news")
 
     async def _async_announce(self) -> None:
-        sends = [self._async_tell(route, self._get_news()) for route in self._get_routes()]
+        sends = [
+            self._async_announce_to(candidates, self._build_announcement())
+            for candidates in self._get_neighbours()
+        ]
         await asyncio.gather(*sends)
 
-    async def _async_tell(self, route: RingNeighbours, news: ConfigurationNews) -> None:
-        """Tell the first instance of a route that can be reached and does not know yet."""
-        for instance in route:
-            if self._told.get(instance.name, 0) >= news.version:
+    async def _async_announce_to(
+        self, candidates: RingNeighbours, announcement: ConfigurationNews
+    ) -> None:
+        """Tell the first instance of a candidates that can be reached and does not know yet."""
+        for instance in candidates:
+            if self._known_versions.get(instance.name, 0) >= announcement.version:
                 return
-            self._told[instance.name] = news.version
-            if await self._pool.async_send(instance=instance, notice=news):
+            self._known_versions[instance.name] = announcement.version
+            if await self._pool.async_send(instance=instance, notice=announcement):
                 return
-            self._told.pop(instance.name, None)
+            self._known_versions.pop(instance.name, None)
 
-    async def _async_ask_until_ready(self) -> None:
+    async def _async_query_until_ready(self) -> None:
         """Ask neighbours and each time any other instance, since neighbours may know nothing."""
         while not self._store.ready.is_set():
-            await self._async_ask_all()
+            await self._async_query_all()
             peers = self._fleet.peers()
             if peers:
-                await self._async_ask((self._rng.choice(peers),))
-            await self._app.clock.async_sleep(START_ASK_MS)
+                await self._async_query((self._rng.choice(peers),))
+            await self._app.clock.async_sleep(START_QUERY_INTERVAL_MS)
 
-    async def _async_keep_in_step(self) -> None:
+    async def _async_run_anti_entropy(self) -> None:
         """Ask a neighbour now and then, and all of them after this process was paused."""
         while True:
             before_ms = self._app.clock.now_ms()
             await self._app.clock.async_sleep(TICK_MS)
             now_ms = self._app.clock.now_ms()
-            if now_ms - before_ms > TICK_MS + PAUSE_MS:
-                self._wakeups += 1
+            if now_ms - before_ms > TICK_MS + PAUSE_THRESHOLD_MS:
+                self._pauses += 1
                 _LOGGER.info("This process stood still for %s ms", now_ms - before_ms - TICK_MS)
-                self._reader.wake()
-                await self._async_ask_all()
-            elif now_ms >= self._asked_at_ms + ANTI_ENTROPY_MS:
-                await self._async_ask_one()
-
-    async def _async_ask_all(self) -> None:
-        await asyncio.gather(*(self._async_ask(route) for route in self._get_routes()))
-
-    async def _async_ask_one(self) -> None:
-        routes = self._get_routes()
-        self._asked_at_ms = self._app.clock.now_ms() - self._rng.randrange(TICK_MS)
-        if routes:
-            await self._async_ask(self._rng.choice(routes))
-
-    async def _async_ask(self, route: RingNeighbours) -> None:
-        """Ask the first instance of a route that can be reached which version it has."""
-        for instance in route:
-            if await self._pool.async_send(instance=instance, notice=ASK_VERSION):
+                self._reader.interrupt()
+                await self._async_query_all()
+            elif now_ms >= self._last_query_ms + ANTI_ENTROPY_MS:
+                await self._async_query_one()
+
+    async def _async_query_all(self) -> None:
+        await asyncio.gather(
+            *(self._async_query(candidates) for candidates in self._get_neighbours())
+        )
+
+    async def _async_query_one(self) -> None:
+        neighbours = self._get_neighbours()
+        self._last_query_ms = self._app.clock.now_ms() - self._rng.randrange(TICK_MS)
+        if neighbours:
+            await self._async_query(self._rng.choice(neighbours))
+
+    async def _async_query(self, candidates: RingNeighbours) -> None:
+        """Ask the first instance of a candidates that can be reached which version it has."""
+        for instance in candidates:
+            if await self._pool.async_send(instance=instance, notice=VERSION_QUERY):
                 return
 
-    def _get_news(self) -> ConfigurationNews:
+    def _build_announcement(self) -> ConfigurationNews:
         return ConfigurationNews(version=self._store.parts.version, digest=self._store.parts.digest)
 
-    def _get_routes(self) -> tuple[RingNeighbours, ...]:
-        if self._routes is None:
-            self._routes = list_ring_neighbours(self._app.name, self._fleet.peers())
-            names = {instance.name for route in self._routes for instance in route}
-            self._told = {name: told for name, told in self._told.items() if name in names}
-        return self._routes
+    def _get_neighbours(self) -> tuple[RingNeighbours, ...]:
+        if self._neighbours is None:
+            self._neighbours = list_ring_neighbours(self._app.name, self._fleet.peers())
+            names = {instance.name for candidates in self._neighbours for instance in candidates}
+            self._known_versions = {
+                name: version for name, version in self._known_versions.items() if name in names
+            }
+        return self._neighbours
 
-    def _forget_routes(self) -> None:
-        self._routes = None
+    def _invalidate_neighbours(self) -> None:
+        self._neighbours = None
 
     def _dump(self) -> dict[str, object]:
         return {
-            "neighbours": sorted({route[0].name for route in self._get_routes()}),
-            "watches_platform": self._reader.watches,
+            "neighbours": sorted({candidates[0].name for candidates in self._get_neighbours()}),
+            "watches_platform": self._reader.is_watching,
             "platform_failure": self._reader.failure,
             "fetched_from_peers": self._fetcher.fetched,
             "parts_received_bytes": self._fetcher.received_bytes,
             "conflicts": self._conflicts,
-            "wakeups": self._wakeups,
+            "wakeups": self._pauses,
         }
--- a/gypsumrouter/configuration/rule_checks.py
+++ b/gypsumrouter/configuration/rule_checks.py
@@ -14,7 +14,7 @@
 from gypsumrouter.exceptions import FieldError
 
 
-class _Known(Struct, kw_only=True):
+class _Definitions(Struct, kw_only=True):
     workspaces: set[str]
     classes: set[str]
     models: set[str]
@@ -28,13 +28,13 @@
     if len(rules) > MAX_RULES:
         message = f"{len(rules)} rules are more than the limit of {MAX_RULES}"
         return [FieldError(path=f"$.{SECTION_RULES}", message=message)]
-    known = _list_known(configuration)
+    definitions = _collect_definitions(configuration)
     errors: list[FieldError] = []
     conditions: list[Conditions | None] = []
     for index, rule in enumerate(rules):
-        found = list(_check_rule(f"$.{SECTION_RULES}[{index}]", rule, known))
+        found = list(_check_rule(f"$.{SECTION_RULES}[{index}]", rule, definitions))
         errors += found
-        conditions.append(None if found else _normalise(rule, known))
+        conditions.append(None if found else _normalise(rule, definitions))
         if index % SLICE_RULES == SLICE_RULES - 1:
             yield
     errors += yield from _check_reachable(rules, conditions)
@@ -49,9 +49,9 @@
     return None
 
 
-def _list_known(configuration: Configuration) -> _Known:
+def _collect_definitions(configuration: Configuration) -> _Definitions:
     pools = {pool.name: pool for pool in configuration.pools}
-    return _Known(
+    return _Definitions(
         workspaces={workspace.name for workspace in configuration.workspaces},
         classes={caller_class.name for caller_class in configuration.classes},
         models={model for pool in pools.values() for model in pool.models},
@@ -60,23 +60,25 @@
     )
 
 
-def _normalise(rule: Rule, known: _Known) -> Conditions:
-    return build_conditions(rule, get_rule_kind(rule.then, known.pools))
+def _normalise(rule: Rule, definitions: _Definitions) -> Conditions:
+    return build_conditions(rule, get_rule_kind(rule.then, definitions.pools))
 
 
-def _check_rule(path: str, rule: Rule, known: _Known) -> Iterator[FieldError]:
+def _check_rule(path: str, rule: Rule, definitions: _Definitions) -> Iterator[FieldError]:
     when = rule.when
     then = rule.then
-    yield from _check_listed(f"{path}.when.workspace", when.workspace, known.workspaces)
-    yield from _check_listed(f"{path}.when.caller_class", when.caller_class, known.classes)
-    yield from _check_listed(f"{path}.when.model", when.model, known.models)
-    yield from _check_listed(f"{path}.when.service", when.service, known.services)
+    yield from _check_names_exist(f"{path}.when.workspace", when.workspace, definitions.workspaces)
+    yield from _check_names_exist(
+        f"{path}.when.caller_class", when.caller_class, definitions.classes
+    )
+    yield from _check_names_exist(f"{path}.when.model", when.model, definitions.models)
+    yield from _check_names_exist(f"{path}.when.service", when.service, definitions.services)
     yield from _check_when(f"{path}.when", when)
-    yield from _check_then(f"{path}.then", then, known)
-    yield from _check_meeting(path, rule, known)
+    yield from _check_then(f"{path}.then", then, definitions)
+    yield from _check_satisfiable(path, rule, definitions)
 
 
-def _check_listed(
+def _check_names_exist(
     path: str, names: tuple[str, ...] | None, known: set[str]
 ) -> Iterator[FieldError]:
     for index, name in enumerate(names or ()):
@@ -115,14 +117,14 @@
         yield FieldError(path=f"{path}.to_minute", message=message)
 
 
-def _check_then(path: str, then: Then, known: _Known) -> Iterator[FieldError]:
-    if then.caller_class is not None and then.caller_class not in known.classes:
+def _check_then(path: str, then: Then, definitions: _Definitions) -> Iterator[FieldError]:
+    if then.caller_class is not None and then.caller_class not in definitions.classes:
         message = f"no class is named {then.caller_class!r}"
         yield FieldError(path=f"{path}.caller_class", message=message)
     for name, value in (("pool", then.pool), ("next_pool", then.next_pool)):
-        if value is not None and value not in known.pools:
+        if value is not None and value not in definitions.pools:
             yield FieldError(path=f"{path}.{name}", message=f"no pool is named {value!r}")
-    yield from _check_next_pool(path, then, known)
+    yield from _check_next_pool(path, then, definitions)
     if then.refuse is not None:
         yield from _check_refusal(path, then)
     elif then.retry_after_ms is not None:
@@ -130,14 +132,14 @@
         yield FieldError(path=f"{path}.retry_after_ms", message=message)
 
 
-def _check_next_pool(path: str, then: Then, known: _Known) -> Iterator[FieldError]:
+def _check_next_pool(path: str, then: Then, definitions: _Definitions) -> Iterator[FieldError]:
     if then.pool is None or then.next_pool is None:
         return
     if then.pool == then.next_pool:
         yield FieldError(path=f"{path}.next_pool", message="this is the first pool itself")
         return
-    first = known.pools.get(then.pool)
-    second = known.pools.get(then.next_pool)
+    first = definitions.pools.get(then.pool)
+    second = definitions.pools.get(then.next_pool)
     if first is not None and second is not None and first.kind is not second.kind:
         message = "the two pools are of different kinds"
         yield FieldError(path=f"{path}.next_pool", message=message)
@@ -146,24 +148,24 @@
 def _check_refusal(path: str, then: Then) -> Iterator[FieldError]:
     if not then.refuse:
         yield FieldError(path=f"{path}.refuse", message="callers need to be told why")
-    rest = Then(refuse=then.refuse, retry_after_ms=then.retry_after_ms)
-    if then != rest:
+    refusal_only = Then(refuse=then.refuse, retry_after_ms=then.retry_after_ms)
+    if then != refusal_only:
         message = "a rule that refuses can have no other effect but retry_after_ms"
         yield FieldError(path=f"{path}.refuse", message=message)
 
 
-def _check_meeting(path: str, rule: Rule, known: _Known) -> Iterator[FieldError]:
+def _check_satisfiable(path: str, rule: Rule, definitions: _Definitions) -> Iterator[FieldError]:
     """Check that the conditions and the pools of one rule can meet."""
-    if not _normalise(rule, known).kinds:
+    if not _normalise(rule, definitions).kinds:
         message = "a request has a model or a service, so nothing can match"
         yield FieldError(path=f"{path}.when", message=message)
         return
     for name, value in (("pool", rule.then.pool), ("next_pool", rule.then.next_pool)):
-        pool = None if value is None else known.pools.get(value)
+        pool = None if value is None else definitions.pools.get(value)
         if pool is None:
             continue
         for model in rule.when.model or ():
-            if model in known.models and model not in pool.models:
+            if model in definitions.models and model not in pool.models:
                 message = f"pool {value!r} does not serve model {model!r}"
                 yield FieldError(path=f"{path}.then.{name}", message=message)
 
--- a/gypsumrouter/configuration/scanner.py
+++ b/gypsumrouter/configuration/scanner.py
@@ -48,20 +48,20 @@
         self._position = 0
         self._path = _ROOT
         self._decoder = json.JSONDecoder(
-            object_pairs_hook=self._build_object, parse_constant=self._refuse_constant
+            object_pairs_hook=self._build_object, parse_constant=self._reject_constant
         )
 
     def scan(self) -> Iterator[Element | Member]:
         self._expect("{")
         names: set[str] = set()
-        if not self._take("}"):
+        if not self._accept("}"):
             while True:
                 name = self._read_name()
                 if name in names:
                     self._fail(f"field {name!r} is given twice")
                 names.add(name)
                 yield from self._scan_member(name)
-                if self._take("}"):
+                if self._accept("}"):
                     break
                 self._expect(",")
         self._skip_space()
@@ -70,11 +70,11 @@
 
     def _scan_member(self, name: str) -> Iterator[Element | Member]:
         self._path = f"{_ROOT}.{name}"
-        if name not in SECTIONS or not self._take("["):
+        if name not in SECTIONS or not self._accept("["):
             yield Member(name=name, value=self._read_value())
             self._path = _ROOT
             return
-        if self._take("]"):
+        if self._accept("]"):
             self._path = _ROOT
             return
         index = 0
@@ -82,7 +82,7 @@
             self._path = f"{_ROOT}.{name}[{index}]"
             yield Element(section=name, index=index, value=self._read_value())
             index += 1
-            if self._take("]"):
+            if self._accept("]"):
                 break
             self._expect(",")
         self._path = _ROOT
@@ -115,7 +115,7 @@
             self._fail("a field is given twice")
         return built
 
-    def _refuse_constant(self, constant: str) -> NoReturn:
+    def _reject_constant(self, constant: str) -> NoReturn:
         self._fail(f"not valid JSON: {constant} is no number")
 
     def _skip_space(self) -> None:
@@ -123,7 +123,7 @@
         if match is not None:
             self._position = match.end()
 
-    def _take(self, character: str) -> bool:
+    def _accept(self, character: str) -> bool:
         self._skip_space()
         if not self._text.startswith(character, self._position):
             return False
@@ -131,7 +131,7 @@
         return True
 
     def _expect(self, character: str) -> None:
-        if not self._take(character):
+        if not self._accept(character):
             self._fail(f"not valid JSON: {character!r} was expected")
 
     def _fail(self, message: str) -> NoReturn:
--- a/gypsumrouter/configuration/source.py
+++ b/gypsumrouter/configuration/source.py
@@ -60,14 +60,14 @@
 class HttpConfigurationSource:
     """Read the service at several origins in turn, another one with each call."""
 
-    __slots__ = ("_app", "_origins", "_session", "_turn", "calls")
+    __slots__ = ("_app", "_next_origin", "_origins", "_session", "calls")
 
     def __init__(
         self, *, app: Application, origins: tuple[str, ...], rng: random.Random | None = None
     ) -> None:
         self._app = app
         self._origins = origins
-        self._turn = (rng or random.Random()).randrange(max(1, len(origins)))
+        self._next_origin = (rng or random.Random()).randrange(max(1, len(origins)))
         self._session: aiohttp.ClientSession | None = None
         self.calls = app.metrics.counter(
             "gypsumrouter_configuration_reads_total", "Calls to the configuration service"
@@ -90,14 +90,14 @@
     async def _async_get(self, query: dict[str, str], timeout_ms: int) -> SourceAnswer:
         if not self._origins:
             return Unavailable(message="no origin is set")
-        origin = self._origins[self._turn % len(self._origins)]
-        self._turn += 1
+        origin = self._origins[self._next_origin % len(self._origins)]
+        self._next_origin += 1
         self.calls.inc()
         try:
             async with self._get_session().get(
                 origin + PATH_CONFIGURATION, params=query, timeout=_build_timeout(timeout_ms)
             ) as response:
-                return await _async_read_answer(response)
+                return await _async_parse_response(response)
         except (aiohttp.ClientError, TimeoutError, OSError, RuntimeError) as error:
             # The loop's library raises RuntimeError for a descriptor that is still in its hands.
             return Unavailable(message=f"{origin}: {type(error).__name__}")
@@ -113,7 +113,7 @@
             await self._session.close()
 
 
-async def _async_read_answer(response: aiohttp.ClientResponse) -> SourceAnswer:
+async def _async_parse_response(response: aiohttp.ClientResponse) -> SourceAnswer:
     if response.status == _STATUS_NO_CONTENT:
         return Unchanged()
     if response.status != _STATUS_OK:
--- a/gypsumrouter/configuration/store.py
+++ b/gypsumrouter/configuration/store.py
@@ -15,11 +15,11 @@
     FIELD_VERSION,
     MAX_DOCUMENT_BYTES,
     MAX_JOINED_BYTES,
-    MAX_REMEMBERED_ERRORS,
+    MAX_RECORDED_ERRORS,
 )
 from gypsumrouter.configuration.models import Configuration
-from gypsumrouter.configuration.outcomes import Accepted, Offer, Older, Rejected
-from gypsumrouter.configuration.parts import EMPTY_PARTS, PartSet, cut_into_parts, join_parts
+from gypsumrouter.configuration.outcomes import Accepted, OfferOutcome, Rejected, Stale
+from gypsumrouter.configuration.parts import EMPTY_PARTS, PartSet, join_parts, split_into_parts
 from gypsumrouter.configuration.slices import async_run_sliced
 from gypsumrouter.exceptions import ConfigurationInvalid, FieldError
 
@@ -54,7 +54,7 @@
         "_app",
         "_listeners",
         "_lock",
-        "_older_seen",
+        "_stale_count",
         "current",
         "parts",
         "ready",
@@ -66,7 +66,7 @@
         self._lock = asyncio.Lock()
         self._listeners: list[Listener] = []
         self._accepted_at_ms: int | None = None
-        self._older_seen = 0
+        self._stale_count = 0
         self.current = Configuration(version=0)
         self.parts: PartSet = EMPTY_PARTS
         self.ready = asyncio.Event()
@@ -88,17 +88,17 @@
 
         return remove
 
-    async def async_offer(self, document: bytes) -> Offer:
+    async def async_offer(self, document: bytes) -> OfferOutcome:
         """Check a document and put it in force if it is right and newer.
 
         The work gives way to the event loop, and offers are taken one after another.
         """
         async with self._lock:
-            return await self._async_take(document, MAX_DOCUMENT_BYTES)
+            return await self._async_check_and_activate(document, MAX_DOCUMENT_BYTES)
 
     async def async_offer_parts(
         self, *, version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes]
-    ) -> Offer | None:
+    ) -> OfferOutcome | None:
         """Offer a version in parts, all of which are in `bodies` or in force now.
 
         Only what is not known yet is read. The outcome is the same as for the whole document;
@@ -106,52 +106,52 @@
         """
         async with self._lock:
             if version < self.current.version:
-                return self._note_older(version)
+                return self._record_stale(version)
             known = self.parts
             if any(d not in bodies and d not in known.parts for d in manifest):
                 return None
             work = assemble(version=version, manifest=manifest, bodies=bodies, known=known)
             found = await async_run_sliced(work)
             if found is not None:
-                return self._decide(found.configuration, found.parts)
+                return self._activate_if_newer(found.configuration, found.parts)
             held = {digest: part.body for digest, part in known.parts.items()}
             joining = join_parts(version, manifest, {**held, **bodies})
             document = await async_run_sliced(joining)
             if document is None:
                 return None
-            return await self._async_take(document, MAX_JOINED_BYTES)
+            return await self._async_check_and_activate(document, MAX_JOINED_BYTES)
 
-    async def _async_take(self, document: bytes, limit_bytes: int) -> Offer:
+    async def _async_check_and_activate(self, document: bytes, limit_bytes: int) -> OfferOutcome:
         claimed = await async_run_sliced(read_version(document))
         if claimed is not None and claimed < self.current.version:
-            return self._note_older(claimed)
+            return self._record_stale(claimed)
         try:
             checking = check_in_slices(document, limit_bytes=limit_bytes)
             checked = await async_run_sliced(checking)
         except ConfigurationInvalid as error:
             return self._reject(claimed, error.errors)
-        parts = await async_run_sliced(cut_into_parts(checked, self.parts))
+        parts = await async_run_sliced(split_into_parts(checked, self.parts))
         # What did not change is shared with what is in force now, which saves its memory.
         shared = await async_run_sliced(build_from_parts(parts))
-        return self._decide(shared or checked.configuration, parts)
+        return self._activate_if_newer(shared or checked.configuration, parts)
 
-    def _decide(self, configuration: Configuration, parts: PartSet) -> Offer:
+    def _activate_if_newer(self, configuration: Configuration, parts: PartSet) -> OfferOutcome:
         if configuration.version == self.current.version:
-            return self._compare(parts)
-        self._put_in_force(configuration, parts)
+            return self._compare_content(parts)
+        self._activate(configuration, parts)
         return Accepted(version=configuration.version, changed=True)
 
-    def _note_older(self, version: int) -> Older:
-        self._older_seen += 1
-        return Older(version=version, in_force=self.current.version)
+    def _record_stale(self, version: int) -> Stale:
+        self._stale_count += 1
+        return Stale(version=version, in_force=self.current.version)
 
-    def _compare(self, parts: PartSet) -> Offer:
+    def _compare_content(self, parts: PartSet) -> OfferOutcome:
         if parts.digest == self.parts.digest:
             return Accepted(version=parts.version, changed=False)
         message = f"version {parts.version} is in force with another content"
         return self._reject(parts.version, (FieldError(path=_VERSION_PATH, message=message),))
 
-    def _put_in_force(self, configuration: Configuration, parts: PartSet) -> None:
+    def _activate(self, configuration: Configuration, parts: PartSet) -> None:
         self.current = configuration
         self.parts = parts
         self._accepted_at_ms = self._app.clock.wall_ms()
@@ -172,12 +172,12 @@
                 "Configuration %s is rejected, %s stays in force: %s",
                 version,
                 self.current.version,
-                "; ".join(str(error) for error in errors[:MAX_REMEMBERED_ERRORS]),
+                "; ".join(str(error) for error in errors[:MAX_RECORDED_ERRORS]),
             )
         self.rejection = Rejection(
             version=version,
             at_ms=self._app.clock.wall_ms(),
-            errors=errors[:MAX_REMEMBERED_ERRORS],
+            errors=errors[:MAX_RECORDED_ERRORS],
             error_count=len(errors),
         )
         return Rejected(version=version, errors=errors)
@@ -191,7 +191,7 @@
                 "workspaces": len(self.current.workspaces),
                 "rules": len(self.current.rules),
             },
-            "older_seen": self._older_seen,
+            "older_seen": self._stale_count,
             "rejected": _dump_rejection(self.rejection),
         }
 
--- a/gypsumrouter/configuration/waiting.py
+++ b/gypsumrouter/configuration/waiting.py
@@ -15,11 +15,11 @@
     """Wait for the event up to `timeout_ms`; return whether it came."""
     if event.is_set():
         return True
-    await async_unless(event, clock.async_sleep(timeout_ms))
+    await async_run_until_set(event, clock.async_sleep(timeout_ms))
     return event.is_set()
 
 
-async def async_unless(event: asyncio.Event, work: Coroutine[Any, Any, _T]) -> _T | None:
+async def async_run_until_set(event: asyncio.Event, work: Coroutine[Any, Any, _T]) -> _T | None:
     """Return the result of the work, or None if the event comes first; the work is cancelled."""
     running = asyncio.ensure_future(work)
     waiting = asyncio.ensure_future(event.wait())
--- a/tests/configuration/configuration_fakes.py
+++ b/tests/configuration/configuration_fakes.py
@@ -11,7 +11,7 @@
 from typing import Any, cast
 
 from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
-from gypsumrouter.configuration.const import WATCH_TURN_MS
+from gypsumrouter.configuration.const import WATCHER_ROTATION_MS
 from gypsumrouter.configuration.neighbours import list_watchers
 from gypsumrouter.configuration.source import Document, SourceAnswer, Unavailable, Unchanged
 from gypsumrouter.const import Role
@@ -249,7 +249,7 @@
         await async_settle()
 
     def list_watchers(self) -> frozenset[str]:
-        turn = (WALL_MS + self.now_ms) // WATCH_TURN_MS
+        turn = (WALL_MS + self.now_ms) // WATCHER_ROTATION_MS
         return list_watchers(self.instances, "hr-zagreb", turn)
 
     def list_versions(self) -> set[int]:
--- a/tests/configuration/test_configuration_replicator.py
+++ b/tests/configuration/test_configuration_replicator.py
@@ -6,7 +6,7 @@
 
 from configuration_fakes import FakeFleet, FakeProcess, async_settle, make_document
 
-from gypsumrouter.configuration.const import WATCHERS_IN_REGION
+from gypsumrouter.configuration.const import WATCHERS_PER_REGION
 from gypsumrouter.configuration.fetch import answer_parts_request
 from gypsumrouter.configuration.neighbours import list_ring_neighbours, list_watchers
 from gypsumrouter.const import Role
@@ -43,7 +43,7 @@
     fleet.platform.publish(make_document(2))
     await fleet.async_advance(IN_FORCE_MS)
     assert fleet.list_versions() == {2}
-    assert fleet.platform.calls - calls <= 2 * WATCHERS_IN_REGION * (IN_FORCE_MS // 2_500)
+    assert fleet.platform.calls - calls <= 2 * WATCHERS_PER_REGION * (IN_FORCE_MS // 2_500)
 
 
 async def test_each_process_hears_of_a_change_a_few_times_only(make_fleet: MakeFleet) -> None:
@@ -124,7 +124,7 @@
     assert any(process.store.rejection for process in fleet.processes.values())
     calls = fleet.platform.calls
     await fleet.async_advance(IN_FORCE_MS)
-    assert fleet.platform.calls - calls <= 2 * WATCHERS_IN_REGION * (IN_FORCE_MS // 2_500)
+    assert fleet.platform.calls - calls <= 2 * WATCHERS_PER_REGION * (IN_FORCE_MS // 2_500)
     fleet.platform.publish(make_document(3))
     await fleet.async_advance(IN_FORCE_MS)
     assert fleet.list_versions() == {3}
@@ -264,9 +264,9 @@
 def test_watchers_are_few_and_stand_in_different_data_centres() -> None:
     instances = make_instances(60) + make_instances(4, region="gt-central")
     watchers = list_watchers(instances, "hr-zagreb", 1)
-    assert len(watchers) == WATCHERS_IN_REGION
+    assert len(watchers) == WATCHERS_PER_REGION
     places = {i.data_centre for i in instances if i.name in watchers}
-    assert len(places) == WATCHERS_IN_REGION
+    assert len(places) == WATCHERS_PER_REGION
     assert len(list_watchers(make_instances(2), "hr-zagreb", 1)) == 2
     assert not list_watchers((), "hr-zagreb", 1)
 
--- a/tests/configuration/test_configuration_store.py
+++ b/tests/configuration/test_configuration_store.py
@@ -14,13 +14,13 @@
     Accepted,
     Configuration,
     ConfigurationStore,
-    Older,
     Rejected,
+    Stale,
     check_configuration,
     run_sliced,
 )
 from gypsumrouter.configuration.check import check_in_slices
-from gypsumrouter.configuration.parts import cut_into_parts, join_parts
+from gypsumrouter.configuration.parts import join_parts, split_into_parts
 from gypsumrouter.core import Application
 
 
@@ -43,9 +43,9 @@
     store: ConfigurationStore,
 ) -> None:
     await store.async_offer(encode(make_document(4)))
-    assert await store.async_offer(encode(make_document(3))) == Older(version=3, in_force=4)
+    assert await store.async_offer(encode(make_document(3))) == Stale(version=3, in_force=4)
     wrong = encode(make_document(3, default_class=None))
-    assert await store.async_offer(wrong) == Older(version=3, in_force=4)
+    assert await store.async_offer(wrong) == Stale(version=3, in_force=4)
     assert store.current.version == 4
     assert store.rejection is None
 
@@ -172,13 +172,13 @@
     document["workspaces"] = [{"name": name, "share": n + 0.5} for n, name in enumerate(names)]
     document["rules"] = [{"name": "r", "then": {"refuse": reason}}]
     checked = run_sliced(check_in_slices(encode(document)))
-    parts = run_sliced(cut_into_parts(checked))
+    parts = run_sliced(split_into_parts(checked))
     bodies = {digest: part.body for digest, part in parts.parts.items()}
     joined = run_sliced(join_parts(7, parts.manifest, bodies))
     assert joined is not None
     again = run_sliced(check_in_slices(joined))
     assert again.configuration == checked.configuration == check_configuration(encode(document))
-    assert run_sliced(cut_into_parts(again)) == parts
+    assert run_sliced(split_into_parts(again)) == parts
 
 
 def _like(app: Application) -> dict[str, Any]:
