--- a/gypsumrouter/configuration/__init__.py
+++ b/gypsumrouter/configuration/__init__.py
@@ -1,6 +1,7 @@
-"""The fleet's configuration: the document, its check, the store that never goes back, its spread.
+"""The fleet's configuration: document model, validation, versioned store and replication.
 
-The spread is loaded when it is asked for: it knows the settings, which know the models here.
+The replicator and the sources are imported lazily: they depend on the settings, which import the
+models of this package.
 """
 
 from __future__ import annotations
--- a/gypsumrouter/configuration/assembly.py
+++ b/gypsumrouter/configuration/assembly.py
@@ -1,4 +1,4 @@
-"""A configuration put together from parts, of which only the unknown ones are read and checked."""
+"""Build a configuration from parts; only parts that are not in force yet are parsed and checked."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Assembled(Struct, frozen=True, kw_only=True):
-    """A configuration that passed the check, with its parts."""
+    """A validated configuration with its parts."""
 
     configuration: Configuration
     parts: PartSet
@@ -32,10 +32,10 @@
 def assemble(
     *, version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes], known: PartSet
 ) -> Sliced[Assembled | None]:
-    """Check the parts of a version in slices; return None where anything is wrong with them.
+    """Validate the parts of a version in slices; return None if any part is invalid.
 
-    Each element and all references pass the same checks as a whole document. What is wrong is
-    not said: the document has to be joined and checked whole for that.
+    Elements and references pass the same checks as in a whole document. Errors are not reported
+    here: the caller joins the document and validates it as a whole to get them.
     """
     parts: dict[int, Part] = {}
     for count, digest in enumerate(manifest, start=1):
@@ -56,9 +56,9 @@
 
 
 def build_from_parts(found: PartSet) -> Sliced[Configuration | None]:
-    """Return the configuration that parts make up, or None if a field is missing or double.
+    """Return the configuration built from parts, or None unless it has exactly one default class.
 
-    It shares its elements with the parts.
+    The elements are shared with the parts, not copied.
     """
     values: dict[str, list[object]] = {}
     for digest in found.manifest:
--- a/gypsumrouter/configuration/check.py
+++ b/gypsumrouter/configuration/check.py
@@ -1,4 +1,4 @@
-"""The one check that decides everywhere whether a configuration is accepted."""
+"""Validation of configuration documents, used by the store, the commands and the tests."""
 
 from __future__ import annotations
 
@@ -33,23 +33,23 @@
 
 
 class CheckedDocument(Struct, kw_only=True):
-    """A configuration with its elements; the workspaces are in the order of their names."""
+    """A validated configuration with its elements; workspaces are sorted by name."""
 
     configuration: Configuration
     entries: dict[str, list[Entry]]
 
 
 def check_configuration(document: bytes) -> Configuration:
-    """Return the checked configuration; raises ConfigurationInvalid with every error at once."""
+    """Return the validated configuration; raises ConfigurationInvalid with all errors."""
     return run_sliced(check_in_slices(document)).configuration
 
 
 def check_in_slices(
     document: bytes, *, limit_bytes: int = MAX_DOCUMENT_BYTES
 ) -> Sliced[CheckedDocument]:
-    """Check a document in slices of bounded work; raises ConfigurationInvalid.
+    """Validate a document in slices of bounded work; raises ConfigurationInvalid.
 
-    The verdict depends on the document alone, so it is the same in every process.
+    The result depends only on the document, so every process accepts the same documents.
     """
     try:
         return (yield from _check(document, limit_bytes))
@@ -58,7 +58,7 @@
 
 
 def read_version(document: bytes) -> Sliced[int | None]:
-    """Return the version that a document claims, or None if that cannot be read."""
+    """Return the version field of a document, or None if it is missing or unreadable."""
     try:
         for count, item in enumerate(scan_document(document), start=1):
             match item:
@@ -74,7 +74,7 @@
 def build_configuration(
     *, version: int, default_class: str | None, values: dict[str, list[object]]
 ) -> Configuration:
-    """Return a configuration of checked elements; the order of workspaces does not count."""
+    """Return a configuration built from validated elements."""
     workspaces = cast(list[Workspace], values.get(SECTION_WORKSPACES, []))
     return Configuration(
         version=version,
@@ -87,7 +87,7 @@
 
 
 def sort_workspaces(entries: Iterable[Entry]) -> list[Entry]:
-    """Return the entries of workspaces in the order of their names."""
+    """Return workspace entries sorted by name."""
     return sorted(entries, key=attrgetter("value.name"))
 
 
--- a/gypsumrouter/configuration/conditions.py
+++ b/gypsumrouter/configuration/conditions.py
@@ -1,4 +1,4 @@
-"""The conditions of a rule in one normal form, to find rules that can never match."""
+"""Rule conditions in a normal form, used to find rules that can never match."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Conditions(Struct, frozen=True, kw_only=True):
-    """What a rule asks for; None stands for anything, `minutes` has a bit for each minute."""
+    """Normalised conditions; None matches anything, `minutes` has one bit per minute of the day."""
 
     kinds: frozenset[UpstreamKind]
     workspace: frozenset[str] | None
@@ -36,7 +36,7 @@
 
 
 def build_conditions(rule: Rule, kind: UpstreamKind | None) -> Conditions:
-    """Return the conditions of a rule; `kind` is that of the pool that the rule leads to."""
+    """Return the conditions of a rule; `kind` is the kind of its target pool, if it has one."""
     when = rule.when
     return Conditions(
         kinds=_list_kinds(when, kind),
@@ -56,7 +56,7 @@
 
 
 def normalise_prefix(prefix: str) -> str:
-    """Return the beginning of a path in normal form, without a slash at its end."""
+    """Return a path prefix in normal form, without a trailing slash."""
     return normalise_path(prefix).rstrip("/") if prefix else ""
 
 
@@ -80,9 +80,9 @@
 
 
 def is_in_window(when: When, minute: int) -> bool:
-    """Return whether a minute of the day lies in the window, which may pass midnight.
+    """Return whether a minute of the day lies in the window, which may span midnight.
 
-    The first minute belongs to the window and the last one does not.
+    `from_minute` is inclusive and `to_minute` is exclusive.
     """
     first = when.from_minute or 0
     last = MINUTES_IN_DAY if when.to_minute is None else when.to_minute
--- a/gypsumrouter/configuration/const.py
+++ b/gypsumrouter/configuration/const.py
@@ -1,11 +1,11 @@
-"""Constants of the configuration aggregate; times are in milliseconds, sizes in bytes."""
+"""Constants of the configuration; times are in milliseconds, sizes in bytes."""
 
 from __future__ import annotations
 
 from typing import Final
 
 MAX_DOCUMENT_BYTES: Final = 1024 * 1024
-# Canonical JSON may be a little longer than what was written.
+# Canonical JSON can be longer than the document it was parsed from.
 MAX_CANONICAL_BYTES: Final = MAX_DOCUMENT_BYTES + 64 * 1024
 MAX_JOINED_BYTES: Final = MAX_CANONICAL_BYTES + 1024
 MAX_RULES: Final = 1_000
@@ -20,20 +20,20 @@
 SECTION_RULES: Final = "rules"
 SECTIONS: Final = (SECTION_WORKSPACES, SECTION_CLASSES, SECTION_POOLS, SECTION_RULES)
 
-# Work done between two turns of the loop.
+# Units of work between two yields to the event loop.
 SLICE_ITEMS: Final = 100
 SLICE_CHECKS: Final = 1_000
 SLICE_PARTS: Final = 8
 SLICE_RULES: Final = 20
 
-# How the document is cut into parts that travel alone.
+# Splitting of the document into parts that are transferred separately.
 WORKSPACE_BUCKETS: Final = 256
 ITEMS_PER_PART: Final = 64
 MAX_PARTS_PER_REQUEST: Final = 64
 MAX_PARTS_MESSAGE_BYTES: Final = 64 * 1024
 MAX_MANIFEST_ENTRIES: Final = 4_096
 
-# Reading the platform.
+# Reading the configuration service of the platform.
 PATH_CONFIGURATION: Final = "/v1/configuration"
 HEADER_VERSION: Final = "X-Version"
 WATCH_MS: Final = 2_500
@@ -43,7 +43,7 @@
 BACKOFF_FIRST_MS: Final = 250
 BACKOFF_MAX_MS: Final = 2_000
 
-# Spreading between processes.
+# Replication between processes.
 RINGS: Final = 3
 RING_ATTEMPTS: Final = 4
 WATCHERS_PER_REGION: Final = 3
--- a/gypsumrouter/configuration/diff.py
+++ b/gypsumrouter/configuration/diff.py
@@ -1,4 +1,4 @@
-"""What changes from one configuration to another."""
+"""Differences between two configurations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ChangeKind(StrEnum):
-    """How one entry changes."""
+    """Kind of change of an entry."""
 
     ADDED = "added"
     REMOVED = "removed"
@@ -34,7 +34,7 @@
 
 
 def list_changes(before: Configuration, after: Configuration) -> tuple[Change, ...]:
-    """Return every difference; the order counts for rules alone."""
+    """Return all differences; the order of entries matters only for rules."""
     changes = list(_compare_fields(before, after))
     for section in SECTIONS:
         changes += _compare_section(section, getattr(before, section), getattr(after, section))
--- a/gypsumrouter/configuration/elements.py
+++ b/gypsumrouter/configuration/elements.py
@@ -1,4 +1,4 @@
-"""Elements of the document: read from JSON, checked one by one, kept with their canonical form."""
+"""Parsing and validation of the elements of a document, kept with their canonical JSON."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class Entry(NamedTuple):
-    """A checked element and its canonical JSON."""
+    """A validated element and its canonical JSON."""
 
     value: object
     body: bytes
 
 
 class ParsedDocument(Struct, kw_only=True):
-    """What was read of a document: checked elements, other fields as they came, and errors."""
+    """A parsed document: validated elements, raw values of the other fields, and errors."""
 
     entries: dict[str, list[Entry]] = field(
         default_factory=lambda: {section: [] for section in SECTIONS}
@@ -49,7 +49,7 @@
 
 
 def read_elements(document: bytes) -> Sliced[ParsedDocument]:
-    """Read and check every element, in slices; raises DocumentInvalid if it is no JSON object."""
+    """Parse and validate all elements in slices; raises DocumentInvalid if it is no JSON object."""
     parsed = ParsedDocument()
     for count, item in enumerate(scan_document(document), start=1):
         match item:
@@ -63,9 +63,9 @@
 
 
 def check_members(parsed: ParsedDocument) -> Configuration | None:
-    """Check the other fields; return a configuration of these alone, or None and the errors."""
+    """Validate the other fields; return a configuration of them, or None after adding errors."""
     try:
-        # Text that is no Unicode is found where it is written.
+        # Encoding fails for lone surrogates, which JSON escapes allow but UTF-8 does not.
         _ENCODER.encode(parsed.members).encode()
         header = check_value(kind=Configuration, value=parsed.members)
     except UnicodeEncodeError:
@@ -80,7 +80,7 @@
 
 
 def make_default_class(name: str) -> Entry:
-    """Return the entry of the default class."""
+    """Return the default class as an entry, which is transferred as a part of its own."""
     return Entry(value=name, body=_ENCODER.encode(name).encode())
 
 
--- a/gypsumrouter/configuration/fetch.py
+++ b/gypsumrouter/configuration/fetch.py
@@ -1,4 +1,4 @@
-"""Fetch a newer configuration from peers, part by part, and hand parts on to them."""
+"""Fetching of newer configurations from peers in parts, and answers to their part requests."""
 
 from __future__ import annotations
 
@@ -26,18 +26,21 @@
 
 
 class PeerLink(Protocol):
-    """The end of an open link that a notice came from."""
+    """An open link to the peer that sent a notice."""
 
     @property
     def hello(self) -> Hello:
-        """Return who stands at the other end."""
+        """Return the handshake of the peer."""
 
     def send(self, notice: Notice) -> bool:
         """Send a notice; return whether the link is still open."""
 
 
 class PartsFetcher:
-    """Bring the target version that peers have told of into the store, one at a time."""
+    """Fetch the newest version that peers have announced and offer it to the store.
+
+    One version is fetched at a time; a newer announcement replaces the version being fetched.
+    """
 
     __slots__ = (
         "_app",
@@ -67,7 +70,7 @@
         self.received_bytes = 0
 
     def handle_announcement(self, peer: PeerLink, announcement: ConfigurationNews) -> None:
-        """Note that a peer has a version; fetch it if it is newer than what is in force."""
+        """Record that a peer has a version; fetch it if it is newer than the one in force."""
         if (
             announcement.version <= self._store.current.version
             or announcement.digest in self._rejected_digests
@@ -86,7 +89,7 @@
             self._app.async_create_task(self._async_fetch_all(), "configuration fetch")
 
     def handle_parts(self, parts: Parts) -> None:
-        """Keep what a peer sent of the version that is fetched now."""
+        """Store the manifest and the missing parts of the version that is being fetched."""
         target = self._target
         if target is None or parts.version != target.version:
             return
@@ -112,7 +115,7 @@
             self._running = False
 
     async def _async_fetch(self, announcement: ConfigurationNews) -> bool:
-        """Fetch one version from the peers that have it; return whether that is settled."""
+        """Fetch one version from the peers that have it; return whether the store decided on it."""
         self._manifest = ()
         while self._target is announcement and self._peers:
             name = next(iter(self._peers))
@@ -132,12 +135,15 @@
                 version=announcement.version, parts=missing[:MAX_PARTS_PER_REQUEST]
             )
             if not await self._async_request_parts(peer, request):
-                _LOGGER.debug("Peer %s did not hand on the configuration", peer.hello.name)
+                _LOGGER.debug(
+                    "Peer %s did not send the requested configuration parts; trying the next peer",
+                    peer.hello.name,
+                )
                 return False
         return False
 
     async def _async_request_parts(self, peer: PeerLink, request: PartsRequest) -> bool:
-        """Ask for parts and wait; return whether anything that was missing has come."""
+        """Request parts and wait for them; return whether a manifest or a missing part arrived."""
         before = (bool(self._manifest), len(self._bodies))
         self._received.clear()
         if not peer.send(request):
@@ -172,7 +178,7 @@
         self._bodies = {}
 
     def _record_rejected(self, digest: int) -> None:
-        """Remember content that this process rejects, so that it is not fetched again."""
+        """Record content that failed validation, so that it is not fetched again."""
         self._rejected_digests[digest] = None
         while len(self._rejected_digests) > _MAX_REJECTED_DIGESTS:
             del self._rejected_digests[next(iter(self._rejected_digests))]
@@ -181,10 +187,10 @@
 def answer_parts_request(
     store: ConfigurationStore, request: PartsRequest
 ) -> ConfigurationNews | Parts:
-    """Return what was asked for, as far as it is held and one message may carry.
+    """Return the requested parts that are available, up to the size limit of one message.
 
-    A request for another version than the one in force, or for version 0, is answered with the
-    version that is in force.
+    A request for version 0, or for a version that is not in force, is answered with the version
+    that is in force.
     """
     held = store.parts
     if request.version != held.version or held.version == 0:
--- a/gypsumrouter/configuration/models.py
+++ b/gypsumrouter/configuration/models.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration: one versioned document that every process holds."""
+"""Model of the configuration document, which is versioned and held by every process."""
 
 from __future__ import annotations
 
@@ -37,23 +37,23 @@
 
 
 class OrderCheck(StrEnum):
-    """What an upstream checks of an order it is given."""
+    """How an upstream checks the orders that are sent to it."""
 
     FENCING = "fencing"
     NOTHING = "nothing"
 
 
 class OpaqueKeys(StrEnum):
-    """What to do with idempotency keys that do not carry their creation time."""
+    """Handling of idempotency keys that do not contain their creation time."""
 
     WINDOW = "window"
     REFUSE = "refuse"
 
 
 class Workspace(Checked, frozen=True, kw_only=True):
-    """A customer: its callers' keys as SHA-256 digests, its guaranteed share and its limits.
+    """A customer: SHA-256 digests of its callers' keys, its guaranteed share and its limits.
 
-    `share` is relative to the other workspaces' shares. Limits hold for the whole fleet.
+    `share` is relative to the shares of the other workspaces. Limits apply to the whole fleet.
     """
 
     name: Name
@@ -65,7 +65,7 @@
 
 
 class CallerClass(Checked, frozen=True, kw_only=True):
-    """A class of callers: targets in milliseconds and the penalty for a miss, in money."""
+    """A class of callers: latency targets in milliseconds and the cost of missing one."""
 
     name: Name
     first_token_ms: PositiveInt = DEFAULT_FIRST_TOKEN_MS
@@ -75,14 +75,14 @@
 
 
 class CallPattern(Checked, frozen=True, kw_only=True):
-    """Calls of a service: a method (or `*`) and the beginning of a path below the service."""
+    """Calls of a service, by method (or `*`) and path prefix below the service."""
 
     method: Annotated[str, Meta(pattern=r"^(\*|[A-Z]{1,16})$")] = "*"
     path_prefix: Annotated[str, Meta(pattern=r"^/")] = "/"
 
 
 class AtMostOnce(Checked, frozen=True, kw_only=True):
-    """Which calls must not be repeated, and how long and how many of them are remembered."""
+    """Calls that run at most once, and how many of them are stored for how long."""
 
     calls: tuple[CallPattern, ...]
     window_ms: PositiveInt = DEFAULT_REPEAT_WINDOW_MS
@@ -92,14 +92,14 @@
 
 
 class OrderedAdapter(Checked, frozen=True, kw_only=True):
-    """An adapter that every engine with its model is ordered to hold."""
+    """An adapter that is loaded on every engine that holds its model."""
 
     name: Name
     version: Version = DEFAULT_MODEL_VERSION
 
 
 class OrderedModel(Checked, frozen=True, kw_only=True):
-    """A model that engines are ordered to hold: at least `min_engines`, more by demand."""
+    """A model that is loaded on at least `min_engines` engines, and on more by demand."""
 
     name: Name
     version: Version = DEFAULT_MODEL_VERSION
@@ -108,11 +108,12 @@
 
 
 class PoolOrders(Checked, frozen=True, kw_only=True):
-    """What the engines of a pool are ordered to hold, and how fast that may change.
+    """The models that the engines of a pool are ordered to load, and the limits on changes.
 
-    At most `change_share` of a model's engines change their version at once. A difference is
-    acted on once it has lasted for `settle_ms`. A load that takes longer than `load_ms` is
-    cancelled. `store_loads_per_s` is this pool's part of the weight store's rate.
+    At most `change_share` of a model's engines change their version at once. A difference between
+    the desired and the actual models is acted on once it has lasted for `settle_ms`. A load that
+    takes longer than `load_ms` is cancelled. `store_loads_per_s` is the rate of loads from the
+    weight store that this pool may use.
     """
 
     models: tuple[OrderedModel, ...]
@@ -125,11 +126,12 @@
 
 
 class Pool(Checked, frozen=True, kw_only=True):
-    """Upstreams that can stand in for one another.
+    """A group of interchangeable upstreams.
 
-    `cap` is the multiple of the pool's mean load that none may exceed; it binds above `floor`
-    requests at one upstream. `slots` is what one upstream of weight 1 runs at once, `queue`
-    what may wait before it. Without `orders` the engines are never given any.
+    `cap` limits the load of each upstream to this multiple of the pool's mean load; it applies
+    above `floor` requests at one upstream. `slots` is the number of concurrent requests of an
+    upstream of weight 1, `queue` the number that may wait for it. Without `orders` the router
+    does not manage the models of the engines.
     """
 
     name: Name
@@ -145,7 +147,7 @@
 
 
 class When(Checked, frozen=True, kw_only=True):
-    """Conditions of a rule; all that are given must hold, and an empty one always does."""
+    """Conditions of a rule; all that are set must hold, and none set matches every request."""
 
     workspace: tuple[Name, ...] | None = None
     caller_class: tuple[Name, ...] | None = None
@@ -163,7 +165,7 @@
 
 
 class Then(Checked, frozen=True, kw_only=True):
-    """What follows where a rule matches; what is not set stays as it would be without it."""
+    """Effects of a matching rule; settings that are not set keep their defaults."""
 
     caller_class: Name | None = None
     pool: Name | None = None
@@ -177,7 +179,7 @@
 
 
 class Rule(Checked, frozen=True, kw_only=True):
-    """One when-then rule; for each request only the first rule that matches counts."""
+    """A rule with conditions and effects; only the first matching rule applies to a request."""
 
     name: Name
     when: When = When()
@@ -185,7 +187,7 @@
 
 
 class Configuration(Checked, frozen=True, kw_only=True):
-    """The whole document; a higher version always replaces a lower one, never the reverse."""
+    """The configuration document; only a higher version replaces the one in force."""
 
     version: NotNegativeInt
     workspaces: tuple[Workspace, ...] = ()
--- a/gypsumrouter/configuration/neighbours.py
+++ b/gypsumrouter/configuration/neighbours.py
@@ -1,4 +1,4 @@
-"""Which processes exchange news of the configuration, and which ones watch the platform."""
+"""Neighbours for gossip between processes, and the processes that watch the platform."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 
 
 def list_ring_neighbours(name: str, peers: Iterable[Instance]) -> tuple[RingNeighbours, ...]:
-    """Return the instances to tell news to: one route for each direction of each ring.
+    """Return the gossip neighbours of a process, one entry per ring and direction.
 
-    Every process puts all names on the same rings, in the ring_order of their digests, and talks to
-    the next one and the one before on each. The union of a few such rings is connected, has a
-    diameter that grows with the logarithm of the fleet, and gives each process the same few
-    neighbours. A route goes on along its ring for when the first instance cannot be reached.
+    Every process sorts all names by digest on the same hash rings, and its neighbours are its
+    successor and predecessor on each. The union of a few such rings is connected, has a diameter
+    that grows with the logarithm of the fleet, and gives each process a constant number of
+    neighbours. Each entry lists further instances along the ring, to use if the first is
+    unreachable.
     """
     known = tuple(peer for peer in peers if peer.name != name)
     neighbours: list[RingNeighbours] = []
@@ -28,11 +29,11 @@
 
 
 def list_watchers(members: Iterable[Instance], region: str, rotation: int) -> frozenset[str]:
-    """Return the names of those that watch the platform for a region in one rotation.
+    """Return the names of the instances that watch the platform for a region in one rotation.
 
-    The first by rank of each data centre of the region, filled up to a few by rank. Each change
-    costs a watcher the whole document, so ranks differ from rotation to rotation and all take their
-    share.
+    These are the first by rank of each data centre of the region, filled up by rank to
+    WATCHERS_PER_REGION. A watcher downloads the whole document on each change, so ranks differ
+    between rotations to distribute that load.
     """
     ranked = sorted(
         (member for member in members if member.region == region),
--- a/gypsumrouter/configuration/order_checks.py
+++ b/gypsumrouter/configuration/order_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the orders of a pool against the pool itself."""
+"""Validation of the orders of a pool against its models."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def check_orders(path: str, pool: Pool) -> Iterator[FieldError]:
-    """Return what is wrong with a pool's orders; `path` is theirs."""
+    """Yield the errors in the orders of a pool; `path` is the path of the orders."""
     orders = pool.orders
     if orders is None:
         return
--- a/gypsumrouter/configuration/outcomes.py
+++ b/gypsumrouter/configuration/outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of a configuration document that is offered to a store."""
+"""Outcomes of offering a configuration document to the store."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class Accepted(Struct, frozen=True, kw_only=True):
-    """The version is in force; `changed` is False where it was before."""
+    """The version is in force; `changed` is False if it already was."""
 
     version: int
     changed: bool
 
 
 class Rejected(Struct, frozen=True, kw_only=True):
-    """The document is wrong, and what was in force stays; `version` is None if unreadable."""
+    """The document is invalid and was not put in force; `version` is None if unreadable."""
 
     version: int | None
     errors: tuple[FieldError, ...]
 
 
 class Stale(Struct, frozen=True, kw_only=True):
-    """The document is older than what is in force."""
+    """The document has a lower version than the one in force."""
 
     version: int
     in_force: int
--- a/gypsumrouter/configuration/parts.py
+++ b/gypsumrouter/configuration/parts.py
@@ -1,8 +1,8 @@
-"""A configuration cut into parts by its content, so that a change moves only what changed.
+"""Content-addressed parts of a configuration, so that a change transfers only changed parts.
 
-Each part is a canonical JSON object with one section, or a piece of one, and is named by the
-XXH3-64 digest of it. Workspaces are put into buckets by the digest of their names, so a changed
-workspace changes one part. The manifest is the list of the parts' digests in order.
+Each part is a canonical JSON object with one section or a piece of one, and is identified by its
+XXH3-64 digest. Workspaces are assigned to buckets by the digest of their names, so a changed
+workspace changes one part. The manifest is the ordered list of the digests of the parts.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class Part(Struct, frozen=True, kw_only=True):
-    """One part: its compressed body, and the checked elements that it holds."""
+    """One part: its compressed body and its validated elements."""
 
     section: str
     body: bytes
@@ -47,7 +47,7 @@
 
 
 class PartSet(Struct, frozen=True, kw_only=True):
-    """All parts of one version; `digest` names the version together with its content."""
+    """All parts of one version; `digest` identifies the version and its content."""
 
     version: int
     digest: int
@@ -59,9 +59,9 @@
 
 
 def split_into_parts(document: CheckedDocument, known: PartSet = EMPTY_PARTS) -> Sliced[PartSet]:
-    """Return the parts of a checked document, in slices of bounded work.
+    """Return the parts of a validated document, in slices of bounded work.
 
-    Those that `known` holds already are taken from there.
+    Parts that `known` already contains are reused.
     """
     manifest: list[int] = []
     parts: dict[int, Part] = {}
@@ -87,7 +87,7 @@
 
 
 def digest_manifest(version: int, manifest: Iterable[int]) -> int:
-    """Return the digest that names a version together with its content."""
+    """Return the digest that identifies a version and its content."""
     numbers = (version, *manifest)
     return xxhash.xxh3_64_intdigest(
         b"".join(number.to_bytes(_NUMBER_BYTES, "big") for number in numbers)
@@ -95,12 +95,12 @@
 
 
 def matches_manifest_digest(version: int, manifest: tuple[int, ...], digest: int) -> bool:
-    """Return whether a manifest is the one that `digest` names."""
+    """Return whether a manifest has the given digest and does not exceed the size limit."""
     return len(manifest) <= MAX_MANIFEST_ENTRIES and digest_manifest(version, manifest) == digest
 
 
 def unpack_part(body: bytes) -> tuple[int, bytes] | None:
-    """Return the digest and the content of a compressed part, or None if it is damaged."""
+    """Return the digest and the content of a compressed part, or None if it is corrupt."""
     try:
         reader = zlib.decompressobj()
         content = reader.decompress(body, MAX_CANONICAL_BYTES)
@@ -114,7 +114,7 @@
 def join_parts(
     version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes]
 ) -> Sliced[bytes | None]:
-    """Return the canonical document that the parts make up, or None if a part is damaged."""
+    """Return the canonical document joined from the parts, or None if a part is corrupt."""
     pieces: dict[str, list[bytes]] = {}
     for count, digest in enumerate(manifest, start=1):
         unpacked = unpack_part(bodies[digest])
--- a/gypsumrouter/configuration/paths.py
+++ b/gypsumrouter/configuration/paths.py
@@ -1,4 +1,4 @@
-"""Paths of calls in one normal form, so that spelling does not hide what a call reaches."""
+"""Normalisation of call paths, so that different spellings of a path match the same rules."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def normalise_path(path: str) -> str:
     """Return the path decoded, with dot segments resolved, and in lower case.
 
-    Query and fragment are left away, and so are empty segments.
+    The query, the fragment and empty segments are removed.
     """
     if _PLAIN.fullmatch(path) is not None:
         return path
@@ -23,7 +23,7 @@
 
 
 def collapse_path(path: str) -> str:
-    """Return the path decoded, without empty segments and in lower case; dots stay."""
+    """Return the path decoded, without empty segments and in lower case; dot segments are kept."""
     path_only = path.partition("?")[0].partition("#")[0]
     decoded = unquote(path_only).replace("\\", "/")
     collapsed = _SLASHES.sub("/", f"/{decoded}")
@@ -31,10 +31,10 @@
 
 
 def is_ambiguous(path: str) -> bool:
-    """Return whether servers differ in what this path names, once it is decoded.
+    """Return whether servers may resolve the decoded path to different resources.
 
-    That holds for what is still encoded after one decoding, for path parameters, back slashes,
-    control characters and bytes that are no valid UTF-8.
+    This is the case for paths with double encoding, path parameters, backslashes, control
+    characters or bytes that are not valid UTF-8.
     """
     if _PLAIN.fullmatch(path) is not None:
         return False
--- a/gypsumrouter/configuration/reader.py
+++ b/gypsumrouter/configuration/reader.py
@@ -1,4 +1,4 @@
-"""When this process reads or watches the platform's configuration service."""
+"""Scheduling of reads and watches of the platform's configuration service."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 
 class PlatformReader:
-    """Read the platform once at the start, watch it if this is one of the few, else rarely read.
+    """Read the configuration service at the start, then watch it as a watcher or poll it rarely.
 
-    A process that has heard of no other one for long reads more often, since no news can reach
-    it. `failure` is what is wrong with the platform now, if anything is.
+    A process without contact to any other polls more often, since no announcement can reach it.
+    `failure` is the error of the last call, or None if it succeeded.
     """
 
     __slots__ = (
@@ -95,16 +95,16 @@
         self.is_watching = False
 
     def async_start(self) -> None:
-        """Begin to read."""
+        """Start the task that reads the configuration service."""
         self._fleet.on_change(self._invalidate_watchers)
         self._app.async_create_task(self._async_run(), "configuration reader")
 
     def record_contact(self) -> None:
-        """Note that another process has been heard of, which brings news if there are any."""
+        """Record contact with another process, which announces new versions to this one."""
         self._last_contact_ms = self._app.clock.now_ms()
 
     def interrupt(self) -> None:
-        """Give up a call that began before this process was paused, and call anew."""
+        """Cancel a call that began before this process was paused, and start a new one."""
         self._backoff_ms = 0
         self._interrupted.set()
 
@@ -122,7 +122,7 @@
                 await async_wait(self._interrupted, clock=self._app.clock, timeout_ms=TICK_MS)
 
     async def _async_read_at_start(self) -> None:
-        """Read once, at a random time that grows with the fleet, unless a peer was first."""
+        """Read after a random delay that grows with the fleet, unless a peer sends it first."""
         clock = self._app.clock
         ready = self._store.ready
         if self._fleet.list_age_ms() is None:
@@ -145,7 +145,7 @@
             await self._async_back_off()
 
     async def _async_handle_answer(self, answer: SourceAnswer | None) -> bool:
-        """Offer a document to the store; return whether the platform may be called at once."""
+        """Offer a document to the store; return whether to call again without back-off."""
         match answer:
             case None:
                 return True
@@ -176,20 +176,22 @@
 
     def _record_failure(self, message: str) -> None:
         if self.failure is None:
-            _LOGGER.warning("The configuration service is unavailable: %s", message)
+            _LOGGER.warning(
+                "Configuration service is unavailable, retrying with back-off: %s", message
+            )
         self.failure = message
 
     def _record_success(self) -> None:
         self._backoff_ms = 0
         if self.failure is not None:
-            _LOGGER.info("The configuration service is back")
+            _LOGGER.info("Configuration service is available again")
         self.failure = None
 
     def _get_poll_interval_ms(self) -> int:
-        """Return how often to read, which is 0 for one of the few that watch.
+        """Return the poll interval, which is 0 for a watcher.
 
-        Intervals grow with the fleet, so that all processes together stay far below what the
-        platform can take, also when none of them hears of any other.
+        Intervals grow with the fleet to bound the request rate of all processes together, even
+        when all of them are isolated from each other.
         """
         if self._fleet.list_age_ms() is None:
             return ISOLATED_POLL_MS
--- a/gypsumrouter/configuration/references.py
+++ b/gypsumrouter/configuration/references.py
@@ -1,4 +1,4 @@
-"""Checks across the parts of a configuration: names, doubles, pools, shares of meaning."""
+"""Validation across elements: duplicate names, unknown references, pools and caller keys."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def check_references(configuration: Configuration) -> Sliced[list[FieldError]]:
-    """Return every error between the parts of a configuration whose parts are right alone."""
+    """Return all errors between elements that are valid on their own."""
     errors: list[FieldError] = list(_check_version(configuration.version))
     errors += _check_names(SECTION_CLASSES, (c.name for c in configuration.classes))
     errors += _check_names(SECTION_POOLS, (p.name for p in configuration.pools))
--- a/gypsumrouter/configuration/replicator.py
+++ b/gypsumrouter/configuration/replicator.py
@@ -1,4 +1,4 @@
-"""How a new configuration reaches this process and goes on to others."""
+"""Replication of the configuration between processes by gossip and anti-entropy."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 
 
 class ConfigurationReplicator:
-    """Tell neighbours of each new version, fetch what they have, and read the platform.
+    """Announce new versions to neighbours, fetch newer ones from them, and read the platform.
 
-    Every process tells its few neighbours on common rings, and asks one of them now and then
-    which version it has. Only a few processes watch the platform, see `PlatformReader`.
+    Every process announces a new version to its neighbours on common hash rings, and periodically
+    queries one of them for its version. Few processes watch the platform, see `PlatformReader`.
     """
 
     __slots__ = (
@@ -91,7 +91,7 @@
         self._pauses = 0
 
     async def async_start(self) -> None:
-        """Begin to ask peers and the platform; the store's `ready` says when one has answered."""
+        """Start replication; the `ready` event of the store is set with the first configuration."""
         self._notices.subscribe(ConfigurationNews, self._handle_announcement)
         self._notices.subscribe(PartsRequest, self._handle_parts_request)
         self._notices.subscribe(Parts, self._handle_parts)
@@ -127,7 +127,7 @@
             return
         self._conflict_version = announcement.version
         _LOGGER.warning(
-            "Instance %s has another content of configuration %s",
+            "Instance %s has different content for configuration %s; keeping the local content",
             peer.hello.name,
             announcement.version,
         )
@@ -145,7 +145,7 @@
     async def _async_announce_to(
         self, candidates: RingNeighbours, announcement: ConfigurationNews
     ) -> None:
-        """Tell the first instance of a candidates that can be reached and does not know yet."""
+        """Announce a version to the first reachable candidate, unless it already has it."""
         for instance in candidates:
             if self._known_versions.get(instance.name, 0) >= announcement.version:
                 return
@@ -155,7 +155,7 @@
             self._known_versions.pop(instance.name, None)
 
     async def _async_query_until_ready(self) -> None:
-        """Ask neighbours and each time any other instance, since neighbours may know nothing."""
+        """Query all neighbours and one random peer, in case no neighbour has a configuration."""
         while not self._store.ready.is_set():
             await self._async_query_all()
             peers = self._fleet.peers()
@@ -164,14 +164,17 @@
             await self._app.clock.async_sleep(START_QUERY_INTERVAL_MS)
 
     async def _async_run_anti_entropy(self) -> None:
-        """Ask a neighbour now and then, and all of them after this process was paused."""
+        """Query one neighbour periodically, and all of them after this process was paused."""
         while True:
             before_ms = self._app.clock.now_ms()
             await self._app.clock.async_sleep(TICK_MS)
             now_ms = self._app.clock.now_ms()
             if now_ms - before_ms > TICK_MS + PAUSE_THRESHOLD_MS:
                 self._pauses += 1
-                _LOGGER.info("This process stood still for %s ms", now_ms - before_ms - TICK_MS)
+                _LOGGER.info(
+                    "Process was paused for %s ms; querying all neighbours for their versions",
+                    now_ms - before_ms - TICK_MS,
+                )
                 self._reader.interrupt()
                 await self._async_query_all()
             elif now_ms >= self._last_query_ms + ANTI_ENTROPY_MS:
@@ -189,7 +192,7 @@
             await self._async_query(self._rng.choice(neighbours))
 
     async def _async_query(self, candidates: RingNeighbours) -> None:
-        """Ask the first instance of a candidates that can be reached which version it has."""
+        """Query the first reachable candidate for its version."""
         for instance in candidates:
             if await self._pool.async_send(instance=instance, notice=VERSION_QUERY):
                 return
--- a/gypsumrouter/configuration/rule_checks.py
+++ b/gypsumrouter/configuration/rule_checks.py
@@ -1,4 +1,4 @@
-"""Checks of rules: names that exist, conditions that can hold, rules that can be reached."""
+"""Validation of rules: known names, satisfiable conditions, reachable rules."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def check_rules(configuration: Configuration) -> Sliced[list[FieldError]]:
-    """Return every error of the rules, in slices of bounded work."""
+    """Return all errors of the rules, in slices of bounded work."""
     rules = configuration.rules
     if len(rules) > MAX_RULES:
         message = f"{len(rules)} rules are more than the limit of {MAX_RULES}"
@@ -42,7 +42,7 @@
 
 
 def get_rule_kind(then: Then, pools: dict[str, Pool]) -> UpstreamKind | None:
-    """Return the kind of requests that a rule is about, by the pool that it leads to."""
+    """Return the kind of requests that a rule matches, or None if it sets no pool."""
     for name in (then.pool, then.next_pool):
         if name is not None and name in pools:
             return pools[name].kind
@@ -155,7 +155,7 @@
 
 
 def _check_satisfiable(path: str, rule: Rule, definitions: _Definitions) -> Iterator[FieldError]:
-    """Check that the conditions and the pools of one rule can meet."""
+    """Check that the conditions of a rule can match, and that its pools serve its models."""
     if not _normalise(rule, definitions).kinds:
         message = "a request has a model or a service, so nothing can match"
         yield FieldError(path=f"{path}.when", message=message)
--- a/gypsumrouter/configuration/scanner.py
+++ b/gypsumrouter/configuration/scanner.py
@@ -1,4 +1,4 @@
-"""The top level of a JSON document, read element by element instead of all at once."""
+"""Incremental parser for the top level of a JSON document."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class Member(Struct, frozen=True, kw_only=True):
-    """A field of the document that is not the array of a section."""
+    """A top-level field that is not the array of a section."""
 
     name: str
     value: object
 
 
 def scan_document(document: bytes) -> Iterator[Element | Member]:
-    """Yield every field and every element of a section in the order of the document.
+    """Yield all top-level fields and section elements in document order.
 
-    Raises DocumentInvalid where the document is not one JSON object, and for a field that is
-    given twice in one object, since readers differ in which of the two they take.
+    Raises DocumentInvalid if the document is not a single JSON object, or if an object has a
+    duplicate field, since parsers differ in which of the two values they use.
     """
     return _Scanner(text=_decode(document)).scan()
 
--- a/gypsumrouter/configuration/schema.py
+++ b/gypsumrouter/configuration/schema.py
@@ -1,4 +1,4 @@
-"""The published JSON schema of the configuration document."""
+"""JSON schema of the configuration document."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def build_schema() -> str:
-    """Return the schema as text; the committed file has to be equal to it."""
+    """Return the schema as JSON; the committed schema file must be equal to it."""
     schema = {
         "$schema": _DIALECT,
         **msgspec.json.schema(Configuration),
--- a/gypsumrouter/configuration/slices.py
+++ b/gypsumrouter/configuration/slices.py
@@ -1,4 +1,4 @@
-"""Long work cut into slices, so that it never holds the event loop for long."""
+"""Long computations split into slices, so that they do not block the event loop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_sliced(work: Sliced[_T]) -> _T:
-    """Run the work to its end at once, for commands and tests."""
+    """Run the work to completion without yielding, for commands and tests."""
     while True:
         try:
             next(work)
@@ -22,7 +22,7 @@
 
 
 async def async_run_sliced(work: Sliced[_T]) -> _T:
-    """Run the work and give way to the event loop after each slice."""
+    """Run the work, yielding to the event loop after each slice."""
     while True:
         try:
             next(work)
--- a/gypsumrouter/configuration/source.py
+++ b/gypsumrouter/configuration/source.py
@@ -1,4 +1,4 @@
-"""The platform's configuration service, read and watched over HTTP."""
+"""HTTP client of the platform's configuration service."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 class Document(Struct, frozen=True, kw_only=True):
-    """A document as the service gave it; `version` is the one in the answer's head."""
+    """A document from the service; `version` is taken from the response header."""
 
     body: bytes
     version: int | None
 
 
 class Unchanged(Struct, frozen=True, kw_only=True):
-    """There is no version above the one that was asked for."""
+    """There is no version above the requested one."""
 
 
 class Unavailable(Struct, frozen=True, kw_only=True):
-    """The service gave no usable answer."""
+    """The service did not return a usable response."""
 
     message: str
 
@@ -48,17 +48,17 @@
 
 
 class ConfigurationSource(Protocol):
-    """Where the platform publishes the configuration."""
+    """A service that publishes the configuration."""
 
     async def async_read(self) -> SourceAnswer:
-        """Return the newest document of one replica."""
+        """Return the newest document of one replica of the service."""
 
     async def async_watch(self, *, after: int, timeout_ms: int) -> SourceAnswer:
-        """Return a document with a version above `after`, waiting up to `timeout_ms`."""
+        """Return a document with a version above `after`; wait up to `timeout_ms` for one."""
 
 
 class HttpConfigurationSource:
-    """Read the service at several origins in turn, another one with each call."""
+    """Call the service at several origins, round robin."""
 
     __slots__ = ("_app", "_next_origin", "_origins", "_session", "calls")
 
@@ -74,7 +74,7 @@
         )
 
     async def async_read(self) -> SourceAnswer:
-        """Return the newest document of the first origin that answers."""
+        """Return the newest document of the first origin that returns one."""
         answer: SourceAnswer = Unavailable(message="no origin is set")
         for _ in self._origins:
             answer = await self._async_get({}, READ_MS)
@@ -83,7 +83,7 @@
         return answer
 
     async def async_watch(self, *, after: int, timeout_ms: int) -> SourceAnswer:
-        """Return a document above `after` from the next origin, waiting up to `timeout_ms`."""
+        """Return a document above `after` from the next origin; wait up to `timeout_ms` for one."""
         query = {"watch": str(after), "timeout_ms": str(timeout_ms)}
         return await self._async_get(query, timeout_ms + WATCH_GRACE_MS)
 
@@ -99,7 +99,7 @@
             ) as response:
                 return await _async_parse_response(response)
         except (aiohttp.ClientError, TimeoutError, OSError, RuntimeError) as error:
-            # The loop's library raises RuntimeError for a descriptor that is still in its hands.
+            # The event loop raises RuntimeError for a file descriptor that it still uses.
             return Unavailable(message=f"{origin}: {type(error).__name__}")
 
     def _get_session(self) -> aiohttp.ClientSession:
@@ -122,7 +122,7 @@
     async for chunk in response.content.iter_any():
         body += chunk
         if len(body) > MAX_DOCUMENT_BYTES:
-            # One byte too many is enough for the check to say that the document is too large.
+            # Keep one byte above the limit, so that validation reports the document as too large.
             del body[MAX_DOCUMENT_BYTES + 1 :]
             break
         await asyncio.sleep(0)
--- a/gypsumrouter/configuration/store.py
+++ b/gypsumrouter/configuration/store.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force in this process; its version never goes down."""
+"""Store of the configuration in force; its version never decreases."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Rejection(Struct, frozen=True, kw_only=True):
-    """A version that was offered and rejected; `errors` are the first of `error_count`."""
+    """A rejected version; `errors` holds the first of its `error_count` errors."""
 
     version: int | None
     at_ms: int
@@ -44,9 +44,9 @@
 
 
 class ConfigurationStore:
-    """Hold the accepted configuration with the highest version that this process has seen.
+    """Hold the valid configuration with the highest version that was offered.
 
-    `ready` is set with the first one. `parts` is what other processes may ask for.
+    `ready` is set with the first configuration. `parts` is sent to other processes on request.
     """
 
     __slots__ = (
@@ -79,7 +79,7 @@
         )
 
     def on_change(self, listener: Listener) -> Remove:
-        """Register what is called with each configuration that comes into force."""
+        """Register a listener that is called with each configuration that comes into force."""
         self._listeners.append(listener)
 
         def remove() -> None:
@@ -89,9 +89,9 @@
         return remove
 
     async def async_offer(self, document: bytes) -> OfferOutcome:
-        """Check a document and put it in force if it is right and newer.
+        """Validate a document and put it in force if it is valid and newer.
 
-        The work gives way to the event loop, and offers are taken one after another.
+        Validation yields to the event loop, and concurrent offers are processed in order.
         """
         async with self._lock:
             return await self._async_check_and_activate(document, MAX_DOCUMENT_BYTES)
@@ -99,10 +99,10 @@
     async def async_offer_parts(
         self, *, version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes]
     ) -> OfferOutcome | None:
-        """Offer a version in parts, all of which are in `bodies` or in force now.
+        """Offer a version in parts, all of which are in `bodies` or in force.
 
-        Only what is not known yet is read. The outcome is the same as for the whole document;
-        it is None where parts are missing or damaged.
+        Only parts that are not in force are parsed. The outcome is the same as for the whole
+        document, or None if parts are missing or corrupt.
         """
         async with self._lock:
             if version < self.current.version:
@@ -131,7 +131,7 @@
         except ConfigurationInvalid as error:
             return self._reject(claimed, error.errors)
         parts = await async_run_sliced(split_into_parts(checked, self.parts))
-        # What did not change is shared with what is in force now, which saves its memory.
+        # Unchanged elements are shared with the configuration in force, to save memory.
         shared = await async_run_sliced(build_from_parts(parts))
         return self._activate_if_newer(shared or checked.configuration, parts)
 
@@ -163,13 +163,16 @@
             try:
                 listener(configuration)
             except Exception:
-                _LOGGER.exception("A listener failed on configuration %s", configuration.version)
+                _LOGGER.exception(
+                    "Listener failed on configuration %s; calling the remaining listeners",
+                    configuration.version,
+                )
 
     def _reject(self, version: int | None, errors: tuple[FieldError, ...]) -> Rejected:
         known = self.rejection
         if known is None or known.version != version or known.error_count != len(errors):
             _LOGGER.warning(
-                "Configuration %s is rejected, %s stays in force: %s",
+                "Configuration %s was rejected, %s stays in force: %s",
                 version,
                 self.current.version,
                 "; ".join(str(error) for error in errors[:MAX_RECORDED_ERRORS]),
--- a/gypsumrouter/configuration/waiting.py
+++ b/gypsumrouter/configuration/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting that ends with an event, with the clock, or with a result, whichever comes first."""
+"""Waiting for an event with a timeout, and work that is cancelled by an event."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def async_wait(event: asyncio.Event, *, clock: Clock, timeout_ms: int) -> bool:
-    """Wait for the event up to `timeout_ms`; return whether it came."""
+    """Wait for the event up to `timeout_ms`; return whether it is set."""
     if event.is_set():
         return True
     await async_run_until_set(event, clock.async_sleep(timeout_ms))
@@ -20,7 +20,7 @@
 
 
 async def async_run_until_set(event: asyncio.Event, work: Coroutine[Any, Any, _T]) -> _T | None:
-    """Return the result of the work, or None if the event comes first; the work is cancelled."""
+    """Return the result of the work, or cancel it and return None if the event is set first."""
     running = asyncio.ensure_future(work)
     waiting = asyncio.ensure_future(event.wait())
     try:
