--- a/gypsumrouter/fleet/__init__.py
+++ b/gypsumrouter/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: the platform's list, the health of links and the instances' own word combined."""
+"""Fleet membership from the platform's instance list, link health and announcements of leaving."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/fleet/const.py
+++ b/gypsumrouter/fleet/const.py
@@ -10,31 +10,35 @@
 PARAM_TIMEOUT: Final = "timeout_ms"
 
 LONG_POLL_MS: Final = 5_000
-READS_PER_LEASE: Final = 3  # fresh reads that fit into one list lease
+# Long polls are short enough for this many reads within one list lease.
+READS_PER_LEASE: Final = 3
 RESPONSE_MARGIN_MS: Final = 2_000
 MAX_LIST_BYTES: Final = 4 * 1024 * 1024
 
-MEMBERS_CACHE_MS: Final = 250  # how long an answer of `members` may be older than a hold's end
+# How long a result of `members` is cached; expired retry and retention times take effect after it.
+MEMBERS_CACHE_MS: Final = 250
 
-# An instance that is missing from the list stays a member while links still reach it.
+# An instance that is missing from the list stays a member for this time if links still reach it.
 RECENT_CONTACT_MS: Final = 5_000
 ABSENT_RETENTION_MS: Final = 5_000
 
-# A list that loses this share of a group at once is confirmed by more reads and by the links.
+# A list that lacks this share of a group at once is applied only after confirmation by further
+# reads and by the links.
 SHRINK_SHARE: Final = 0.4
 SHRINK_COUNT: Final = 2
 SHRINK_CONFIRM_READS: Final = 3
 SHRINK_CONFIRM_MS: Final = 5_000
 SHRINK_RETENTION_MS: Final = 60_000
 
-# An unreachable instance is tried again after a hold that doubles with each failure.
+# An unreachable instance is retried after a delay that doubles with each failure.
 UNREACHABLE_RETRY_MS: Final = 1_000
 UNREACHABLE_RETRY_MAX_MS: Final = 30_000
 
-# A leaving instance is tried again after this, in case that it was restarted in place unseen.
+# An announcement of leaving expires after this, in case the instance restarted unnoticed.
 LEAVING_TIMEOUT_MS: Final = 30_000
 
-# Damping: each loss of a reachable instance adds a penalty, which halves with each half-life.
+# Flap damping: each loss of a reachable instance adds a penalty with exponential decay. An instance
+# is suppressed at the first threshold until its penalty falls below the second one.
 FLAP_PENALTY: Final = 1_000.0
 FLAP_SUPPRESS_THRESHOLD: Final = 2_500.0
 FLAP_REUSE_THRESHOLD: Final = 1_000.0
--- a/gypsumrouter/fleet/diagnostics.py
+++ b/gypsumrouter/fleet/diagnostics.py
@@ -1,4 +1,4 @@
-"""What membership adds to the state dump and to the metrics."""
+"""State dump and metrics of the membership."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def count_by_status(view: MembershipView, health: HealthTracker) -> dict[Labels, float]:
-    """Return the number of instances for each status."""
+    """Return the number of instances for each health status."""
     counts: dict[Labels, float] = {_label(status): 0.0 for status in HealthStatus}
     for instance in view.list_all():
         counts[_label(health.get_status(instance))] += 1
--- a/gypsumrouter/fleet/document.py
+++ b/gypsumrouter/fleet/document.py
@@ -1,4 +1,4 @@
-"""The instance list as the platform writes it, checked into our values."""
+"""Parsing and validation of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _Entry(Struct, frozen=True, kw_only=True):
-    """One instance of the document; fields that we do not know are the platform's own affair."""
+    """One instance of the document; unknown fields are ignored."""
 
     name: Annotated[str, Meta(min_length=1, max_length=63)]
     role: Role
@@ -33,7 +33,7 @@
 
 
 class _Document(Struct, frozen=True, kw_only=True):
-    """One state of the list."""
+    """The instance list at one revision."""
 
     revision: Annotated[int, Meta(ge=0)]
     as_of_ms: Annotated[int, Meta(ge=0)]
@@ -41,7 +41,7 @@
 
 
 def check_instance_list(document: bytes) -> InstanceList:
-    """Return the list, sorted by name; raises DocumentInvalid."""
+    """Return the validated list, sorted by name; raises DocumentInvalid."""
     checked = check_json(kind=_Document, document=document, strict=False)
     instances = tuple(sorted(map(_to_instance, checked.instances), key=lambda item: item.name))
     _check_names(instances)
@@ -63,4 +63,6 @@
 
 def _check_names(instances: tuple[Instance, ...]) -> None:
     if len({instance.name for instance in instances}) < len(instances):
-        raise DocumentInvalid((FieldError(path="$.instances", message="a name stands twice"),))
+        raise DocumentInvalid(
+            (FieldError(path="$.instances", message="instance names must be unique"),)
+        )
--- a/gypsumrouter/fleet/fleet.py
+++ b/gypsumrouter/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""Membership of the fleet: what to use now, and what the platform's list says."""
+"""Fleet membership: usable instances, and updates of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 
 class Fleet:
-    """What this process knows of the other instances.
+    """Membership of the fleet as seen by this process.
 
-    Lists are taken in the order of `revision`, and never with an older `as_of_ms`. `members` is
-    the softened view; `on_list` and `on_confirmed` tell what the list itself says.
+    A list with a lower `revision` or an older `as_of_ms` than the accepted one is ignored.
+    `members` returns the view adjusted by health and by retention of missing instances;
+    `on_list` and `on_confirmed` report the list itself.
     """
 
     __slots__ = (
@@ -78,15 +79,12 @@
         )
 
     async def async_start(self) -> None:
-        """Begin to follow the list."""
+        """Start polling the instance list."""
         self._app.add_dump_section(DUMP_SECTION, self._dump)
         self._app.async_create_task(self._async_poll(), "fleet list")
 
     def members(self, pool: str) -> tuple[Instance, ...]:
-        """Return the instances of a pool to use now, sorted by name.
-
-        Where none is good, these are the least bad ones.
-        """
+        """Return the instances of a pool that have the best health status, sorted by name."""
         now_ms = self._app.clock.now_ms()
         if now_ms >= self._members_until_ms:
             self._refresh(now_ms)
@@ -96,7 +94,7 @@
         return found
 
     def peers(self) -> tuple[Instance, ...]:
-        """Return every other instance, of any role and status."""
+        """Return all other instances, of any role and health status."""
         return tuple(item for item in self._view.list_all() if item.name != self._app.name)
 
     def get(self, name: str) -> Instance | None:
@@ -104,13 +102,13 @@
         return self._view.get(name)
 
     def list_age_ms(self) -> int | None:
-        """Return how old the newest state of the list is, by the wall clock."""
+        """Return the age of the accepted list by the wall clock, or None without a list."""
         if self._list is None:
             return None
         return max(0, self._app.clock.wall_ms() - self._list.as_of_ms)
 
     def record_contact(self, name: str, reachable: bool) -> None:
-        """Take in one success or failure of a link to an instance."""
+        """Record a success or failure of a link to an instance."""
         health = self._health.get_or_create(name)
         now_ms = self._app.clock.now_ms()
         same = health.reachable is reachable
@@ -119,33 +117,33 @@
             self._refresh(now_ms)
 
     def record_incarnation(self, name: str, incarnation: int) -> None:
-        """Take in which process stands behind a name; a new one is not leaving."""
+        """Record the incarnation of an instance; a new incarnation is not leaving."""
         health = self._health.get_or_create(name)
         if health.incarnation != incarnation:
             health.record_incarnation(incarnation)
             self._refresh(self._app.clock.now_ms())
 
     def record_leaving(self, name: str, incarnation: int) -> None:
-        """Take in an instance's own word that it is leaving."""
+        """Record the announcement of an instance that it is leaving."""
         now_ms = self._app.clock.now_ms()
         self._health.get_or_create(name).record_leaving(incarnation, now_ms)
         self._refresh(now_ms)
 
     def on_change(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for changes of the view or of an instance's status."""
+        """Register a listener for changes of the view or of the health status of an instance."""
         return _register(self._change_listeners, listener)
 
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
-        """Register a listener for every list that is accepted, in their order.
+        """Register a listener for every accepted list, in order.
 
-        The newest one is told at once where there is one.
+        It is called immediately with the current list, if there is one.
         """
         if self._list is not None:
             listener(self._list)
         return _register(self._list_listeners, listener)
 
     def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
-        """Register a listener for the wall time by which the accepted list was still unchanged."""
+        """Register a listener for the wall time up to which the accepted list is confirmed."""
         return _register(self._confirmed_listeners, listener)
 
     async def _async_poll(self) -> None:
@@ -209,7 +207,7 @@
             listener(as_of_ms)
 
     def _remove_replaced(self, result: InstanceList) -> None:
-        """Drop the health of names that now stand at another address."""
+        """Remove the health of instances whose name now has another address."""
         for instance in result.instances:
             previous = self._view.get(instance.name)
             if previous is not None and previous.address != instance.address:
@@ -218,9 +216,11 @@
     def _record_read(self, result: str, *, usable: bool) -> None:
         self._reads.inc(labels=((LABEL_RESULT, result),))
         if not usable and not self._list_unavailable:
-            _LOGGER.warning("The instance list gives no new state (%s), the view is kept", result)
+            _LOGGER.warning(
+                "Instance list read returned no usable state (%s); keeping the current view", result
+            )
         if usable and self._list_unavailable:
-            _LOGGER.info("The instance list is back")
+            _LOGGER.info("Instance list read returned a usable state again")
         self._list_unavailable = not usable
 
     def _choose_members(self, pool: str) -> tuple[Instance, ...]:
@@ -229,7 +229,7 @@
         return tuple(item for status, item in ranked if status is best)
 
     def _refresh(self, now_ms: int) -> None:
-        """Work the view out again, and tell the listeners if it has changed."""
+        """Recompute the view, and notify the listeners if it changed."""
         self._view.prune(now_ms)
         self._members_until_ms = now_ms + MEMBERS_CACHE_MS
         statuses = [(item, self._health.get_status(item)) for item in self._view.list_all()]
--- a/gypsumrouter/fleet/health.py
+++ b/gypsumrouter/fleet/health.py
@@ -1,4 +1,4 @@
-"""What is known of each instance besides the list: contact over links, flaps, its own word."""
+"""Health of each instance: link contact, flap damping and announcements of leaving."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class HealthStatus(IntEnum):
-    """How usable an instance is; the lower, the better."""
+    """Health status of an instance; a lower value is preferred."""
 
     USABLE = 0
     DAMPED = 1
@@ -34,7 +34,10 @@
 
 
 class InstanceHealth(Struct, kw_only=True):
-    """The health of one instance; times are monotonic."""
+    """Health of one instance; times are monotonic.
+
+    `reachable` is None before the first contact.
+    """
 
     reachable: bool | None = None
     last_contact_ms: int = 0
@@ -49,7 +52,7 @@
     leaving_until_ms: int = 0
 
     def record_contact(self, reachable: bool, now_ms: int) -> None:
-        """Take in one success or failure of a link."""
+        """Record a success or failure of a link."""
         if reachable:
             self.reachable = True
             self.failures = 0
@@ -58,7 +61,7 @@
         self.last_contact_ms = now_ms
 
     def record_incarnation(self, incarnation: int) -> None:
-        """Forget what an earlier process of this name said of itself."""
+        """Record the incarnation; a new one discards the leaving state of the earlier process."""
         if incarnation in (self.incarnation, self.replaced_incarnation):
             return
         self.replaced_incarnation = self.incarnation
@@ -66,7 +69,7 @@
         self.leaving = False
 
     def record_leaving(self, incarnation: int, now_ms: int) -> None:
-        """Take in the instance's own word that it is leaving, unless it has been replaced."""
+        """Record the announcement of leaving, unless a newer incarnation replaced the sender."""
         self.record_incarnation(incarnation)
         if incarnation != self.incarnation:
             return
@@ -74,7 +77,7 @@
         self.leaving_until_ms = now_ms + LEAVING_TIMEOUT_MS
 
     def get_status(self, now_ms: int) -> HealthStatus:
-        """Return how usable the instance is now."""
+        """Return the current health status."""
         if self.leaving and now_ms < self.leaving_until_ms:
             return HealthStatus.LEAVING
         if self.reachable is False and now_ms < self.retry_at_ms:
@@ -84,15 +87,15 @@
         return HealthStatus.USABLE
 
     def had_recent_contact(self, now_ms: int) -> bool:
-        """Return whether a link reached the instance a moment ago."""
+        """Return whether the last contact was a success within RECENT_CONTACT_MS."""
         return self.reachable is True and now_ms - self.last_contact_ms <= RECENT_CONTACT_MS
 
     def get_penalty(self, now_ms: int) -> float:
-        """Return the penalty for flapping, decayed until now."""
+        """Return the flap penalty, decayed until now."""
         return float(self.penalty * 0.5 ** ((now_ms - self.penalty_updated_ms) / FLAP_HALF_LIFE_MS))
 
     def is_idle(self, now_ms: int) -> bool:
-        """Return whether there is nothing leaving to remember."""
+        """Return whether the record no longer affects the health status."""
         inactive = now_ms - self.last_contact_ms > UNREACHABLE_RETRY_MAX_MS
         leaving = self.leaving and now_ms < self.leaving_until_ms
         return inactive and not leaving and self.get_penalty(now_ms) < FLAP_PENALTY_MIN
@@ -113,7 +116,7 @@
 
 
 class HealthTracker:
-    """The health of every instance, by name."""
+    """Health of all instances, by name."""
 
     __slots__ = ("_clock", "_entries")
 
@@ -122,33 +125,33 @@
         self._entries: dict[str, InstanceHealth] = {}
 
     def get(self, name: str) -> InstanceHealth:
-        """Return the health of an instance, empty where there is none yet."""
+        """Return the health of an instance, or an empty record if there is none."""
         return self._entries.get(name) or InstanceHealth()
 
     def get_or_create(self, name: str) -> InstanceHealth:
-        """Return the health of an instance for a change."""
+        """Return the health of an instance for an update; create it if needed."""
         return self._entries.setdefault(name, InstanceHealth())
 
     def remove(self, name: str) -> None:
-        """Drop the health of an instance that another one has replaced."""
+        """Remove the health of an instance."""
         self._entries.pop(name, None)
 
     def remove_idle(self, keep: Iterable[str]) -> None:
-        """Drop what is idle, but for the instances that are `kept`."""
+        """Remove idle records, except those of the instances in `keep`."""
         now_ms = self._clock.now_ms()
         for name in set(self._entries).difference(keep):
             if self._entries[name].is_idle(now_ms):
                 del self._entries[name]
 
     def get_reachability(self, name: str) -> bool | None:
-        """Return whether links reached an instance a moment ago, failed to, or say nothing."""
+        """Return True after a recent contact, False if the last one failed, else None."""
         health = self.get(name)
         if health.had_recent_contact(self._clock.now_ms()):
             return True
         return False if health.reachable is False else None
 
     def get_status(self, instance: Instance) -> HealthStatus:
-        """Return how usable an instance is now, by the list's word and its health."""
+        """Return the current health status of an instance; leaving in the list has priority."""
         if instance.state is InstanceState.LEAVING:
             return HealthStatus.LEAVING
         health = self._entries.get(instance.name)
--- a/gypsumrouter/fleet/source.py
+++ b/gypsumrouter/fleet/source.py
@@ -1,4 +1,4 @@
-"""Where the instance list comes from: long polls over HTTP, with the origins tried in turn."""
+"""HTTP client of the instance list: long polls with failover between origins."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 
 
 class Unchanged(Struct, frozen=True, kw_only=True):
-    """Nothing had followed the revision that was asked about by the wall time `as_of_ms`."""
+    """The requested revision was still the newest at the wall time `as_of_ms`."""
 
     as_of_ms: int
 
 
 class InstanceListSource(Protocol):
-    """Anything that publishes the instance list."""
+    """A service that publishes the instance list."""
 
     async def async_fetch(self, *, after_revision: int | None) -> InstanceList | Unchanged | None:
-        """Return the state after `after_revision`, or the newest one when that is None.
+        """Return the list after `after_revision`, or the newest one if that is None.
 
-        None means that there was no usable answer.
+        Returns None if there was no usable response.
         """
 
 
 class HttpInstanceListSource:
-    """The platform's list over HTTP.
+    """Client of the platform's instance list.
 
-    An origin is kept until it fails, or answers with an older state than one seen before.
+    It uses one origin until that fails or returns an older state than an earlier response.
     """
 
     __slots__ = ("_app", "_current_origin", "_newest_as_of_ms", "_origins", "_poll_ms", "_session")
@@ -66,7 +66,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def async_fetch(self, *, after_revision: int | None) -> InstanceList | Unchanged | None:
-        """Return the next usable answer, or None when no origin gave one."""
+        """Return the first usable response, or None if no origin returned one."""
         for _ in self._origins:
             result = await self._async_fetch_from(
                 self._origins[self._current_origin], after_revision
@@ -87,10 +87,10 @@
             async with self._get_session().get(origin + PATH_INSTANCES, params=params) as response:
                 return await _async_parse_response(response)
         except (aiohttp.ClientError, TimeoutError, OSError, RuntimeError, ValueError) as error:
-            # The loop's library raises RuntimeError for a descriptor that is still in its hands.
-            _LOGGER.debug("Instance list at %s failed: %s", origin, error)
+            # The event loop raises RuntimeError for a file descriptor that it still uses.
+            _LOGGER.debug("Reading the instance list from %s failed: %s", origin, error)
         except DocumentInvalid as error:
-            _LOGGER.debug("Instance list at %s is malformed: %s", origin, error)
+            _LOGGER.debug("Instance list from %s is invalid: %s", origin, error)
         return None
 
     def _get_session(self) -> aiohttp.ClientSession:
@@ -120,4 +120,4 @@
         await content.readexactly(MAX_LIST_BYTES)
     except asyncio.IncompleteReadError as error:
         return error.partial
-    raise ValueError("the instance list is too large")
+    raise ValueError(f"instance list exceeds the limit of {MAX_LIST_BYTES} bytes")
--- a/gypsumrouter/fleet/view.py
+++ b/gypsumrouter/fleet/view.py
@@ -1,4 +1,4 @@
-"""The instances that this process believes in: the list, softened where it shrinks."""
+"""Membership view: the listed instances, with delayed removal of missing ones."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 class AbsentInstance(Struct, kw_only=True):
-    """An instance that the newest list lacks; `bulk` marks one of many that went together."""
+    """An instance missing from the newest list; `bulk` if many of its group went missing at once.
+
+    `reads` counts the reads that returned the list without it.
+    """
 
     instance: Instance
     since_ms: int
@@ -32,15 +35,15 @@
 
 
 def get_group(instance: Instance) -> Group:
-    """Return what an instance can be replaced by: its role and pool."""
+    """Return the group of interchangeable instances: role and pool."""
     return (instance.role, instance.pool)
 
 
 class MembershipView:
-    """The listed instances, and the absent ones that are held for a bounded time.
+    """The listed instances, and absent ones that are kept for a bounded time.
 
-    `reachable` tells whether links reachable an instance a moment ago (True), failed to (False), or
-    say nothing (None). The last instances of a group are held until links fail to reach them.
+    `reachability` returns True if a link reached an instance recently, False if links failed to
+    reach it, and None without contact. The last instances of a group are kept until links fail.
     """
 
     __slots__ = ("_absent", "_listed", "_reachability", "_sorted")
@@ -53,7 +56,7 @@
 
     @property
     def absent(self) -> tuple[AbsentInstance, ...]:
-        """Return what is held although the list lacks it."""
+        """Return the instances that are kept although the list lacks them."""
         return tuple(self._absent.values())
 
     def get(self, name: str) -> Instance | None:
@@ -73,7 +76,7 @@
         return self._sorted
 
     def replace(self, instances: Iterable[Instance], now_ms: int) -> None:
-        """Take in a newer list."""
+        """Apply a newer list."""
         listed = {instance.name: instance for instance in instances}
         lost = [item for name, item in self._listed.items() if name not in listed]
         bulk_groups = self._find_bulk_groups(lost)
@@ -89,13 +92,13 @@
         self.prune(now_ms)
 
     def record_read(self, now_ms: int) -> bool:
-        """Count a fresh read that confirms the newest list; returns whether the view changed."""
+        """Count a read that confirms the newest list; return whether the view changed."""
         for absence in self._absent.values():
             absence.reads += 1
         return self.prune(now_ms)
 
     def prune(self, now_ms: int) -> bool:
-        """Drop the absent instances whose time is expired; returns whether there were any."""
+        """Remove absent instances whose retention has expired; return whether there were any."""
         if not self._absent:
             return False
         listed_groups = {get_group(instance) for instance in self._listed.values()}
