--- a/tests/configuration/configuration_fakes.py
+++ b/tests/configuration/configuration_fakes.py
@@ -1,4 +1,4 @@
-"""A small fleet in one loop: links, membership and the platform as fakes, clocks by hand."""
+"""A fleet in one event loop with fake links, membership and platform, and manual clocks."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from gypsumrouter.settings import Platform
 from gypsumrouter.util.clock import ManualClock
 
-TURNS = 40
+LOOP_ITERATIONS = 40
 STEP_MS = 250
 WALL_MS = 1_700_000_000_000
 
 
 def make_document(version: int, *, workspaces: int = 3, **changes: Any) -> dict[str, Any]:
-    """Return a right document; `changes` replace its fields."""
+    """Return a valid document; `changes` replace its fields."""
     document: dict[str, Any] = {
         "version": version,
         "workspaces": [
@@ -57,7 +57,7 @@
 
 
 class FakePlatform:
-    """A configuration service that may be down, and of which some processes read old replicas."""
+    """A configuration service that can be down or return stale versions to some processes."""
 
     def __init__(self) -> None:
         self.documents: dict[int, bytes] = {}
@@ -81,7 +81,7 @@
 
 
 class FakeSource:
-    """One process's way to the platform."""
+    """Configuration source of one process."""
 
     def __init__(self, *, platform: FakePlatform, name: str, clock: ManualClock) -> None:
         self._platform = platform
@@ -103,7 +103,7 @@
 
 
 class FakePeer:
-    """One end of a link; what is sent arrives at the other process in its own turn."""
+    """One end of a link; notices are delivered to the other process through the event loop."""
 
     def __init__(self, *, fleet: FakeFleet, here: str, there: str) -> None:
         self._fleet = fleet
@@ -116,7 +116,7 @@
 
 
 class FakeProcess:
-    """One process with all that a spread needs."""
+    """One process with a store and a replicator."""
 
     def __init__(self, *, fleet: FakeFleet, instance: Instance, seed: int) -> None:
         self.fleet = fleet
@@ -178,7 +178,7 @@
 
 
 class FakeFleet:
-    """Processes that reach one another unless they are in different groups."""
+    """Processes that can reach each other if they are in the same partition group."""
 
     def __init__(self, *, names: tuple[str, ...], data_centres: int = 3) -> None:
         self.platform = FakePlatform()
@@ -198,7 +198,7 @@
         )
 
     async def async_start(self, name: str, seed: int = 1) -> FakeProcess:
-        """Start a process, in the place of an earlier one of that name if there was one."""
+        """Start a process; stop an earlier one of the same name."""
         await self.async_stop(name)
         instance = next(i for i in self.instances if i.name == name)
         process = FakeProcess(fleet=self, instance=instance, seed=seed)
@@ -220,7 +220,7 @@
             await self.async_stop(name)
 
     def deliver(self, here: str, there: str, notice: Notice) -> bool:
-        """Hand a notice over; one to a paused process waits in its buffers."""
+        """Deliver a notice; a paused process receives it when it resumes."""
         receiver = self.processes.get(there)
         if receiver is None or self.groups.get(here, 0) != self.groups.get(there, 0):
             return False
@@ -232,7 +232,7 @@
         return True
 
     async def async_advance(self, duration_ms: int) -> None:
-        """Let time pass in small steps, in every process that is not paused."""
+        """Advance the clocks of all processes that are not paused, in small steps."""
         for _ in range(0, duration_ms, STEP_MS):
             self.now_ms += STEP_MS
             for process in self.processes.values():
@@ -240,8 +240,8 @@
                     process.clock.advance(self.now_ms - process.clock.now_ms())
             await async_settle()
 
-    async def async_wake(self, name: str) -> None:
-        """End the pause of a process: its clock jumps, and what it was sent arrives."""
+    async def async_resume(self, name: str) -> None:
+        """Resume a paused process: its clock jumps and buffered notices are delivered."""
         process = self.processes[name]
         process.paused = False
         process.clock.advance(self.now_ms - process.clock.now_ms())
@@ -249,14 +249,14 @@
         await async_settle()
 
     def list_watchers(self) -> frozenset[str]:
-        turn = (WALL_MS + self.now_ms) // WATCHER_ROTATION_MS
-        return list_watchers(self.instances, "hr-zagreb", turn)
+        rotation = (WALL_MS + self.now_ms) // WATCHER_ROTATION_MS
+        return list_watchers(self.instances, "hr-zagreb", rotation)
 
     def list_versions(self) -> set[int]:
         return {process.version for process in self.processes.values()}
 
 
 async def async_settle() -> None:
-    """Let everything run that can run without time passing."""
-    for _ in range(TURNS):
+    """Run all tasks that can make progress without advancing the clocks."""
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
--- a/tests/configuration/configuration_links.py
+++ b/tests/configuration/configuration_links.py
@@ -1,4 +1,4 @@
-"""Processes that spread configurations over real links on loopback."""
+"""Processes that replicate configurations over real links on loopback."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 LINK = Link()
 
 
-class Members:
-    """A fleet that is known from the start."""
+class StaticFleet:
+    """A fleet with a fixed list of instances."""
 
     def __init__(self, name: str, instances: list[Instance]) -> None:
         self._name = name
@@ -36,7 +36,7 @@
 
 
 class Process:
-    """One process with real links."""
+    """One process with a store and a replicator over real links."""
 
     def __init__(self, *, name: str, instances: list[Instance], origins: tuple[str, ...]) -> None:
         self.app = Application(name=name, role=Role.SIDE, data_centre="dc-1", region="hr-zagreb")
@@ -56,7 +56,7 @@
             app=self.app,
             settings=Platform(configuration=origins),
             store=self.store,
-            fleet=cast(Any, Members(name, instances)),
+            fleet=cast(Any, StaticFleet(name, instances)),
             pool=LinkPool(app=self.app, settings=LINK, key=KEY, notices=notices),
             notices=notices,
         )
--- a/tests/configuration/measure_configuration.py
+++ b/tests/configuration/measure_configuration.py
@@ -1,4 +1,4 @@
-"""Measure the cost of configurations at the size of two years: pauses, bytes, decisions.
+"""Measure the cost of a configuration with 9,500 workspaces: pauses, memory, bytes, decisions.
 
 Run with `PYTHONPATH=. .venv/bin/python tests/configuration/measure_configuration.py`.
 """
@@ -28,7 +28,7 @@
 WORKSPACES = 9_500
 CHANGES = 20
 PROCESSES = 24
-SPREAD_CHANGES = 8
+REPLICATED_CHANGES = 8
 QUIET_S = 30
 CHANGES_A_DAY = 3_500
 SECONDS_A_DAY = 86_400
@@ -59,8 +59,8 @@
     return json.dumps(document, separators=(",", ":")).encode()
 
 
-class Probe:
-    """The longest time between two turns of the loop."""
+class LoopDelayProbe:
+    """Measures the longest delay of the event loop."""
 
     def __init__(self) -> None:
         self.worst_ms = 0.0
@@ -94,7 +94,7 @@
     if frozen:
         gc.collect()
         gc.freeze()
-    probe = Probe()
+    probe = LoopDelayProbe()
     pauses: dict[str, list[float]] = {"whole": [], "parts": [], "policy": []}
     busy: dict[str, list[float]] = {"whole": [], "parts": [], "policy": []}
     for version in range(2, CHANGES + 2):
@@ -161,7 +161,7 @@
     return total
 
 
-def per_process(before: Counter[str], after: Counter[str]) -> dict[str, int]:
+def average_per_process(before: Counter[str], after: Counter[str]) -> dict[str, int]:
     return {
         name: round((after[name] - before[name]) / PROCESSES)
         for name in sorted(after)
@@ -169,7 +169,7 @@
     }
 
 
-async def async_measure_spread() -> dict[str, Any]:
+async def async_measure_replication() -> dict[str, Any]:
     service = ConfigurationService(clock=SystemClock())
     await service.async_start()
     service.publish(make_document(1))
@@ -187,28 +187,28 @@
     await asyncio.sleep(2)
     before = sum_bytes(processes)
     in_force: list[float] = []
-    for version in range(2, SPREAD_CHANGES + 2):
+    for version in range(2, REPLICATED_CHANGES + 2):
         service.publish(make_document(version))
         began = time.perf_counter()
         for process in processes:
             await process.async_wait(version)
         in_force.append(time.perf_counter() - began)
         await asyncio.sleep(1)
-    changed = per_process(before, sum_bytes(processes))
+    changed = average_per_process(before, sum_bytes(processes))
     before, reads = sum_bytes(processes), service.reads + service.watches
     await asyncio.sleep(QUIET_S)
-    quiet = per_process(before, sum_bytes(processes))
+    quiet = average_per_process(before, sum_bytes(processes))
     reads = service.reads + service.watches - reads
     for process in processes:
         await process.app.async_stop()
     await service.async_stop()
-    return describe_spread(changed, quiet, in_force, reads)
+    return describe_replication(changed, quiet, in_force, reads)
 
 
-def describe_spread(
+def describe_replication(
     changed: dict[str, int], quiet: dict[str, int], in_force: list[float], reads: int
 ) -> dict[str, Any]:
-    a_change = {name: round(count / SPREAD_CHANGES) for name, count in changed.items()}
+    a_change = {name: round(count / REPLICATED_CHANGES) for name, count in changed.items()}
     bytes_a_change = sum(a_change.values())
     quiet_bytes_s = sum(quiet.values()) / QUIET_S
     return {
@@ -230,7 +230,7 @@
         "held_mb": await async_measure_memory(),
         "pauses": await async_measure_pauses(frozen=False),
         "pauses_frozen": await async_measure_pauses(frozen=True),
-        "spread": await async_measure_spread(),
+        "spread": await async_measure_replication(),
     }
     print(json.dumps(figures, indent=2))
 
--- a/tests/configuration/test_configuration_check.py
+++ b/tests/configuration/test_configuration_check.py
@@ -1,4 +1,4 @@
-"""Every kind of wrong configuration is named, with its path, all at once."""
+"""Validation of configuration documents: all errors are reported together, each with its path."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 from gypsumrouter.exceptions import ConfigurationInvalid
 
 
-def list_paths(document: bytes) -> list[str]:
+def list_error_paths(document: bytes) -> list[str]:
     with pytest.raises(ConfigurationInvalid) as caught:
         check_configuration(document)
     return [error.path for error in caught.value.errors]
 
 
-def rule(when: dict[str, Any] | None = None, then: dict[str, Any] | None = None) -> dict[str, Any]:
+def make_single_rule(
+    when: dict[str, Any] | None = None, then: dict[str, Any] | None = None
+) -> dict[str, Any]:
     return {"rules": [{"name": "r", "when": when or {}, "then": then or {}}]}
 
 
-def rules(*whens: dict[str, Any], then: dict[str, Any] | None = None) -> dict[str, Any]:
+def make_rules(*whens: dict[str, Any], then: dict[str, Any] | None = None) -> dict[str, Any]:
     return {
         "rules": [
             {"name": f"r{number}", "when": when, "then": then or {}}
@@ -32,7 +34,7 @@
     }
 
 
-def test_a_right_document_is_read_with_its_workspaces_in_the_order_of_names() -> None:
+def test_valid_document_is_parsed_with_workspaces_sorted_by_name() -> None:
     document = make_document(3, workspaces=0)
     document["workspaces"] = [{"name": "b"}, {"name": "a"}]
     configuration = check_configuration(encode(document))
@@ -72,34 +74,40 @@
             "$.pools[0].at_most_once.calls",
         ),
         ({"rules": [{"name": "a"}, {"name": "a"}]}, "$.rules[1].name"),
-        (rule({"workspace": ["nobody"]}), "$.rules[0].when.workspace[0]"),
-        (rule({"caller_class": ["nobody"]}), "$.rules[0].when.caller_class[0]"),
-        (rule({"model": ["unknown"]}), "$.rules[0].when.model[0]"),
-        (rule({"service": ["shared"]}), "$.rules[0].when.service[0]"),
-        (rule({"method": ["post"]}), "$.rules[0].when.method[0]"),
-        (rule({"path_prefix": "stock"}), "$.rules[0].when.path_prefix"),
-        (rule({"workspace": []}), "$.rules[0].when.workspace"),
-        (rule({"weekdays": []}), "$.rules[0].when.weekdays"),
-        (rule({"weekdays": [7]}), "$.rules[0].when.weekdays[0]"),
-        (rule({"min_bytes": 2, "max_bytes": 1}), "$.rules[0].when.min_bytes"),
-        (rule({"from_minute": 5, "to_minute": 5}), "$.rules[0].when.to_minute"),
-        (rule({"to_minute": 0}), "$.rules[0].when.to_minute"),
-        (rule({"model": ["sizing"], "service": ["dispatch"]}), "$.rules[0].when"),
-        (rule({"model": ["sizing"]}, {"pool": "dispatch"}), "$.rules[0].when"),
-        (rule({"model": ["quotes"]}, {"pool": "shared"}), "$.rules[0].then.pool"),
-        (rule(None, {"caller_class": "nobody"}), "$.rules[0].then.caller_class"),
-        (rule(None, {"pool": "nowhere"}), "$.rules[0].then.pool"),
-        (rule(None, {"next_pool": "nowhere"}), "$.rules[0].then.next_pool"),
-        (rule(None, {"pool": "shared", "next_pool": "shared"}), "$.rules[0].then.next_pool"),
-        (rule(None, {"pool": "shared", "next_pool": "dispatch"}), "$.rules[0].then.next_pool"),
-        (rule(None, {"refuse": ""}), "$.rules[0].then.refuse"),
-        (rule(None, {"refuse": "no", "pool": "shared"}), "$.rules[0].then.refuse"),
-        (rule(None, {"retry_after_ms": 5}), "$.rules[0].then.retry_after_ms"),
+        (make_single_rule({"workspace": ["nobody"]}), "$.rules[0].when.workspace[0]"),
+        (make_single_rule({"caller_class": ["nobody"]}), "$.rules[0].when.caller_class[0]"),
+        (make_single_rule({"model": ["unknown"]}), "$.rules[0].when.model[0]"),
+        (make_single_rule({"service": ["shared"]}), "$.rules[0].when.service[0]"),
+        (make_single_rule({"method": ["post"]}), "$.rules[0].when.method[0]"),
+        (make_single_rule({"path_prefix": "stock"}), "$.rules[0].when.path_prefix"),
+        (make_single_rule({"workspace": []}), "$.rules[0].when.workspace"),
+        (make_single_rule({"weekdays": []}), "$.rules[0].when.weekdays"),
+        (make_single_rule({"weekdays": [7]}), "$.rules[0].when.weekdays[0]"),
+        (make_single_rule({"min_bytes": 2, "max_bytes": 1}), "$.rules[0].when.min_bytes"),
+        (make_single_rule({"from_minute": 5, "to_minute": 5}), "$.rules[0].when.to_minute"),
+        (make_single_rule({"to_minute": 0}), "$.rules[0].when.to_minute"),
+        (make_single_rule({"model": ["sizing"], "service": ["dispatch"]}), "$.rules[0].when"),
+        (make_single_rule({"model": ["sizing"]}, {"pool": "dispatch"}), "$.rules[0].when"),
+        (make_single_rule({"model": ["quotes"]}, {"pool": "shared"}), "$.rules[0].then.pool"),
+        (make_single_rule(None, {"caller_class": "nobody"}), "$.rules[0].then.caller_class"),
+        (make_single_rule(None, {"pool": "nowhere"}), "$.rules[0].then.pool"),
+        (make_single_rule(None, {"next_pool": "nowhere"}), "$.rules[0].then.next_pool"),
+        (
+            make_single_rule(None, {"pool": "shared", "next_pool": "shared"}),
+            "$.rules[0].then.next_pool",
+        ),
+        (
+            make_single_rule(None, {"pool": "shared", "next_pool": "dispatch"}),
+            "$.rules[0].then.next_pool",
+        ),
+        (make_single_rule(None, {"refuse": ""}), "$.rules[0].then.refuse"),
+        (make_single_rule(None, {"refuse": "no", "pool": "shared"}), "$.rules[0].then.refuse"),
+        (make_single_rule(None, {"retry_after_ms": 5}), "$.rules[0].then.retry_after_ms"),
         ({"rules": [{"name": f"r{n}"} for n in range(MAX_RULES + 1)]}, "$.rules"),
     ],
 )
-def test_each_error_is_named_by_its_path(changes: dict[str, Any], path: str) -> None:
-    assert path in list_paths(encode({**make_document(1), **changes}))
+def test_each_error_is_reported_with_its_path(changes: dict[str, Any], path: str) -> None:
+    assert path in list_error_paths(encode({**make_document(1), **changes}))
 
 
 @pytest.mark.parametrize(
@@ -115,8 +123,8 @@
         ({"returning": True}, {"data_centre": ["dc-0"], "returning": True}),
     ],
 )
-def test_a_rule_behind_one_that_matches_all_of_it_is_named(whens: Any) -> None:
-    assert list_paths(encode(make_document(1, **rules(*whens)))) == ["$.rules[1]"]
+def test_rule_covered_by_an_earlier_rule_is_reported(whens: Any) -> None:
+    assert list_error_paths(encode(make_document(1, **make_rules(*whens)))) == ["$.rules[1]"]
 
 
 @pytest.mark.parametrize(
@@ -129,11 +137,11 @@
         ({"path_prefix": "/stock"}, {"method": ["POST"]}),
     ],
 )
-def test_a_rule_that_something_can_still_reach_is_right(whens: Any) -> None:
-    assert len(check_configuration(encode(make_document(1, **rules(*whens)))).rules) == 2
+def test_rule_that_is_not_fully_covered_is_accepted(whens: Any) -> None:
+    assert len(check_configuration(encode(make_document(1, **make_rules(*whens)))).rules) == 2
 
 
-def test_a_rule_that_leads_to_an_engine_does_not_hide_one_for_services() -> None:
+def test_engine_rule_does_not_cover_service_rule() -> None:
     document = make_document(1)
     document["rules"] = [
         {"name": "engines", "then": {"pool": "spare"}},
@@ -142,7 +150,7 @@
     assert len(check_configuration(encode(document)).rules) == 2
 
 
-def test_a_key_of_two_workspaces_is_named_and_not_shown() -> None:
+def test_key_of_two_workspaces_is_reported_without_its_digest() -> None:
     document = make_document(1, workspaces=2)
     document["workspaces"][1]["key_digests"] = [digest_key("key-0")]
     with pytest.raises(ConfigurationInvalid) as caught:
@@ -151,10 +159,12 @@
     assert digest_key("key-0") not in str(caught.value)
 
 
-def test_all_errors_are_named_at_once() -> None:
-    document = make_document(1, default_class="nobody", **rule({"model": ["x"], "workspace": []}))
+def test_all_errors_are_reported_together() -> None:
+    document = make_document(
+        1, default_class="nobody", **make_single_rule({"model": ["x"], "workspace": []})
+    )
     document["workspaces"].append({"name": "school-0"})
-    assert set(list_paths(encode(document))) == {
+    assert set(list_error_paths(encode(document))) == {
         "$.default_class",
         "$.workspaces[3].name",
         "$.rules[0].when.model[0]",
@@ -180,16 +190,16 @@
         b"\xff",
     ],
 )
-def test_what_is_no_document_is_refused_and_nothing_else_happens(document: bytes) -> None:
-    assert list_paths(document)
+def test_malformed_document_raises_configuration_invalid(document: bytes) -> None:
+    assert list_error_paths(document)
 
 
-def test_an_infinite_number_is_refused() -> None:
+def test_infinite_number_is_rejected() -> None:
     text = json.dumps(make_document(1)).replace('"batch": true', '"penalty": 1e999')
-    assert list_paths(text.encode()) == ["$.classes[1].penalty"]
+    assert list_error_paths(text.encode()) == ["$.classes[1].penalty"]
 
 
-def test_a_document_over_the_limit_is_refused() -> None:
+def test_document_over_the_size_limit_is_rejected() -> None:
     document = encode(make_document(1))
     assert check_configuration(document.ljust(MAX_DOCUMENT_BYTES)).version == 1
-    assert list_paths(document.ljust(MAX_DOCUMENT_BYTES + 1)) == ["$"]
+    assert list_error_paths(document.ljust(MAX_DOCUMENT_BYTES + 1)) == ["$"]
--- a/tests/configuration/test_configuration_links.py
+++ b/tests/configuration/test_configuration_links.py
@@ -1,4 +1,4 @@
-"""The spread over real links and the stand-in of the configuration service."""
+"""Replication over real links with the stand-in of the configuration service."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     assert len({process.store.parts.digest for process in processes}) == 1
 
 
-async def test_a_process_gets_a_large_configuration_from_its_peers_while_the_service_is_down(
+async def test_large_configuration_is_fetched_from_peers_while_the_service_is_down(
     service: ConfigurationService, processes: list[Process]
 ) -> None:
     first, last = processes[0], processes[-1]
@@ -69,12 +69,12 @@
     assert last.store.current == first.store.current
 
 
-async def test_the_source_reads_watches_and_reports_what_is_wrong(
+async def test_source_reads_watches_and_reports_unavailable_origins(
     service: ConfigurationService,
 ) -> None:
     app = Application(name="side-1", role=Role.SIDE, data_centre="dc-1", region="hr-zagreb")
-    dead = Address(host="127.0.0.1", port=1)
-    origins = (f"http://{dead}", f"http://{service.address}")
+    unreachable = Address(host="127.0.0.1", port=1)
+    origins = (f"http://{unreachable}", f"http://{service.address}")
     source = HttpConfigurationSource(app=app, origins=origins)
     body = encode(make_document(3))
     service.publish(body)
--- a/tests/configuration/test_configuration_machine.py
+++ b/tests/configuration/test_configuration_machine.py
@@ -1,4 +1,4 @@
-"""Versions never fall in a living process, and all processes agree once faults are over."""
+"""Versions never decrease in a running process, and processes converge after faults end."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 )
 
 NAMES = tuple(f"router-{number}" for number in range(5))
-HEALED_MS = 40_000
+CONVERGENCE_MS = 40_000
 some_name = st.sampled_from(NAMES)
 some_names = st.sets(some_name, min_size=1, max_size=4)
 
 
 class ReplicationMachine(RuleBasedStateMachine):
-    """Five processes under every fault that the platform and the network may bring."""
+    """Five processes with outages, stale replicas, partitions, pauses and restarts."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.fleet = FakeFleet(names=NAMES)
         self.published = 0
-        self.right: dict[int, int] = {}
+        self.valid_sizes: dict[int, int] = {}
         self.seen: dict[int, int] = {}
 
     def run(self, work: Coroutine[Any, Any, Any]) -> None:
@@ -46,11 +46,11 @@
     @rule(size=st.integers(0, 4))
     def publish(self, size: int) -> None:
         self.published += 1
-        self.right[self.published] = size
+        self.valid_sizes[self.published] = size
         self.fleet.platform.publish(make_document(self.published, workspaces=size))
 
     @rule()
-    def publish_wrong(self) -> None:
+    def publish_invalid(self) -> None:
         self.published += 1
         self.fleet.platform.publish(make_document(self.published, default_class="nobody"))
 
@@ -64,7 +64,7 @@
             self.fleet.platform.stale[name] = max(1, self.published - back)
 
     @rule(names=some_names)
-    def cut_off(self, names: set[str]) -> None:
+    def partition(self, names: set[str]) -> None:
         self.fleet.groups = dict.fromkeys(names, 1)
 
     @rule()
@@ -77,8 +77,8 @@
         self.fleet.processes[name].paused = True
 
     @rule(name=some_name)
-    def wake(self, name: str) -> None:
-        self.run(self.fleet.async_wake(name))
+    def resume(self, name: str) -> None:
+        self.run(self.fleet.async_resume(name))
 
     @rule(name=some_name)
     def restart(self, name: str) -> None:
@@ -89,22 +89,22 @@
         self.run(self.fleet.async_advance(duration_ms))
 
     @invariant()
-    def never_falls(self) -> None:
+    def versions_never_decrease(self) -> None:
         for process in self.fleet.processes.values():
             versions = process.versions
             assert versions == sorted(set(versions))
             assert process.version == (versions[-1] if versions else 0)
 
     @invariant()
-    def only_what_was_published_and_right_is_in_force(self) -> None:
+    def only_valid_published_versions_are_in_force(self) -> None:
         for process in self.fleet.processes.values():
             if process.version:
-                assert len(process.store.current.workspaces) == self.right[process.version]
+                assert len(process.store.current.workspaces) == self.valid_sizes[process.version]
 
     def teardown(self) -> None:
         if self.fleet.processes:
             highest = max(self.fleet.list_versions())
-            if self.published in self.right:
+            if self.published in self.valid_sizes:
                 highest = self.published
             self.run(self._async_heal_all())
             assert self.fleet.list_versions() == {highest}
@@ -115,11 +115,11 @@
         self.heal()
         self.fleet.platform.down = False
         for name in NAMES:
-            await self.fleet.async_wake(name)
-        await self.fleet.async_advance(HEALED_MS)
+            await self.fleet.async_resume(name)
+        await self.fleet.async_advance(CONVERGENCE_MS)
 
 
-def test_versions_never_fall_and_all_agree_in_the_end() -> None:
+def test_versions_never_decrease_and_processes_converge() -> None:
     run_state_machine_as_test(
         ReplicationMachine,
         settings=settings(
--- a/tests/configuration/test_configuration_orders.py
+++ b/tests/configuration/test_configuration_orders.py
@@ -1,4 +1,4 @@
-"""What is checked of the orders of a pool."""
+"""Validation of the orders of a pool."""
 
 from __future__ import annotations
 
@@ -21,41 +21,47 @@
     check_configuration(encode(make_document(1, workspaces=0) | {"pools": [pool], "rules": []}))
 
 
-def order(*names: str, adapters: tuple[str, ...] = (), **changes: Any) -> dict[str, Any]:
+def make_orders(*names: str, adapters: tuple[str, ...] = (), **changes: Any) -> dict[str, Any]:
     models: list[dict[str, Any]] = [{"name": name} for name in names]
     if adapters:
         models[0]["adapters"] = [{"name": name} for name in adapters]
     return {"models": models, "store_loads_per_s": 0.5} | changes
 
 
-def test_models_and_their_adapters_are_the_models_of_the_pool() -> None:
-    check(make_pool(order("chat", "school")))
-    check(make_pool(order("chat", adapters=("school",))))
+def test_orders_for_all_models_of_the_pool_are_accepted() -> None:
+    check(make_pool(make_orders("chat", "school")))
+    check(make_pool(make_orders("chat", adapters=("school",))))
 
 
 @pytest.mark.parametrize(
     ("pool", "path"),
     [
-        (make_pool(order("chat")), f"{PATH}.models"),
-        (make_pool(order("chat", "school", "other")), f"{PATH}.models[2].name"),
-        (make_pool(order("chat", "school", "chat")), f"{PATH}.models[2].name"),
+        (make_pool(make_orders("chat")), f"{PATH}.models"),
+        (make_pool(make_orders("chat", "school", "other")), f"{PATH}.models[2].name"),
+        (make_pool(make_orders("chat", "school", "chat")), f"{PATH}.models[2].name"),
         (
-            make_pool(order("chat", "school", adapters=("chat",))),
+            make_pool(make_orders("chat", "school", adapters=("chat",))),
             f"{PATH}.models[0].adapters[0].name",
         ),
-        (make_pool(order(), models=[]), f"{PATH}.models"),
-        (make_pool(order("chat", "school", store_loads_per_s=0)), f"{PATH}.store_loads_per_s"),
-        (make_pool(order("chat", "school", change_share=1.5)), f"{PATH}.change_share"),
-        (make_pool(order("chat", "school", models_per_engine=0)), f"{PATH}.models_per_engine"),
+        (make_pool(make_orders(), models=[]), f"{PATH}.models"),
+        (
+            make_pool(make_orders("chat", "school", store_loads_per_s=0)),
+            f"{PATH}.store_loads_per_s",
+        ),
+        (make_pool(make_orders("chat", "school", change_share=1.5)), f"{PATH}.change_share"),
+        (
+            make_pool(make_orders("chat", "school", models_per_engine=0)),
+            f"{PATH}.models_per_engine",
+        ),
     ],
 )
-def test_wrong_orders_are_named_with_their_path(pool: dict[str, Any], path: str) -> None:
+def test_invalid_orders_are_reported_with_their_path(pool: dict[str, Any], path: str) -> None:
     with pytest.raises(ConfigurationInvalid) as caught:
         check(pool)
     assert [error.path for error in caught.value.errors] == [path]
 
 
-def test_services_take_no_orders() -> None:
+def test_orders_of_a_service_pool_are_rejected() -> None:
     with pytest.raises(ConfigurationInvalid) as caught:
-        check(make_pool(order("chat"), kind="service", models=["chat"]))
+        check(make_pool(make_orders("chat"), kind="service", models=["chat"]))
     assert PATH in [error.path for error in caught.value.errors]
--- a/tests/configuration/test_configuration_replicator.py
+++ b/tests/configuration/test_configuration_replicator.py
@@ -1,4 +1,4 @@
-"""News of a configuration reach every process, whatever is down, cut off, paused or replaced."""
+"""Replication reaches all processes despite outages, partitions, pauses and restarts."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from gypsumrouter.link.models import ConfigurationNews, PartsRequest
 
 MakeFleet = Callable[[int], FakeFleet]
-IN_FORCE_MS = 5_000
-SERVES_MS = 3_000
+REPLICATION_MS = 5_000
+START_MS = 3_000
 
 
 def make_instances(count: int, *, region: str = "hr-zagreb") -> tuple[Instance, ...]:
@@ -31,174 +31,178 @@
     )
 
 
-async def test_a_version_is_in_force_everywhere_within_seconds_by_few_watches(
+async def test_version_reaches_all_processes_with_few_platform_calls(
     make_fleet: MakeFleet,
 ) -> None:
     fleet = make_fleet(60)
     fleet.platform.publish(make_document(1))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     assert fleet.list_versions() == {1}
     calls = fleet.platform.calls
     fleet.platform.publish(make_document(2))
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert fleet.list_versions() == {2}
-    assert fleet.platform.calls - calls <= 2 * WATCHERS_PER_REGION * (IN_FORCE_MS // 2_500)
+    assert fleet.platform.calls - calls <= 2 * WATCHERS_PER_REGION * (REPLICATION_MS // 2_500)
 
 
-async def test_each_process_hears_of_a_change_a_few_times_only(make_fleet: MakeFleet) -> None:
+async def test_messages_per_process_and_change_are_bounded(make_fleet: MakeFleet) -> None:
     fleet = make_fleet(60)
     fleet.platform.publish(make_document(1))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     fleet.sent.clear()
     fleet.platform.publish(make_document(2, workspaces=4))
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert fleet.sent["ConfigurationNews"] <= 8 * 60
     assert fleet.sent["Parts"] <= 3 * 60
 
 
-async def test_a_process_that_starts_while_the_platform_is_down_gets_it_from_a_peer(
+async def test_process_started_during_an_outage_fetches_from_a_peer(
     make_fleet: MakeFleet,
 ) -> None:
     fleet = make_fleet(6)
     fleet.platform.publish(make_document(3))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     fleet.platform.down = True
     process = await fleet.async_start("router-2")
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     assert process.store.ready.is_set()
     assert process.version == 3
 
 
-async def test_a_process_without_peers_that_answer_reads_the_platform(
+async def test_process_without_reachable_peers_reads_the_platform(
     make_fleet: MakeFleet,
 ) -> None:
     fleet = make_fleet(6)
     fleet.platform.publish(make_document(3))
     process = await fleet.async_start("router-2")
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     assert process.version == 3
 
 
-async def test_a_process_that_no_other_one_reaches_still_gets_new_versions(
+async def test_isolated_process_reads_new_versions_from_the_platform(
     make_fleet: MakeFleet,
 ) -> None:
     fleet = make_fleet(6)
     fleet.platform.publish(make_document(1))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     watchers = fleet.list_watchers()
     name = next(name for name in fleet.processes if name not in watchers)
     fleet.groups[name] = 1
-    await fleet.async_advance(6 * IN_FORCE_MS)
+    await fleet.async_advance(6 * REPLICATION_MS)
     fleet.platform.publish(make_document(2))
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert fleet.list_versions() == {2}
 
 
-async def test_a_version_reaches_all_when_the_platform_goes_down_after_one_read_it(
+async def test_version_held_by_one_process_reaches_all_during_an_outage(
     make_fleet: MakeFleet,
 ) -> None:
     fleet = make_fleet(12)
     fleet.platform.publish(make_document(1))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     fleet.platform.down = True
     reader = fleet.processes["router-5"]
     fleet.platform.publish(make_document(2))
     await reader.store.async_offer(fleet.platform.documents[2])
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert fleet.list_versions() == {2}
 
 
-async def test_a_rejected_version_stays_with_those_that_read_it(make_fleet: MakeFleet) -> None:
+async def test_rejected_version_is_not_replicated(make_fleet: MakeFleet) -> None:
     fleet = make_fleet(6)
     fleet.platform.publish(make_document(1))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     fleet.platform.publish(make_document(2, default_class="nobody"))
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert fleet.list_versions() == {1}
     assert any(process.store.rejection for process in fleet.processes.values())
     calls = fleet.platform.calls
-    await fleet.async_advance(IN_FORCE_MS)
-    assert fleet.platform.calls - calls <= 2 * WATCHERS_PER_REGION * (IN_FORCE_MS // 2_500)
+    await fleet.async_advance(REPLICATION_MS)
+    assert fleet.platform.calls - calls <= 2 * WATCHERS_PER_REGION * (REPLICATION_MS // 2_500)
     fleet.platform.publish(make_document(3))
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert fleet.list_versions() == {3}
 
 
-async def test_a_partition_heals_to_the_higher_version(make_fleet: MakeFleet) -> None:
+async def test_processes_converge_to_the_higher_version_after_a_partition(
+    make_fleet: MakeFleet,
+) -> None:
     fleet = make_fleet(10)
     fleet.platform.publish(make_document(1))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     for number in range(5):
         fleet.groups[f"router-{number}"] = 1
         fleet.platform.stale[f"router-{number}"] = 2
     fleet.platform.publish(make_document(2))
     fleet.platform.publish(make_document(3))
-    await fleet.async_advance(2 * IN_FORCE_MS)
+    await fleet.async_advance(2 * REPLICATION_MS)
     assert fleet.list_versions() == {2, 3}
     fleet.groups.clear()
-    await fleet.async_advance(4 * IN_FORCE_MS)
+    await fleet.async_advance(4 * REPLICATION_MS)
     assert fleet.list_versions() == {3}
 
 
-async def test_a_process_that_was_paused_asks_when_it_wakes(make_fleet: MakeFleet) -> None:
+async def test_paused_process_queries_its_neighbours_after_resuming(make_fleet: MakeFleet) -> None:
     fleet = make_fleet(6)
     fleet.platform.publish(make_document(1))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     watchers = fleet.list_watchers()
     name = next(name for name in fleet.processes if name not in watchers)
     process = fleet.processes[name]
     process.paused = True
     fleet.platform.publish(make_document(2))
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert process.version == 1
     process.inbox.clear()
-    await fleet.async_wake(name)
+    await fleet.async_resume(name)
     await async_settle()
     assert process.version == 2
 
 
-async def test_a_stale_replica_is_ignored(make_fleet: MakeFleet) -> None:
+async def test_stale_replica_is_ignored(make_fleet: MakeFleet) -> None:
     fleet = make_fleet(3)
     fleet.platform.publish(make_document(1))
     fleet.platform.publish(make_document(2))
     await fleet.async_start_all()
-    await fleet.async_advance(SERVES_MS)
+    await fleet.async_advance(START_MS)
     fleet.platform.stale = {f"router-{number}": 1 for number in range(3)}
-    await fleet.async_advance(2 * IN_FORCE_MS)
+    await fleet.async_advance(2 * REPLICATION_MS)
     assert fleet.list_versions() == {2}
     assert [process.versions for process in fleet.processes.values()] == [[2]] * 3
 
 
-async def test_a_peer_that_says_a_version_but_hands_on_damaged_parts_changes_nothing(
+async def test_announced_version_without_parts_changes_nothing(
     make_fleet: MakeFleet,
 ) -> None:
     fleet = make_fleet(2)
     fleet.platform.down = True
     process = await fleet.async_start("router-0")
-    liar = await fleet.async_start("router-1")
+    faulty = await fleet.async_start("router-1")
 
     def answer(peer: object, request: PartsRequest) -> None:
         news = ConfigurationNews(version=9, digest=1)
         fleet.deliver("router-1", "router-0", news)
 
-    liar.listeners[PartsRequest] = answer
-    await fleet.async_advance(IN_FORCE_MS)
+    faulty.listeners[PartsRequest] = answer
+    await fleet.async_advance(REPLICATION_MS)
     assert process.version == 0
     fleet.platform.down = False
     fleet.platform.publish(make_document(4))
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert process.version == 4
 
 
-async def test_a_manifest_that_is_not_the_one_told_of_is_not_taken(make_fleet: MakeFleet) -> None:
+async def test_manifest_that_does_not_match_the_announced_digest_is_ignored(
+    make_fleet: MakeFleet,
+) -> None:
     fleet = make_fleet(2)
     fleet.platform.down = True
     process = await fleet.async_start("router-0")
@@ -212,11 +216,11 @@
         else answer_parts_request(other.store, request)
     )
     other.listeners[ConfigurationNews] = lambda peer, news: None
-    await fleet.async_advance(IN_FORCE_MS)
+    await fleet.async_advance(REPLICATION_MS)
     assert process.version == 0
 
 
-async def test_two_contents_of_one_version_are_seen_and_neither_replaces_the_other(
+async def test_conflicting_contents_of_one_version_are_counted_and_kept(
     make_fleet: MakeFleet,
 ) -> None:
     fleet = make_fleet(2)
@@ -231,17 +235,19 @@
         processes.append(process)
     contents = [process.store.current for process in processes]
     fleet.groups.clear()
-    await fleet.async_advance(4 * IN_FORCE_MS)
+    await fleet.async_advance(4 * REPLICATION_MS)
     assert [process.store.current for process in processes] == contents
     dump = processes[0].app.dump()["configuration_spread"]
     assert isinstance(dump, dict)
     assert dump["conflicts"] > 0
 
 
-def test_routes_join_the_whole_fleet_with_few_neighbours_each() -> None:
+def test_ring_neighbours_connect_the_whole_fleet() -> None:
     instances = make_instances(300)
     neighbours = {
-        instance.name: {route[0].name for route in list_ring_neighbours(instance.name, instances)}
+        instance.name: {
+            candidates[0].name for candidates in list_ring_neighbours(instance.name, instances)
+        }
         for instance in instances
     }
     assert max(len(names) for names in neighbours.values()) <= 6
@@ -254,14 +260,14 @@
     assert hops <= 6
 
 
-def test_a_route_goes_on_behind_an_instance_that_is_gone() -> None:
+def test_ring_neighbours_include_further_candidates() -> None:
     instances = make_instances(20)
-    for route in list_ring_neighbours("side-0", instances):
-        assert len({instance.name for instance in route}) == len(route) > 1
-        assert "side-0" not in {instance.name for instance in route}
+    for candidates in list_ring_neighbours("side-0", instances):
+        assert len({instance.name for instance in candidates}) == len(candidates) > 1
+        assert "side-0" not in {instance.name for instance in candidates}
 
 
-def test_watchers_are_few_and_stand_in_different_data_centres() -> None:
+def test_watchers_are_few_and_in_different_data_centres() -> None:
     instances = make_instances(60) + make_instances(4, region="gt-central")
     watchers = list_watchers(instances, "hr-zagreb", 1)
     assert len(watchers) == WATCHERS_PER_REGION
@@ -271,7 +277,7 @@
     assert not list_watchers((), "hr-zagreb", 1)
 
 
-def test_all_instances_take_their_turn_as_watchers() -> None:
+def test_watchers_rotate_among_all_instances() -> None:
     instances = make_instances(60)
-    turns = [list_watchers(instances, "hr-zagreb", turn) for turn in range(200)]
-    assert frozenset.union(*turns) == {instance.name for instance in instances}
+    rotations = [list_watchers(instances, "hr-zagreb", rotation) for rotation in range(200)]
+    assert frozenset.union(*rotations) == {instance.name for instance in instances}
--- a/tests/configuration/test_configuration_store.py
+++ b/tests/configuration/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""The store takes what is right and newer, and remembers what it rejected."""
+"""The store accepts only valid and newer configurations, and reports the rejected one."""
 
 from __future__ import annotations
 
@@ -28,29 +28,31 @@
     return {digest: part.body for digest, part in store.parts.parts.items()}
 
 
-async def test_a_higher_version_comes_into_force_and_is_told(store: ConfigurationStore) -> None:
-    told: list[Configuration] = []
-    store.on_change(told.append)
+async def test_higher_version_comes_into_force_and_notifies_listeners(
+    store: ConfigurationStore,
+) -> None:
+    notified: list[Configuration] = []
+    store.on_change(notified.append)
     assert store.current == Configuration(version=0)
     assert await store.async_offer(encode(make_document(4))) == Accepted(version=4, changed=True)
     assert store.ready.is_set()
-    assert told == [store.current]
+    assert notified == [store.current]
     assert await store.async_offer(encode(make_document(4))) == Accepted(version=4, changed=False)
-    assert len(told) == 1
+    assert len(notified) == 1
 
 
-async def test_an_older_version_changes_nothing_even_if_it_is_wrong(
+async def test_stale_version_is_ignored_even_if_invalid(
     store: ConfigurationStore,
 ) -> None:
     await store.async_offer(encode(make_document(4)))
     assert await store.async_offer(encode(make_document(3))) == Stale(version=3, in_force=4)
-    wrong = encode(make_document(3, default_class=None))
-    assert await store.async_offer(wrong) == Stale(version=3, in_force=4)
+    invalid = encode(make_document(3, default_class=None))
+    assert await store.async_offer(invalid) == Stale(version=3, in_force=4)
     assert store.current.version == 4
     assert store.rejection is None
 
 
-async def test_a_rejected_version_leaves_the_accepted_one_and_is_seen_in_the_dump(
+async def test_rejected_version_keeps_the_accepted_one_and_is_dumped(
     app: Application, store: ConfigurationStore
 ) -> None:
     await store.async_offer(encode(make_document(4)))
@@ -66,7 +68,7 @@
     assert section["rejected"] is None
 
 
-async def test_the_same_version_with_another_content_is_rejected(
+async def test_same_version_with_different_content_is_rejected(
     store: ConfigurationStore,
 ) -> None:
     await store.async_offer(encode(make_document(4)))
@@ -77,39 +79,39 @@
     assert store.current is before
 
 
-async def test_a_listener_that_fails_keeps_no_other_from_being_told(
+async def test_failing_listener_does_not_block_the_others(
     store: ConfigurationStore,
 ) -> None:
-    told: list[int] = []
+    notified: list[int] = []
 
     def fail(configuration: Configuration) -> None:
         raise ValueError
 
     store.on_change(fail)
-    remove = store.on_change(lambda configuration: told.append(configuration.version))
+    remove = store.on_change(lambda configuration: notified.append(configuration.version))
     await store.async_offer(encode(make_document(1)))
     remove()
     await store.async_offer(encode(make_document(2)))
-    assert told == [1]
+    assert notified == [1]
 
 
 async def test_other_tasks_run_while_a_large_document_is_checked(
     store: ConfigurationStore,
 ) -> None:
     offer = asyncio.ensure_future(store.async_offer(encode(make_document(1, workspaces=5_000))))
-    turns = 0
+    yields = 0
     while not offer.done():
         await asyncio.sleep(0)
-        turns += 1
-    assert turns > 50
+        yields += 1
+    assert yields > 50
     assert store.current.version == 1
 
 
-async def test_parts_of_a_version_put_the_same_in_force_as_the_document(
+async def test_parts_result_in_the_same_configuration_as_the_document(
     app: Application, store: ConfigurationStore
 ) -> None:
     await store.async_offer(encode(make_document(1, workspaces=400)))
-    other = ConfigurationStore(app=Application(**_like(app)))
+    other = ConfigurationStore(app=Application(**_build_application_arguments(app)))
     outcome = await other.async_offer_parts(
         version=1, manifest=store.parts.manifest, bodies=get_bodies(store)
     )
@@ -118,7 +120,7 @@
     assert other.parts == store.parts
 
 
-async def test_one_changed_workspace_moves_one_part(store: ConfigurationStore) -> None:
+async def test_changed_workspace_changes_one_part(store: ConfigurationStore) -> None:
     document = make_document(1, workspaces=4_000)
     await store.async_offer(encode(document))
     before = set(store.parts.manifest)
@@ -130,28 +132,28 @@
     assert sum(len(store.parts.parts[digest].body) for digest in new) < 2_048
 
 
-async def test_parts_that_are_damaged_or_missing_are_not_taken(
+async def test_corrupt_or_missing_parts_are_not_accepted(
     app: Application, store: ConfigurationStore
 ) -> None:
     await store.async_offer(encode(make_document(1)))
-    other = ConfigurationStore(app=Application(**_like(app)))
+    other = ConfigurationStore(app=Application(**_build_application_arguments(app)))
     manifest = store.parts.manifest
     bodies = get_bodies(store)
     first, second = manifest[:2]
-    swapped = {**bodies, first: bodies[second]}
-    assert await other.async_offer_parts(version=1, manifest=manifest, bodies=swapped) is None
-    cut = {**bodies, first: bodies[first][:-3]}
-    assert await other.async_offer_parts(version=1, manifest=manifest, bodies=cut) is None
+    mismatched = {**bodies, first: bodies[second]}
+    assert await other.async_offer_parts(version=1, manifest=manifest, bodies=mismatched) is None
+    truncated = {**bodies, first: bodies[first][:-3]}
+    assert await other.async_offer_parts(version=1, manifest=manifest, bodies=truncated) is None
     del bodies[first]
     assert await other.async_offer_parts(version=1, manifest=manifest, bodies=bodies) is None
     assert other.current.version == 0
 
 
-async def test_parts_that_make_up_a_wrong_document_are_rejected_with_its_errors(
+async def test_parts_of_an_invalid_document_are_rejected_with_its_errors(
     app: Application, store: ConfigurationStore
 ) -> None:
     await store.async_offer(encode(make_document(1)))
-    other = ConfigurationStore(app=Application(**_like(app)))
+    other = ConfigurationStore(app=Application(**_build_application_arguments(app)))
     manifest = tuple(
         digest
         for digest in store.parts.manifest
@@ -167,7 +169,7 @@
     names=st.lists(st.from_regex(r"[a-z0-9][a-z0-9._-]{0,20}", fullmatch=True), unique=True),
     reason=st.text(min_size=1).filter(lambda text: text.isprintable()),
 )
-def test_a_document_survives_the_way_through_parts(names: list[str], reason: str) -> None:
+def test_document_round_trips_through_parts(names: list[str], reason: str) -> None:
     document = make_document(7, workspaces=0)
     document["workspaces"] = [{"name": name, "share": n + 0.5} for n, name in enumerate(names)]
     document["rules"] = [{"name": "r", "then": {"refuse": reason}}]
@@ -181,7 +183,7 @@
     assert run_sliced(split_into_parts(again)) == parts
 
 
-def _like(app: Application) -> dict[str, Any]:
+def _build_application_arguments(app: Application) -> dict[str, Any]:
     return {
         "name": "router-2",
         "role": app.role,
@@ -192,11 +194,11 @@
 
 
 @pytest.mark.parametrize("size", [0, 1, 300])
-async def test_the_digest_does_not_depend_on_order_and_spelling(
+async def test_digest_does_not_depend_on_the_order_of_fields_and_workspaces(
     app: Application, store: ConfigurationStore, size: int
 ) -> None:
     document = make_document(1, workspaces=size)
     await store.async_offer(encode(document))
     document["workspaces"].reverse()
-    turned = encode(dict(reversed(document.items())))
-    assert await store.async_offer(turned) == Accepted(version=1, changed=False)
+    reordered = encode(dict(reversed(document.items())))
+    assert await store.async_offer(reordered) == Accepted(version=1, changed=False)
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of membership."""
+"""Fixtures of the membership tests."""
 
 from __future__ import annotations
 
--- a/tests/fleet/fleet_world.py
+++ b/tests/fleet/fleet_world.py
@@ -1,4 +1,4 @@
-"""Shared parts of the tests of membership."""
+"""Test doubles and builders of the membership tests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedSource:
-    """A source that gives the answers that it is told, one for each fetch."""
+    """A source that returns queued results, one per fetch."""
 
     def __init__(self) -> None:
         self.fetches: list[int | None] = []
@@ -31,7 +31,7 @@
 
 
 class World:
-    """A fleet whose list and clock are driven by the test."""
+    """A fleet with a scripted list source and a manual clock."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(wall_ms=START_MS)
@@ -45,7 +45,7 @@
         self.fleet.on_change(self._note_change)
 
     async def async_respond(self, result: FetchResult) -> None:
-        """Let the fleet take one answer and begin its next fetch."""
+        """Return one result to the fleet and wait for its next fetch."""
         fetches = len(self.source.fetches)
         self.source.put(result)
         while len(self.source.fetches) <= fetches:
--- a/tests/fleet/test_fleet_members.py
+++ b/tests/fleet/test_fleet_members.py
@@ -1,4 +1,4 @@
-"""Which instances are used: list, links and the instances' own word combined."""
+"""Selection of members from the list, link contact and announcements of leaving."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert [peer.name for peer in world.fleet.peers()] == ["a", "b", "c"]
 
 
-async def test_older_states_and_contradictions_are_ignored(world: World) -> None:
+async def test_stale_and_contradictory_lists_are_ignored(world: World) -> None:
     accepted: list[InstanceList] = []
     world.fleet.on_list(accepted.append)
     await world.async_publish(5, *make_engines(2))
@@ -36,29 +36,29 @@
     assert world.member_names() == ["e0", "e1"]
 
 
-async def test_unchanged_list_tells_its_time_and_loss_is_logged_once(
+async def test_unchanged_list_is_confirmed_and_failure_is_logged_once(
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO", logger="gypsumrouter.fleet")
-    fresh: list[int] = []
-    world.fleet.on_confirmed(fresh.append)
+    confirmed: list[int] = []
+    world.fleet.on_confirmed(confirmed.append)
     await world.async_publish(1, *make_engines(1))
     for _ in range(3):
         await world.async_respond(None)
     assert world.member_names() == ["e0"]
     await world.async_respond(Unchanged(as_of_ms=START_MS + 60_000))
-    assert fresh == [START_MS + 60_000]
+    assert confirmed == [START_MS + 60_000]
     assert [record.levelname for record in caplog.records] == ["WARNING", "INFO"]
 
 
-async def test_later_listener_is_told_the_newest_list(world: World) -> None:
+async def test_late_listener_receives_the_current_list(world: World) -> None:
     await world.async_publish(3, *make_engines(1))
     accepted: list[InstanceList] = []
     world.fleet.on_list(accepted.append)
     assert [listed.revision for listed in accepted] == [3]
 
 
-async def test_list_that_shrinks_suddenly_is_confirmed_first(world: World) -> None:
+async def test_sudden_shrink_of_the_list_needs_confirmation(world: World) -> None:
     await world.async_publish(1, *make_engines(6))
     await world.async_publish(2, *make_engines(2))
     assert len(world.member_names()) == 6
@@ -67,7 +67,7 @@
     assert world.member_names() == ["e0", "e1"]
 
 
-async def test_links_that_reach_what_the_list_lost_keep_it_for_a_bounded_time(
+async def test_reachable_instances_missing_from_the_list_are_kept_for_a_bounded_time(
     world: World,
 ) -> None:
     await world.async_publish(1, *make_engines(6))
@@ -82,7 +82,7 @@
     assert world.member_names() == ["e0", "e1"]
 
 
-async def test_empty_list_never_empties_the_view_until_links_fail(world: World) -> None:
+async def test_empty_list_keeps_the_view_until_links_fail(world: World) -> None:
     await world.async_publish(1, *make_engines(3))
     await world.async_publish(2)
     for _ in range(100):
@@ -93,7 +93,7 @@
     assert world.member_names() == ["e1", "e2"]
 
 
-async def test_single_missing_instance_goes_at_once_unless_links_reach_it(world: World) -> None:
+async def test_single_missing_instance_is_removed_at_once_unless_reachable(world: World) -> None:
     engines = make_engines(6)
     await world.async_publish(1, *engines)
     world.fleet.record_contact("e4", True)
@@ -105,7 +105,7 @@
     assert "e4" not in world.member_names()
 
 
-async def test_instances_own_word_to_leave_holds_until_its_name_starts_anew(world: World) -> None:
+async def test_leaving_instance_is_excluded_until_a_new_incarnation(world: World) -> None:
     await world.async_publish(1, *make_engines(2))
     world.fleet.record_leaving("e0", incarnation=7)
     assert world.member_names() == ["e1"]
@@ -117,7 +117,7 @@
     assert world.member_names() == ["e0", "e1"]
 
 
-async def test_word_to_leave_ends_with_its_time_or_with_another_address(world: World) -> None:
+async def test_leaving_state_ends_on_timeout_or_address_change(world: World) -> None:
     await world.async_publish(1, *make_engines(2))
     world.fleet.record_leaving("e0", incarnation=7)
     world.fleet.record_leaving("e1", incarnation=8)
@@ -127,7 +127,7 @@
     assert world.member_names() == ["e0", "e1"]
 
 
-async def test_unreachable_instance_is_tried_again_after_a_growing_hold(world: World) -> None:
+async def test_unreachable_instance_is_retried_after_a_growing_delay(world: World) -> None:
     await world.async_publish(1, *make_engines(2))
     changes = world.changes
     world.fleet.record_contact("e0", False)
@@ -155,7 +155,7 @@
     assert world.member_names() == ["e0", "e1"]
 
 
-async def test_least_bad_instances_are_used_where_none_is_good(world: World) -> None:
+async def test_instances_of_the_best_status_are_used_if_none_is_usable(world: World) -> None:
     await world.async_publish(
         1, make_engine("e0"), make_engine("e1"), make_engine("e2", leaving=True)
     )
@@ -166,7 +166,7 @@
     assert world.member_names() == ["e0", "e1", "e2"]
 
 
-async def test_dump_and_metrics_tell_the_view(world: World) -> None:
+async def test_dump_and_metrics_report_the_view(world: World) -> None:
     await world.async_publish(1, *make_engines(2))
     world.fleet.record_leaving("e0", incarnation=7)
     dump = world.app.dump()["fleet"]
--- a/tests/fleet/test_instance_list_source.py
+++ b/tests/fleet/test_instance_list_source.py
@@ -1,4 +1,4 @@
-"""The instance list over HTTP: long polls, origins in turn, malformed answers."""
+"""Instance list over HTTP: long polls, failover between origins, malformed responses."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class FakeOrigin:
-    """One origin of the platform, which answers what it is told."""
+    """One origin of the platform with a configurable response."""
 
     def __init__(self) -> None:
         self.queries: list[dict[str, str]] = []
@@ -67,7 +67,7 @@
         await server.close()
 
 
-async def test_list_is_read_and_the_next_state_is_asked_for(
+async def test_list_is_read_and_the_next_read_passes_its_revision(
     source: HttpInstanceListSource, origins: list[FakeOrigin]
 ) -> None:
     listed = await source.async_fetch(after_revision=None)
@@ -90,7 +90,7 @@
         (204, None, "soon"),
     ],
 )
-async def test_next_origin_is_asked_when_one_gives_no_usable_answer(
+async def test_next_origin_is_used_after_an_unusable_response(
     source: HttpInstanceListSource,
     origins: list[FakeOrigin],
     status: int,
@@ -105,7 +105,7 @@
     assert await source.async_fetch(after_revision=3) is None
 
 
-async def test_origin_that_is_behind_is_left(
+async def test_stale_origin_is_replaced(
     source: HttpInstanceListSource, origins: list[FakeOrigin]
 ) -> None:
     await source.async_fetch(after_revision=None)
@@ -118,7 +118,7 @@
 
 @given(document=st.binary() | st.recursive(st.none() | st.integers() | st.text(), st.lists))
 @settings(derandomize=True, deadline=None)
-def test_any_other_document_is_invalid(document: object) -> None:
+def test_arbitrary_documents_are_invalid(document: object) -> None:
     body = document if isinstance(document, bytes) else json.dumps(document).encode()
     with pytest.raises(DocumentInvalid):
         check_instance_list(body)
