--- a/gypsumrouter/configuration/const.py
+++ b/gypsumrouter/configuration/const.py
@@ -43,21 +43,26 @@
 BACKOFF_FIRST_MS: Final = 250
 BACKOFF_MAX_MS: Final = 2_000
 
-# Replication between processes.
+# Replication between processes. Neighbours are the successors and predecessors on RINGS hash rings;
+# up to RING_ATTEMPTS instances along a ring are tried.
 RINGS: Final = 3
 RING_ATTEMPTS: Final = 4
 WATCHERS_PER_REGION: Final = 3
 WATCHER_ROTATION_MS: Final = 60_000
 ANTI_ENTROPY_MS: Final = 10_000
+# A tick that is late by more than PAUSE_THRESHOLD_MS means that the process was paused.
 TICK_MS: Final = 1_000
 PAUSE_THRESHOLD_MS: Final = 2_500
 FETCH_TIMEOUT_MS: Final = 700
+# A process without contact to any other for ISOLATION_TIMEOUT_MS polls the platform at the isolated
+# interval; other processes that are not watchers poll it at the fallback interval.
 ISOLATION_TIMEOUT_MS: Final = 25_000
 ISOLATED_POLL_MS: Final = 10_000
 ISOLATED_POLL_MS_PER_PEER: Final = 8
 FALLBACK_POLL_MS: Final = 60_000
 FALLBACK_POLL_MS_PER_PEER: Final = 100
 FALLBACK_POLL_WATCH_MS: Final = 1
+# The first read waits for the instance list, then for a random delay that grows with the fleet.
 START_LIST_TIMEOUT_MS: Final = 300
 START_JITTER_MS: Final = 1_200
 START_JITTER_MS_PER_PEER: Final = 1
--- a/gypsumrouter/configuration/models.py
+++ b/gypsumrouter/configuration/models.py
@@ -65,7 +65,7 @@
 
 
 class CallerClass(Checked, frozen=True, kw_only=True):
-    """A class of callers: latency targets in milliseconds and the cost of missing one."""
+    """A class of callers: latency targets in milliseconds and the monetary penalty for a miss."""
 
     name: Name
     first_token_ms: PositiveInt = DEFAULT_FIRST_TOKEN_MS
--- a/gypsumrouter/configuration/parts.py
+++ b/gypsumrouter/configuration/parts.py
@@ -66,7 +66,7 @@
     manifest: list[int] = []
     parts: dict[int, Part] = {}
     buckets = yield from _fill_buckets(document)
-    for count, (section, entries) in enumerate(_list_pieces(document, buckets), start=1):
+    for count, (section, entries) in enumerate(_list_part_entries(document, buckets), start=1):
         content = _build_content(section, entries)
         digest = xxhash.xxh3_64_intdigest(content)
         manifest.append(digest)
@@ -147,7 +147,7 @@
     return buckets
 
 
-def _list_pieces(
+def _list_part_entries(
     document: CheckedDocument, buckets: list[list[Entry]]
 ) -> Iterator[tuple[str, list[Entry]]]:
     if FIELD_DEFAULT_CLASS in document.entries:
