--- a/gypsumrouter/configuration/assembly.py
+++ b/gypsumrouter/configuration/assembly.py
@@ -30,7 +30,7 @@
 
 
 def assemble(
-    *, version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes], known: PartSet
+    *, version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes], existing: PartSet
 ) -> Sliced[Assembled | None]:
     """Validate the parts of a version in slices; return None if any part is invalid.
 
@@ -39,7 +39,7 @@
     """
     parts: dict[int, Part] = {}
     for count, digest in enumerate(manifest, start=1):
-        part = known.parts.get(digest)
+        part = existing.parts.get(digest)
         if part is None:
             part = yield from _read_part(digest, bodies[digest])
         if part is None:
--- a/gypsumrouter/configuration/fetch.py
+++ b/gypsumrouter/configuration/fetch.py
@@ -167,9 +167,9 @@
         return True
 
     def _list_missing(self) -> tuple[int, ...]:
-        held = self._store.parts.parts
+        current = self._store.parts.parts
         unique = dict.fromkeys(self._manifest)
-        return tuple(d for d in unique if d not in held and d not in self._bodies)
+        return tuple(d for d in unique if d not in current and d not in self._bodies)
 
     def _reset(self) -> None:
         self._target = None
@@ -192,19 +192,19 @@
     A request for version 0, or for a version that is not in force, is answered with the version
     that is in force.
     """
-    held = store.parts
-    if request.version != held.version or held.version == 0:
-        return ConfigurationNews(version=held.version, digest=held.digest)
+    current = store.parts
+    if request.version != current.version or current.version == 0:
+        return ConfigurationNews(version=current.version, digest=current.digest)
     if not request.parts:
-        return Parts(version=held.version, manifest=held.manifest)
+        return Parts(version=current.version, manifest=current.manifest)
     bodies: list[bytes] = []
     size = 0
     for digest in request.parts[:MAX_PARTS_PER_REQUEST]:
-        part = held.parts.get(digest)
+        part = current.parts.get(digest)
         if part is None:
             continue
         size += len(part.body)
         if bodies and size > MAX_PARTS_MESSAGE_BYTES:
             break
         bodies.append(part.body)
-    return Parts(version=held.version, parts=tuple(bodies))
+    return Parts(version=current.version, parts=tuple(bodies))
--- a/gypsumrouter/configuration/neighbours.py
+++ b/gypsumrouter/configuration/neighbours.py
@@ -21,10 +21,10 @@
     neighbours. Each entry lists further instances along the ring, to use if the first is
     unreachable.
     """
-    known = tuple(peer for peer in peers if peer.name != name)
+    others = tuple(peer for peer in peers if peer.name != name)
     neighbours: list[RingNeighbours] = []
     for ring in range(RINGS):
-        neighbours += _list_on_ring(ring, name, known)
+        neighbours += _list_on_ring(ring, name, others)
     return tuple(neighbours)
 
 
--- a/gypsumrouter/configuration/parts.py
+++ b/gypsumrouter/configuration/parts.py
@@ -58,10 +58,10 @@
 EMPTY_PARTS: Final = PartSet(version=0, digest=0, manifest=(), parts={})
 
 
-def split_into_parts(document: CheckedDocument, known: PartSet = EMPTY_PARTS) -> Sliced[PartSet]:
+def split_into_parts(document: CheckedDocument, existing: PartSet = EMPTY_PARTS) -> Sliced[PartSet]:
     """Return the parts of a validated document, in slices of bounded work.
 
-    Parts that `known` already contains are reused.
+    Parts that `existing` already contains are reused.
     """
     manifest: list[int] = []
     parts: dict[int, Part] = {}
@@ -70,7 +70,7 @@
         content = _build_content(section, entries)
         digest = xxhash.xxh3_64_intdigest(content)
         manifest.append(digest)
-        parts[digest] = known.parts.get(digest) or Part(
+        parts[digest] = existing.parts.get(digest) or Part(
             section=section,
             body=zlib.compress(content, _COMPRESSION),
             values=tuple(entry.value for entry in entries),
--- a/gypsumrouter/configuration/store.py
+++ b/gypsumrouter/configuration/store.py
@@ -107,15 +107,15 @@
         async with self._lock:
             if version < self.current.version:
                 return self._record_stale(version)
-            known = self.parts
-            if any(d not in bodies and d not in known.parts for d in manifest):
+            existing = self.parts
+            if any(d not in bodies and d not in existing.parts for d in manifest):
                 return None
-            work = assemble(version=version, manifest=manifest, bodies=bodies, known=known)
+            work = assemble(version=version, manifest=manifest, bodies=bodies, existing=existing)
             found = await async_run_sliced(work)
             if found is not None:
                 return self._activate_if_newer(found.configuration, found.parts)
-            held = {digest: part.body for digest, part in known.parts.items()}
-            joining = join_parts(version, manifest, {**held, **bodies})
+            existing_bodies = {digest: part.body for digest, part in existing.parts.items()}
+            joining = join_parts(version, manifest, {**existing_bodies, **bodies})
             document = await async_run_sliced(joining)
             if document is None:
                 return None
@@ -169,8 +169,8 @@
                 )
 
     def _reject(self, version: int | None, errors: tuple[FieldError, ...]) -> Rejected:
-        known = self.rejection
-        if known is None or known.version != version or known.error_count != len(errors):
+        previous = self.rejection
+        if previous is None or previous.version != version or previous.error_count != len(errors):
             _LOGGER.warning(
                 "Configuration %s was rejected, %s stays in force: %s",
                 version,
--- a/gypsumrouter/fleet/view.py
+++ b/gypsumrouter/fleet/view.py
@@ -70,8 +70,8 @@
     def list_all(self) -> list[Instance]:
         """Return every instance of the view, sorted by name."""
         if self._sorted is None:
-            held = (absence.instance for absence in self._absent.values())
-            everything = [*self._listed.values(), *held]
+            absent = (absence.instance for absence in self._absent.values())
+            everything = [*self._listed.values(), *absent]
             self._sorted = sorted(everything, key=lambda instance: instance.name)
         return self._sorted
 
--- a/tests/configuration/test_configuration_replicator.py
+++ b/tests/configuration/test_configuration_replicator.py
@@ -188,8 +188,8 @@
     faulty = await fleet.async_start("router-1")
 
     def answer(peer: object, request: PartsRequest) -> None:
-        news = ConfigurationNews(version=9, digest=1)
-        fleet.deliver("router-1", "router-0", news)
+        announcement = ConfigurationNews(version=9, digest=1)
+        fleet.deliver("router-1", "router-0", announcement)
 
     faulty.listeners[PartsRequest] = answer
     await fleet.async_advance(REPLICATION_MS)
@@ -215,7 +215,7 @@
         if request.version == 0
         else answer_parts_request(other.store, request)
     )
-    other.listeners[ConfigurationNews] = lambda peer, news: None
+    other.listeners[ConfigurationNews] = lambda peer, announcement: None
     await fleet.async_advance(REPLICATION_MS)
     assert process.version == 0
 
