--- a/gypsumrouter/configuration/const.py
+++ b/gypsumrouter/configuration/const.py
@@ -54,8 +54,8 @@
 TICK_MS: Final = 1_000
 PAUSE_THRESHOLD_MS: Final = 2_500
 FETCH_TIMEOUT_MS: Final = 700
-# A process without contact to any other for ISOLATION_TIMEOUT_MS polls the platform at the isolated
-# interval; other processes that are not watchers poll it at the fallback interval.
+# Poll intervals: ISOLATED_POLL_MS without an instance list, ISOLATED_POLL_MS_PER_PEER per peer
+# without contact to any of them for ISOLATION_TIMEOUT_MS, and the fallback interval otherwise.
 ISOLATION_TIMEOUT_MS: Final = 25_000
 ISOLATED_POLL_MS: Final = 10_000
 ISOLATED_POLL_MS_PER_PEER: Final = 8
--- a/tests/fleet/fleet_world.py
+++ b/tests/fleet/fleet_world.py
@@ -42,7 +42,7 @@
         self.settings = Platform()
         self.fleet = Fleet(app=self.app, settings=self.settings, source=self.source)
         self.changes = 0
-        self.fleet.on_change(self._note_change)
+        self.fleet.on_change(self._count_change)
 
     async def async_respond(self, result: FetchResult) -> None:
         """Return one result to the fleet and wait for its next fetch."""
@@ -58,7 +58,7 @@
     def member_names(self, pool: str = POOL) -> list[str]:
         return [instance.name for instance in self.fleet.members(pool)]
 
-    def _note_change(self) -> None:
+    def _count_change(self) -> None:
         self.changes += 1
 
 
