--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -83,7 +83,7 @@
         directory=directory,
         evacuations=evacuations,
         dialect=PlatformDialect(),
-        read_request=read_request,
+        parse_request=read_request,
         ask_held=async_list_held,
     )
     routing_state, upstreams_state = WatchState(clock=app.clock), WatchState(clock=app.clock)
@@ -172,7 +172,7 @@
     forwarder: Forwarder, mesh: Mesh, settings: ForwarderSettings
 ) -> tuple[str, ...]:
     """Put in force what a running process can change."""
-    forwarder.take_bounds(settings.bounds)
+    forwarder.update_bounds(settings.bounds)
     mesh.take_seeds(settings.seeds)
     return ("bounds", "seeds")
 
--- a/gypsumrouter/forwarding/__init__.py
+++ b/gypsumrouter/forwarding/__init__.py
@@ -4,20 +4,20 @@
 
 from gypsumrouter.forwarding.forwarder import Forwarder
 from gypsumrouter.forwarding.models import (
-    AnswerFacts,
+    AttemptOptions,
     CallerRequest,
     Dialect,
     Prompt,
     PromptPart,
-    Sending,
+    ResponseMetadata,
 )
 
 __all__ = [
-    "AnswerFacts",
+    "AttemptOptions",
     "CallerRequest",
     "Dialect",
     "Forwarder",
     "Prompt",
     "PromptPart",
-    "Sending",
+    "ResponseMetadata",
 ]
--- a/gypsumrouter/forwarding/attempt.py
+++ b/gypsumrouter/forwarding/attempt.py
@@ -8,19 +8,19 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.directory import Entry
-from gypsumrouter.forwarding.connections import UpstreamConnections
-from gypsumrouter.forwarding.const import MAX_HELD_BYTES
+from gypsumrouter.forwarding.connections import ConnectionPool
+from gypsumrouter.forwarding.const import MAX_BUFFERED_BYTES
 from gypsumrouter.forwarding.models import (
-    AnswerFacts,
-    Begun,
+    AttemptOptions,
     CallerRequest,
+    CompleteResponse,
     Dialect,
-    Lost,
-    NotReached,
     Outcome,
-    Sending,
-    TurnedAway,
-    Whole,
+    Rejected,
+    ResponseLost,
+    ResponseMetadata,
+    StreamingResponse,
+    Unreachable,
 )
 from gypsumrouter.helpers.http_connection import (
     Answer,
@@ -33,92 +33,92 @@
 STATUS_MULTIPLE: Final = 300
 STATUS_MISDIRECTED: Final = 421
 # These say "not run" to a caller, which only an upstream that says so itself may let it hear.
-PROMISES: Final = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 
-TakeWords = Callable[[Entry, AnswerFacts], None]
+HeadListener = Callable[[Entry, ResponseMetadata], None]
 
 
 class Attempt:
     """One request at one upstream; close it in any case.
 
-    Once `sent` is true the upstream may run it. `take_words` gets the head of each answer, for what
+    Once `sent` is true the upstream may run it. `on_head` gets the head of each answer, for what
     the upstream says of itself there.
     """
 
     __slots__ = (
         "_connection",
-        "_connections",
         "_dialect",
+        "_on_head",
+        "_pool",
         "_request",
-        "_take_words",
         "entry",
-        "facts",
-        "kept",
-        "sending",
+        "metadata",
+        "options",
+        "reused",
         "sent",
     )
 
     def __init__(
         self,
         *,
-        connections: UpstreamConnections,
+        pool: ConnectionPool,
         dialect: Dialect,
         request: CallerRequest,
-        sending: Sending,
+        options: AttemptOptions,
         entry: Entry,
-        take_words: TakeWords,
+        on_head: HeadListener,
     ) -> None:
-        self._connections = connections
+        self._pool = pool
         self._dialect = dialect
         self._request = request
-        self._take_words = take_words
+        self._on_head = on_head
         self._connection: HttpConnection | None = None
-        self.sending = sending
+        self.options = options
         self.entry = entry
-        self.facts: AnswerFacts | None = None
-        self.kept = False
+        self.metadata: ResponseMetadata | None = None
+        self.reused = False
         self.sent = False
 
-    async def async_connect(self, *, repeatable: bool) -> NotReached | None:
+    async def async_connect(self, *, repeatable: bool) -> Unreachable | None:
         """Get a connection; nothing is sent yet."""
         try:
-            leased = await self._connections.async_lease(
-                self.entry, repeatable=repeatable, timeout_ms=self.sending.deadline_ms
+            pooled = await self._pool.async_acquire(
+                self.entry, repeatable=repeatable, timeout_ms=self.options.deadline_ms
             )
         except ConnectFailed as error:
-            return NotReached(reason=str(error), refused=error.refused)
-        self._connection = leased.connection
-        self.kept = leased.kept
+            return Unreachable(reason=str(error), refused=error.refused)
+        self._connection = pooled.connection
+        self.reused = pooled.reused
         return None
 
-    async def async_send(self, *, silence_ms: int | None) -> Outcome:
+    async def async_send(self, *, response_timeout_ms: int | None) -> Outcome:
         """Write the request and read the head, and the body too unless it is a stream."""
         connection = self._connection
         if connection is None:
-            return NotReached(reason="there is no connection")
-        data = self._dialect.write_request(request=self._request, sending=self.sending)
+            return Unreachable(reason="there is no connection")
+        payload = self._dialect.write_request(request=self._request, options=self.options)
         try:
-            connection.begin(method=self._request.method, data=data)
+            connection.begin(method=self._request.method, data=payload)
         except ConnectionBroken as error:
-            return NotReached(reason=str(error))
+            return Unreachable(reason=str(error))
         self.sent = True
         try:
-            timeout_s = None if silence_ms is None else silence_ms / MS_PER_S
+            timeout_s = None if response_timeout_ms is None else response_timeout_ms / MS_PER_S
             async with asyncio.timeout(timeout_s):
                 return await self._async_read(connection)
         except TimeoutError:
-            return Lost(reason="silent")
+            return ResponseLost(reason="silent")
         except ConnectionBroken as error:
-            return Lost(reason=str(error), broken=True)
+            return ResponseLost(reason=str(error), connection_broken=True)
 
-    def finish(self) -> None:
+    def release(self) -> None:
         """Give the connection back after a whole answer."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
-        if self.facts is not None:
-            connection.keep_ms = self.facts.keep_ms
-        self._connections.give_back(self.entry, connection)
+        if self.metadata is not None:
+            connection.keep_ms = self.metadata.keep_alive_ms
+        self._pool.release(self.entry, connection)
 
     def close(self) -> None:
         """Close the connection if it is still held, which makes the upstream stop."""
@@ -127,58 +127,66 @@
             connection.close()
 
     async def _async_read(self, connection: HttpConnection) -> Outcome:
-        answer = await self._async_read_own(connection)
-        facts = self.facts = self._dialect.read_answer(answer)
-        if facts.not_run or answer.status == STATUS_MISDIRECTED:
+        answer = await self._async_read_matching(connection)
+        metadata = self.metadata = self._dialect.read_response_head(answer)
+        if metadata.not_run or answer.status == STATUS_MISDIRECTED:
             await answer.body.read()
-            self._finish_unless_closing(answer)
-            return TurnedAway(status=answer.status, stranger=answer.status == STATUS_MISDIRECTED)
-        if facts.encoded:
-            return Lost(reason="the body is encoded")
+            self._release_or_close(answer)
+            return Rejected(
+                status=answer.status, wrong_upstream=answer.status == STATUS_MISDIRECTED
+            )
+        if metadata.content_encoded:
+            return ResponseLost(reason="the body is encoded")
         succeeded = STATUS_OK <= answer.status < STATUS_MULTIPLE
-        if succeeded and not facts.signed:
-            return Lost(reason="the answer is not signed")
-        if facts.events and succeeded:
-            return Begun(answer=answer, status=answer.status, events=True)
-        body, whole = await _async_read_held(answer)
+        if succeeded and not metadata.signed:
+            return ResponseLost(reason="the answer is not signed")
+        if metadata.is_event_stream and succeeded:
+            return StreamingResponse(answer=answer, status=answer.status, is_event_stream=True)
+        body, whole = await _async_read_buffered(answer)
         if not whole:
-            return Begun(answer=answer, status=answer.status, events=False, first=body)
-        self._finish_unless_closing(answer)
-        if answer.status in PROMISES:
-            return Lost(reason=f"status {answer.status} without the word that it was not run")
-        return Whole(answer=answer, status=answer.status, signed=facts.signed, body=body)
+            return StreamingResponse(
+                answer=answer, status=answer.status, is_event_stream=False, initial_bytes=body
+            )
+        self._release_or_close(answer)
+        if answer.status in NOT_RUN_STATUSES:
+            return ResponseLost(
+                reason=f"status {answer.status} without the word that it was not run"
+            )
+        return CompleteResponse(
+            answer=answer, status=answer.status, signed=metadata.signed, body=body
+        )
 
-    async def _async_read_own(self, connection: HttpConnection) -> Answer:
+    async def _async_read_matching(self, connection: HttpConnection) -> Answer:
         """Return the answer to this request; others that come first belong to nobody."""
         while True:
             answer = await connection.async_read_answer()
-            facts = self._dialect.read_answer(answer)
+            metadata = self._dialect.read_response_head(answer)
             # Whomever an answer is for, it is from this upstream, unless another one is there now.
             if answer.status != STATUS_MISDIRECTED:
-                self._take_words(self.entry, facts)
-            request_id = facts.request_id
+                self._on_head(self.entry, metadata)
+            request_id = metadata.request_id
             if request_id == self._request.request_id:
                 return answer
-            if request_id is None and not self.kept and connection.exchanges == 1:
+            if request_id is None and not self.reused and connection.exchanges == 1:
                 return answer
             if request_id is None:
                 raise ConnectionBroken("an answer that names no request")
             await answer.body.read()
 
-    def _finish_unless_closing(self, answer: Answer) -> None:
+    def _release_or_close(self, answer: Answer) -> None:
         if answer.message.should_close:
             self.close()
         else:
-            self.finish()
+            self.release()
 
 
-async def _async_read_held(answer: Answer) -> tuple[bytes, bool]:
+async def _async_read_buffered(answer: Answer) -> tuple[bytes, bool]:
     """Return a body as far as it may be held back, and whether that is all of it."""
     parts: list[bytes] = []
     size = 0
     while part := await answer.body.readany():
         parts.append(part)
         size += len(part)
-        if size > MAX_HELD_BYTES:
+        if size > MAX_BUFFERED_BYTES:
             return b"".join(parts), False
     return b"".join(parts), True
--- a/gypsumrouter/forwarding/connections.py
+++ b/gypsumrouter/forwarding/connections.py
@@ -6,8 +6,8 @@
 
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Entry
-from gypsumrouter.forwarding.const import CONNECT_MS, MAX_IDLE_PER_UPSTREAM
-from gypsumrouter.forwarding.keeping import get_max_idle_ms
+from gypsumrouter.forwarding.const import CONNECT_TIMEOUT_MS, MAX_IDLE_PER_UPSTREAM
+from gypsumrouter.forwarding.keep_alive import get_max_idle_ms
 from gypsumrouter.helpers.http_connection import (
     ConnectFailed,
     HttpConnection,
@@ -15,21 +15,21 @@
 )
 
 
-class Leased(Struct, frozen=True, kw_only=True):
+class PooledConnection(Struct, frozen=True, kw_only=True):
     """A connection for one exchange; `kept` ones carried an exchange before."""
 
     connection: HttpConnection
-    kept: bool
+    reused: bool
 
 
-class UpstreamConnections:
+class ConnectionPool:
     """The idle connections of this process, newest first."""
 
-    __slots__ = ("_app", "_idle", "_kept_for_all", "_opened")
+    __slots__ = ("_app", "_idle", "_opened", "_reuse_for_all")
 
-    def __init__(self, *, app: Application, kept_for_all: bool = True) -> None:
+    def __init__(self, *, app: Application, reuse_for_all: bool = True) -> None:
         self._app = app
-        self._kept_for_all = kept_for_all
+        self._reuse_for_all = reuse_for_all
         self._idle: dict[str, list[HttpConnection]] = {}
         self._opened = app.metrics.counter(
             "gypsumrouter_upstream_connections_total", "Connections opened to upstreams"
@@ -41,7 +41,9 @@
         )
         app.on_stop(self._async_stop)
 
-    async def async_lease(self, entry: Entry, *, repeatable: bool, timeout_ms: int) -> Leased:
+    async def async_acquire(
+        self, entry: Entry, *, repeatable: bool, timeout_ms: int
+    ) -> PooledConnection:
         """Return a connection; raises ConnectFailed.
 
         A request that must not be repeated gets a kept connection only if that was used a moment
@@ -49,7 +51,7 @@
         """
         now_ms = self._app.clock.now_ms()
         idle = self._idle.get(entry.incarnation)
-        while idle and (repeatable or self._kept_for_all):
+        while idle and (repeatable or self._reuse_for_all):
             connection = idle.pop()
             if not _is_usable(connection, now_ms):
                 connection.close()
@@ -57,16 +59,16 @@
             if not _is_usable(connection, now_ms, repeatable=repeatable):
                 idle.append(connection)
                 break
-            return Leased(connection=connection, kept=True)
+            return PooledConnection(connection=connection, reused=True)
         if entry.address is None:
             raise ConnectFailed("the upstream has no address")
         connection = await async_connect(
-            address=entry.address, timeout_ms=min(CONNECT_MS, max(1, timeout_ms))
+            address=entry.address, timeout_ms=min(CONNECT_TIMEOUT_MS, max(1, timeout_ms))
         )
         self._opened.inc()
-        return Leased(connection=connection, kept=False)
+        return PooledConnection(connection=connection, reused=False)
 
-    def give_back(self, entry: Entry, connection: HttpConnection) -> None:
+    def release(self, entry: Entry, connection: HttpConnection) -> None:
         """Keep a connection whose exchange is over, or close it."""
         connection.finish()
         idle = self._idle.setdefault(entry.incarnation, [])
@@ -76,7 +78,7 @@
         connection.idle_since_ms = self._app.clock.now_ms()
         idle.append(connection)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close what was idle for too long; call it about once a second."""
         now_ms = self._app.clock.now_ms()
         for upstream, idle in tuple(self._idle.items()):
@@ -88,14 +90,14 @@
             if not kept:
                 del self._idle[upstream]
 
-    def forget(self, upstream: str) -> None:
+    def close_idle(self, upstream: str) -> None:
         """Close the idle connections to an upstream that ends."""
         for connection in self._idle.pop(upstream, ()):
             connection.close()
 
     async def _async_stop(self) -> None:
         for upstream in tuple(self._idle):
-            self.forget(upstream)
+            self.close_idle(upstream)
 
 
 def _is_usable(connection: HttpConnection, now_ms: int, *, repeatable: bool = True) -> bool:
--- a/gypsumrouter/forwarding/events.py
+++ b/gypsumrouter/forwarding/events.py
@@ -6,7 +6,7 @@
 
 from gypsumrouter.forwarding.const import MAX_EVENT_BYTES
 
-EVENT_END: Final = b"\n\n"
+EVENT_SEPARATOR: Final = b"\n\n"
 ID_FIELD: Final = b"id:"
 
 
@@ -14,45 +14,45 @@
     """What came is no series of events."""
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts a stream of bytes after whole events and knows the id of the last one.
 
     An upstream may stop in the middle of an event; another one that goes on after the last whole
     event must not have half of it doubled.
     """
 
-    __slots__ = ("_tail", "last_id")
+    __slots__ = ("_partial", "last_event_id")
 
     def __init__(self) -> None:
-        self._tail = b""
-        self.last_id: str | None = None
+        self._partial = b""
+        self.last_event_id: str | None = None
 
-    def cut(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Return everything up to the end of the last whole event; raises EventTooLong."""
-        if self._tail:
-            data = self._tail + data
-        end = data.rfind(EVENT_END)
+        if self._partial:
+            data = self._partial + data
+        end = data.rfind(EVENT_SEPARATOR)
         if end < 0:
             if len(data) > MAX_EVENT_BYTES:
                 raise EventTooLong
-            self._tail = data
+            self._partial = data
             return b""
-        end += len(EVENT_END)
-        self._tail = data[end:]
+        end += len(EVENT_SEPARATOR)
+        self._partial = data[end:]
         whole = data[:end]
-        self._note_id(whole)
+        self._update_last_event_id(whole)
         return whole
 
-    def drop_tail(self) -> None:
+    def discard_partial(self) -> None:
         """Forget an event that was broken off."""
-        self._tail = b""
+        self._partial = b""
 
-    def take_tail(self) -> bytes:
+    def flush(self) -> bytes:
         """Return what follows the last whole event at the regular end of a stream."""
-        tail, self._tail = self._tail, b""
+        tail, self._partial = self._partial, b""
         return tail
 
-    def _note_id(self, whole: bytes) -> None:
+    def _update_last_event_id(self, whole: bytes) -> None:
         start = whole.rfind(b"\n" + ID_FIELD)
         if start >= 0:
             start += 1
@@ -61,4 +61,4 @@
         else:
             return
         value = whole[start + len(ID_FIELD) : whole.find(b"\n", start)]
-        self.last_id = value.strip().decode("latin-1")
+        self.last_event_id = value.strip().decode("latin-1")
--- /dev/null
+++ b/gypsumrouter/forwarding/execution.py
@@ -0,0 +1,399 @@
+"""The way of one request: attempts at upstreams until one answers or none may be asked."""
+
+from __future__ import annotations
+
+import asyncio
+
+from aiohttp import web
+from msgspec import Struct
+
+from gypsumrouter.callers import abort_connection
+from gypsumrouter.const import MS_PER_S
+from gypsumrouter.core import Application
+from gypsumrouter.forwarding.attempt import Attempt
+from gypsumrouter.forwarding.budget import RetryBudget
+from gypsumrouter.forwarding.connections import ConnectionPool
+from gypsumrouter.forwarding.const import (
+    MIN_RESPONSE_TIMEOUT_MS,
+    RESPONSE_MARGIN_MS,
+    RESPONSE_TIMEOUT_FACTOR,
+    RETURN_TRIP_MS,
+)
+from gypsumrouter.forwarding.eligibility import NoPlace
+from gypsumrouter.forwarding.models import (
+    AttemptOptions,
+    CallerRequest,
+    CompleteResponse,
+    Dialect,
+    Outcome,
+    Rejected,
+    ResponseLost,
+    StreamingResponse,
+    Unreachable,
+)
+from gypsumrouter.forwarding.next_step import (
+    STATUS_SERVER_ERROR,
+    Decision,
+    NextStep,
+    RetryLimits,
+    decide_after_failed_run,
+    decide_next_step,
+)
+from gypsumrouter.forwarding.placed import Placed
+from gypsumrouter.forwarding.placer import Placer
+from gypsumrouter.forwarding.progress import Progress
+from gypsumrouter.forwarding.relay import Relay, RelayResult
+from gypsumrouter.forwarding.request_journal import RequestJournal
+from gypsumrouter.forwarding.responses import make_failure, make_refusal, make_upstream_response
+from gypsumrouter.forwarding.suspects import Suspects, make_digest
+from gypsumrouter.journal import Journal
+from gypsumrouter.mechanisms import Mechanism
+from gypsumrouter.outcomes import Reason
+from gypsumrouter.routing import Routed
+
+
+class ForwardingContext(Struct, frozen=True, kw_only=True):
+    """What all requests of a forwarder share."""
+
+    app: Application
+    journal: Journal
+    dialect: Dialect
+    placer: Placer
+    pool: ConnectionPool
+    budget: RetryBudget
+    suspects: Suspects
+    without: frozenset[Mechanism] = frozenset()
+
+
+class RequestExecution:
+    """One request of one caller."""
+
+    __slots__ = (
+        "_context",
+        "_digest",
+        "_relay",
+        "_request",
+        "_request_journal",
+        "_routed",
+        "_service",
+        "_web_request",
+        "progress",
+    )
+
+    def __init__(
+        self,
+        *,
+        context: ForwardingContext,
+        request: CallerRequest,
+        routed: Routed,
+        service: str,
+        web_request: web.BaseRequest,
+        progress: Progress,
+        close_connection: bool,
+        request_journal: RequestJournal,
+    ) -> None:
+        self._context = context
+        self._request = request
+        self._routed = routed
+        self._service = service
+        self._web_request = web_request
+        self._request_journal = request_journal
+        self._digest = make_digest(request)
+        self.progress = progress
+        self._relay = Relay(
+            web_request=web_request,
+            request=request,
+            route=routed.route,
+            dialect=context.dialect,
+            clock=context.app.clock,
+            progress=progress,
+            close_connection=close_connection,
+        )
+
+    async def async_run(self) -> web.StreamResponse:
+        """Return the answer, which a stream has already written."""
+        self._context.budget.note_request(self._service)
+        try:
+            async with asyncio.timeout(max(0, self._remaining_ms()) / MS_PER_S):
+                return await self._async_run_attempts()
+        except TimeoutError:
+            return self._end_at_deadline()
+
+    async def _async_run_attempts(self) -> web.StreamResponse:
+        while True:
+            if self._is_suspect():
+                message = "Upstreams broke off while they ran the same request"
+                return self._refuse(Reason.SUSPECT_BUSY, message)
+            placed = self._context.placer.place(
+                service=self._service,
+                prompt=self._request.prompt,
+                passed_over=self.progress.excluded_upstreams,
+                limit_ms=self._get_time_limit_ms(),
+            )
+            if isinstance(placed, NoPlace):
+                return self._refuse(placed.reason, placed.message, placed.not_before_ms)
+            response = await self._async_attempt(placed)
+            if response is not None:
+                return response
+
+    async def _async_attempt(self, placed: Placed) -> web.StreamResponse | None:
+        """Try one upstream; None asks for another one."""
+        progress = self.progress
+        progress.attempts += 1
+        progress.upstream = placed.entry.incarnation
+        loads = self._context.placer.loads
+        peers_age_ms = loads.oldest_news_ms(now_ms=self._now_ms())
+        self._request_journal.record_placed(
+            placed, attempt=progress.attempts, peers_age_ms=peers_age_ms
+        )
+        attempt = Attempt(
+            pool=self._context.pool,
+            dialect=self._context.dialect,
+            request=self._request,
+            options=self._make_attempt_options(placed),
+            entry=placed.entry,
+            on_head=self._context.placer.take_words,
+        )
+        started_ms = self._now_ms()
+        outcome: Outcome | None = None
+        step = "given up"
+        sent = self._context.placer.note_sent(placed, self._request.prompt)
+        try:
+            outcome = await self._async_send(attempt)
+            self._context.placer.note_ended(sent)
+            self._record_service_time(placed, outcome, self._now_ms() - started_ms)
+            if isinstance(outcome, StreamingResponse):
+                self._context.placer.note_first_event(sent)
+            if isinstance(outcome, Unreachable | Rejected):
+                self._context.placer.note_not_run(sent)
+            response, step = await self._async_decide(attempt, outcome)
+        finally:
+            attempt.close()
+            self._context.placer.loads.end(placed.entry.incarnation)
+            self._request_journal.record_ended(
+                attempt,
+                outcome,
+                number=progress.attempts,
+                after_ms=self._now_ms() - started_ms,
+                step=step,
+            )
+        progress.in_flight = False
+        return response
+
+    def _record_service_time(self, placed: Placed, outcome: Outcome, elapsed_ms: int) -> None:
+        """Learn how long a plain upstream takes."""
+        if self._request.prompt is not None or not isinstance(outcome, CompleteResponse):
+            return
+        if outcome.status < STATUS_SERVER_ERROR:
+            self._context.placer.plain.note_answered(placed, elapsed_ms=elapsed_ms)
+
+    async def _async_send(self, attempt: Attempt) -> Outcome:
+        failed = await attempt.async_connect(repeatable=self._routed.route.repeatable)
+        if failed is not None:
+            return failed
+        self._request_journal.record_sent(attempt, number=self.progress.attempts)
+        self.progress.in_flight = True
+        return await attempt.async_send(response_timeout_ms=self._get_response_timeout_ms())
+
+    async def _async_decide(
+        self, attempt: Attempt, outcome: Outcome
+    ) -> tuple[web.StreamResponse | None, str]:
+        """Return the answer, or None and why another upstream is asked."""
+        if isinstance(outcome, StreamingResponse):
+            decision = await self._async_relay_stream(attempt, outcome)
+        else:
+            outcome = self._record_outcome(attempt, outcome)
+            decision = decide_next_step(outcome, self.progress, self._get_retry_limits())
+        return self._apply(decision, outcome), decision.step.value
+
+    def _record_outcome(
+        self, attempt: Attempt, outcome: Unreachable | Rejected | ResponseLost | CompleteResponse
+    ) -> Unreachable | Rejected | ResponseLost | CompleteResponse:
+        """Count an attempt and learn from it; return what it means for the request."""
+        upstream = attempt.entry.incarnation
+        match outcome:
+            case Unreachable(reason=reason, refused=refused):
+                self._context.placer.note_unreachable(attempt.entry, reason=reason, refused=refused)
+                self._context.pool.close_idle(upstream)
+                self.progress.unreachable += 1
+                self.progress.excluded_upstreams.add(upstream)
+            case Rejected():
+                self._record_rejection(upstream, outcome)
+            case ResponseLost():
+                self._record_lost(upstream, outcome)
+            case CompleteResponse(status=status) if self._relay.response is not None:
+                outcome = ResponseLost(reason=f"status {status}")
+                self._record_lost(upstream, outcome)
+            case CompleteResponse(status=status) if status < STATUS_SERVER_ERROR:
+                self._record_success(upstream)
+            case CompleteResponse(status=status):
+                self._context.placer.health.note_failed(upstream, reason=f"status {status}")
+                self.progress.fallback_response = outcome
+                self._record_possible_run(upstream)
+        return outcome
+
+    def _record_rejection(self, upstream: str, outcome: Rejected) -> None:
+        if outcome.wrong_upstream:
+            self._context.placer.health.note_unreachable(
+                upstream, reason="another upstream is there"
+            )
+        else:
+            self._context.placer.health.note_failed(upstream, reason="turned away")
+        self.progress.rejections += 1
+        self.progress.excluded_upstreams.add(upstream)
+
+    def _record_lost(self, upstream: str, outcome: ResponseLost) -> None:
+        self._context.placer.health.note_failed(upstream, reason=outcome.reason)
+        if outcome.connection_broken:
+            self._context.suspects.note_broken(self._digest, upstream)
+        self._record_possible_run(upstream)
+
+    def _record_success(self, upstream: str) -> None:
+        self._context.placer.health.note_good(upstream)
+        self._context.suspects.note_good(self._digest)
+
+    def _record_possible_run(self, upstream: str) -> None:
+        self.progress.possibly_ran_on.append(upstream)
+        self.progress.excluded_upstreams.add(upstream)
+
+    async def _async_relay_stream(self, attempt: Attempt, outcome: StreamingResponse) -> Decision:
+        """Pass a stream on, and return whether it may go on elsewhere where it broke off."""
+        upstream = attempt.entry.incarnation
+        if self._relay.last_event_id is not None:
+            self._request_journal.record_resumed(upstream, last_event_id=self._relay.last_event_id)
+        end = await self._relay.async_relay(outcome)
+        if end is RelayResult.COMPLETE:
+            self._record_success(upstream)
+            attempt.release()
+            return Decision(step=NextStep.RESPOND)
+        message = f"stream {end.value}"
+        self._record_lost(
+            upstream, ResponseLost(reason=message, connection_broken=end is RelayResult.BROKEN)
+        )
+        attempt.close()
+        limits = self._get_retry_limits()
+        return decide_after_failed_run(
+            self.progress, limits, retry_step=NextStep.RESUME, message=message
+        )
+
+    def _apply(self, decision: Decision, outcome: Outcome) -> web.StreamResponse | None:
+        match decision.step:
+            case NextStep.SEND_ELSEWHERE | NextStep.RETRY | NextStep.RESUME:
+                return None
+            case NextStep.REFUSE:
+                return self._refuse(decision.reason, decision.message)
+            case NextStep.FAIL:
+                return self._fail(decision.message)
+            case NextStep.RESPOND if isinstance(outcome, CompleteResponse):
+                return self._respond(outcome)
+            case NextStep.RESPOND:
+                self.progress.outcome = "answered"
+                return self._relay.response
+
+    def _get_time_limit_ms(self) -> int:
+        """Return within what time an answer has its worth: the target, or the caller's time."""
+        target_ms = self._routed.route.target_ms
+        waited_ms = self._now_ms() - self.progress.arrived_ms
+        remaining_ms = self._remaining_ms()
+        return min(remaining_ms, target_ms - waited_ms) if waited_ms < target_ms else remaining_ms
+
+    def _get_retry_limits(self) -> RetryLimits:
+        route = self._routed.route
+        return RetryLimits(
+            repeatable=route.repeatable and Mechanism.SECOND_TRIES not in self._context.without,
+            max_attempts=route.max_attempts,
+            remaining_ms=self._remaining_ms(),
+            take_retry=lambda: self._context.budget.take(self._service),
+        )
+
+    def _is_suspect(self) -> bool:
+        if Mechanism.SUSPECTS in self._context.without:
+            return False
+        return self._context.suspects.is_suspect(self._digest)
+
+    def _refuse(self, reason: Reason, message: str, not_before_ms: int = 0) -> web.StreamResponse:
+        """End a request that no further upstream is asked for."""
+        progress = self.progress
+        if progress.possibly_ran_on or self._relay.response is not None:
+            return self._fail(message)
+        response, retry_after_ms = make_refusal(
+            reason=reason,
+            message=message,
+            request_id=self._request.request_id,
+            remaining_ms=self._remaining_ms(),
+            not_before_ms=not_before_ms,
+            dialect=self._context.dialect,
+        )
+        progress.outcome = reason.value
+        self._request_journal.record_refused(
+            reason=reason.value,
+            status=response.status,
+            retry_after_ms=retry_after_ms,
+            waited_ms=self._now_ms() - progress.arrived_ms,
+        )
+        return response
+
+    def _respond(self, outcome: CompleteResponse) -> web.StreamResponse:
+        self.progress.outcome = "answered"
+        self.progress.bytes_out = len(outcome.body)
+        self.progress.first_byte_ms = self._now_ms() - self.progress.arrived_ms
+        return make_upstream_response(outcome=outcome, dialect=self._context.dialect)
+
+    def _fail(self, message: str) -> web.StreamResponse:
+        """End a request that may have run."""
+        self.progress.outcome = f"failed: {message}"
+        if self._relay.response is not None:
+            abort_connection(self._web_request.transport)
+            return self._relay.response
+        if self.progress.fallback_response is not None:
+            return self._respond(self.progress.fallback_response)
+        return make_failure(
+            reason=Reason.UPSTREAM_LOST, message=message, request_id=self._request.request_id
+        )
+
+    def _end_at_deadline(self) -> web.StreamResponse:
+        """End a request whose time is over."""
+        if not self.progress.in_flight and not self.progress.possibly_ran_on:
+            return self._refuse(Reason.DEADLINE, "No upstream had time for the request")
+        self.progress.outcome = "deadline"
+        if self._relay.response is not None:
+            abort_connection(self._web_request.transport)
+            return self._relay.response
+        if self.progress.fallback_response is not None:
+            return self._respond(self.progress.fallback_response)
+        return make_failure(
+            reason=Reason.DEADLINE,
+            message="The deadline has passed",
+            request_id=self._request.request_id,
+        )
+
+    def _get_response_timeout_ms(self) -> int | None:
+        """Return how long an upstream may say nothing before another one is asked."""
+        route = self._routed.route
+        if not route.repeatable or len(self.progress.possibly_ran_on) + 1 >= route.max_attempts:
+            return None
+        if Mechanism.SILENCE in self._context.without:
+            return None
+        timeout_ms = max(MIN_RESPONSE_TIMEOUT_MS, int(route.target_ms * RESPONSE_TIMEOUT_FACTOR))
+        return max(1, min(timeout_ms, self._remaining_ms() // 2))
+
+    def _make_attempt_options(self, placed: Placed) -> AttemptOptions:
+        return AttemptOptions(
+            upstream=placed.entry.upstream,
+            workspace=self._routed.workspace,
+            deadline_ms=max(1, self._remaining_ms() - RETURN_TRIP_MS),
+            priority=self._get_priority(),
+            last_event_id=self._relay.last_event_id or self._request.last_event_id,
+            fetch_from=None if placed.fetch_from is None else placed.fetch_from.address,
+        )
+
+    def _get_priority(self) -> int | None:
+        if self._request.prompt is None or Mechanism.PRIORITIES in self._context.without:
+            return None
+        return self._routed.priority
+
+    def _remaining_ms(self) -> int:
+        return self.progress.deadline_at_ms - self._now_ms() - RESPONSE_MARGIN_MS
+
+    def _now_ms(self) -> int:
+        return self._context.app.clock.now_ms()
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -11,18 +11,18 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
 from gypsumrouter.forwarding.budget import RetryBudget
-from gypsumrouter.forwarding.connections import UpstreamConnections
-from gypsumrouter.forwarding.const import CALLER_SPARE_MS, LEAVING_MS
-from gypsumrouter.forwarding.handler import ReadRequest, RequestHandler
+from gypsumrouter.forwarding.connections import ConnectionPool
+from gypsumrouter.forwarding.const import CALLER_TIMEOUT_MARGIN_MS, DRAIN_GRACE_MS
+from gypsumrouter.forwarding.drain import DrainAdmission
+from gypsumrouter.forwarding.execution import ForwardingContext
+from gypsumrouter.forwarding.handler import RequestHandler, RequestParser
 from gypsumrouter.forwarding.health import HealthBook
 from gypsumrouter.forwarding.inventory import AskHeld, Inventory
-from gypsumrouter.forwarding.leaving import Leaving
 from gypsumrouter.forwarding.metrics import ForwardingMetrics
 from gypsumrouter.forwarding.models import Dialect
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
 from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.run import RunParts
 from gypsumrouter.forwarding.slow_start import SlowStartBook
 from gypsumrouter.forwarding.suspects import Suspects
 from gypsumrouter.instances import Address, parse_address
@@ -33,10 +33,10 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-SWEEP_MS: Final = 1_000
-DRAIN_STEP_MS: Final = 20
+CLEANUP_INTERVAL_MS: Final = 1_000
+DRAIN_POLL_MS: Final = 20
 # Requests that are taken during a stop end this long before the process is killed.
-LEAVING_MARGIN_MS: Final = 1_000
+DRAIN_MARGIN_MS: Final = 1_000
 
 
 class Forwarder:
@@ -44,14 +44,14 @@
 
     __slots__ = (
         "_app",
-        "_connections",
         "_directory",
+        "_disabled",
+        "_drain",
         "_first_start",
-        "_leaving",
         "_listener",
+        "_pool",
         "_routing",
         "_server",
-        "_without",
         "budget",
         "handler",
         "inventory",
@@ -69,7 +69,7 @@
         directory: Directory,
         evacuations: Evacuations,
         dialect: Dialect,
-        read_request: ReadRequest,
+        parse_request: RequestParser,
         ask_held: AskHeld,
     ) -> None:
         self._app = app
@@ -95,22 +95,22 @@
             evacuation_ms=bounds.evacuation_ms,
             without=settings.without,
         )
-        kept = Mechanism.KEPT_CONNECTIONS not in settings.without
-        self._connections = UpstreamConnections(app=app, kept_for_all=kept)
+        reuse_for_all = Mechanism.KEPT_CONNECTIONS not in settings.without
+        self._pool = ConnectionPool(app=app, reuse_for_all=reuse_for_all)
         self.budget = RetryBudget(
             clock=app.clock,
             ratio=bounds.retry_ratio,
             slack=bounds.retry_slack,
             window_ms=bounds.retry_window_ms,
         )
-        self._leaving = Leaving(clock=app.clock, limit_ms=bounds.stop_ms - LEAVING_MARGIN_MS)
+        self._drain = DrainAdmission(clock=app.clock, limit_ms=bounds.stop_ms - DRAIN_MARGIN_MS)
         self.suspects = Suspects(app=app, journal=journal)
-        parts = RunParts(
+        context = ForwardingContext(
             app=app,
             journal=journal,
             dialect=dialect,
             placer=self.placer,
-            connections=self._connections,
+            pool=self._pool,
             budget=self.budget,
             suspects=self.suspects,
             without=settings.without,
@@ -121,20 +121,20 @@
             evacuations=evacuations,
             routing=routing,
             placer=self.placer,
-            connections=self._connections,
+            connections=self._pool,
             ask=ask_held,
         )
         self.handler = RequestHandler(
-            parts=parts,
+            context=context,
             routing=routing,
             directory=directory,
-            read_request=read_request,
+            parse_request=parse_request,
             metrics=ForwardingMetrics(app=app),
-            leaving=self._leaving,
-            inventory=self.inventory.done,
+            drain=self._drain,
+            inventory_loaded=self.inventory.done,
         )
         self._first_start = settings.first_start
-        self._without = settings.without
+        self._disabled = settings.without
         app.add_dump_section("reading", lambda: round(self.placer.reading.tokens_per_ms, 1))
         app.add_dump_section("without", lambda: sorted(settings.without))
         self._server: CallerServer | None = None
@@ -150,7 +150,7 @@
             and self._directory.loaded.is_set()
         )
 
-    def take_bounds(self, bounds: Bounds) -> None:
+    def update_bounds(self, bounds: Bounds) -> None:
         """Keep other bounds from now on."""
         self.placer.take_bounds(
             Cap(factor=bounds.cap_factor, slack=bounds.cap_slack),
@@ -160,7 +160,7 @@
             ratio=bounds.retry_ratio, slack=bounds.retry_slack, window_ms=bounds.retry_window_ms
         )
         self.placer.slow_start.take_bound(factor=bounds.warm_up_factor, slack=bounds.warm_up_slack)
-        self._leaving.take_limit(bounds.stop_ms - LEAVING_MARGIN_MS)
+        self._drain.update_limit(bounds.stop_ms - DRAIN_MARGIN_MS)
 
     async def async_start(self) -> Address:
         """Begin to listen and return the address."""
@@ -168,8 +168,8 @@
         address = await self._listener.async_start()
         self._app.on_drain(self._async_drain)
         self._app.on_stop(self._listener.async_close)
-        self._app.async_create_task(self._async_sweep(), "forwarder sweep")
-        if self._first_start or Mechanism.INVENTORY in self._without:
+        self._app.async_create_task(self._async_clean_up(), "forwarder sweep")
+        if self._first_start or Mechanism.INVENTORY in self._disabled:
             self.inventory.note_known()
         else:
             self.inventory.async_start()
@@ -179,7 +179,7 @@
         self._server = CallerServer(
             self._async_handle,
             get_limits=self._get_head_limits,
-            mint_request_id=self.handler.mint_request_id,
+            mint_request_id=self.handler.make_request_id,
         )
         callers = parse_address(settings.callers)
         self._listener = CallerListener(
@@ -190,29 +190,29 @@
         limits = self._routing.limits
         return HeadLimits(
             max_bytes=limits.max_head_bytes,
-            first_head_ms=limits.idle_timeout_ms + CALLER_SPARE_MS,
-            head_ms=limits.head_timeout_ms + CALLER_SPARE_MS,
-            idle_ms=limits.idle_timeout_ms + CALLER_SPARE_MS,
+            first_head_ms=limits.idle_timeout_ms + CALLER_TIMEOUT_MARGIN_MS,
+            head_ms=limits.head_timeout_ms + CALLER_TIMEOUT_MARGIN_MS,
+            idle_ms=limits.idle_timeout_ms + CALLER_TIMEOUT_MARGIN_MS,
         )
 
     async def _async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
         return await self.handler.async_handle(request)
 
-    async def _async_sweep(self) -> None:
+    async def _async_clean_up(self) -> None:
         while True:
-            await self._app.clock.async_sleep(SWEEP_MS)
-            self._connections.sweep()
+            await self._app.clock.async_sleep(CLEANUP_INTERVAL_MS)
+            self._pool.close_expired()
             self.placer.sweep()
 
     async def _async_drain(self) -> None:
         """Take requests until balancers know, then finish what runs and close what is idle."""
-        self._leaving.begin()
-        await self._app.clock.async_sleep(LEAVING_MS)
+        self._drain.begin()
+        await self._app.clock.async_sleep(DRAIN_GRACE_MS)
         assert self._server is not None
         for connection in tuple(self._server.connections):
             if isinstance(connection, CallerConnection):
                 connection.close_politely()
         while self.handler.running:
-            await self._app.clock.async_sleep(DRAIN_STEP_MS)
+            await self._app.clock.async_sleep(DRAIN_POLL_MS)
         assert self._listener is not None
         await self._listener.async_stop_listening()
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -23,15 +23,15 @@
 )
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.directory import Directory
-from gypsumrouter.forwarding.answers import make_refusal, make_rejection
-from gypsumrouter.forwarding.const import ANSWER_MARGIN_MS
-from gypsumrouter.forwarding.leaving import Leaving, estimate_duration_ms
+from gypsumrouter.forwarding.const import RESPONSE_MARGIN_MS
+from gypsumrouter.forwarding.drain import DrainAdmission, estimate_duration_ms
+from gypsumrouter.forwarding.execution import ForwardingContext, RequestExecution
 from gypsumrouter.forwarding.metrics import ForwardingMetrics
 from gypsumrouter.forwarding.models import CallerRequest
 from gypsumrouter.forwarding.progress import Progress
-from gypsumrouter.forwarding.relay import CallerGone
-from gypsumrouter.forwarding.run import RequestRun, RunParts
-from gypsumrouter.forwarding.story import RequestStory
+from gypsumrouter.forwarding.relay import CallerDisconnected
+from gypsumrouter.forwarding.request_journal import RequestJournal
+from gypsumrouter.forwarding.responses import make_refusal, make_rejection
 from gypsumrouter.helpers.logs import set_request_id
 from gypsumrouter.journal import RequestEnded, RequestRefused
 from gypsumrouter.mechanisms import Mechanism
@@ -41,14 +41,14 @@
 _LOGGER = logging.getLogger(__name__)
 
 # What the bodies of all running requests may take together: an eighth of the smallest instance.
-MAX_BODIES_BYTES: Final = 24 * 1024 * 1024
+MAX_BUFFERED_BODY_BYTES: Final = 24 * 1024 * 1024
 DEFAULT_TIMEOUT_MS: Final = 15_000
 # How long requests that arrive before configuration, list and cached prompts are known wait for
 # them: it takes 10 to 50 ms where the store answers, and 50 ms more for the engines' lists.
-START_WAIT_MS: Final = 300
+STARTUP_WAIT_MS: Final = 300
 
 
-class ReadRequest(Protocol):
+class RequestParser(Protocol):
     """Reads a request's head in the spelling of the deployment."""
 
     def __call__(self, *, request: web.BaseRequest, body: bytes) -> CallerRequest | None:
@@ -59,68 +59,68 @@
     """Serves every request of every caller."""
 
     __slots__ = (
-        "_awaited",
         "_bodies",
+        "_context",
         "_directory",
-        "_inventory",
-        "_leaving",
+        "_drain",
+        "_inventory_loaded",
         "_metrics",
-        "_minted",
-        "_parts",
-        "_read_request",
+        "_parse_request",
+        "_request_count",
         "_routing",
         "_running",
+        "_startup_events",
     )
 
     def __init__(
         self,
         *,
-        parts: RunParts,
+        context: ForwardingContext,
         routing: RoutingStore,
         directory: Directory,
-        read_request: ReadRequest,
+        parse_request: RequestParser,
         metrics: ForwardingMetrics,
-        leaving: Leaving,
-        inventory: asyncio.Event,
+        drain: DrainAdmission,
+        inventory_loaded: asyncio.Event,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._routing = routing
         self._directory = directory
-        self._read_request = read_request
+        self._parse_request = parse_request
         self._metrics = metrics
-        self._leaving = leaving
-        self._bodies = MemoryBudget(limit=MAX_BODIES_BYTES)
-        self._awaited = (routing.ready, directory.loaded)
-        self._inventory = inventory
+        self._drain = drain
+        self._bodies = MemoryBudget(limit=MAX_BUFFERED_BODY_BYTES)
+        self._startup_events = (routing.ready, directory.loaded)
+        self._inventory_loaded = inventory_loaded
         self._running: dict[int, str] = {}
-        self._minted = 0
+        self._request_count = 0
 
     @property
     def running(self) -> list[str]:
         """Return the ids of the requests that run."""
         return list(self._running.values())
 
-    def mint_request_id(self) -> str:
+    def make_request_id(self) -> str:
         """Return an id for a request that brought none."""
-        self._minted += 1
-        return f"{self._parts.app.incarnation:016x}-{self._minted:x}"
+        self._request_count += 1
+        return f"{self._context.app.incarnation:016x}-{self._request_count:x}"
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request from its head to the end of its answer."""
-        arrived_ms = self._parts.app.clock.now_ms()
+        arrived_ms = self._context.app.clock.now_ms()
         if isinstance(request.protocol, CallerConnection):
             request.protocol.note_request()
         held = HeldBytes(budget=self._bodies)
-        self._minted += 1
-        number = self._minted
+        self._request_count += 1
+        number = self._request_count
         self._running[number] = "unread"
         try:
             response = await self._async_serve(request, held, arrived_ms, number)
         finally:
             held.release()
             del self._running[number]
-            self._leaving.note_ended(number)
-        if self._leaving.leaving and not response.prepared:
+            self._drain.request_ended(number)
+        if self._drain.draining and not response.prepared:
             response.force_close()
         return response
 
@@ -129,7 +129,7 @@
     ) -> web.StreamResponse:
         limits = self._routing.limits
         if count_head_bytes(request) > limits.max_head_bytes:
-            return self._reject_unread(reject_head_size())
+            return self._reject_malformed(reject_head_size())
         body = await async_read_body(
             request=request,
             held=held,
@@ -137,80 +137,97 @@
             idle_ms=limits.idle_timeout_ms,
         )
         if isinstance(body, Rejection):
-            return self._reject_unread(body)
-        read = self._read_request(request=request, body=body)
-        if read is None:
-            return self._reject_unread(reject_field("head", "The head is malformed"))
-        self._running[number] = read.request_id
-        set_request_id(read.request_id)
-        return await self._async_route(request, read, arrived_ms, number)
+            return self._reject_malformed(body)
+        caller_request = self._parse_request(request=request, body=body)
+        if caller_request is None:
+            return self._reject_malformed(reject_field("head", "The head is malformed"))
+        self._running[number] = caller_request.request_id
+        set_request_id(caller_request.request_id)
+        return await self._async_route(request, caller_request, arrived_ms, number)
 
     async def _async_route(
-        self, request: web.BaseRequest, read: CallerRequest, arrived_ms: int, number: int
+        self, request: web.BaseRequest, caller_request: CallerRequest, arrived_ms: int, number: int
     ) -> web.StreamResponse:
-        await self._async_wait_until_ready(read)
+        await self._async_wait_until_ready(caller_request)
         table = self._routing.table
         if table is None or not self._directory.loaded.is_set():
-            return self._refuse(read, Reason.NOT_READY, "The configuration is not known yet")
-        match table.find(host=read.host, path=read.bare_path, key=read.key):
+            return self._refuse(
+                caller_request, Reason.NOT_READY, "The configuration is not known yet"
+            )
+        match table.find(
+            host=caller_request.host,
+            path=caller_request.path_without_query,
+            key=caller_request.api_key,
+        ):
             case NoRoute():
-                return self._reject(read, Reason.NOT_FOUND, "No route fits the host and the path")
+                return self._reject(
+                    caller_request, Reason.NOT_FOUND, "No route fits the host and the path"
+                )
             case WrongKey():
-                return self._reject(read, Reason.UNAUTHENTICATED, "The key is not known")
+                return self._reject(caller_request, Reason.UNAUTHENTICATED, "The key is not known")
             case Routed() as routed:
-                duration_ms = estimate_duration_ms(read, routed.route)
+                duration_ms = estimate_duration_ms(caller_request, routed.route)
                 if not self._admits(duration_ms):
-                    return self._refuse(read, Reason.LEAVING, "This router is stopping")
-                self._leaving.note_started(number, duration_ms=duration_ms)
-                return await self._async_run(request, read, routed, arrived_ms)
+                    return self._refuse(caller_request, Reason.LEAVING, "This router is stopping")
+                self._drain.request_started(number, duration_ms=duration_ms)
+                return await self._async_run(request, caller_request, routed, arrived_ms)
 
-    async def _async_wait_until_ready(self, read: CallerRequest) -> None:
+    async def _async_wait_until_ready(self, caller_request: CallerRequest) -> None:
         """Wait a moment for what a starting process loads, which takes some ten milliseconds."""
-        awaited = self._awaited if self._knows_prompt(read) else (*self._awaited, self._inventory)
+        awaited = (
+            self._startup_events
+            if self._is_prompt_located(caller_request)
+            else (*self._startup_events, self._inventory_loaded)
+        )
         if all(event.is_set() for event in awaited):
             return
-        patience_ms = min(START_WAIT_MS, (read.deadline_ms or DEFAULT_TIMEOUT_MS) // 3)
+        timeout_ms = min(STARTUP_WAIT_MS, (caller_request.deadline_ms or DEFAULT_TIMEOUT_MS) // 3)
         try:
-            async with asyncio.timeout(patience_ms / MS_PER_S):
+            async with asyncio.timeout(timeout_ms / MS_PER_S):
                 for event in awaited:
                     await event.wait()
         except TimeoutError:
-            _LOGGER.debug("Request %s met a router that is not ready", read.request_id)
+            _LOGGER.debug("Request %s met a router that is not ready", caller_request.request_id)
 
     def _admits(self, duration_ms: int) -> bool:
-        if Mechanism.LEAVING_ADMISSION in self._parts.without:
+        if Mechanism.LEAVING_ADMISSION in self._context.without:
             return True
-        return self._leaving.admits(duration_ms=duration_ms)
+        return self._drain.admits(duration_ms=duration_ms)
 
-    def _knows_prompt(self, read: CallerRequest) -> bool:
+    def _is_prompt_located(self, caller_request: CallerRequest) -> bool:
         """Return whether a request needs nothing that the inventory may bring."""
-        return read.prompt is None or self._parts.placer.knows(read.prompt)
+        return caller_request.prompt is None or self._context.placer.knows(caller_request.prompt)
 
     async def _async_run(
-        self, request: web.BaseRequest, read: CallerRequest, routed: Routed, arrived_ms: int
+        self,
+        request: web.BaseRequest,
+        caller_request: CallerRequest,
+        routed: Routed,
+        arrived_ms: int,
     ) -> web.StreamResponse:
         route = routed.route
         progress = Progress(
-            arrived_ms=arrived_ms, deadline_at_ms=arrived_ms + _get_time_ms(read, route)
+            arrived_ms=arrived_ms,
+            deadline_at_ms=arrived_ms + _get_time_limit_ms(caller_request, route),
         )
-        service = choose_service(read, route)
-        story = RequestStory(
-            journal=self._parts.journal,
-            request=read,
+        service = choose_service(caller_request, route)
+        request_journal = RequestJournal(
+            journal=self._context.journal,
+            request=caller_request,
             routed=routed,
             service=service,
             configuration=self._routing.version,
             list_revision=self._directory.newest,
         )
-        run = RequestRun(
-            parts=self._parts,
-            request=read,
+        run = RequestExecution(
+            context=self._context,
+            request=caller_request,
             routed=routed,
             service=service,
             web_request=request,
             progress=progress,
-            closes=self._leaving.leaving,
-            story=story,
+            close_connection=self._drain.draining,
+            request_journal=request_journal,
         )
         status = 0
         try:
@@ -220,44 +237,46 @@
             progress.outcome = "caller_gone"
             abort_connection(request.transport)
             raise
-        except CallerGone:
+        except CallerDisconnected:
             progress.outcome = "caller_gone"
             abort_connection(request.transport)
             # The library ends a connection quietly for this, and as a fault for anything else.
             raise asyncio.CancelledError from None
         finally:
-            self._note_end(read, routed, progress, status)
+            self._record_end(caller_request, routed, progress, status)
         return response
 
-    def _refuse(self, read: CallerRequest, reason: Reason, message: str) -> web.Response:
-        left_ms = read.deadline_ms or DEFAULT_TIMEOUT_MS
+    def _refuse(self, caller_request: CallerRequest, reason: Reason, message: str) -> web.Response:
+        remaining_ms = caller_request.deadline_ms or DEFAULT_TIMEOUT_MS
         response, retry_after_ms = make_refusal(
             reason=reason,
             message=message,
-            request_id=read.request_id,
-            left_ms=left_ms,
-            dialect=self._parts.dialect,
+            request_id=caller_request.request_id,
+            remaining_ms=remaining_ms,
+            dialect=self._context.dialect,
         )
-        self._note_refused(read.request_id, reason, response.status, retry_after_ms)
+        self._record_refusal(caller_request.request_id, reason, response.status, retry_after_ms)
         return response
 
-    def _reject(self, read: CallerRequest, reason: Reason, message: str) -> web.Response:
-        response = make_rejection(reason=reason, message=message, request_id=read.request_id)
-        self._note_refused(read.request_id, reason, response.status, -1)
+    def _reject(self, caller_request: CallerRequest, reason: Reason, message: str) -> web.Response:
+        response = make_rejection(
+            reason=reason, message=message, request_id=caller_request.request_id
+        )
+        self._record_refusal(caller_request.request_id, reason, response.status, -1)
         return response
 
-    def _reject_unread(self, rejection: Rejection) -> web.Response:
+    def _reject_malformed(self, rejection: Rejection) -> web.Response:
         """Turn away what could not be read as a request; it gets an id of this router's own."""
-        request_id = self.mint_request_id()
+        request_id = self.make_request_id()
         response = make_error_response(rejection=rejection, request_id=request_id)
-        self._note_refused(request_id, rejection.failure.reason, response.status, -1)
+        self._record_refusal(request_id, rejection.failure.reason, response.status, -1)
         return response
 
-    def _note_refused(
+    def _record_refusal(
         self, request_id: str, reason: Reason, status: int, retry_after_ms: int
     ) -> None:
-        self._metrics.count_end(route="", outcome=reason.value, status=status)
-        self._parts.journal.record(
+        self._metrics.count_request(route="", outcome=reason.value, status=status)
+        self._context.journal.record(
             RequestRefused(
                 request_id=request_id,
                 route="",
@@ -270,19 +289,19 @@
             )
         )
 
-    def _note_end(
-        self, read: CallerRequest, routed: Routed, progress: Progress, status: int
+    def _record_end(
+        self, caller_request: CallerRequest, routed: Routed, progress: Progress, status: int
     ) -> None:
-        total_ms = self._parts.app.clock.now_ms() - progress.arrived_ms
-        self._metrics.count_end(
+        total_ms = self._context.app.clock.now_ms() - progress.arrived_ms
+        self._metrics.count_request(
             route=routed.route.kind.value, outcome=progress.outcome, status=status
         )
-        self._metrics.observe(
+        self._metrics.observe_latency(
             kind=routed.route.kind.value, first_byte_ms=progress.first_byte_ms, total_ms=total_ms
         )
-        self._parts.journal.record(
+        self._context.journal.record(
             RequestEnded(
-                request_id=read.request_id,
+                request_id=caller_request.request_id,
                 route=routed.route.name,
                 workspace=routed.workspace,
                 outcome=progress.outcome,
@@ -296,14 +315,14 @@
         )
 
 
-def choose_service(read: CallerRequest, route: Route) -> str:
+def choose_service(caller_request: CallerRequest, route: Route) -> str:
     """Return the service for a request; equal prompts of a split route go to the same one."""
     if len(route.targets) == 1:
         return route.targets[0].service
-    if read.prompt is not None and read.prompt.shared:
-        seed = read.prompt.shared[-1].part.to_bytes(8, "little")
+    if caller_request.prompt is not None and caller_request.prompt.shared:
+        seed = caller_request.prompt.shared[-1].part.to_bytes(8, "little")
     else:
-        seed = read.request_id.encode()
+        seed = caller_request.request_id.encode()
     total = sum(target.weight for target in route.targets)
     point = xxhash.xxh3_64_intdigest(seed) / 2**64 * total
     for target in route.targets:
@@ -313,8 +332,8 @@
     return route.targets[-1].service
 
 
-def _get_time_ms(read: CallerRequest, route: Route) -> int:
+def _get_time_limit_ms(caller_request: CallerRequest, route: Route) -> int:
     """Return how long the request may take: the caller's patience within the route's timeout."""
-    if read.deadline_ms is None:
+    if caller_request.deadline_ms is None:
         return route.timeout_ms
-    return min(read.deadline_ms, route.timeout_ms + ANSWER_MARGIN_MS)
+    return min(caller_request.deadline_ms, route.timeout_ms + RESPONSE_MARGIN_MS)
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -22,8 +22,8 @@
     Evacuations,
     name_incarnation,
 )
-from gypsumrouter.forwarding.connections import UpstreamConnections
-from gypsumrouter.forwarding.const import SOURCE_ANSWER
+from gypsumrouter.forwarding.connections import ConnectionPool
+from gypsumrouter.forwarding.const import SOURCE_RESPONSE
 from gypsumrouter.forwarding.placer import Placer
 from gypsumrouter.helpers.http_connection import ConnectFailed, ConnectionBroken, HttpConnection
 from gypsumrouter.routing import RoutingStore
@@ -117,7 +117,7 @@
         evacuations: Evacuations,
         routing: RoutingStore,
         placer: Placer,
-        connections: UpstreamConnections,
+        connections: ConnectionPool,
         ask: AskHeld,
     ) -> None:
         self._app = app
@@ -225,17 +225,17 @@
         for part in parts:
             self._placer.note_held(part=part, upstream=incarnation)
         if held.leaving:
-            self._directory.note_leaving(incarnation, source=SOURCE_ANSWER)
+            self._directory.note_leaving(incarnation, source=SOURCE_RESPONSE)
         _LOGGER.info("Upstream %s holds %d parts", incarnation, len(held.parts))
         if self._peers is not None:
             await self._peers.async_share(incarnation, parts)
 
     async def _async_ask(self, entry: Entry) -> HeldList:
-        leased = await self._connections.async_lease(entry, repeatable=True, timeout_ms=LIST_MS)
+        leased = await self._connections.async_acquire(entry, repeatable=True, timeout_ms=LIST_MS)
         try:
             held = await self._ask(leased.connection)
         except BaseException:
             leased.connection.close()
             raise
-        self._connections.give_back(entry, leased.connection)
+        self._connections.release(entry, leased.connection)
         return held
--- a/gypsumrouter/forwarding/keeping.py
+++ b/gypsumrouter/forwarding/keep_alive.py
@@ -11,15 +11,15 @@
 from typing import Final
 
 # Without a word of the upstream: servers close idle connections after five seconds or more.
-DEFAULT_KEEP_MS: Final = 4_000
+DEFAULT_KEEP_ALIVE_MS: Final = 4_000
 # What must not be repeated is not sent on a connection that its upstream may be closing just now.
-DEFAULT_FRESH_MS: Final = 1_500
+DEFAULT_NON_REPEATABLE_IDLE_MS: Final = 1_500
 # A connection is given up this long before its upstream closes it: the way there, and a pause of
 # this process that its clock does not count.
-KEEP_MARGIN_MS: Final = 1_000
+KEEP_ALIVE_MARGIN_MS: Final = 1_000
 # What must not be repeated keeps away from the announced end by half of it. A path that fell silent
 # is found by the kernel's probes within three seconds.
-FRESH_SHARE: Final = 0.5
+NON_REPEATABLE_IDLE_RATIO: Final = 0.5
 
 
 def get_max_idle_ms(announced_ms: int | None, *, repeatable: bool) -> int:
@@ -28,6 +28,6 @@
     `announced_ms` is how long its upstream says that it keeps idle connections.
     """
     if announced_ms is None:
-        return DEFAULT_KEEP_MS if repeatable else DEFAULT_FRESH_MS
-    kept_ms = max(0, announced_ms - KEEP_MARGIN_MS)
-    return kept_ms if repeatable else min(kept_ms, int(announced_ms * FRESH_SHARE))
+        return DEFAULT_KEEP_ALIVE_MS if repeatable else DEFAULT_NON_REPEATABLE_IDLE_MS
+    kept_ms = max(0, announced_ms - KEEP_ALIVE_MARGIN_MS)
+    return kept_ms if repeatable else min(kept_ms, int(announced_ms * NON_REPEATABLE_IDLE_RATIO))
--- a/gypsumrouter/forwarding/metrics.py
+++ b/gypsumrouter/forwarding/metrics.py
@@ -40,13 +40,13 @@
             "gypsumrouter_request_ms", "Time to the end of an answer", LATENCY_BUCKETS
         )
 
-    def count_end(self, *, route: str, outcome: str, status: int) -> None:
+    def count_request(self, *, route: str, outcome: str, status: int) -> None:
         """Count one request that is over."""
         reason = outcome.partition(":")[0]
         labels = (("kind", route), ("outcome", reason), ("status", str(status)))
         self._ended.inc(labels=labels)
 
-    def observe(self, *, kind: str, first_byte_ms: int, total_ms: int) -> None:
+    def observe_latency(self, *, kind: str, first_byte_ms: int, total_ms: int) -> None:
         """Count the times of one request."""
         labels = (("kind", kind),)
         if first_byte_ms >= 0:
--- a/gypsumrouter/forwarding/models.py
+++ b/gypsumrouter/forwarding/models.py
@@ -48,20 +48,20 @@
     method: str
     host: str
     path: str
-    key: str | None
+    api_key: str | None
     deadline_ms: int | None
     prompt: Prompt | None
-    last_event: str | None
+    last_event_id: str | None
     headers: Headers
     body: bytes
 
     @property
-    def bare_path(self) -> str:
+    def path_without_query(self) -> str:
         """Return the path without its query."""
         return self.path.partition("?")[0]
 
 
-class Sending(Struct, frozen=True, kw_only=True):
+class AttemptOptions(Struct, frozen=True, kw_only=True):
     """What a forwarder adds for one attempt.
 
     Only the upstream with this id may run it, for at most `deadline_ms`. `fetch_from` is another
@@ -72,11 +72,11 @@
     workspace: str
     deadline_ms: int
     priority: int | None
-    last_event: str | None
+    last_event_id: str | None
     fetch_from: Address | None = None
 
 
-class AnswerFacts(Struct, frozen=True, kw_only=True):
+class ResponseMetadata(Struct, frozen=True, kw_only=True):
     """What the head of an answer says apart from its status.
 
     `request_id` is whom it belongs to, `signed` that an upstream vouches for it, `not_run` that it
@@ -88,20 +88,20 @@
     request_id: str | None
     signed: bool
     not_run: bool
-    encoded: bool
-    events: bool
-    keep_ms: int | None
-    leaving: bool = False
-    rest_ms: int | None = None
+    content_encoded: bool
+    is_event_stream: bool
+    keep_alive_ms: int | None
+    draining: bool = False
+    retry_after_ms: int | None = None
 
 
 class Dialect(Protocol):
     """How callers and upstreams of a deployment spell requests and answers."""
 
-    def write_request(self, *, request: CallerRequest, sending: Sending) -> bytes:
+    def write_request(self, *, request: CallerRequest, options: AttemptOptions) -> bytes:
         """Return the bytes of a request for an upstream."""
 
-    def read_answer(self, answer: Answer) -> AnswerFacts:
+    def read_response_head(self, answer: Answer) -> ResponseMetadata:
         """Return what an answer's head says."""
 
     def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
@@ -111,7 +111,7 @@
         """Return the value of the header that tells a caller when to come back."""
 
 
-class NotReached(Struct, frozen=True, kw_only=True):
+class Unreachable(Struct, frozen=True, kw_only=True):
     """No byte was sent: the upstream may be tried again, and so may any other.
 
     `refused` says that its machine answered that nobody listens there.
@@ -121,14 +121,14 @@
     refused: bool = False
 
 
-class TurnedAway(Struct, frozen=True, kw_only=True):
+class Rejected(Struct, frozen=True, kw_only=True):
     """The upstream answered that it did not run the request and never will."""
 
     status: int
-    stranger: bool
+    wrong_upstream: bool
 
 
-class Whole(Struct, frozen=True, kw_only=True):
+class CompleteResponse(Struct, frozen=True, kw_only=True):
     """A whole answer, held back until now."""
 
     answer: Answer
@@ -137,7 +137,7 @@
     body: bytes
 
 
-class Begun(Struct, frozen=True, kw_only=True):
+class StreamingResponse(Struct, frozen=True, kw_only=True):
     """The head of an answer whose body is read as it comes, and what was read of it already.
 
     `events` says that the body is a series of events.
@@ -145,18 +145,18 @@
 
     answer: Answer
     status: int
-    events: bool
-    first: bytes = b""
+    is_event_stream: bool
+    initial_bytes: bytes = b""
 
 
-class Lost(Struct, frozen=True, kw_only=True):
+class ResponseLost(Struct, frozen=True, kw_only=True):
     """The request was sent and brought no answer; it may have run.
 
     `broken` says that the connection broke off, as it does when an upstream dies.
     """
 
     reason: str
-    broken: bool = False
+    connection_broken: bool = False
 
 
-Outcome = NotReached | TurnedAway | Whole | Begun | Lost
+Outcome = Unreachable | Rejected | CompleteResponse | StreamingResponse | ResponseLost
--- a/gypsumrouter/forwarding/next_step.py
+++ b/gypsumrouter/forwarding/next_step.py
@@ -13,8 +13,8 @@
 
 from msgspec import Struct
 
-from gypsumrouter.forwarding.const import MAX_NOT_REACHED, MAX_TURNED_AWAY
-from gypsumrouter.forwarding.models import Lost, NotReached, TurnedAway, Whole
+from gypsumrouter.forwarding.const import MAX_REJECTIONS, MAX_UNREACHABLE
+from gypsumrouter.forwarding.models import CompleteResponse, Rejected, ResponseLost, Unreachable
 from gypsumrouter.forwarding.progress import Progress
 from gypsumrouter.outcomes import Reason
 
@@ -24,10 +24,10 @@
 class NextStep(StrEnum):
     """What a request does next, by the word that the journal shows."""
 
-    ELSEWHERE = "elsewhere"
-    RUN_AGAIN = "run_again"
+    SEND_ELSEWHERE = "elsewhere"
+    RETRY = "run_again"
     RESUME = "resume"
-    ANSWER = "answer"
+    RESPOND = "answer"
     REFUSE = "refuse"
     FAIL = "fail"
 
@@ -40,7 +40,7 @@
     message: str = ""
 
 
-class Allowance(Struct, frozen=True, kw_only=True):
+class RetryLimits(Struct, frozen=True, kw_only=True):
     """What the route, the clock and the retry budget allow a request.
 
     `take_retry` takes one retry out of the budget and returns whether there was one.
@@ -48,57 +48,61 @@
 
     repeatable: bool
     max_attempts: int
-    left_ms: int
+    remaining_ms: int
     take_retry: Callable[[], bool]
 
 
-def decide(
-    outcome: NotReached | TurnedAway | Lost | Whole, progress: Progress, allowance: Allowance
+def decide_next_step(
+    outcome: Unreachable | Rejected | ResponseLost | CompleteResponse,
+    progress: Progress,
+    limits: RetryLimits,
 ) -> Decision:
     """Return what follows an attempt; `progress` counts it already."""
     match outcome:
-        case NotReached():
-            return _decide_not_reached(progress)
-        case TurnedAway():
-            return _decide_turned_away(progress, allowance)
-        case Lost(reason=reason):
-            return decide_after_run(progress, allowance, again=NextStep.RUN_AGAIN, message=reason)
-        case Whole(status=status) if status < STATUS_SERVER_ERROR:
-            return Decision(step=NextStep.ANSWER)
-        case Whole():
-            if may_run_again(progress, allowance):
-                return Decision(step=NextStep.RUN_AGAIN)
-            return Decision(step=NextStep.ANSWER)
-
-
-def decide_after_run(
-    progress: Progress, allowance: Allowance, *, again: NextStep, message: str
+        case Unreachable():
+            return _decide_unreachable(progress)
+        case Rejected():
+            return _decide_rejected(progress, limits)
+        case ResponseLost(reason=reason):
+            return decide_after_failed_run(
+                progress, limits, retry_step=NextStep.RETRY, message=reason
+            )
+        case CompleteResponse(status=status) if status < STATUS_SERVER_ERROR:
+            return Decision(step=NextStep.RESPOND)
+        case CompleteResponse():
+            if may_retry(progress, limits):
+                return Decision(step=NextStep.RETRY)
+            return Decision(step=NextStep.RESPOND)
+
+
+def decide_after_failed_run(
+    progress: Progress, limits: RetryLimits, *, retry_step: NextStep, message: str
 ) -> Decision:
     """Return what follows a run that brought no whole answer."""
-    if may_run_again(progress, allowance):
-        return Decision(step=again)
+    if may_retry(progress, limits):
+        return Decision(step=retry_step)
     return Decision(step=NextStep.FAIL, message=message)
 
 
-def may_run_again(progress: Progress, allowance: Allowance) -> bool:
+def may_retry(progress: Progress, limits: RetryLimits) -> bool:
     """Return whether a request that may have run may go to another upstream."""
-    if not allowance.repeatable or len(progress.ran_on) >= allowance.max_attempts:
+    if not limits.repeatable or len(progress.possibly_ran_on) >= limits.max_attempts:
         return False
-    return allowance.left_ms > 0 and allowance.take_retry()
+    return limits.remaining_ms > 0 and limits.take_retry()
 
 
-def _decide_not_reached(progress: Progress) -> Decision:
-    if progress.not_reached > MAX_NOT_REACHED:
+def _decide_unreachable(progress: Progress) -> Decision:
+    if progress.unreachable > MAX_UNREACHABLE:
         message = "No upstream could be reached"
         return Decision(step=NextStep.REFUSE, reason=Reason.UNREACHABLE, message=message)
-    return Decision(step=NextStep.ELSEWHERE)
+    return Decision(step=NextStep.SEND_ELSEWHERE)
 
 
-def _decide_turned_away(progress: Progress, allowance: Allowance) -> Decision:
-    if progress.turned_away > MAX_TURNED_AWAY:
+def _decide_rejected(progress: Progress, limits: RetryLimits) -> Decision:
+    if progress.rejections > MAX_REJECTIONS:
         message = "The upstreams are full"
         return Decision(step=NextStep.REFUSE, reason=Reason.QUEUE_FULL, message=message)
-    if not allowance.take_retry():
+    if not limits.take_retry():
         message = "The retry budget is spent"
         return Decision(step=NextStep.REFUSE, reason=Reason.RETRY_BUDGET, message=message)
-    return Decision(step=NextStep.ELSEWHERE)
+    return Decision(step=NextStep.SEND_ELSEWHERE)
--- a/gypsumrouter/forwarding/placer.py
+++ b/gypsumrouter/forwarding/placer.py
@@ -9,12 +9,12 @@
 
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations
-from gypsumrouter.forwarding.const import SOURCE_ANSWER
+from gypsumrouter.forwarding.const import SOURCE_RESPONSE
 from gypsumrouter.forwarding.eligibility import NOTHING_LEFT, Eligibility, NoPlace
 from gypsumrouter.forwarding.health import HealthBook
 from gypsumrouter.forwarding.holdings import HELD_MS, Holdings
 from gypsumrouter.forwarding.loads import LoadBook, UpstreamLoad, get_mean
-from gypsumrouter.forwarding.models import AnswerFacts, Prompt, PromptPart
+from gypsumrouter.forwarding.models import Prompt, PromptPart, ResponseMetadata
 from gypsumrouter.forwarding.placed import Placed, Sent, Source
 from gypsumrouter.forwarding.placement import (
     MIN_FETCH_TOKENS,
@@ -232,15 +232,15 @@
             alone=placed.pending_tokens == 0 and placed.fetch_from is None,
         )
 
-    def take_words(self, entry: Entry, facts: AnswerFacts) -> None:
+    def take_words(self, entry: Entry, facts: ResponseMetadata) -> None:
         """Take what an upstream says of itself in an answer.
 
         The list may be away for long: without this, an upstream gets new work until it has ended.
         """
-        if facts.rest_ms is not None:
-            self.rests.note(entry.incarnation, rest_ms=facts.rest_ms)
-        if facts.leaving:
-            self._directory.note_leaving(entry.incarnation, source=SOURCE_ANSWER)
+        if facts.retry_after_ms is not None:
+            self.rests.note(entry.incarnation, rest_ms=facts.retry_after_ms)
+        if facts.draining:
+            self._directory.note_leaving(entry.incarnation, source=SOURCE_RESPONSE)
 
     def note_unreachable(self, entry: Entry, *, reason: str, refused: bool) -> None:
         """Note that no connection could be made; `refused` where its machine said so itself."""
--- a/gypsumrouter/forwarding/relay.py
+++ b/gypsumrouter/forwarding/relay.py
@@ -8,25 +8,29 @@
 from aiohttp import web
 
 from gypsumrouter.const import MS_PER_S
-from gypsumrouter.forwarding.answers import make_stream
-from gypsumrouter.forwarding.const import MIN_SILENCE_MS, PAUSE_FACTOR, SILENCE_FACTOR
-from gypsumrouter.forwarding.events import EventCutter, EventTooLong
-from gypsumrouter.forwarding.models import Begun, CallerRequest, Dialect
+from gypsumrouter.forwarding.const import (
+    MIN_RESPONSE_TIMEOUT_MS,
+    RESPONSE_TIMEOUT_FACTOR,
+    STREAM_PAUSE_FACTOR,
+)
+from gypsumrouter.forwarding.events import EventSplitter, EventTooLong
+from gypsumrouter.forwarding.models import CallerRequest, Dialect, StreamingResponse
 from gypsumrouter.forwarding.progress import Progress
+from gypsumrouter.forwarding.responses import make_stream_response
 from gypsumrouter.helpers.http_connection import ConnectionBroken
 from gypsumrouter.routing import Route
 from gypsumrouter.util.clock import Clock
 
 
-class RelayEnd(StrEnum):
+class RelayResult(StrEnum):
     """How a stream from one upstream ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     BROKEN = "broken"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
 
 
-class CallerGone(ConnectionError):
+class CallerDisconnected(ConnectionError):
     """The caller closed its connection while its answer was written."""
 
 
@@ -39,13 +43,13 @@
 
     __slots__ = (
         "_clock",
-        "_closes",
-        "_cutter",
+        "_close_connection",
         "_dialect",
         "_headers",
         "_progress",
         "_request",
         "_route",
+        "_splitter",
         "_web_request",
         "response",
     )
@@ -59,7 +63,7 @@
         dialect: Dialect,
         clock: Clock,
         progress: Progress,
-        closes: bool,
+        close_connection: bool,
     ) -> None:
         self._web_request = web_request
         self._request = request
@@ -67,76 +71,78 @@
         self._dialect = dialect
         self._clock = clock
         self._progress = progress
-        self._closes = closes
-        self._cutter = EventCutter()
+        self._close_connection = close_connection
+        self._splitter = EventSplitter()
         self._headers: list[tuple[str, str]] | None = None
         self.response: web.StreamResponse | None = None
 
     @property
-    def last_id(self) -> str | None:
+    def last_event_id(self) -> str | None:
         """Return the id of the last event that was passed on."""
-        return self._cutter.last_id
+        return self._splitter.last_event_id
 
-    async def async_pass_on(self, begun: Begun) -> RelayEnd:
+    async def async_relay(self, streaming: StreamingResponse) -> RelayResult:
         """Pass on what one upstream sends until it ends."""
         if self._headers is None:
-            self._headers = self._dialect.select_headers(begun.answer)
-        self._cutter.drop_tail()
+            self._headers = self._dialect.select_headers(streaming.answer)
+        self._splitter.discard_partial()
         try:
-            if begun.first:
-                await self._async_write(begun, begun.first)
-            while part := await self._async_read(begun):
-                whole = self._cutter.cut(part) if begun.events else part
-                await self._async_write(begun, whole)
+            if streaming.initial_bytes:
+                await self._async_write(streaming, streaming.initial_bytes)
+            while part := await self._async_read(streaming):
+                whole = self._splitter.feed(part) if streaming.is_event_stream else part
+                await self._async_write(streaming, whole)
         except TimeoutError:
-            return RelayEnd.SILENT
+            return RelayResult.TIMED_OUT
         except (ConnectionBroken, EventTooLong):
-            return RelayEnd.BROKEN
-        await self._async_write(begun, self._cutter.take_tail())
-        await self._async_end(begun)
-        return RelayEnd.WHOLE
-
-    async def _async_read(self, begun: Begun) -> bytes:
-        pause_ms = self._get_pause_ms()
-        if pause_ms is None:
-            return await begun.answer.body.readany()
-        async with asyncio.timeout(pause_ms / MS_PER_S):
-            return await begun.answer.body.readany()
-
-    def _get_pause_ms(self) -> int | None:
+            return RelayResult.BROKEN
+        await self._async_write(streaming, self._splitter.flush())
+        await self._async_finish(streaming)
+        return RelayResult.COMPLETE
+
+    async def _async_read(self, streaming: StreamingResponse) -> bytes:
+        timeout_ms = self._get_read_timeout_ms()
+        if timeout_ms is None:
+            return await streaming.answer.body.readany()
+        async with asyncio.timeout(timeout_ms / MS_PER_S):
+            return await streaming.answer.body.readany()
+
+    def _get_read_timeout_ms(self) -> int | None:
         """Return how long a stream that can be resumed may say nothing."""
         if not self._route.resumable:
             return None
         if self.response is None:
-            return max(MIN_SILENCE_MS, int(self._route.target_ms * SILENCE_FACTOR))
-        return max(MIN_SILENCE_MS, int(self._route.max_pause_ms * PAUSE_FACTOR))
+            return max(
+                MIN_RESPONSE_TIMEOUT_MS, int(self._route.target_ms * RESPONSE_TIMEOUT_FACTOR)
+            )
+        return max(MIN_RESPONSE_TIMEOUT_MS, int(self._route.max_pause_ms * STREAM_PAUSE_FACTOR))
 
-    async def _async_write(self, begun: Begun, data: bytes) -> None:
+    async def _async_write(self, streaming: StreamingResponse, data: bytes) -> None:
         if not data:
             return
         response = self.response
         try:
             if response is None:
-                response = await self._async_prepare(begun)
+                response = await self._async_prepare(streaming)
             await response.write(data)
         except ConnectionError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
         self._progress.bytes_out += len(data)
 
-    async def _async_prepare(self, begun: Begun) -> web.StreamResponse:
-        response = make_stream(status=begun.status, headers=self._headers or [])
-        if self._closes:
+    async def _async_prepare(self, streaming: StreamingResponse) -> web.StreamResponse:
+        response = make_stream_response(status=streaming.status, headers=self._headers or [])
+        if self._close_connection:
             response.force_close()
         self.response = response
         self._progress.first_byte_ms = self._clock.now_ms() - self._progress.arrived_ms
         await response.prepare(self._web_request)
         return response
 
-    async def _async_end(self, begun: Begun) -> None:
+    async def _async_finish(self, streaming: StreamingResponse) -> None:
         response = self.response
         try:
             if response is None:
-                response = await self._async_prepare(begun)
+                response = await self._async_prepare(streaming)
             await response.write_eof()
         except ConnectionError:
-            raise CallerGone from None
+            raise CallerDisconnected from None
--- a/gypsumrouter/forwarding/story.py
+++ b/gypsumrouter/forwarding/request_journal.py
@@ -4,14 +4,14 @@
 
 from gypsumrouter.forwarding.attempt import Attempt
 from gypsumrouter.forwarding.models import (
-    Begun,
     CallerRequest,
-    Lost,
-    NotReached,
+    CompleteResponse,
     Outcome,
     Prompt,
-    TurnedAway,
-    Whole,
+    Rejected,
+    ResponseLost,
+    StreamingResponse,
+    Unreachable,
 )
 from gypsumrouter.forwarding.placed import Placed
 from gypsumrouter.journal import (
@@ -25,7 +25,7 @@
 from gypsumrouter.routing import Routed
 
 
-class RequestStory:
+class RequestJournal:
     """Writes what is decided about one request, with the versions that it was decided on."""
 
     __slots__ = ("_configuration", "_journal", "_list_revision", "_request", "_routed", "_service")
@@ -47,7 +47,7 @@
         self._configuration = configuration
         self._list_revision = list_revision
 
-    def note_placed(self, placed: Placed, *, attempt: int, peers_age_ms: int) -> None:
+    def record_placed(self, placed: Placed, *, attempt: int, peers_age_ms: int) -> None:
         """Tell which upstream was chosen, and by what."""
         self._journal.record(
             RequestPlaced(
@@ -58,7 +58,7 @@
                 attempt=attempt,
                 load=placed.load,
                 mean_load=placed.mean_load,
-                prompt=_name_prompt(self._request.prompt),
+                prompt=_format_prompt_id(self._request.prompt),
                 missing_tokens=placed.missing_tokens,
                 fetch_from="" if placed.fetch_from is None else placed.fetch_from.incarnation,
                 candidates=placed.candidates,
@@ -68,19 +68,19 @@
             )
         )
 
-    def note_sent(self, attempt: Attempt, *, number: int) -> None:
+    def record_sent(self, attempt: Attempt, *, number: int) -> None:
         """Tell that the request goes out on a connection."""
         self._journal.record(
             AttemptSent(
                 request_id=self._request.request_id,
                 upstream=attempt.entry.incarnation,
                 attempt=number,
-                kept_connection=attempt.kept,
-                deadline_ms=attempt.sending.deadline_ms,
+                kept_connection=attempt.reused,
+                deadline_ms=attempt.options.deadline_ms,
             )
         )
 
-    def note_ended(
+    def record_ended(
         self, attempt: Attempt, outcome: Outcome | None, *, number: int, after_ms: int, step: str
     ) -> None:
         """Tell how an attempt ended and what follows; no outcome is one that was cancelled."""
@@ -89,24 +89,24 @@
                 request_id=self._request.request_id,
                 upstream=attempt.entry.incarnation,
                 attempt=number,
-                outcome=_describe(outcome),
-                ran=attempt.sent and not isinstance(outcome, TurnedAway),
+                outcome=_describe_outcome(outcome),
+                ran=attempt.sent and not isinstance(outcome, Rejected),
                 status=_get_status(outcome),
                 after_ms=after_ms,
                 next_step=step,
             )
         )
 
-    def note_resumed(self, upstream: str, *, last_id: str) -> None:
+    def record_resumed(self, upstream: str, *, last_event_id: str) -> None:
         """Tell that a stream goes on elsewhere."""
-        last_event = int(last_id) if last_id.isdigit() else -1
+        last_event = int(last_event_id) if last_event_id.isdigit() else -1
         self._journal.record(
             StreamResumed(
                 request_id=self._request.request_id, upstream=upstream, last_event=last_event
             )
         )
 
-    def note_refused(
+    def record_refused(
         self, *, reason: str, status: int, retry_after_ms: int, waited_ms: int
     ) -> None:
         """Tell that the request is turned away and never ran."""
@@ -124,28 +124,32 @@
         )
 
 
-def _name_prompt(prompt: Prompt | None) -> str:
+def _format_prompt_id(prompt: Prompt | None) -> str:
     return f"{prompt.shared[-1].part:x}" if prompt is not None and prompt.shared else ""
 
 
-def _describe(outcome: Outcome | None) -> str:
+def _describe_outcome(outcome: Outcome | None) -> str:
     match outcome:
         case None:
             return "cancelled"
-        case NotReached(reason=reason):
+        case Unreachable(reason=reason):
             return f"not reached: {reason}"
-        case TurnedAway():
+        case Rejected():
             return "turned away"
-        case Lost(reason=reason):
+        case ResponseLost(reason=reason):
             return f"lost: {reason}"
-        case Whole():
+        case CompleteResponse():
             return "whole"
-        case Begun():
+        case StreamingResponse():
             return "begun"
 
 
 def _get_status(outcome: Outcome | None) -> int:
     match outcome:
-        case TurnedAway(status=status) | Whole(status=status) | Begun(status=status):
+        case (
+            Rejected(status=status)
+            | CompleteResponse(status=status)
+            | StreamingResponse(status=status)
+        ):
             return status
     return 0
--- a/gypsumrouter/forwarding/answers.py
+++ b/gypsumrouter/forwarding/responses.py
@@ -10,22 +10,22 @@
 from gypsumrouter.forwarding.const import (
     RETRY_AFTER_MAX_MS,
     RETRY_AFTER_MIN_MS,
-    RETRY_AFTER_SHARE,
+    RETRY_AFTER_RATIO,
 )
-from gypsumrouter.forwarding.models import Dialect, Whole
+from gypsumrouter.forwarding.models import CompleteResponse, Dialect
 from gypsumrouter.outcomes import Failed, Reason, Refused
 
 HEADER_RETRY_AFTER = "Retry-After"
 
 
-def make_answer(*, outcome: Whole, dialect: Dialect) -> web.Response:
+def make_upstream_response(*, outcome: CompleteResponse, dialect: Dialect) -> web.Response:
     """Return an upstream's whole answer for its caller."""
     response = web.Response(status=outcome.status, body=outcome.body)
     _set_headers(response, dialect.select_headers(outcome.answer))
     return response
 
 
-def make_stream(*, status: int, headers: list[tuple[str, str]]) -> web.StreamResponse:
+def make_stream_response(*, status: int, headers: list[tuple[str, str]]) -> web.StreamResponse:
     """Return the beginning of an answer that is passed on as it comes."""
     response = web.StreamResponse(status=status)
     _set_headers(response, headers)
@@ -37,7 +37,7 @@
     reason: Reason,
     message: str,
     request_id: str,
-    left_ms: int,
+    remaining_ms: int,
     dialect: Dialect,
     not_before_ms: int = 0,
 ) -> tuple[web.Response, int]:
@@ -47,7 +47,7 @@
     span, so that they do not all meet the same moment again; before `not_before_ms` they would be
     refused again.
     """
-    longest = int(left_ms * RETRY_AFTER_SHARE)
+    longest = int(remaining_ms * RETRY_AFTER_RATIO)
     latest = max(1, min(not_before_ms + RETRY_AFTER_MAX_MS, longest))
     soonest = min(not_before_ms + RETRY_AFTER_MIN_MS, latest)
     retry_after_ms = random.randint(soonest, latest)
--- a/gypsumrouter/forwarding/slow_start.py
+++ b/gypsumrouter/forwarding/slow_start.py
@@ -18,14 +18,14 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.directory import Entry, EntryState
-from gypsumrouter.forwarding.const import CONNECT_MS
+from gypsumrouter.forwarding.const import CONNECT_TIMEOUT_MS
 from gypsumrouter.journal import Journal, UpstreamWarming
 from gypsumrouter.routing import RoutingTable, SlowStart
 from gypsumrouter.util.clock import Clock
 
 # A request may be on its way for as long as a connection takes, so that two that left further apart
 # than a second may arrive within one.
-WINDOW_MS: Final = MS_PER_S + CONNECT_MS
+WINDOW_MS: Final = MS_PER_S + CONNECT_TIMEOUT_MS
 # The part of the bound that is shared out. Routers whose views of the fleet differ may send as
 # much again.
 SHARED_OUT: Final = 0.5
--- a/gypsumrouter/forwarding/suspects.py
+++ b/gypsumrouter/forwarding/suspects.py
@@ -82,7 +82,7 @@
 def make_digest(request: CallerRequest) -> int:
     """Return what stands for a request's content: its path, caller and body."""
     hashed = xxhash.xxh3_64()
-    for part in (request.method, request.path, request.key or ""):
+    for part in (request.method, request.path, request.api_key or ""):
         hashed.update(part.encode("utf-8", "surrogateescape"))
         hashed.update(b"\0")
     hashed.update(request.body)
--- a/gypsumrouter/platform/answers.py
+++ b/gypsumrouter/platform/answers.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from gypsumrouter.const import MS_PER_S
-from gypsumrouter.forwarding.models import AnswerFacts, CallerRequest, Sending
+from gypsumrouter.forwarding.models import AttemptOptions, CallerRequest, ResponseMetadata
 from gypsumrouter.helpers.http_connection import Answer
 from gypsumrouter.platform import names
 from gypsumrouter.platform.requests import write_request
@@ -23,22 +23,22 @@
 
     __slots__ = ()
 
-    def write_request(self, *, request: CallerRequest, sending: Sending) -> bytes:
+    def write_request(self, *, request: CallerRequest, options: AttemptOptions) -> bytes:
         """Return the bytes of a request for an upstream."""
-        return write_request(request=request, sending=sending)
+        return write_request(request=request, options=options)
 
-    def read_answer(self, answer: Answer) -> AnswerFacts:
+    def read_response_head(self, answer: Answer) -> ResponseMetadata:
         """Return what an answer's head says."""
         encoding = answer.get("Content-Encoding")
-        return AnswerFacts(
+        return ResponseMetadata(
             request_id=answer.get(names.REQUEST_ID),
             signed=answer.get(names.STAMP) is not None,
             not_run=answer.get(names.NOT_RUN) is not None,
-            rest_ms=_read_rest_ms(answer),
-            leaving=names.says_leaving(answer.get(names.SERVER_LEAVING)),
-            encoded=encoding is not None and encoding.lower() != IDENTITY,
-            events=(answer.get("Content-Type") or "").startswith(CONTENT_TYPE_EVENTS),
-            keep_ms=_read_keep_ms(answer.get("Keep-Alive")),
+            retry_after_ms=_read_rest_ms(answer),
+            draining=names.says_leaving(answer.get(names.SERVER_LEAVING)),
+            content_encoded=encoding is not None and encoding.lower() != IDENTITY,
+            is_event_stream=(answer.get("Content-Type") or "").startswith(CONTENT_TYPE_EVENTS),
+            keep_alive_ms=_read_keep_ms(answer.get("Keep-Alive")),
         )
 
     def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
--- a/gypsumrouter/platform/requests.py
+++ b/gypsumrouter/platform/requests.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from gypsumrouter.forwarding.models import CallerRequest, Prompt, PromptPart, Sending
+from gypsumrouter.forwarding.models import AttemptOptions, CallerRequest, Prompt, PromptPart
 from gypsumrouter.platform import names
 
 MAX_PRIORITY: Final = 9
@@ -41,32 +41,32 @@
         method=request.method,
         host=headers.get("Host", "").rpartition(":")[0] or headers.get("Host", ""),
         path=request.raw_path,
-        key=headers.get(names.API_KEY),
+        api_key=headers.get(names.API_KEY),
         deadline_ms=deadline_ms,
         prompt=_read_prompt(headers),
-        last_event=headers.get(names.LAST_EVENT_ID),
+        last_event_id=headers.get(names.LAST_EVENT_ID),
         headers=tuple((n, v) for n, v in headers.items() if n.lower() not in dropped),
         body=body,
     )
 
 
-def write_request(*, request: CallerRequest, sending: Sending) -> bytes:
+def write_request(*, request: CallerRequest, options: AttemptOptions) -> bytes:
     """Return the bytes of a request for an upstream."""
     lines = [
         f"{request.method} {request.path} HTTP/1.1",
         f"Host: {request.host}",
         f"{names.REQUEST_ID}: {request.request_id}",
-        f"{names.DEADLINE}: {sending.deadline_ms}",
-        f"{names.EXPECT_INSTANCE}: {sending.upstream}",
+        f"{names.DEADLINE}: {options.deadline_ms}",
+        f"{names.EXPECT_INSTANCE}: {options.upstream}",
     ]
-    if sending.workspace:
-        lines.append(f"{names.TENANT}: {sending.workspace}")
-    if sending.priority is not None:
-        lines.append(f"{names.PRIORITY}: {min(MAX_PRIORITY, max(0, sending.priority))}")
-    if sending.last_event is not None:
-        lines.append(f"{names.LAST_EVENT_ID}: {sending.last_event}")
-    if sending.fetch_from is not None:
-        lines.append(f"{names.FETCH_FROM}: {sending.fetch_from}")
+    if options.workspace:
+        lines.append(f"{names.TENANT}: {options.workspace}")
+    if options.priority is not None:
+        lines.append(f"{names.PRIORITY}: {min(MAX_PRIORITY, max(0, options.priority))}")
+    if options.last_event_id is not None:
+        lines.append(f"{names.LAST_EVENT_ID}: {options.last_event_id}")
+    if options.fetch_from is not None:
+        lines.append(f"{names.FETCH_FROM}: {options.fetch_from}")
     lines.extend(f"{name}: {value}" for name, value in request.headers)
     if request.body or request.method in {"POST", "PUT", "PATCH"}:
         lines.append(f"Content-Length: {len(request.body)}")
--- a/tests/forwarding/test_forwarding_callers.py
+++ b/tests/forwarding/test_forwarding_caller_limits.py
@@ -9,7 +9,7 @@
 import pytest
 from forwarding_world import ForwardingWorld, make_configuration
 
-SPARE = "gypsumrouter.forwarding.forwarder.CALLER_SPARE_MS"
+MARGIN = "gypsumrouter.forwarding.forwarder.CALLER_TIMEOUT_MARGIN_MS"
 LIMITS = {
     "max_header_bytes": 2_000,
     "max_body_bytes": 100_000,
@@ -67,7 +67,7 @@
     world: ForwardingWorld,
 ) -> None:
     await async_publish_limits(world)
-    with patch(SPARE, 0):
+    with patch(MARGIN, 0):
         reader, writer = await async_connect(world)
         writer.write(b"GET /open/a HTTP/1.1\r\nHost: a")
         elapsed_ms = await async_measure_close(reader)
@@ -77,7 +77,7 @@
 
 async def test_an_unfinished_second_head_is_bounded_too(world: ForwardingWorld) -> None:
     await async_publish_limits(world)
-    with patch(SPARE, 0):
+    with patch(MARGIN, 0):
         reader, writer = await async_connect(world)
         writer.write(LOOKUP.format("r-1").encode())
         head = await reader.readuntil(b"\r\n\r\n")
@@ -96,7 +96,7 @@
 ) -> None:
     """Callers use a connection again up to four fifths of that time."""
     await async_publish_limits(world, idle_timeout_ms=SHORT_IDLE_MS)
-    with patch(SPARE, 0):
+    with patch(MARGIN, 0):
         reader, writer = await async_connect(world)
         if bytes_before:
             writer.write(bytes_before)
@@ -115,7 +115,7 @@
     await async_publish_limits(world)
     size = LIMITS["max_body_bytes"] + 1
     head = f"POST /open/a HTTP/1.1\r\nHost: api.example\r\nContent-Length: {size}\r\n\r\n"
-    with patch(SPARE, 0):
+    with patch(MARGIN, 0):
         reader, writer = await async_connect(world)
         writer.write(head.encode() + b"x" * 10)
         answer = await reader.readuntil(b"\r\n\r\n")
--- a/tests/forwarding/test_forwarding_limits.py
+++ b/tests/forwarding/test_forwarding_limits.py
@@ -7,9 +7,9 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.forwarding.budget import CAUTION, RetryBudget
-from gypsumrouter.forwarding.const import LEAVING_MS
+from gypsumrouter.forwarding.const import DRAIN_GRACE_MS
+from gypsumrouter.forwarding.drain import DrainAdmission
 from gypsumrouter.forwarding.health import DOWN_FIRST_MS, FAILURE_MS, HealthBook
-from gypsumrouter.forwarding.leaving import Leaving
 from gypsumrouter.forwarding.placement import FETCH_SETUP_MS, FETCH_TOKENS_PER_MS
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
@@ -103,32 +103,32 @@
 
 def test_a_stopping_router_takes_everything_until_balancers_know() -> None:
     clock = ManualClock()
-    leaving = Leaving(clock=clock, limit_ms=7_000)
-    assert leaving.admits(duration_ms=60_000)
-    leaving.begin()
-    clock.advance(LEAVING_MS - 1)
-    assert leaving.admits(duration_ms=60_000)
+    admission = DrainAdmission(clock=clock, limit_ms=7_000)
+    assert admission.admits(duration_ms=60_000)
+    admission.begin()
+    clock.advance(DRAIN_GRACE_MS - 1)
+    assert admission.admits(duration_ms=60_000)
     clock.advance(1)
-    assert not leaving.admits(duration_ms=1)
+    assert not admission.admits(duration_ms=1)
 
 
 def test_a_stopping_router_takes_what_ends_before_its_last_stream() -> None:
     clock = ManualClock()
-    leaving = Leaving(clock=clock, limit_ms=7_000)
-    leaving.note_started(1, duration_ms=5_000)
-    leaving.begin()
-    clock.advance(LEAVING_MS)
-    assert leaving.admits(duration_ms=2_400)
-    assert not leaving.admits(duration_ms=2_401)
-    leaving.note_ended(1)
-    assert not leaving.admits(duration_ms=1)
+    admission = DrainAdmission(clock=clock, limit_ms=7_000)
+    admission.request_started(1, duration_ms=5_000)
+    admission.begin()
+    clock.advance(DRAIN_GRACE_MS)
+    assert admission.admits(duration_ms=2_400)
+    assert not admission.admits(duration_ms=2_401)
+    admission.request_ended(1)
+    assert not admission.admits(duration_ms=1)
 
 
 def test_a_stopping_router_takes_nothing_that_ends_after_its_own_end() -> None:
     clock = ManualClock()
-    leaving = Leaving(clock=clock, limit_ms=7_000)
-    leaving.note_started(1, duration_ms=60_000)
-    leaving.begin()
-    clock.advance(LEAVING_MS)
-    assert leaving.admits(duration_ms=7_000 - LEAVING_MS)
-    assert not leaving.admits(duration_ms=7_001 - LEAVING_MS)
+    admission = DrainAdmission(clock=clock, limit_ms=7_000)
+    admission.request_started(1, duration_ms=60_000)
+    admission.begin()
+    clock.advance(DRAIN_GRACE_MS)
+    assert admission.admits(duration_ms=7_000 - DRAIN_GRACE_MS)
+    assert not admission.admits(duration_ms=7_001 - DRAIN_GRACE_MS)
--- a/tests/platform/test_platform_wire.py
+++ b/tests/platform/test_platform_wire.py
@@ -12,8 +12,8 @@
 import gypsumrouter
 from gypsumrouter.directory import EntryState
 from gypsumrouter.exceptions import ConfigurationInvalid, DocumentInvalid
-from gypsumrouter.forwarding import CallerRequest, Sending
-from gypsumrouter.forwarding.models import AnswerFacts
+from gypsumrouter.forwarding import AttemptOptions, CallerRequest
+from gypsumrouter.forwarding.models import ResponseMetadata
 from gypsumrouter.instances import Address
 from gypsumrouter.platform import PlatformDialect, decode_configuration, decode_entry, names
 from gypsumrouter.platform.requests import write_request
@@ -112,22 +112,22 @@
         method="POST",
         host="api.example",
         path="/a/b?c=d",
-        key="secret",
+        api_key="secret",
         deadline_ms=900,
         prompt=None,
-        last_event=None,
+        last_event_id=None,
         headers=(("X-Other", "x"),),
         body=b"body",
     )
-    sending = Sending(
+    options = AttemptOptions(
         upstream="i-1",
         workspace="w",
         deadline_ms=850,
         priority=12,
-        last_event="7",
+        last_event_id="7",
         fetch_from=Address(host="10.0.0.1", port=8),
     )
-    head, _, body = write_request(request=request, sending=sending).partition(b"\r\n\r\n")
+    head, _, body = write_request(request=request, options=options).partition(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     assert lines[0] == "POST /a/b?c=d HTTP/1.1"
     assert "X-Expect-Instance: i-1" in lines
@@ -152,10 +152,10 @@
         return self._headers.get(name)
 
 
-def read_head(status: int, **headers: str) -> AnswerFacts:
+def read_head(status: int, **headers: str) -> ResponseMetadata:
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     head = HeadOnly(status=status, headers=named)
-    return PlatformDialect().read_answer(cast(Any, head))
+    return PlatformDialect().read_response_head(cast(Any, head))
 
 
 @pytest.mark.parametrize(
@@ -179,10 +179,10 @@
 def test_the_time_for_which_an_upstream_wants_nothing(
     status: int, value: str, rest_ms: int | None
 ) -> None:
-    assert read_head(status, Retry_After=value).rest_ms == rest_ms
+    assert read_head(status, Retry_After=value).retry_after_ms == rest_ms
 
 
 @pytest.mark.parametrize(("value", "leaving"), [("1", True), (" 1 ", True), ("0", False)])
 def test_an_answer_says_whether_its_upstream_leaves(value: str, leaving: bool) -> None:
-    assert read_head(200, Server_Leaving=value).leaving is leaving
-    assert not read_head(200).leaving
+    assert read_head(200, Server_Leaving=value).draining is leaving
+    assert not read_head(200).draining
