--- a/gypsumrouter/forwarding/__init__.py
+++ b/gypsumrouter/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forwarding: a router that reaches upstreams itself, where they have no side."""
+"""Forwarding of callers' HTTP requests from a router straight to upstreams."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/forwarding/attempt.py
+++ b/gypsumrouter/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request written to one upstream, and the head of its answer."""
+"""One attempt to send a request to one upstream and read its response."""
 
 from __future__ import annotations
 
@@ -32,17 +32,18 @@
 STATUS_OK: Final = 200
 STATUS_MULTIPLE: Final = 300
 STATUS_MISDIRECTED: Final = 421
-# These say "not run" to a caller, which only an upstream that says so itself may let it hear.
+# Callers take these statuses as a guarantee that the request did not run. They are passed on only
+# if the upstream states this explicitly.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 
 HeadListener = Callable[[Entry, ResponseMetadata], None]
 
 
 class Attempt:
-    """One request at one upstream; close it in any case.
+    """An attempt at one upstream; it must be closed in all cases.
 
-    Once `sent` is true the upstream may run it. `on_head` gets the head of each answer, for what
-    the upstream says of itself there.
+    Once `sent` is true, the upstream may run the request. `reused` is true if the connection
+    carried an earlier exchange. `on_head` is called with the metadata of each response.
     """
 
     __slots__ = (
@@ -80,7 +81,7 @@
         self.sent = False
 
     async def async_connect(self, *, repeatable: bool) -> Unreachable | None:
-        """Get a connection; nothing is sent yet."""
+        """Acquire a connection without sending anything."""
         try:
             pooled = await self._pool.async_acquire(
                 self.entry, repeatable=repeatable, timeout_ms=self.options.deadline_ms
@@ -92,7 +93,10 @@
         return None
 
     async def async_send(self, *, response_timeout_ms: int | None) -> Outcome:
-        """Write the request and read the head, and the body too unless it is a stream."""
+        """Send the request and read the response head, and the body unless it is streamed.
+
+        `response_timeout_ms` bounds the time until then; None means no limit.
+        """
         connection = self._connection
         if connection is None:
             return Unreachable(reason="there is no connection")
@@ -112,7 +116,7 @@
             return ResponseLost(reason=str(error), connection_broken=True)
 
     def release(self) -> None:
-        """Give the connection back after a whole answer."""
+        """Return the connection to the pool after a complete response."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
@@ -121,7 +125,7 @@
         self._pool.release(self.entry, connection)
 
     def close(self) -> None:
-        """Close the connection if it is still held, which makes the upstream stop."""
+        """Close the connection unless it was released, which cancels the request upstream."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.close()
@@ -136,10 +140,10 @@
                 status=answer.status, wrong_upstream=answer.status == STATUS_MISDIRECTED
             )
         if metadata.content_encoded:
-            return ResponseLost(reason="the body is encoded")
+            return ResponseLost(reason="the response body is content-encoded")
         succeeded = STATUS_OK <= answer.status < STATUS_MULTIPLE
         if succeeded and not metadata.signed:
-            return ResponseLost(reason="the answer is not signed")
+            return ResponseLost(reason="the response is not signed")
         if metadata.is_event_stream and succeeded:
             return StreamingResponse(answer=answer, status=answer.status, is_event_stream=True)
         body, whole = await _async_read_buffered(answer)
@@ -150,18 +154,19 @@
         self._release_or_close(answer)
         if answer.status in NOT_RUN_STATUSES:
             return ResponseLost(
-                reason=f"status {answer.status} without the word that it was not run"
+                reason=f"status {answer.status} without the header that the request was not run"
             )
         return CompleteResponse(
             answer=answer, status=answer.status, signed=metadata.signed, body=body
         )
 
     async def _async_read_matching(self, connection: HttpConnection) -> Answer:
-        """Return the answer to this request; others that come first belong to nobody."""
+        """Return the response to this request; responses to other requests are skipped."""
         while True:
             answer = await connection.async_read_answer()
             metadata = self._dialect.read_response_head(answer)
-            # Whomever an answer is for, it is from this upstream, unless another one is there now.
+            # A response to another request still describes this upstream's state. A misdirected
+            # request was answered by another upstream at the same address.
             if answer.status != STATUS_MISDIRECTED:
                 self._on_head(self.entry, metadata)
             request_id = metadata.request_id
@@ -170,7 +175,7 @@
             if request_id is None and not self.reused and connection.exchanges == 1:
                 return answer
             if request_id is None:
-                raise ConnectionBroken("an answer that names no request")
+                raise ConnectionBroken("response without a request id on a reused connection")
             await answer.body.read()
 
     def _release_or_close(self, answer: Answer) -> None:
@@ -181,7 +186,7 @@
 
 
 async def _async_read_buffered(answer: Answer) -> tuple[bytes, bool]:
-    """Return a body as far as it may be held back, and whether that is all of it."""
+    """Read a body up to the buffer limit; return the bytes and whether it is complete."""
     parts: list[bytes] = []
     size = 0
     while part := await answer.body.readany():
--- a/gypsumrouter/forwarding/connections.py
+++ b/gypsumrouter/forwarding/connections.py
@@ -1,4 +1,8 @@
-"""Kept connections to upstreams, by incarnation: a new start never gets an old connection."""
+"""Pool of connections to upstreams.
+
+Connections are kept by incarnation, so that a restarted upstream never gets a request on a
+connection to its predecessor.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +20,17 @@
 
 
 class PooledConnection(Struct, frozen=True, kw_only=True):
-    """A connection for one exchange; `kept` ones carried an exchange before."""
+    """A connection for one exchange; `reused` is true if it carried an earlier one."""
 
     connection: HttpConnection
     reused: bool
 
 
 class ConnectionPool:
-    """The idle connections of this process, newest first."""
+    """Idle connections of this process; the most recently used one is reused first.
+
+    Requests that must not be repeated always get a new connection if `reuse_for_all` is false.
+    """
 
     __slots__ = ("_app", "_idle", "_opened", "_reuse_for_all")
 
@@ -36,7 +43,7 @@
         )
         app.metrics.gauge(
             "gypsumrouter_upstream_connections_idle",
-            "Connections to upstreams that are kept for later",
+            "Idle connections to upstreams",
             lambda: {(): float(sum(len(idle) for idle in self._idle.values()))},
         )
         app.on_stop(self._async_stop)
@@ -44,10 +51,10 @@
     async def async_acquire(
         self, entry: Entry, *, repeatable: bool, timeout_ms: int
     ) -> PooledConnection:
-        """Return a connection; raises ConnectFailed.
+        """Return an idle or a new connection; raises ConnectFailed.
 
-        A request that must not be repeated gets a kept connection only if that was used a moment
-        ago: its upstream may be closing it.
+        The upstream may be closing a connection that has been idle for long. A request that must
+        not be repeated therefore gets only a connection that was used recently.
         """
         now_ms = self._app.clock.now_ms()
         idle = self._idle.get(entry.incarnation)
@@ -69,7 +76,7 @@
         return PooledConnection(connection=connection, reused=False)
 
     def release(self, entry: Entry, connection: HttpConnection) -> None:
-        """Keep a connection whose exchange is over, or close it."""
+        """Return a connection after an exchange; it is closed if it cannot be reused."""
         connection.finish()
         idle = self._idle.setdefault(entry.incarnation, [])
         if not connection.reusable or len(idle) >= MAX_IDLE_PER_UPSTREAM:
@@ -79,7 +86,7 @@
         idle.append(connection)
 
     def close_expired(self) -> None:
-        """Close what was idle for too long; call it about once a second."""
+        """Close connections that were idle for too long; to be called about once a second."""
         now_ms = self._app.clock.now_ms()
         for upstream, idle in tuple(self._idle.items()):
             kept = [connection for connection in idle if _is_usable(connection, now_ms)]
@@ -91,7 +98,7 @@
                 del self._idle[upstream]
 
     def close_idle(self, upstream: str) -> None:
-        """Close the idle connections to an upstream that ends."""
+        """Close all idle connections to an upstream."""
         for connection in self._idle.pop(upstream, ()):
             connection.close()
 
--- a/gypsumrouter/forwarding/const.py
+++ b/gypsumrouter/forwarding/const.py
@@ -1,47 +1,47 @@
-"""Limits and weights of the forwarder."""
+"""Time-outs and limits of request forwarding."""
 
 from __future__ import annotations
 
 from typing import Final
 
-# A connect takes up to 9 ms between data centres with the upstream's own 1 ms; slow entry links
-# add 50 ms when they are full. What takes longer is a vanished upstream.
 CONNECT_TIMEOUT_MS: Final = 200
 MAX_IDLE_PER_UPSTREAM: Final = 64
 
-# Upstreams that turned a request away before it is refused: each costs one round trip of a few
-# milliseconds and counts against the shared retry budget.
+# A request is refused after more than this many rejections by upstreams, or after more than this
+# many upstreams that could not be connected to.
 MAX_REJECTIONS: Final = 2
 MAX_UNREACHABLE: Final = 4
 
-# Answers up to this size are held back until they are whole, so that a broken one can be retried.
+# Response bodies up to this size are buffered in full, so that a truncated one can be retried.
+# Larger ones are streamed.
 MAX_BUFFERED_BYTES: Final = 256 * 1024
-# A single event above this size is no event.
+# Maximum size of one server-sent event.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
-# A repeatable request is given to another upstream after this many times its latency objective
-# without a word, at most half of what is left of its time.
+# Time-out for the response head of a repeatable request, as a multiple of the route's target
+# latency. After it the request is retried on another upstream.
 RESPONSE_TIMEOUT_FACTOR: Final = 2.5
 MIN_RESPONSE_TIMEOUT_MS: Final = 150
-# Pauses inside a resumable stream: this many times the longest pause that is still in time.
+# Read time-out inside a resumable stream, as a multiple of the route's maximum pause.
 STREAM_PAUSE_FACTOR: Final = 3.0
 
-# Callers keep the published limits of time at their end; a packet that is sent again (0.2 to 1 s)
-# or a pause of this process comes on top here.
+# Added to the configured time-outs on caller connections, to allow for retransmitted packets and
+# pauses of this process.
 CALLER_TIMEOUT_MARGIN_MS: Final = 2_000
 
-# The answer at the deadline is made a little before it, so that it still reaches the caller.
+# The router answers this long before the deadline, so that the response still arrives in time.
 RESPONSE_MARGIN_MS: Final = 20
-# An upstream gets that much less than the caller's patience, for the way back.
+# Subtracted from the deadline that is sent to an upstream, for the network time of its response.
 RETURN_TRIP_MS: Final = 5
 
-# When to come back after a refusal: spread over this span, and never beyond a third of the
-# caller's time, which is as long as callers wait.
+# Range of the randomized Retry-After value of a refusal. The value is also limited to this ratio of
+# the time left until the caller's deadline, because callers don't wait for more than a third of it.
 RETRY_AFTER_MIN_MS: Final = 50
 RETRY_AFTER_MAX_MS: Final = 400
 RETRY_AFTER_RATIO: Final = 0.3
 
-# A stop: balancers ask for readiness once a second and act on the second miss.
+# Time until load balancers stop sending requests to a router that drains: they poll its readiness
+# once a second and react to the second failure.
 DRAIN_GRACE_MS: Final = 2_600
-# Who says that an upstream changed, where the upstream itself did.
+# Source of an upstream's state change that was announced in one of its responses.
 SOURCE_RESPONSE: Final = "answer"
--- a/gypsumrouter/forwarding/events.py
+++ b/gypsumrouter/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a stream: whole ones only, each with its id."""
+"""Splitting of a byte stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class EventTooLong(Exception):
-    """What came is no series of events."""
+    """An event exceeds the maximum size, so the data is not a valid event stream."""
 
 
 class EventSplitter:
-    """Cuts a stream of bytes after whole events and knows the id of the last one.
+    """Splits a byte stream after complete events and tracks the id of the last one.
 
-    An upstream may stop in the middle of an event; another one that goes on after the last whole
-    event must not have half of it doubled.
+    An upstream may fail in the middle of an event. Only complete events are returned, so that a
+    stream that is resumed on another upstream does not repeat a part of one.
     """
 
     __slots__ = ("_partial", "last_event_id")
@@ -28,7 +28,10 @@
         self.last_event_id: str | None = None
 
     def feed(self, data: bytes) -> bytes:
-        """Return everything up to the end of the last whole event; raises EventTooLong."""
+        """Add data and return all complete events that have not been returned yet.
+
+        Raises EventTooLong if an incomplete event exceeds the maximum size.
+        """
         if self._partial:
             data = self._partial + data
         end = data.rfind(EVENT_SEPARATOR)
@@ -44,11 +47,11 @@
         return whole
 
     def discard_partial(self) -> None:
-        """Forget an event that was broken off."""
+        """Discard an incomplete event."""
         self._partial = b""
 
     def flush(self) -> bytes:
-        """Return what follows the last whole event at the regular end of a stream."""
+        """Return the data after the last complete event, at the regular end of a stream."""
         tail, self._partial = self._partial, b""
         return tail
 
--- a/gypsumrouter/forwarding/execution.py
+++ b/gypsumrouter/forwarding/execution.py
@@ -1,4 +1,4 @@
-"""The way of one request: attempts at upstreams until one answers or none may be asked."""
+"""Forwarding of one request: attempts at upstreams until one responds or no retry is allowed."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class ForwardingContext(Struct, frozen=True, kw_only=True):
-    """What all requests of a forwarder share."""
+    """Components that all requests of a forwarder share; `without` are disabled mechanisms."""
 
     app: Application
     journal: Journal
@@ -66,7 +66,7 @@
 
 
 class RequestExecution:
-    """One request of one caller."""
+    """Forwards one request, with retries on other upstreams."""
 
     __slots__ = (
         "_context",
@@ -111,7 +111,7 @@
         )
 
     async def async_run(self) -> web.StreamResponse:
-        """Return the answer, which a stream has already written."""
+        """Return the response; a streamed one has already been written."""
         self._context.budget.note_request(self._service)
         try:
             async with asyncio.timeout(max(0, self._remaining_ms()) / MS_PER_S):
@@ -137,7 +137,7 @@
                 return response
 
     async def _async_attempt(self, placed: Placed) -> web.StreamResponse | None:
-        """Try one upstream; None asks for another one."""
+        """Make one attempt; return the response, or None if another attempt is to be made."""
         progress = self.progress
         progress.attempts += 1
         progress.upstream = placed.entry.incarnation
@@ -181,7 +181,7 @@
         return response
 
     def _record_service_time(self, placed: Placed, outcome: Outcome, elapsed_ms: int) -> None:
-        """Learn how long a plain upstream takes."""
+        """Record the service time of an upstream that is not a model engine."""
         if self._request.prompt is not None or not isinstance(outcome, CompleteResponse):
             return
         if outcome.status < STATUS_SERVER_ERROR:
@@ -198,7 +198,7 @@
     async def _async_decide(
         self, attempt: Attempt, outcome: Outcome
     ) -> tuple[web.StreamResponse | None, str]:
-        """Return the answer, or None and why another upstream is asked."""
+        """Return the response, or None for another attempt, and the next step."""
         if isinstance(outcome, StreamingResponse):
             decision = await self._async_relay_stream(attempt, outcome)
         else:
@@ -209,7 +209,10 @@
     def _record_outcome(
         self, attempt: Attempt, outcome: Unreachable | Rejected | ResponseLost | CompleteResponse
     ) -> Unreachable | Rejected | ResponseLost | CompleteResponse:
-        """Count an attempt and learn from it; return what it means for the request."""
+        """Update the request's state and the upstream's health; return the effective outcome.
+
+        A complete response counts as lost if a part of a stream was already sent to the caller.
+        """
         upstream = attempt.entry.incarnation
         match outcome:
             case Unreachable(reason=reason, refused=refused):
@@ -235,7 +238,7 @@
     def _record_rejection(self, upstream: str, outcome: Rejected) -> None:
         if outcome.wrong_upstream:
             self._context.placer.health.note_unreachable(
-                upstream, reason="another upstream is there"
+                upstream, reason="another upstream has its address"
             )
         else:
             self._context.placer.health.note_failed(upstream, reason="turned away")
@@ -257,7 +260,7 @@
         self.progress.excluded_upstreams.add(upstream)
 
     async def _async_relay_stream(self, attempt: Attempt, outcome: StreamingResponse) -> Decision:
-        """Pass a stream on, and return whether it may go on elsewhere where it broke off."""
+        """Relay a streamed response and return the next step."""
         upstream = attempt.entry.incarnation
         if self._relay.last_event_id is not None:
             self._request_journal.record_resumed(upstream, last_event_id=self._relay.last_event_id)
@@ -291,7 +294,7 @@
                 return self._relay.response
 
     def _get_time_limit_ms(self) -> int:
-        """Return within what time an answer has its worth: the target, or the caller's time."""
+        """Return the time left to the target latency, or to the deadline if that has passed."""
         target_ms = self._routed.route.target_ms
         waited_ms = self._now_ms() - self.progress.arrived_ms
         remaining_ms = self._remaining_ms()
@@ -312,7 +315,7 @@
         return self._context.suspects.is_suspect(self._digest)
 
     def _refuse(self, reason: Reason, message: str, not_before_ms: int = 0) -> web.StreamResponse:
-        """End a request that no further upstream is asked for."""
+        """End a request without another attempt: refused, or failed if it may have run."""
         progress = self.progress
         if progress.possibly_ran_on or self._relay.response is not None:
             return self._fail(message)
@@ -340,7 +343,7 @@
         return make_upstream_response(outcome=outcome, dialect=self._context.dialect)
 
     def _fail(self, message: str) -> web.StreamResponse:
-        """End a request that may have run."""
+        """End a request that may have run, if possible with an upstream's error response."""
         self.progress.outcome = f"failed: {message}"
         if self._relay.response is not None:
             abort_connection(self._web_request.transport)
@@ -352,7 +355,7 @@
         )
 
     def _end_at_deadline(self) -> web.StreamResponse:
-        """End a request whose time is over."""
+        """End a request that has reached its deadline."""
         if not self.progress.in_flight and not self.progress.possibly_ran_on:
             return self._refuse(Reason.DEADLINE, "No upstream had time for the request")
         self.progress.outcome = "deadline"
@@ -368,7 +371,7 @@
         )
 
     def _get_response_timeout_ms(self) -> int | None:
-        """Return how long an upstream may say nothing before another one is asked."""
+        """Return the time-out after which the request is retried, None if it must not be."""
         route = self._routed.route
         if not route.repeatable or len(self.progress.possibly_ran_on) + 1 >= route.max_attempts:
             return None
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""The forwarder: listens for callers, and stops without cutting what it took."""
+"""The forwarder: accepts callers' connections, and drains before it stops."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 CLEANUP_INTERVAL_MS: Final = 1_000
 DRAIN_POLL_MS: Final = 20
-# Requests that are taken during a stop end this long before the process is killed.
+# Requests admitted during a drain must end this long before the process is killed.
 DRAIN_MARGIN_MS: Final = 1_000
 
 
 class Forwarder:
-    """Takes callers' requests and forwards each to an upstream of its route's service."""
+    """Receives callers' requests and forwards each to an upstream of its route's service."""
 
     __slots__ = (
         "_app",
@@ -143,7 +143,7 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer should send new connections."""
+        """Return whether load balancers should send requests to this router."""
         return (
             not self._app.stopping.is_set()
             and self._routing.table is not None
@@ -151,7 +151,7 @@
         )
 
     def update_bounds(self, bounds: Bounds) -> None:
-        """Keep other bounds from now on."""
+        """Apply changed bounds from the settings."""
         self.placer.take_bounds(
             Cap(factor=bounds.cap_factor, slack=bounds.cap_slack),
             evacuation_ms=bounds.evacuation_ms,
@@ -163,7 +163,7 @@
         self._drain.update_limit(bounds.stop_ms - DRAIN_MARGIN_MS)
 
     async def async_start(self) -> Address:
-        """Begin to listen and return the address."""
+        """Start listening and return the address."""
         assert self._listener is not None
         address = await self._listener.async_start()
         self._app.on_drain(self._async_drain)
@@ -205,7 +205,10 @@
             self.placer.sweep()
 
     async def _async_drain(self) -> None:
-        """Take requests until balancers know, then finish what runs and close what is idle."""
+        """Drain: wait for load balancers to react, then for the running requests to end.
+
+        Idle connections are closed in between; other connections close after their response.
+        """
         self._drain.begin()
         await self._app.clock.async_sleep(DRAIN_GRACE_MS)
         assert self._server is not None
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -1,4 +1,4 @@
-"""The intake of callers' requests: their body, their route, their key, and their end."""
+"""Handling of callers' requests: reading, routing, admission and journalling."""
 
 from __future__ import annotations
 
@@ -40,23 +40,23 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-# What the bodies of all running requests may take together: an eighth of the smallest instance.
+# Limit on the buffered bodies of all running requests together.
 MAX_BUFFERED_BODY_BYTES: Final = 24 * 1024 * 1024
 DEFAULT_TIMEOUT_MS: Final = 15_000
-# How long requests that arrive before configuration, list and cached prompts are known wait for
-# them: it takes 10 to 50 ms where the store answers, and 50 ms more for the engines' lists.
+# How long requests wait at startup until the configuration, the upstream list and the inventory of
+# cached prompts have been loaded.
 STARTUP_WAIT_MS: Final = 300
 
 
 class RequestParser(Protocol):
-    """Reads a request's head in the spelling of the deployment."""
+    """Parses a request in the HTTP representation of the deployment."""
 
     def __call__(self, *, request: web.BaseRequest, body: bytes) -> CallerRequest | None:
-        """Return the request, or None where its head is malformed."""
+        """Return the request, or None if its head is malformed."""
 
 
 class RequestHandler:
-    """Serves every request of every caller."""
+    """Handles the requests of all callers."""
 
     __slots__ = (
         "_bodies",
@@ -97,16 +97,16 @@
 
     @property
     def running(self) -> list[str]:
-        """Return the ids of the requests that run."""
+        """Return the ids of the running requests."""
         return list(self._running.values())
 
     def make_request_id(self) -> str:
-        """Return an id for a request that brought none."""
+        """Return a new id for a request without one."""
         self._request_count += 1
         return f"{self._context.app.incarnation:016x}-{self._request_count:x}"
 
     async def async_handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request from its head to the end of its answer."""
+        """Handle one request until its response has ended."""
         arrived_ms = self._context.app.clock.now_ms()
         if isinstance(request.protocol, CallerConnection):
             request.protocol.note_request()
@@ -173,7 +173,7 @@
                 return await self._async_run(request, caller_request, routed, arrived_ms)
 
     async def _async_wait_until_ready(self, caller_request: CallerRequest) -> None:
-        """Wait a moment for what a starting process loads, which takes some ten milliseconds."""
+        """Wait a limited time for the data that the process loads at startup."""
         awaited = (
             self._startup_events
             if self._is_prompt_located(caller_request)
@@ -187,7 +187,10 @@
                 for event in awaited:
                     await event.wait()
         except TimeoutError:
-            _LOGGER.debug("Request %s met a router that is not ready", caller_request.request_id)
+            _LOGGER.debug(
+                "Startup data not loaded within the wait limit; continuing with request %s",
+                caller_request.request_id,
+            )
 
     def _admits(self, duration_ms: int) -> bool:
         if Mechanism.LEAVING_ADMISSION in self._context.without:
@@ -195,7 +198,7 @@
         return self._drain.admits(duration_ms=duration_ms)
 
     def _is_prompt_located(self, caller_request: CallerRequest) -> bool:
-        """Return whether a request needs nothing that the inventory may bring."""
+        """Return whether a request has no prompt, or an upstream that caches it is known."""
         return caller_request.prompt is None or self._context.placer.knows(caller_request.prompt)
 
     async def _async_run(
@@ -240,7 +243,7 @@
         except CallerDisconnected:
             progress.outcome = "caller_gone"
             abort_connection(request.transport)
-            # The library ends a connection quietly for this, and as a fault for anything else.
+            # aiohttp logs any other exception as an error of the handler.
             raise asyncio.CancelledError from None
         finally:
             self._record_end(caller_request, routed, progress, status)
@@ -266,7 +269,7 @@
         return response
 
     def _reject_malformed(self, rejection: Rejection) -> web.Response:
-        """Turn away what could not be read as a request; it gets an id of this router's own."""
+        """Reject a request that could not be read, under an id that this router assigns."""
         request_id = self.make_request_id()
         response = make_error_response(rejection=rejection, request_id=request_id)
         self._record_refusal(request_id, rejection.failure.reason, response.status, -1)
@@ -316,7 +319,7 @@
 
 
 def choose_service(caller_request: CallerRequest, route: Route) -> str:
-    """Return the service for a request; equal prompts of a split route go to the same one."""
+    """Return the service for a request; a split route keeps equal prompts on one service."""
     if len(route.targets) == 1:
         return route.targets[0].service
     if caller_request.prompt is not None and caller_request.prompt.shared:
@@ -333,7 +336,7 @@
 
 
 def _get_time_limit_ms(caller_request: CallerRequest, route: Route) -> int:
-    """Return how long the request may take: the caller's patience within the route's timeout."""
+    """Return the time limit: the caller's deadline, bounded by the route's time-out."""
     if caller_request.deadline_ms is None:
         return route.timeout_ms
     return min(caller_request.deadline_ms, route.timeout_ms + RESPONSE_MARGIN_MS)
--- a/gypsumrouter/forwarding/keep_alive.py
+++ b/gypsumrouter/forwarding/keep_alive.py
@@ -1,31 +1,30 @@
-"""How long a connection to an upstream may have been idle and still carry a request.
+"""Maximum idle time of pooled connections to upstreams.
 
-Answers this load: many routers before many upstreams, where each pair meets once in some seconds
-only. A new connection costs its upstream a handshake and the request a round trip; a kept one may
-be closed by its upstream at the moment of use, and a request that must not be repeated is lost
-with it.
+With many routers and upstreams, each pair exchanges a request only every few seconds. A new
+connection costs a round trip and a handshake, but an idle one may be closed by its upstream at the
+moment of reuse, and a request that must not be repeated then fails.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# Without a word of the upstream: servers close idle connections after five seconds or more.
+# Used if the upstream announces no keep-alive time-out; servers usually keep idle connections for
+# five seconds or more.
 DEFAULT_KEEP_ALIVE_MS: Final = 4_000
-# What must not be repeated is not sent on a connection that its upstream may be closing just now.
+# As above, for requests that must not be repeated.
 DEFAULT_NON_REPEATABLE_IDLE_MS: Final = 1_500
-# A connection is given up this long before its upstream closes it: the way there, and a pause of
-# this process that its clock does not count.
+# Connections are discarded this long before the upstream closes them, to allow for network delay
+# and for pauses of this process.
 KEEP_ALIVE_MARGIN_MS: Final = 1_000
-# What must not be repeated keeps away from the announced end by half of it. A path that fell silent
-# is found by the kernel's probes within three seconds.
+# Requests that must not be repeated use a connection only within this part of the announced time.
 NON_REPEATABLE_IDLE_RATIO: Final = 0.5
 
 
 def get_max_idle_ms(announced_ms: int | None, *, repeatable: bool) -> int:
-    """Return for how long a connection may be idle before a request.
+    """Return how long a connection may have been idle to be reused for a request.
 
-    `announced_ms` is how long its upstream says that it keeps idle connections.
+    `announced_ms` is the keep-alive time-out that the upstream announced, None if it did not.
     """
     if announced_ms is None:
         return DEFAULT_KEEP_ALIVE_MS if repeatable else DEFAULT_NON_REPEATABLE_IDLE_MS
--- a/gypsumrouter/forwarding/metrics.py
+++ b/gypsumrouter/forwarding/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of the forwarder."""
+"""Request counters and latency histograms of the forwarder."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from gypsumrouter.core import Application
 
-# Upper bounds in milliseconds, around the latency objectives of 100 to 800 ms.
+# Upper bounds in milliseconds, finest around the usual latency targets of 100 to 800 ms.
 LATENCY_BUCKETS: Final[list[float]] = [
     5,
     10,
@@ -25,7 +25,7 @@
 
 
 class ForwardingMetrics:
-    """What is counted of requests; the outcome is the reason of each refusal and failure."""
+    """Counts requests and their latencies; the outcome label is the reason of a refusal."""
 
     __slots__ = ("_ended", "_first_byte", "_total")
 
@@ -41,13 +41,13 @@
         )
 
     def count_request(self, *, route: str, outcome: str, status: int) -> None:
-        """Count one request that is over."""
+        """Count a request that has ended; details after a colon in `outcome` are dropped."""
         reason = outcome.partition(":")[0]
         labels = (("kind", route), ("outcome", reason), ("status", str(status)))
         self._ended.inc(labels=labels)
 
     def observe_latency(self, *, kind: str, first_byte_ms: int, total_ms: int) -> None:
-        """Count the times of one request."""
+        """Record the latencies of a request; a negative `first_byte_ms` is ignored."""
         labels = (("kind", kind),)
         if first_byte_ms >= 0:
             self._first_byte.observe(first_byte_ms, labels)
--- a/gypsumrouter/forwarding/next_step.py
+++ b/gypsumrouter/forwarding/next_step.py
@@ -1,8 +1,8 @@
-"""What follows after an upstream did with a request what it did: another one, or an answer.
+"""Retry policy: the next step for a request after an attempt at an upstream.
 
-Answers this load: upstreams that vanish, turn requests away, or fail in the middle of them, while
-callers repeat. What may have run goes to another upstream only if its route allows that, and within
-the retry budget that all routers share.
+A request that was not run can be sent to another upstream. One that may have run is retried only if
+its route allows that. Retries are limited by the retry budget that all routers share, so that they
+don't overload the upstreams when many of them fail.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class NextStep(StrEnum):
-    """What a request does next, by the word that the journal shows."""
+    """The next step of a request; the values are written to the journal."""
 
     SEND_ELSEWHERE = "elsewhere"
     RETRY = "run_again"
@@ -33,7 +33,7 @@
 
 
 class Decision(Struct, frozen=True, kw_only=True):
-    """The next step; a refusal has its reason, a refusal or a failure its message."""
+    """The next step; `reason` applies to refusals, `message` to refusals and failures."""
 
     step: NextStep
     reason: Reason = Reason.NO_INSTANCE
@@ -41,9 +41,9 @@
 
 
 class RetryLimits(Struct, frozen=True, kw_only=True):
-    """What the route, the clock and the retry budget allow a request.
+    """Limits on retries from the route, the deadline and the retry budget.
 
-    `take_retry` takes one retry out of the budget and returns whether there was one.
+    `take_retry` consumes one retry of the budget and returns whether one was available.
     """
 
     repeatable: bool
@@ -57,7 +57,7 @@
     progress: Progress,
     limits: RetryLimits,
 ) -> Decision:
-    """Return what follows an attempt; `progress` counts it already."""
+    """Return the next step after an attempt, which `progress` already includes."""
     match outcome:
         case Unreachable():
             return _decide_unreachable(progress)
@@ -78,14 +78,17 @@
 def decide_after_failed_run(
     progress: Progress, limits: RetryLimits, *, retry_step: NextStep, message: str
 ) -> Decision:
-    """Return what follows a run that brought no whole answer."""
+    """Return the next step after a request may have run without a complete response.
+
+    `retry_step` is the step to take if a retry is allowed.
+    """
     if may_retry(progress, limits):
         return Decision(step=retry_step)
     return Decision(step=NextStep.FAIL, message=message)
 
 
 def may_retry(progress: Progress, limits: RetryLimits) -> bool:
-    """Return whether a request that may have run may go to another upstream."""
+    """Return whether a request that may have run can be retried; consumes a retry if so."""
     if not limits.repeatable or len(progress.possibly_ran_on) >= limits.max_attempts:
         return False
     return limits.remaining_ms > 0 and limits.take_retry()
--- a/gypsumrouter/forwarding/relay.py
+++ b/gypsumrouter/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""Passing a stream on as it comes, and going on where it broke off."""
+"""Relaying of streamed responses to callers, resumed on another upstream after a failure."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RelayResult(StrEnum):
-    """How a stream from one upstream ended."""
+    """How relaying a stream from one upstream ended; the values appear in the journal."""
 
     COMPLETE = "whole"
     BROKEN = "broken"
@@ -31,14 +31,15 @@
 
 
 class CallerDisconnected(ConnectionError):
-    """The caller closed its connection while its answer was written."""
+    """The caller closed its connection while its response was being written."""
 
 
 class Relay:
-    """Writes the events of one answer, from one upstream or, where it is resumed, from several.
+    """Writes one streamed response, which may be continued from several upstreams.
 
-    Only whole events are passed on. Nothing is sent before the first one, so that until then the
-    request can still be answered in another way.
+    Only complete events are relayed. Nothing is sent before the first one, so that the request can
+    still get another response until then. The connection is closed after the response if
+    `close_connection` is true.
     """
 
     __slots__ = (
@@ -78,11 +79,11 @@
 
     @property
     def last_event_id(self) -> str | None:
-        """Return the id of the last event that was passed on."""
+        """Return the id of the last event that was relayed."""
         return self._splitter.last_event_id
 
     async def async_relay(self, streaming: StreamingResponse) -> RelayResult:
-        """Pass on what one upstream sends until it ends."""
+        """Relay the response of one upstream until it ends; raises CallerDisconnected."""
         if self._headers is None:
             self._headers = self._dialect.select_headers(streaming.answer)
         self._splitter.discard_partial()
@@ -108,7 +109,7 @@
             return await streaming.answer.body.readany()
 
     def _get_read_timeout_ms(self) -> int | None:
-        """Return how long a stream that can be resumed may say nothing."""
+        """Return the time-out for the next data of a resumable stream, None for other streams."""
         if not self._route.resumable:
             return None
         if self.response is None:
--- a/gypsumrouter/forwarding/request_journal.py
+++ b/gypsumrouter/forwarding/request_journal.py
@@ -1,4 +1,4 @@
-"""The journal lines of one request."""
+"""Journal records about one request."""
 
 from __future__ import annotations
 
@@ -26,7 +26,11 @@
 
 
 class RequestJournal:
-    """Writes what is decided about one request, with the versions that it was decided on."""
+    """Records the decisions about one request.
+
+    Records that depend on them include the versions of the configuration and of the upstream list
+    on which the decision was based.
+    """
 
     __slots__ = ("_configuration", "_journal", "_list_revision", "_request", "_routed", "_service")
 
@@ -48,7 +52,7 @@
         self._list_revision = list_revision
 
     def record_placed(self, placed: Placed, *, attempt: int, peers_age_ms: int) -> None:
-        """Tell which upstream was chosen, and by what."""
+        """Record which upstream was chosen, and the inputs of the choice."""
         self._journal.record(
             RequestPlaced(
                 request_id=self._request.request_id,
@@ -69,7 +73,7 @@
         )
 
     def record_sent(self, attempt: Attempt, *, number: int) -> None:
-        """Tell that the request goes out on a connection."""
+        """Record that the request is sent on a connection."""
         self._journal.record(
             AttemptSent(
                 request_id=self._request.request_id,
@@ -83,7 +87,7 @@
     def record_ended(
         self, attempt: Attempt, outcome: Outcome | None, *, number: int, after_ms: int, step: str
     ) -> None:
-        """Tell how an attempt ended and what follows; no outcome is one that was cancelled."""
+        """Record the outcome of an attempt, None if it was cancelled, and the next step."""
         self._journal.record(
             AttemptEnded(
                 request_id=self._request.request_id,
@@ -98,7 +102,7 @@
         )
 
     def record_resumed(self, upstream: str, *, last_event_id: str) -> None:
-        """Tell that a stream goes on elsewhere."""
+        """Record that a stream is resumed on another upstream."""
         last_event = int(last_event_id) if last_event_id.isdigit() else -1
         self._journal.record(
             StreamResumed(
@@ -109,7 +113,7 @@
     def record_refused(
         self, *, reason: str, status: int, retry_after_ms: int, waited_ms: int
     ) -> None:
-        """Tell that the request is turned away and never ran."""
+        """Record that the request is refused without having run."""
         self._journal.record(
             RequestRefused(
                 request_id=self._request.request_id,
--- a/gypsumrouter/forwarding/responses.py
+++ b/gypsumrouter/forwarding/responses.py
@@ -1,4 +1,4 @@
-"""What callers get: an upstream's answer unchanged, or an error of our own."""
+"""Responses to callers: the upstream's response, or an error of the router."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def make_upstream_response(*, outcome: CompleteResponse, dialect: Dialect) -> web.Response:
-    """Return an upstream's whole answer for its caller."""
+    """Return the response that passes an upstream's complete response to the caller."""
     response = web.Response(status=outcome.status, body=outcome.body)
     _set_headers(response, dialect.select_headers(outcome.answer))
     return response
 
 
 def make_stream_response(*, status: int, headers: list[tuple[str, str]]) -> web.StreamResponse:
-    """Return the beginning of an answer that is passed on as it comes."""
+    """Return an unprepared response whose body is streamed."""
     response = web.StreamResponse(status=status)
     _set_headers(response, headers)
     return response
@@ -41,11 +41,10 @@
     dialect: Dialect,
     not_before_ms: int = 0,
 ) -> tuple[web.Response, int]:
-    """Return the answer for a request that never ran, and when its caller may come back.
+    """Return the response for a request that was not run, and its Retry-After in milliseconds.
 
-    Callers wait for at most a third of the time that they have left, and come back spread over a
-    span, so that they do not all meet the same moment again; before `not_before_ms` they would be
-    refused again.
+    The delay is randomized, so that callers don't retry all at once, and limited to a part of the
+    time that the caller has left. A retry before `not_before_ms` would be refused again.
     """
     longest = int(remaining_ms * RETRY_AFTER_RATIO)
     latest = max(1, min(not_before_ms + RETRY_AFTER_MAX_MS, longest))
@@ -58,13 +57,13 @@
 
 
 def make_rejection(*, reason: Reason, message: str, request_id: str) -> web.Response:
-    """Return the answer for a request that the configuration does not allow."""
+    """Return the response for a request that the configuration does not allow."""
     failure = Refused(reason=reason, message=message)
     return make_error_response(rejection=Rejection(failure=failure), request_id=request_id)
 
 
 def make_failure(*, reason: Reason, message: str, request_id: str) -> web.Response:
-    """Return the answer for a request that may have run and brought none."""
+    """Return the response for a request that may have run but got no valid response."""
     failure = Failed(reason=reason, message=message)
     return make_error_response(rejection=Rejection(failure=failure), request_id=request_id)
 
