--- a/gypsumrouter/forwarding/attempt.py
+++ b/gypsumrouter/forwarding/attempt.py
@@ -146,8 +146,8 @@
             return ResponseLost(reason="the response is not signed")
         if metadata.is_event_stream and succeeded:
             return StreamingResponse(answer=answer, status=answer.status, is_event_stream=True)
-        body, whole = await _async_read_buffered(answer)
-        if not whole:
+        body, complete = await _async_read_buffered(answer)
+        if not complete:
             return StreamingResponse(
                 answer=answer, status=answer.status, is_event_stream=False, initial_bytes=body
             )
--- a/gypsumrouter/forwarding/const.py
+++ b/gypsumrouter/forwarding/const.py
@@ -1,4 +1,4 @@
-"""Time-outs and limits of request forwarding."""
+"""Timeouts and limits of request forwarding."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 # Maximum size of one server-sent event.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
-# Time-out for the response head of a repeatable request, as a multiple of the route's target
+# Timeout for the response head of a repeatable request, as a multiple of the route's target
 # latency. After it the request is retried on another upstream.
 RESPONSE_TIMEOUT_FACTOR: Final = 2.5
 MIN_RESPONSE_TIMEOUT_MS: Final = 150
-# Read time-out inside a resumable stream, as a multiple of the route's maximum pause.
+# Read timeout inside a resumable stream, as a multiple of the route's maximum pause.
 STREAM_PAUSE_FACTOR: Final = 3.0
 
-# Added to the configured time-outs on caller connections, to allow for retransmitted packets and
+# Added to the configured timeouts on caller connections, to allow for retransmitted packets and
 # pauses of this process.
 CALLER_TIMEOUT_MARGIN_MS: Final = 2_000
 
--- a/gypsumrouter/forwarding/events.py
+++ b/gypsumrouter/forwarding/events.py
@@ -42,9 +42,9 @@
             return b""
         end += len(EVENT_SEPARATOR)
         self._partial = data[end:]
-        whole = data[:end]
-        self._update_last_event_id(whole)
-        return whole
+        complete = data[:end]
+        self._update_last_event_id(complete)
+        return complete
 
     def discard_partial(self) -> None:
         """Discard an incomplete event."""
@@ -52,16 +52,16 @@
 
     def flush(self) -> bytes:
         """Return the data after the last complete event, at the regular end of a stream."""
-        tail, self._partial = self._partial, b""
-        return tail
+        partial, self._partial = self._partial, b""
+        return partial
 
-    def _update_last_event_id(self, whole: bytes) -> None:
-        start = whole.rfind(b"\n" + ID_FIELD)
+    def _update_last_event_id(self, complete: bytes) -> None:
+        start = complete.rfind(b"\n" + ID_FIELD)
         if start >= 0:
             start += 1
-        elif whole.startswith(ID_FIELD):
+        elif complete.startswith(ID_FIELD):
             start = 0
         else:
             return
-        value = whole[start + len(ID_FIELD) : whole.find(b"\n", start)]
+        value = complete[start + len(ID_FIELD) : complete.find(b"\n", start)]
         self.last_event_id = value.strip().decode("latin-1")
--- a/gypsumrouter/forwarding/execution.py
+++ b/gypsumrouter/forwarding/execution.py
@@ -371,7 +371,7 @@
         )
 
     def _get_response_timeout_ms(self) -> int | None:
-        """Return the time-out after which the request is retried, None if it must not be."""
+        """Return the timeout after which the request is retried, None if it must not be."""
         route = self._routed.route
         if not route.repeatable or len(self.progress.possibly_ran_on) + 1 >= route.max_attempts:
             return None
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -24,8 +24,8 @@
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.directory import Directory
 from gypsumrouter.forwarding.const import RESPONSE_MARGIN_MS
-from gypsumrouter.forwarding.drain import DrainAdmission, estimate_duration_ms
 from gypsumrouter.forwarding.execution import ForwardingContext, RequestExecution
+from gypsumrouter.forwarding.leaving import DrainAdmission, estimate_duration_ms
 from gypsumrouter.forwarding.metrics import ForwardingMetrics
 from gypsumrouter.forwarding.models import CallerRequest
 from gypsumrouter.forwarding.progress import Progress
@@ -176,7 +176,7 @@
         """Wait a limited time for the data that the process loads at startup."""
         awaited = (
             self._startup_events
-            if self._is_prompt_located(caller_request)
+            if self._can_place_without_inventory(caller_request)
             else (*self._startup_events, self._inventory_loaded)
         )
         if all(event.is_set() for event in awaited):
@@ -197,7 +197,7 @@
             return True
         return self._drain.admits(duration_ms=duration_ms)
 
-    def _is_prompt_located(self, caller_request: CallerRequest) -> bool:
+    def _can_place_without_inventory(self, caller_request: CallerRequest) -> bool:
         """Return whether a request has no prompt, or an upstream that caches it is known."""
         return caller_request.prompt is None or self._context.placer.knows(caller_request.prompt)
 
@@ -336,7 +336,7 @@
 
 
 def _get_time_limit_ms(caller_request: CallerRequest, route: Route) -> int:
-    """Return the time limit: the caller's deadline, bounded by the route's time-out."""
+    """Return the time limit: the caller's deadline, bounded by the route's timeout."""
     if caller_request.deadline_ms is None:
         return route.timeout_ms
     return min(caller_request.deadline_ms, route.timeout_ms + RESPONSE_MARGIN_MS)
--- a/gypsumrouter/forwarding/keep_alive.py
+++ b/gypsumrouter/forwarding/keeping.py
@@ -9,7 +9,7 @@
 
 from typing import Final
 
-# Used if the upstream announces no keep-alive time-out; servers usually keep idle connections for
+# Used if the upstream announces no keep-alive timeout; servers usually keep idle connections for
 # five seconds or more.
 DEFAULT_KEEP_ALIVE_MS: Final = 4_000
 # As above, for requests that must not be repeated.
@@ -24,7 +24,7 @@
 def get_max_idle_ms(announced_ms: int | None, *, repeatable: bool) -> int:
     """Return how long a connection may have been idle to be reused for a request.
 
-    `announced_ms` is the keep-alive time-out that the upstream announced, None if it did not.
+    `announced_ms` is the keep-alive timeout that the upstream announced, None if it did not.
     """
     if announced_ms is None:
         return DEFAULT_KEEP_ALIVE_MS if repeatable else DEFAULT_NON_REPEATABLE_IDLE_MS
--- a/gypsumrouter/forwarding/relay.py
+++ b/gypsumrouter/forwarding/relay.py
@@ -91,8 +91,8 @@
             if streaming.initial_bytes:
                 await self._async_write(streaming, streaming.initial_bytes)
             while part := await self._async_read(streaming):
-                whole = self._splitter.feed(part) if streaming.is_event_stream else part
-                await self._async_write(streaming, whole)
+                complete = self._splitter.feed(part) if streaming.is_event_stream else part
+                await self._async_write(streaming, complete)
         except TimeoutError:
             return RelayResult.TIMED_OUT
         except (ConnectionBroken, EventTooLong):
@@ -109,7 +109,7 @@
             return await streaming.answer.body.readany()
 
     def _get_read_timeout_ms(self) -> int | None:
-        """Return the time-out for the next data of a resumable stream, None for other streams."""
+        """Return the timeout for the next data of a resumable stream, None for other streams."""
         if not self._route.resumable:
             return None
         if self.response is None:
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -1,4 +1,4 @@
-"""A forwarder in the test's process, before stand-ins of the platform's store and runners."""
+"""Fixtures: a forwarder in the test process, with stand-ins for the store and the runners."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 async def world() -> AsyncIterator[ForwardingWorld]:
-    """Two plain runners, two engines and one forwarder, all ready."""
+    """Start two plain runners, two engines and one forwarder, and wait until they are ready."""
     os.environ["GYPSUMROUTER_LINK_KEY"] = KEY
     world = ForwardingWorld()
     await world.async_start()
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 async def session() -> AsyncIterator[aiohttp.ClientSession]:
-    """A caller's HTTP client that never tries again by itself."""
+    """Open a caller's HTTP client that uses a new connection each time, so it never retries."""
     connector = aiohttp.TCPConnector(force_close=True)
     async with aiohttp.ClientSession(connector=connector) as session:
         yield session
--- a/tests/forwarding/forwarding_world.py
+++ b/tests/forwarding/forwarding_world.py
@@ -1,4 +1,4 @@
-"""The world of the forwarder's tests: a store, runners, forwarders, and a caller's calls."""
+"""Test environment: a store, runners, forwarders and a caller's requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def make_route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-    """Return a published route under the path /NAME/."""
+    """Return a published route with the path prefix /NAME/."""
     return {
         "name": name,
         "host": HOST,
@@ -63,7 +63,7 @@
 
 
 class ForwardingWorld:
-    """Starts everything on port 0 and stops it again."""
+    """Starts a store, runners and forwarders on ephemeral ports, and stops them."""
 
     def __init__(self) -> None:
         self.store = PublishedStoreStandin()
@@ -79,7 +79,7 @@
         return self.products[0]
 
     async def async_start(self) -> None:
-        """Start the store, the runners and one forwarder that is ready."""
+        """Start the store, the runners and one forwarder, and wait until it is ready."""
         self.store_address = await self.store.async_start()
         for runner in (*self.records, *self.models):
             self.addresses[runner.name] = await runner.async_start()
@@ -88,7 +88,7 @@
         await self.async_until(product.is_ready)
 
     async def async_fill(self, store: PublishedStoreStandin) -> None:
-        """Write all entries and the configuration, with the same revisions in each store."""
+        """Write all entries and the configuration, so that equal stores have equal revisions."""
         for service, runners in (("records", self.records), ("models", self.models)):
             for runner in runners:
                 address = self.addresses[runner.name]
@@ -96,7 +96,7 @@
         await store.async_put_configuration(make_configuration())
 
     async def async_start_forwarder(self, name: str, **more: Any) -> Product:
-        """Start one more forwarder."""
+        """Start another forwarder; `more` overrides its settings."""
         settings = ForwarderSettings(
             **{
                 "instance": Identity(name=name, data_centre="dc-a", region="r"),
@@ -111,7 +111,7 @@
         return product
 
     async def async_stop(self) -> None:
-        """Stop everything."""
+        """Stop all forwarders, the runners and the store."""
         for product in self.products:
             await product.app.async_stop()
         for runner in (*self.records, *self.models):
@@ -119,17 +119,17 @@
         await self.store.async_stop()
 
     async def async_until(self, condition: Any) -> None:
-        """Wait until a condition holds; the test's own time-out bounds it."""
+        """Wait up to 10 s until a condition holds."""
         async with asyncio.timeout(10):
             while not condition():
                 await asyncio.get_running_loop().run_in_executor(None, lambda: None)
 
     def url(self, path: str, product: Product | None = None) -> str:
-        """Return the address of a path at a forwarder."""
+        """Return the URL of a path at a forwarder, by default the first."""
         return f"http://{(product or self.product).addresses['callers']}{path}"
 
     def headers(self, request_id: str) -> dict[str, str]:
-        """Return a caller's headers."""
+        """Return the headers of a caller's request."""
         return {
             "Host": HOST,
             "X-Request-Id": request_id,
@@ -148,7 +148,7 @@
         body: bytes | None = None,
         extra: dict[str, str] | None = None,
     ) -> tuple[int, bytes, dict[str, str]]:
-        """Send one request and return status, body and headers of its answer."""
+        """Send one request and return status, body and headers of the response."""
         async with session.request(
             method,
             self.url(path, product),
@@ -159,7 +159,7 @@
             return response.status, await response.read(), dict(response.headers)
 
     def arrivals(self, request_id: str) -> list[Any]:
-        """Return how a request arrived at the runners, in no order."""
+        """Return the arrivals of a request at all runners, grouped by runner."""
         return [
             arrival
             for runner in (*self.records, *self.models)
--- a/tests/forwarding/test_forwarding_caller_limits.py
+++ b/tests/forwarding/test_forwarding_caller_limits.py
@@ -1,4 +1,4 @@
-"""The published limits on what callers send and how long they take, on real connections."""
+"""Limits from the configuration on callers' heads, bodies and idle connections."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 async def async_measure_close(reader: asyncio.StreamReader) -> float:
-    """Return after how many milliseconds the connection was closed without a byte."""
+    """Return the milliseconds until the connection was closed without sending a byte."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     async with asyncio.timeout(HANG_S):
@@ -50,7 +50,7 @@
     return 1000 * (loop.time() - began)
 
 
-async def test_a_head_above_the_published_size_is_turned_away_and_never_forwarded(
+async def test_head_above_the_size_limit_is_rejected_and_not_forwarded(
     world: ForwardingWorld, session: aiohttp.ClientSession
 ) -> None:
     await async_publish_limits(world)
@@ -63,7 +63,7 @@
     assert status == 200
 
 
-async def test_a_head_that_stays_unfinished_ends_its_connection_in_the_published_time(
+async def test_connection_with_an_incomplete_head_is_closed_after_the_head_timeout(
     world: ForwardingWorld,
 ) -> None:
     await async_publish_limits(world)
@@ -75,7 +75,9 @@
     assert elapsed_ms < LIMITS["idle_timeout_ms"]
 
 
-async def test_an_unfinished_second_head_is_bounded_too(world: ForwardingWorld) -> None:
+async def test_incomplete_second_head_is_subject_to_the_head_timeout(
+    world: ForwardingWorld,
+) -> None:
     await async_publish_limits(world)
     with patch(MARGIN, 0):
         reader, writer = await async_connect(world)
@@ -91,10 +93,10 @@
 
 
 @pytest.mark.parametrize("bytes_before", [b"", LOOKUP.format("r-1").encode()])
-async def test_an_idle_connection_is_kept_for_the_published_time_and_then_closed(
+async def test_idle_connection_is_closed_after_the_idle_timeout(
     world: ForwardingWorld, bytes_before: bytes
 ) -> None:
-    """Callers use a connection again up to four fifths of that time."""
+    """Callers reuse a connection until four fifths of the idle timeout."""
     await async_publish_limits(world, idle_timeout_ms=SHORT_IDLE_MS)
     with patch(MARGIN, 0):
         reader, writer = await async_connect(world)
@@ -110,8 +112,10 @@
     assert elapsed_ms > 0.8 * SHORT_IDLE_MS
 
 
-async def test_the_rest_of_a_refused_body_does_not_count_as_a_head(world: ForwardingWorld) -> None:
-    """The connection stays open for the idle time, not only for that of a head."""
+async def test_remainder_of_a_rejected_body_does_not_start_the_head_timeout(
+    world: ForwardingWorld,
+) -> None:
+    """The connection stays open for the idle timeout, which is longer."""
     await async_publish_limits(world)
     size = LIMITS["max_body_bytes"] + 1
     head = f"POST /open/a HTTP/1.1\r\nHost: api.example\r\nContent-Length: {size}\r\n\r\n"
--- a/tests/forwarding/test_forwarding_changes.py
+++ b/tests/forwarding/test_forwarding_changes.py
@@ -1,4 +1,4 @@
-"""Configurations, leaving upstreams, outages of the store, and stops, while requests run."""
+"""Configuration changes, draining upstreams, store outages and router shutdown."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return section
 
 
-async def test_a_new_version_is_in_force_at_once_and_an_older_one_never_again(
+async def test_new_configuration_version_is_applied_and_an_older_one_ignored(
     world: ForwardingWorld, session: Session
 ) -> None:
     route = make_route("added", "idempotent", "records")
@@ -38,25 +38,25 @@
     assert status == 404
 
 
-async def test_an_upstream_that_leaves_gets_no_new_work(
+async def test_draining_upstream_gets_no_new_requests(
     world: ForwardingWorld, session: Session
 ) -> None:
-    leaving = world.records[0]
-    address = world.addresses[leaving.name]
+    draining = world.records[0]
+    address = world.addresses[draining.name]
     await world.store.async_put_runner(
-        leaving.name, service="records", address=address, state="draining"
+        draining.name, service="records", address=address, state="draining"
     )
-    await world.async_until(lambda: _get_state(world, leaving.name) == "leaving")
+    await world.async_until(lambda: _get_state(world, draining.name) == "leaving")
     for number in range(4):
         await world.async_call(session, "GET", "/lookup/a", f"r{number}")
-    assert not leaving.arrivals
+    assert not draining.arrivals
 
 
-async def test_a_list_that_lapsed_in_an_outage_is_used_until_it_is_back(
+async def test_upstreams_whose_entries_lapsed_in_a_store_outage_stay_usable_for_a_while(
     world: ForwardingWorld, session: Session
 ) -> None:
     await world.store.async_fail(StoreTrouble.RESET)
-    await world.async_until(lambda: _is_doubted(world))
+    await world.async_until(lambda: _is_list_unavailable(world))
     for runner in world.records:
         await world.store.async_remove(f"servers/{runner.name}")
     await world.store.async_fail(StoreTrouble.NONE)
@@ -66,18 +66,18 @@
     await world.async_until(lambda: _get_state(world, "i-records-1") == "gone")
 
 
-async def test_a_store_that_lost_its_history_is_read_anew(
+async def test_state_is_reloaded_after_the_store_lost_its_history(
     world: ForwardingWorld, session: Session
 ) -> None:
     await world.store.async_fail(StoreTrouble.BUSY)
-    await world.async_until(lambda: _is_doubted(world))
+    await world.async_until(lambda: _is_list_unavailable(world))
     await world.store.async_put_configuration(make_configuration(9))
     world.store.forget_history()
     await world.store.async_fail(StoreTrouble.NONE)
     await world.async_until(lambda: get_section(world, "routing")["version"] == 9)
 
 
-async def test_a_router_that_the_store_turns_away_learns_from_a_peer(
+async def test_router_starts_from_a_peer_while_the_store_rejects_requests(
     world: ForwardingWorld, session: Session
 ) -> None:
     await world.store.async_fail(StoreTrouble.BUSY)
@@ -88,10 +88,10 @@
     assert status == 200
 
 
-async def test_a_router_that_was_cut_off_alone_learns_that_a_removal_is_no_lapse(
+async def test_router_cut_off_from_its_store_confirms_a_removal_with_a_peer(
     world: ForwardingWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its peers had the store all the while: it need not wait for the entry to come back."""
+    """The peer saw the removal itself, so the router need not wait for the lapse grace period."""
     monkeypatch.setattr(directory, "LAPSE_GRACE_MS", 600_000)
     own_store = PublishedStoreStandin()
     own_address = await own_store.async_start()
@@ -104,7 +104,7 @@
     await own_store.async_fail(StoreTrouble.RESET)
     await world.async_until(lambda: get_section(world, "directory", 1)["list_away"])
     gone = world.records[0]
-    # Other changes came between: the removal is newer here than at the peer.
+    # The removal has a higher revision in this store than in the peer's.
     own_store.revision += 50
     for store in (world.store, own_store):
         await store.async_remove(f"servers/{gone.name}")
@@ -113,21 +113,21 @@
     await own_store.async_stop()
 
 
-async def test_a_router_that_knows_nothing_refuses_as_not_run(
+async def test_router_without_configuration_refuses_requests_as_not_run(
     world: ForwardingWorld, session: Session
 ) -> None:
     await world.store.async_fail(StoreTrouble.BUSY)
-    lonely = await world.async_start_forwarder("entry-2")
-    assert not lonely.is_ready()
+    isolated = await world.async_start_forwarder("entry-2")
+    assert not isolated.is_ready()
     status, body, headers = await world.async_call(
-        session, "GET", "/lookup/a", "r1", product=lonely
+        session, "GET", "/lookup/a", "r1", product=isolated
     )
     assert status == 503
     assert b"not_run" in body
     assert float(headers["Retry-After"]) > 0
 
 
-async def test_routers_tell_each_other_their_loads(
+async def test_two_routers_forward_to_the_same_upstreams_concurrently(
     world: ForwardingWorld, session: Session
 ) -> None:
     link = world.product.addresses["link"]
@@ -147,7 +147,7 @@
     assert [status for status, _, _ in await asyncio.gather(*calls)] == [200] * 4
 
 
-async def test_a_stop_finishes_its_streams_and_closes_idle_connections(
+async def test_drain_completes_streams_and_closes_idle_connections(
     world: ForwardingWorld,
 ) -> None:
     for runner in world.models:
@@ -190,5 +190,5 @@
     return doubtful
 
 
-def _is_doubted(world: ForwardingWorld) -> bool:
+def _is_list_unavailable(world: ForwardingWorld) -> bool:
     return bool(get_section(world, "directory")["list_away"])
--- a/tests/forwarding/test_forwarding_evacuation.py
+++ b/tests/forwarding/test_forwarding_evacuation.py
@@ -1,4 +1,4 @@
-"""Data centres that are evacuated, end to end: what is sent there, and what undoes it."""
+"""Evacuation of data centres, end to end."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from gypsumrouter.standins import PublishedStoreStandin, StoreTrouble
 
 Session = aiohttp.ClientSession
-# The data centre of the forwarder itself, whose upstreams it prefers.
+# Evacuates the forwarder's own data centre, whose upstreams it prefers otherwise.
 KEY = "op/evacuate/dc-a"
 
 
 async def _async_split(world: ForwardingWorld) -> None:
-    """Put the second upstream of each service into another data centre."""
+    """Move the second upstream of each service to another data centre."""
     for service, runner in (("records", world.records[1]), ("models", world.models[1])):
         address = world.addresses[runner.name]
         await world.store.async_put_runner(
@@ -42,7 +42,7 @@
     await world.async_until(lambda: _is_evacuated(world))
 
 
-async def test_nothing_new_reaches_an_evacuated_data_centre_until_it_is_taken_back(
+async def test_evacuated_data_centre_gets_no_requests_until_the_evacuation_ends(
     world: ForwardingWorld, session: Session
 ) -> None:
     await _async_evacuate(world)
@@ -58,7 +58,7 @@
     assert world.records[0].arrivals
 
 
-async def test_neither_an_outage_nor_lost_history_ends_an_evacuation(
+async def test_evacuation_persists_through_a_store_outage_and_lost_history(
     world: ForwardingWorld, session: Session
 ) -> None:
     await _async_evacuate(world)
@@ -73,7 +73,7 @@
     assert not world.records[0].arrivals
 
 
-async def test_a_removal_that_an_outage_hid_is_read_from_the_whole_list(
+async def test_evacuation_that_ended_in_a_store_outage_is_detected_by_the_full_reload(
     world: ForwardingWorld, session: Session
 ) -> None:
     await _async_evacuate(world)
@@ -84,7 +84,7 @@
     await world.async_until(lambda: not _is_evacuated(world))
 
 
-async def test_where_all_upstreams_are_evacuated_requests_are_refused_at_once(
+async def test_requests_are_refused_if_all_upstreams_are_evacuated(
     world: ForwardingWorld, session: Session
 ) -> None:
     await world.store.async_put(KEY, {})
@@ -95,13 +95,13 @@
     assert float(headers["Retry-After"]) > 0
 
 
-async def test_a_router_that_starts_without_the_store_knows_evacuations_from_a_peer(
+async def test_router_that_starts_without_the_store_gets_evacuations_from_a_peer(
     world: ForwardingWorld, session: Session
 ) -> None:
     await _async_evacuate(world)
-    elsewhere = PublishedStoreStandin()
-    address = await elsewhere.async_start()
-    await elsewhere.async_fail(StoreTrouble.BUSY)
+    unavailable_store = PublishedStoreStandin()
+    address = await unavailable_store.async_start()
+    await unavailable_store.async_fail(StoreTrouble.BUSY)
     seed = str(world.product.addresses["link"])
     product = await world.async_start_forwarder("entry-2", store=str(address), seeds=(seed,))
     await world.async_until(product.is_ready)
@@ -109,7 +109,7 @@
     for number in range(6):
         await world.async_call(session, "GET", "/lookup/a", f"r{number}", product=product)
     assert not world.records[0].arrivals
-    await elsewhere.async_stop()
+    await unavailable_store.async_stop()
 
 
 def _get_version(world: ForwardingWorld) -> int:
--- a/tests/forwarding/test_forwarding_keep_alive.py
+++ b/tests/forwarding/test_forwarding_keep_alive.py
@@ -1,4 +1,4 @@
-"""How long connections to upstreams are kept, and what that saves where pairs meet seldom."""
+"""Maximum idle time of pooled connections, and the connections that it saves."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gypsumrouter.forwarding.keep_alive import get_max_idle_ms
+from gypsumrouter.forwarding.keeping import get_max_idle_ms
 
 ANNOUNCED_MS = 10_000
 
@@ -24,14 +24,14 @@
         (0, False, 0),
     ],
 )
-def test_an_announced_time_is_kept_with_a_margin(
+def test_max_idle_time_follows_the_announced_timeout_with_a_margin(
     announced_ms: int | None, repeatable: bool, max_idle_ms: int
 ) -> None:
     assert get_max_idle_ms(announced_ms, repeatable=repeatable) == max_idle_ms
 
 
-def test_pairs_that_meet_each_few_seconds_keep_their_connections() -> None:
-    """68 routers before 39 engines: a pair meets every 5.5 s, two of three not to be repeated."""
+def test_announced_timeout_avoids_most_reconnects_of_infrequent_pairs() -> None:
+    """Each pair exchanges a request every 5.5 s; two of three must not be repeated."""
     random = Random(1)
     opened = {ANNOUNCED_MS: 0, None: 0}
     requests = 5_000
--- a/tests/forwarding/test_forwarding_limits.py
+++ b/tests/forwarding/test_forwarding_limits.py
@@ -1,4 +1,4 @@
-"""The retry budget, the trust in upstreams, and what a stopping router still takes."""
+"""Retry budget, upstream health and admission during a drain."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from gypsumrouter.core import Application
 from gypsumrouter.forwarding.budget import CAUTION, RetryBudget
 from gypsumrouter.forwarding.const import DRAIN_GRACE_MS
-from gypsumrouter.forwarding.drain import DrainAdmission
 from gypsumrouter.forwarding.health import DOWN_FIRST_MS, FAILURE_MS, HealthBook
+from gypsumrouter.forwarding.leaving import DrainAdmission
 from gypsumrouter.forwarding.placement import FETCH_SETUP_MS, FETCH_TOKENS_PER_MS
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
@@ -37,8 +37,8 @@
     return taken
 
 
-def test_a_storm_of_failures_meets_the_budget() -> None:
-    """Every request fails and wants to be sent again; the fleet stays within ratio and slack."""
+def test_retry_budget_limits_retries_when_all_requests_fail() -> None:
+    """All requests of three routers are retried; together they stay within ratio and slack."""
     clock = ManualClock()
     budgets = [make_budget(clock, routers=3) for _ in range(3)]
     for budget in budgets:
@@ -49,7 +49,7 @@
     assert taken >= 0.8 * CAUTION * (0.2 * 300 + 50)
 
 
-def test_the_budget_comes_back_when_its_window_has_passed() -> None:
+def test_retry_budget_is_replenished_after_its_window() -> None:
     clock = ManualClock()
     budget = make_budget(clock)
     first = count_taken(budget)
@@ -60,13 +60,13 @@
     assert count_taken(budget) == first
 
 
-def test_services_do_not_share_a_budget() -> None:
+def test_services_have_separate_retry_budgets() -> None:
     budget = make_budget(ManualClock())
     count_taken(budget)
     assert budget.take("models")
 
 
-def test_an_upstream_that_fails_half_of_its_requests_is_found_within_a_few() -> None:
+def test_upstream_with_failures_gets_a_penalty_after_four_requests() -> None:
     health = make_health(ManualClock())
     for _ in range(2):
         health.note_good("a")
@@ -77,7 +77,7 @@
     assert health.penalty_ms("b") == 0
 
 
-def test_an_upstream_that_failed_is_tried_again_when_its_failures_are_old() -> None:
+def test_failure_penalty_decays_with_time() -> None:
     clock = ManualClock()
     health = make_health(clock)
     health.note_failed("a", reason="silent")
@@ -87,7 +87,7 @@
     assert health.penalty_ms("a") < before / 4
 
 
-def test_an_upstream_that_takes_no_connection_is_left_alone_for_longer_each_time() -> None:
+def test_unreachable_upstream_is_down_for_longer_after_each_failure() -> None:
     clock = ManualClock()
     health = make_health(clock)
     health.note_unreachable("a", reason="refused")
@@ -101,7 +101,7 @@
     assert not health.is_down("a")
 
 
-def test_a_stopping_router_takes_everything_until_balancers_know() -> None:
+def test_draining_router_admits_all_requests_during_the_grace_period() -> None:
     clock = ManualClock()
     admission = DrainAdmission(clock=clock, limit_ms=7_000)
     assert admission.admits(duration_ms=60_000)
@@ -112,7 +112,7 @@
     assert not admission.admits(duration_ms=1)
 
 
-def test_a_stopping_router_takes_what_ends_before_its_last_stream() -> None:
+def test_draining_router_admits_requests_that_end_before_the_last_running_one() -> None:
     clock = ManualClock()
     admission = DrainAdmission(clock=clock, limit_ms=7_000)
     admission.request_started(1, duration_ms=5_000)
@@ -124,7 +124,7 @@
     assert not admission.admits(duration_ms=1)
 
 
-def test_a_stopping_router_takes_nothing_that_ends_after_its_own_end() -> None:
+def test_draining_router_rejects_requests_that_would_exceed_the_drain_limit() -> None:
     clock = ManualClock()
     admission = DrainAdmission(clock=clock, limit_ms=7_000)
     admission.request_started(1, duration_ms=60_000)
--- a/tests/forwarding/test_forwarding_requests.py
+++ b/tests/forwarding/test_forwarding_requests.py
@@ -1,4 +1,4 @@
-"""What callers get and what runners see, request by request."""
+"""Forwarding of single requests: what runners receive and what callers get back."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 Session = aiohttp.ClientSession
 
 
-async def test_a_request_is_forwarded_unchanged_to_one_named_runner(
+async def test_request_is_forwarded_to_one_runner_with_the_system_headers(
     world: ForwardingWorld, session: Session
 ) -> None:
     status, body, headers = await world.async_call(
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize(
     "name", ["X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch"]
 )
-async def test_headers_that_only_the_system_sets_are_not_taken_from_callers(
+async def test_system_headers_from_callers_are_dropped(
     world: ForwardingWorld, session: Session, name: str
 ) -> None:
     await world.async_call(session, "GET", "/open/a", "r1", extra={name: "forged"})
@@ -44,7 +44,7 @@
     assert arrival.headers.get(name) != "forged"
 
 
-async def test_headers_that_a_connection_names_stay_with_it(
+async def test_headers_listed_in_the_connection_header_are_dropped(
     world: ForwardingWorld, session: Session
 ) -> None:
     await world.async_call(
@@ -54,13 +54,13 @@
     assert "X-Private" not in arrival.headers
 
 
-async def test_an_unknown_route_is_not_found(world: ForwardingWorld, session: Session) -> None:
+async def test_unknown_route_gets_status_404(world: ForwardingWorld, session: Session) -> None:
     status, _, _ = await world.async_call(session, "GET", "/nowhere/", "r1")
     assert status == 404
     assert not world.arrivals("r1")
 
 
-async def test_an_unknown_key_is_refused_and_a_public_route_needs_none(
+async def test_unknown_api_key_is_rejected_except_on_public_routes(
     world: ForwardingWorld, session: Session
 ) -> None:
     status, _, _ = await world.async_call(
@@ -75,7 +75,7 @@
     assert "X-Tenant" not in arrival.headers
 
 
-async def test_what_must_not_be_repeated_runs_once_when_its_runner_breaks_off(
+async def test_non_repeatable_request_is_not_retried_after_a_reset(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
@@ -87,7 +87,7 @@
     assert len(world.arrivals("r1")) == 1
 
 
-async def test_what_was_turned_away_runs_elsewhere(
+async def test_rejected_request_runs_on_another_runner(
     world: ForwardingWorld, session: Session
 ) -> None:
     world.records[0].always = RunnerTrouble.SHED
@@ -98,7 +98,7 @@
         assert [a.ran for a in world.arrivals(request_id)].count(True) == 1
 
 
-async def test_what_all_turn_away_is_refused_as_not_run_with_a_time_to_come_back(
+async def test_request_rejected_by_all_runners_is_refused_with_retry_after(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
@@ -110,7 +110,7 @@
     assert not any(arrival.ran for arrival in world.arrivals("r1"))
 
 
-async def test_a_promise_without_the_runners_word_is_not_passed_on(
+async def test_status_503_without_the_not_run_header_counts_as_lost(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
@@ -124,7 +124,7 @@
     "trouble",
     [RunnerTrouble.RESET, RunnerTrouble.ERROR, RunnerTrouble.UNSIGNED, RunnerTrouble.ENCODED],
 )
-async def test_what_may_be_repeated_is_run_again_elsewhere(
+async def test_repeatable_request_is_retried_on_another_runner(
     world: ForwardingWorld, session: Session, trouble: RunnerTrouble
 ) -> None:
     world.records[0].always = trouble
@@ -133,7 +133,7 @@
         assert status == 200
 
 
-async def test_a_runner_that_says_nothing_is_given_up_for_another(
+async def test_repeatable_request_is_retried_after_the_response_timeout(
     world: ForwardingWorld, session: Session
 ) -> None:
     world.records[0].always = RunnerTrouble.HANG
@@ -142,7 +142,7 @@
         assert status == 200
 
 
-async def test_failures_of_all_runners_are_passed_on_as_they_are(
+async def test_server_error_of_all_runners_is_returned_unchanged(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
@@ -153,7 +153,7 @@
     assert len(world.arrivals("r1")) == 2
 
 
-async def test_an_answer_that_belongs_to_another_request_is_passed_over(
+async def test_response_to_another_request_is_skipped(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
@@ -163,7 +163,7 @@
     assert body.endswith(b"/reserve/mine")
 
 
-async def test_an_address_that_another_runner_has_now_runs_nothing(
+async def test_request_is_not_run_by_another_runner_at_the_same_address(
     world: ForwardingWorld, session: Session
 ) -> None:
     await world.store.async_remove("servers/i-records-2")
@@ -173,7 +173,7 @@
     assert not any(arrival.ran for arrival in world.arrivals("r1"))
 
 
-async def test_a_silent_request_that_must_not_be_repeated_ends_at_its_deadline(
+async def test_non_repeatable_request_without_a_response_ends_at_its_deadline(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
@@ -185,13 +185,13 @@
     assert b'"executed": "unknown"' in body
 
 
-async def test_a_body_above_the_limit_is_refused(world: ForwardingWorld, session: Session) -> None:
+async def test_body_above_the_limit_is_rejected(world: ForwardingWorld, session: Session) -> None:
     status, _, _ = await world.async_call(session, "POST", "/reserve/a", "r1", body=b"x" * 200_000)
     assert status == 413
     assert not world.arrivals("r1")
 
 
-async def test_a_stream_is_passed_on_whole(world: ForwardingWorld, session: Session) -> None:
+async def test_stream_is_relayed_completely(world: ForwardingWorld, session: Session) -> None:
     status, body, headers = await world.async_call(
         session, "POST", "/draft/a", "r1", body=b"p", extra=_prompt()
     )
@@ -200,10 +200,10 @@
     assert body == b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 5))
 
 
-async def test_a_broken_stream_goes_on_at_another_engine_without_a_double_or_a_gap(
+async def test_broken_stream_is_resumed_without_duplicate_or_missing_events(
     world: ForwardingWorld, session: Session
 ) -> None:
-    # Where the first half of the stream runs is the router's choice; the other engine is sound.
+    # Only the engine that the router chooses first breaks the stream.
     for runner, other in zip(world.models, reversed(world.models), strict=True):
         runner.events = 6
         runner.troubles.append(RunnerTrouble.BREAK_STREAM)
@@ -217,7 +217,7 @@
     assert [a.headers["Last-Event-Id"] for a in resumed] == ["2"]
 
 
-async def test_a_broken_stream_that_must_not_be_repeated_does_not_look_complete(
+async def test_broken_stream_that_cannot_be_resumed_ends_with_a_connection_error(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.models:
@@ -227,7 +227,7 @@
     assert len(world.arrivals("r1")) == 1
 
 
-async def test_the_runner_stops_when_the_caller_leaves(
+async def test_request_is_cancelled_when_the_caller_disconnects(
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
@@ -238,7 +238,9 @@
     await world.async_until(lambda: world.arrivals("r1")[0].left)
 
 
-async def test_a_prompt_goes_where_it_was_read(world: ForwardingWorld, session: Session) -> None:
+async def test_prompts_with_shared_parts_go_to_the_engine_that_caches_them(
+    world: ForwardingWorld, session: Session
+) -> None:
     for number in range(6):
         await world.async_call(
             session, "POST", "/draft/a", f"r{number}", body=b"p", extra=_prompt(f"f{number}")
--- a/tests/forwarding/test_forwarding_restored_store.py
+++ b/tests/forwarding/test_forwarding_restored_store.py
@@ -1,4 +1,4 @@
-"""A whole forwarder before a store that comes back from a copy some seconds old."""
+"""A forwarder whose store is restored from a snapshot that is some seconds old."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
     return int(section["version"])
 
 
-async def async_leave(world: ForwardingWorld, upstream: str) -> None:
-    """Let the entry of an upstream say that it leaves."""
+async def async_publish_draining(world: ForwardingWorld, upstream: str) -> None:
+    """Publish that an upstream is draining."""
     address = world.addresses[upstream]
     await world.store.async_put_runner(
         upstream, service="records", address=address, state="draining"
     )
 
 
-async def test_a_leaving_is_taken_though_the_store_passed_its_old_revision_unseen(
+async def test_drain_is_detected_although_the_restored_store_passed_the_last_seen_revision(
     world: ForwardingWorld, session: Session
 ) -> None:
-    """A watch from the old revision would bring only what was written above it."""
-    copy = world.store.make_copy()
+    """A watch that resumes from the last seen revision would miss it."""
+    snapshot = world.store.make_copy()
     await world.store.async_put_configuration(make_configuration(3))
     await world.async_until(lambda: get_version(world) == 3)
     await world.store.async_fail(StoreTrouble.RESET)
-    await world.store.async_restore(copy)
-    await async_leave(world, "i-records-1")
+    await world.store.async_restore(snapshot)
+    await async_publish_draining(world, "i-records-1")
     for version in (3, 4, 5):
         await world.store.async_put_configuration(make_configuration(version))
     await world.store.async_fail(StoreTrouble.NONE)
@@ -47,27 +47,27 @@
     await world.async_until(lambda: get_version(world) == 5)
 
 
-async def test_a_store_restored_without_an_outage_is_read_anew(
+async def test_state_is_reloaded_after_a_restore_without_an_outage(
     world: ForwardingWorld, session: Session
 ) -> None:
-    copy = world.store.make_copy()
+    snapshot = world.store.make_copy()
     await world.store.async_put_configuration(make_configuration(3))
     await world.async_until(lambda: get_version(world) == 3)
-    await world.store.async_restore(copy)
-    await async_leave(world, "i-records-1")
+    await world.store.async_restore(snapshot)
+    await async_publish_draining(world, "i-records-1")
     await world.async_until(lambda: get_state(world, "i-records-1") == "leaving")
     assert get_version(world) == 3
 
 
-async def test_an_upstream_that_left_gets_nothing_by_the_word_of_the_copy(
+async def test_upstream_that_is_gone_gets_no_requests_after_a_restore_lists_it_again(
     world: ForwardingWorld, session: Session
 ) -> None:
-    copy = world.store.make_copy()
-    await async_leave(world, "i-records-1")
+    snapshot = world.store.make_copy()
+    await async_publish_draining(world, "i-records-1")
     await world.async_until(lambda: get_state(world, "i-records-1") == "leaving")
     await world.store.async_remove("servers/i-records-1")
     await world.async_until(lambda: get_state(world, "i-records-1") == "gone")
-    await world.store.async_restore(copy)
+    await world.store.async_restore(snapshot)
     await world.store.async_put_configuration(make_configuration(3))
     await world.async_until(lambda: get_version(world) == 3)
     await world.async_until(lambda: get_state(world, "i-records-1") == "leaving")
--- a/tests/forwarding/test_forwarding_settings.py
+++ b/tests/forwarding/test_forwarding_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change while a forwarder runs, with a signal and without one."""
+"""Reload of a running forwarder's settings, by file watch and by signal."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
     return dict(section["routers"])
 
 
-def get_told(caplog: pytest.LogCaptureFixture) -> dict[str, Any]:
-    """Return the fields of the one line that tells of a reload."""
+def get_reload(caplog: pytest.LogCaptureFixture) -> dict[str, Any]:
+    """Return the fields of the only journal line about a reload."""
     records = [r for r in caplog.records if r.getMessage() == "settings_reloaded"]
     assert len(records) == 1
     return dict(vars(records[0])["event"])
 
 
-async def test_a_seed_that_is_added_without_a_signal_is_met(
+async def test_added_seed_is_contacted_without_a_signal(
     world: ForwardingWorld, tmp_path: Path
 ) -> None:
     path = tmp_path / "settings.json"
@@ -66,7 +66,7 @@
         await world.async_until(lambda: list_routers(product).get(seed, {}).get("reached"))
 
 
-async def test_a_signal_reads_the_file_at_once_and_tells_what_holds(
+async def test_reload_reports_the_changed_and_the_applied_settings(
     world: ForwardingWorld, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "settings.json"
@@ -76,13 +76,13 @@
     write_settings(path, world, bounds={"cap_factor": 3.0}, callers="127.0.0.1:1")
     with caplog.at_level(logging.INFO):
         product.reload()
-    told = get_told(caplog)
-    assert told["changed"] == ("callers", "bounds")
-    assert told["applied"] == ("bounds",)
+    reload = get_reload(caplog)
+    assert reload["changed"] == ("callers", "bounds")
+    assert reload["applied"] == ("bounds",)
 
 
 @pytest.mark.parametrize("document", ["{", '{"instance": 1}'])
-async def test_a_wrong_file_changes_nothing_and_is_told(
+async def test_invalid_file_is_reported_and_changes_nothing(
     world: ForwardingWorld, tmp_path: Path, caplog: pytest.LogCaptureFixture, document: str
 ) -> None:
     path = tmp_path / "settings.json"
@@ -94,4 +94,4 @@
     with caplog.at_level(logging.INFO):
         product.reload()
     assert seed in list_routers(product)
-    assert get_told(caplog)["error"] != ""
+    assert get_reload(caplog)["error"] != ""
