--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -204,7 +204,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
-    monkeypatch.setattr(handler, "START_WAIT_MS", FOREVER_MS)
+    monkeypatch.setattr(handler, "STARTUP_WAIT_MS", FOREVER_MS)
     monkeypatch.setattr(holdings, "READABLE_MS", 0)
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
