--- a/gypsumrouter/forwarding/connections.py
+++ b/gypsumrouter/forwarding/connections.py
@@ -43,7 +43,7 @@
         )
         app.metrics.gauge(
             "gypsumrouter_upstream_connections_idle",
-            "Idle connections to upstreams",
+            "Connections to upstreams that are kept for later",
             lambda: {(): float(sum(len(idle) for idle in self._idle.values()))},
         )
         app.on_stop(self._async_stop)
