--- a/gypsumrouter/admission/slots.py
+++ b/gypsumrouter/admission/slots.py
@@ -1,35 +1,35 @@
-"""Slots: the right to run at the upstream."""
+"""Slots: permits to run a request at the upstream."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from gypsumrouter.admission.const import YIELD_ANSWERED_MS
+from gypsumrouter.admission.const import YIELD_TIMEOUT_MS
 from gypsumrouter.admission.estimates import ServiceTime
-from gypsumrouter.admission.shares import Usage
+from gypsumrouter.admission.shares import WorkspaceUsage
 
 
 class Slot:
-    """The right to run one request, until it is released.
+    """Permit to run one request until it is released.
 
-    `priority` is what the engine is told; higher runs sooner. When `yield_asked` is set, the work
-    should be cancelled and admitted again; it is only asked of batch work.
+    `priority` is passed to the engine; higher values run first. `yield_requested` asks the holder
+    of a batch slot to cancel its request and have it admitted again.
     """
 
     __slots__ = (
         "_on_release",
         "batch",
-        "first_token_noted",
+        "first_token_seen",
         "granted_ms",
-        "keeps",
         "priority",
+        "protected",
         "released",
         "request_id",
         "service",
         "usage",
-        "yield_asked",
-        "yield_asked_ms",
+        "yield_requested",
+        "yield_requested_ms",
     )
 
     def __init__(
@@ -38,27 +38,27 @@
         request_id: str,
         priority: int,
         batch: bool,
-        keeps: bool,
+        protected: bool,
         granted_ms: int,
-        usage: Usage,
+        usage: WorkspaceUsage,
         service: ServiceTime,
         on_release: Callable[[Slot], None],
     ) -> None:
         self.request_id = request_id
         self.priority = priority
         self.batch = batch
-        self.keeps = keeps
+        self.protected = protected
         self.granted_ms = granted_ms
         self.usage = usage
         self.service = service
         self.released = False
-        self.first_token_noted = False
-        self.yield_asked = asyncio.Event()
-        self.yield_asked_ms = 0
+        self.first_token_seen = False
+        self.yield_requested = asyncio.Event()
+        self.yield_requested_ms = 0
         self._on_release = on_release
 
     def release(self) -> None:
-        """Give the slot back; safe to call more than once."""
+        """Release the slot; further calls have no effect."""
         if self.released:
             return
         self.released = True
@@ -66,7 +66,7 @@
 
 
 class Slots:
-    """The slots that are held now."""
+    """The slots in use."""
 
     __slots__ = ("_batch", "running")
 
@@ -76,43 +76,44 @@
 
     @property
     def batch_running(self) -> int:
-        """Return how many slots batch work holds."""
+        """Return the number of slots held by batch work."""
         return len(self._batch)
 
-    def take(self, slot: Slot) -> None:
-        """Count a slot as held."""
+    def acquire(self, slot: Slot) -> None:
+        """Count a slot as in use."""
         self.running += 1
         if slot.batch:
             self._batch.add(slot)
-            slot.usage.batch += 1
+            slot.usage.batch_running += 1
         else:
             slot.usage.running += 1
 
-    def give_back(self, slot: Slot) -> None:
+    def release(self, slot: Slot) -> None:
         """Count a slot as free."""
         self.running -= 1
         if slot.batch:
             self._batch.discard(slot)
-            slot.usage.batch -= 1
+            slot.usage.batch_running -= 1
         else:
             slot.usage.running -= 1
 
-    def ask_to_yield(self, *, wanted: int, now_ms: int) -> int:
-        """Ask batch work to give way until `wanted` slots are about to come free.
+    def request_yields(self, *, needed: int, now_ms: int) -> int:
+        """Ask batch slots to yield until `needed` of them are expected to be released.
 
-        The work that ran for the shortest time is asked first, since least is lost with it. One
-        that was asked and didn't give way in time no longer counts. Returns how many were asked.
+        The most recently granted are asked first, because they lose the least work. A slot that has
+        not yielded within YIELD_TIMEOUT_MS is no longer expected to. Returns the number of slots
+        asked.
         """
-        expected = sum(
-            slot.yield_asked.is_set() and now_ms - slot.yield_asked_ms < YIELD_ANSWERED_MS
+        pending = sum(
+            slot.yield_requested.is_set() and now_ms - slot.yield_requested_ms < YIELD_TIMEOUT_MS
             for slot in self._batch
         )
-        missing = wanted - expected
+        missing = needed - pending
         if missing <= 0:
             return 0
-        askable = [s for s in self._batch if not s.yield_asked.is_set() and not s.keeps]
-        askable.sort(key=lambda slot: (-slot.granted_ms, slot.request_id))
-        for slot in askable[:missing]:
-            slot.yield_asked_ms = now_ms
-            slot.yield_asked.set()
-        return min(missing, len(askable))
+        candidates = [s for s in self._batch if not s.yield_requested.is_set() and not s.protected]
+        candidates.sort(key=lambda slot: (-slot.granted_ms, slot.request_id))
+        for slot in candidates[:missing]:
+            slot.yield_requested_ms = now_ms
+            slot.yield_requested.set()
+        return min(missing, len(candidates))
--- a/gypsumrouter/forwarding/execution.py
+++ b/gypsumrouter/forwarding/execution.py
@@ -19,7 +19,7 @@
     RESPONSE_TIMEOUT_FACTOR,
     RETURN_TRIP_MS,
 )
-from gypsumrouter.forwarding.eligibility import NoPlace
+from gypsumrouter.forwarding.eligibility import PlacementRefusal
 from gypsumrouter.forwarding.models import (
     AttemptOptions,
     CallerRequest,
@@ -39,13 +39,13 @@
     decide_after_failed_run,
     decide_next_step,
 )
-from gypsumrouter.forwarding.placed import Placed
+from gypsumrouter.forwarding.placed import Placement
 from gypsumrouter.forwarding.placer import Placer
 from gypsumrouter.forwarding.progress import Progress
 from gypsumrouter.forwarding.relay import Relay, RelayResult
 from gypsumrouter.forwarding.request_journal import RequestJournal
 from gypsumrouter.forwarding.responses import make_failure, make_refusal, make_upstream_response
-from gypsumrouter.forwarding.suspects import Suspects, make_digest
+from gypsumrouter.forwarding.suspects import SuspectTracker, make_digest
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
@@ -61,7 +61,7 @@
     placer: Placer
     pool: ConnectionPool
     budget: RetryBudget
-    suspects: Suspects
+    suspects: SuspectTracker
     without: frozenset[Mechanism] = frozenset()
 
 
@@ -124,44 +124,44 @@
             if self._is_suspect():
                 message = "Upstreams broke off while they ran the same request"
                 return self._refuse(Reason.SUSPECT_BUSY, message)
-            placed = self._context.placer.place(
+            placement = self._context.placer.place(
                 service=self._service,
                 prompt=self._request.prompt,
-                passed_over=self.progress.excluded_upstreams,
+                excluded=self.progress.excluded_upstreams,
                 limit_ms=self._get_time_limit_ms(),
             )
-            if isinstance(placed, NoPlace):
-                return self._refuse(placed.reason, placed.message, placed.not_before_ms)
-            response = await self._async_attempt(placed)
+            if isinstance(placement, PlacementRefusal):
+                return self._refuse(placement.reason, placement.message, placement.not_before_ms)
+            response = await self._async_attempt(placement)
             if response is not None:
                 return response
 
-    async def _async_attempt(self, placed: Placed) -> web.StreamResponse | None:
+    async def _async_attempt(self, placement: Placement) -> web.StreamResponse | None:
         """Make one attempt; return the response, or None if another attempt is to be made."""
         progress = self.progress
         progress.attempts += 1
-        progress.upstream = placed.entry.incarnation
+        progress.upstream = placement.entry.incarnation
         loads = self._context.placer.loads
-        peers_age_ms = loads.oldest_news_ms(now_ms=self._now_ms())
+        peers_age_ms = loads.get_oldest_peer_age_ms(now_ms=self._now_ms())
         self._request_journal.record_placed(
-            placed, attempt=progress.attempts, peers_age_ms=peers_age_ms
+            placement, attempt=progress.attempts, peers_age_ms=peers_age_ms
         )
         attempt = Attempt(
             pool=self._context.pool,
             dialect=self._context.dialect,
             request=self._request,
-            options=self._make_attempt_options(placed),
-            entry=placed.entry,
-            on_head=self._context.placer.take_words,
+            options=self._make_attempt_options(placement),
+            entry=placement.entry,
+            on_head=self._context.placer.apply_response_metadata,
         )
         started_ms = self._now_ms()
         outcome: Outcome | None = None
         step = "given up"
-        sent = self._context.placer.note_sent(placed, self._request.prompt)
+        sent = self._context.placer.note_sent(placement, self._request.prompt)
         try:
             outcome = await self._async_send(attempt)
-            self._context.placer.note_ended(sent)
-            self._record_service_time(placed, outcome, self._now_ms() - started_ms)
+            self._context.placer.note_prefilled(sent)
+            self._record_service_time(placement, outcome, self._now_ms() - started_ms)
             if isinstance(outcome, StreamingResponse):
                 self._context.placer.note_first_event(sent)
             if isinstance(outcome, Unreachable | Rejected):
@@ -169,7 +169,7 @@
             response, step = await self._async_decide(attempt, outcome)
         finally:
             attempt.close()
-            self._context.placer.loads.end(placed.entry.incarnation)
+            self._context.placer.loads.end(placement.entry.incarnation)
             self._request_journal.record_ended(
                 attempt,
                 outcome,
@@ -180,12 +180,12 @@
         progress.in_flight = False
         return response
 
-    def _record_service_time(self, placed: Placed, outcome: Outcome, elapsed_ms: int) -> None:
+    def _record_service_time(self, placement: Placement, outcome: Outcome, elapsed_ms: int) -> None:
         """Record the service time of an upstream that is not a model engine."""
         if self._request.prompt is not None or not isinstance(outcome, CompleteResponse):
             return
         if outcome.status < STATUS_SERVER_ERROR:
-            self._context.placer.plain.note_answered(placed, elapsed_ms=elapsed_ms)
+            self._context.placer.plain.note_answered(placement, elapsed_ms=elapsed_ms)
 
     async def _async_send(self, attempt: Attempt) -> Outcome:
         failed = await attempt.async_connect(repeatable=self._routed.route.repeatable)
@@ -230,7 +230,7 @@
             case CompleteResponse(status=status) if status < STATUS_SERVER_ERROR:
                 self._record_success(upstream)
             case CompleteResponse(status=status):
-                self._context.placer.health.note_failed(upstream, reason=f"status {status}")
+                self._context.placer.health.note_failure(upstream, reason=f"status {status}")
                 self.progress.fallback_response = outcome
                 self._record_possible_run(upstream)
         return outcome
@@ -241,19 +241,19 @@
                 upstream, reason="another upstream has its address"
             )
         else:
-            self._context.placer.health.note_failed(upstream, reason="turned away")
+            self._context.placer.health.note_failure(upstream, reason="turned away")
         self.progress.rejections += 1
         self.progress.excluded_upstreams.add(upstream)
 
     def _record_lost(self, upstream: str, outcome: ResponseLost) -> None:
-        self._context.placer.health.note_failed(upstream, reason=outcome.reason)
+        self._context.placer.health.note_failure(upstream, reason=outcome.reason)
         if outcome.connection_broken:
-            self._context.suspects.note_broken(self._digest, upstream)
+            self._context.suspects.note_crash(self._digest, upstream)
         self._record_possible_run(upstream)
 
     def _record_success(self, upstream: str) -> None:
-        self._context.placer.health.note_good(upstream)
-        self._context.suspects.note_good(self._digest)
+        self._context.placer.health.note_success(upstream)
+        self._context.suspects.note_success(self._digest)
 
     def _record_possible_run(self, upstream: str) -> None:
         self.progress.possibly_ran_on.append(upstream)
@@ -303,10 +303,10 @@
     def _get_retry_limits(self) -> RetryLimits:
         route = self._routed.route
         return RetryLimits(
-            repeatable=route.repeatable and Mechanism.SECOND_TRIES not in self._context.without,
+            repeatable=route.repeatable and Mechanism.RETRIES not in self._context.without,
             max_attempts=route.max_attempts,
             remaining_ms=self._remaining_ms(),
-            take_retry=lambda: self._context.budget.take(self._service),
+            take_retry=lambda: self._context.budget.try_acquire(self._service),
         )
 
     def _is_suspect(self) -> bool:
@@ -375,19 +375,19 @@
         route = self._routed.route
         if not route.repeatable or len(self.progress.possibly_ran_on) + 1 >= route.max_attempts:
             return None
-        if Mechanism.SILENCE in self._context.without:
+        if Mechanism.RESPONSE_TIMEOUT in self._context.without:
             return None
         timeout_ms = max(MIN_RESPONSE_TIMEOUT_MS, int(route.target_ms * RESPONSE_TIMEOUT_FACTOR))
         return max(1, min(timeout_ms, self._remaining_ms() // 2))
 
-    def _make_attempt_options(self, placed: Placed) -> AttemptOptions:
+    def _make_attempt_options(self, placement: Placement) -> AttemptOptions:
         return AttemptOptions(
-            upstream=placed.entry.upstream,
+            upstream=placement.entry.upstream,
             workspace=self._routed.workspace,
             deadline_ms=max(1, self._remaining_ms() - RETURN_TRIP_MS),
             priority=self._get_priority(),
             last_event_id=self._relay.last_event_id or self._request.last_event_id,
-            fetch_from=None if placed.fetch_from is None else placed.fetch_from.address,
+            fetch_from=None if placement.fetch_from is None else placement.fetch_from.address,
         )
 
     def _get_priority(self) -> int | None:
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -10,21 +10,21 @@
 from gypsumrouter.callers import CallerConnection, CallerListener, CallerServer, HeadLimits
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
+from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.budget import RetryBudget
 from gypsumrouter.forwarding.connections import ConnectionPool
 from gypsumrouter.forwarding.const import CALLER_TIMEOUT_MARGIN_MS, DRAIN_GRACE_MS
 from gypsumrouter.forwarding.execution import ForwardingContext
 from gypsumrouter.forwarding.handler import RequestHandler, RequestParser
-from gypsumrouter.forwarding.health import HealthBook
-from gypsumrouter.forwarding.inventory import AskHeld, Inventory
+from gypsumrouter.forwarding.health import HealthTracker
+from gypsumrouter.forwarding.inventory import CacheInventory, FetchCacheListing
 from gypsumrouter.forwarding.leaving import DrainAdmission
 from gypsumrouter.forwarding.metrics import ForwardingMetrics
 from gypsumrouter.forwarding.models import Dialect
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
-from gypsumrouter.forwarding.suspects import Suspects
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
+from gypsumrouter.forwarding.suspects import SuspectTracker
 from gypsumrouter.instances import Address, parse_address
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
@@ -70,32 +70,32 @@
         evacuations: Evacuations,
         dialect: Dialect,
         parse_request: RequestParser,
-        ask_held: AskHeld,
+        fetch_cache_listing: FetchCacheListing,
     ) -> None:
         self._app = app
         self._routing = routing
         self._directory = directory
         bounds = settings.bounds
-        health = HealthBook(clock=app.clock, journal=journal)
-        slow_start = SlowStartBook(
+        health = HealthTracker(clock=app.clock, journal=journal)
+        slow_start = SlowStartLimiter(
             clock=app.clock,
             journal=journal,
             factor=bounds.warm_up_factor,
             slack=bounds.warm_up_slack,
         )
-        routing.on_change(slow_start.take_table)
+        routing.on_change(slow_start.set_table)
         self.placer = Placer(
             app=app,
             directory=directory,
             cap=Cap(factor=bounds.cap_factor, slack=bounds.cap_slack),
             health=health,
-            rests=RestBook(clock=app.clock, journal=journal),
+            backoffs=BackoffTracker(clock=app.clock, journal=journal),
             evacuations=evacuations,
             slow_start=slow_start,
             evacuation_ms=bounds.evacuation_ms,
             without=settings.without,
         )
-        reuse_for_all = Mechanism.KEPT_CONNECTIONS not in settings.without
+        reuse_for_all = Mechanism.KEEP_ALIVE not in settings.without
         self._pool = ConnectionPool(app=app, reuse_for_all=reuse_for_all)
         self.budget = RetryBudget(
             clock=app.clock,
@@ -104,7 +104,7 @@
             window_ms=bounds.retry_window_ms,
         )
         self._drain = DrainAdmission(clock=app.clock, limit_ms=bounds.stop_ms - DRAIN_MARGIN_MS)
-        self.suspects = Suspects(app=app, journal=journal)
+        self.suspects = SuspectTracker(app=app, journal=journal)
         context = ForwardingContext(
             app=app,
             journal=journal,
@@ -115,14 +115,14 @@
             suspects=self.suspects,
             without=settings.without,
         )
-        self.inventory = Inventory(
+        self.inventory = CacheInventory(
             app=app,
             directory=directory,
             evacuations=evacuations,
             routing=routing,
             placer=self.placer,
-            connections=self._pool,
-            ask=ask_held,
+            pool=self._pool,
+            fetch_listing=fetch_cache_listing,
         )
         self.handler = RequestHandler(
             context=context,
@@ -135,7 +135,7 @@
         )
         self._first_start = settings.first_start
         self._disabled = settings.without
-        app.add_dump_section("reading", lambda: round(self.placer.reading.tokens_per_ms, 1))
+        app.add_dump_section("reading", lambda: round(self.placer.prefill_speed.tokens_per_ms, 1))
         app.add_dump_section("without", lambda: sorted(settings.without))
         self._server: CallerServer | None = None
         self._listener: CallerListener | None = None
@@ -150,17 +150,17 @@
             and self._directory.loaded.is_set()
         )
 
-    def update_bounds(self, bounds: Bounds) -> None:
+    def set_bounds(self, bounds: Bounds) -> None:
         """Apply changed bounds from the settings."""
-        self.placer.take_bounds(
+        self.placer.set_bounds(
             Cap(factor=bounds.cap_factor, slack=bounds.cap_slack),
             evacuation_ms=bounds.evacuation_ms,
         )
-        self.budget.take_bounds(
+        self.budget.set_bounds(
             ratio=bounds.retry_ratio, slack=bounds.retry_slack, window_ms=bounds.retry_window_ms
         )
-        self.placer.slow_start.take_bound(factor=bounds.warm_up_factor, slack=bounds.warm_up_slack)
-        self._drain.update_limit(bounds.stop_ms - DRAIN_MARGIN_MS)
+        self.placer.slow_start.set_bound(factor=bounds.warm_up_factor, slack=bounds.warm_up_slack)
+        self._drain.set_limit(bounds.stop_ms - DRAIN_MARGIN_MS)
 
     async def async_start(self) -> Address:
         """Start listening and return the address."""
@@ -170,7 +170,7 @@
         self._app.on_stop(self._listener.async_close)
         self._app.async_create_task(self._async_clean_up(), "forwarder sweep")
         if self._first_start or Mechanism.INVENTORY in self._disabled:
-            self.inventory.note_known()
+            self.inventory.mark_complete()
         else:
             self.inventory.async_start()
         return address
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -193,13 +193,15 @@
             )
 
     def _admits(self, duration_ms: int) -> bool:
-        if Mechanism.LEAVING_ADMISSION in self._context.without:
+        if Mechanism.SHUTDOWN_ADMISSION in self._context.without:
             return True
         return self._drain.admits(duration_ms=duration_ms)
 
     def _can_place_without_inventory(self, caller_request: CallerRequest) -> bool:
         """Return whether a request has no prompt, or an upstream that caches it is known."""
-        return caller_request.prompt is None or self._context.placer.knows(caller_request.prompt)
+        return caller_request.prompt is None or self._context.placer.is_cached(
+            caller_request.prompt
+        )
 
     async def _async_run(
         self,
--- a/gypsumrouter/forwarding/leaving.py
+++ b/gypsumrouter/forwarding/leaving.py
@@ -37,7 +37,7 @@
         self._started_ms: int | None = None
         self._expected_ends_ms: dict[int, int] = {}
 
-    def update_limit(self, limit_ms: int) -> None:
+    def set_limit(self, limit_ms: int) -> None:
         """Set the maximum duration of a drain."""
         self._limit_ms = limit_ms
 
--- a/gypsumrouter/forwarding/request_journal.py
+++ b/gypsumrouter/forwarding/request_journal.py
@@ -13,7 +13,7 @@
     StreamingResponse,
     Unreachable,
 )
-from gypsumrouter.forwarding.placed import Placed
+from gypsumrouter.forwarding.placed import Placement
 from gypsumrouter.journal import (
     AttemptEnded,
     AttemptSent,
@@ -51,21 +51,21 @@
         self._configuration = configuration
         self._list_revision = list_revision
 
-    def record_placed(self, placed: Placed, *, attempt: int, peers_age_ms: int) -> None:
+    def record_placed(self, placement: Placement, *, attempt: int, peers_age_ms: int) -> None:
         """Record which upstream was chosen, and the inputs of the choice."""
         self._journal.record(
             RequestPlaced(
                 request_id=self._request.request_id,
                 route=self._routed.route.name,
                 service=self._service,
-                upstream=placed.entry.incarnation,
+                upstream=placement.entry.incarnation,
                 attempt=attempt,
-                load=placed.load,
-                mean_load=placed.mean_load,
+                load=placement.load,
+                mean_load=placement.mean_load,
                 prompt=_format_prompt_id(self._request.prompt),
-                missing_tokens=placed.missing_tokens,
-                fetch_from="" if placed.fetch_from is None else placed.fetch_from.incarnation,
-                candidates=placed.candidates,
+                missing_tokens=placement.missing_tokens,
+                fetch_from="" if placement.fetch_from is None else placement.fetch_from.incarnation,
+                candidates=placement.candidates,
                 peers_age_ms=peers_age_ms,
                 list_revision=self._list_revision,
                 configuration=self._configuration,
