--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -11,8 +11,8 @@
 
 from gypsumrouter.callers import (
     CallerConnection,
-    HeldBytes,
     MemoryBudget,
+    MemoryReservation,
     Rejection,
     abort_connection,
     async_read_body,
@@ -100,7 +100,7 @@
         """Return the ids of the running requests."""
         return list(self._running.values())
 
-    def make_request_id(self) -> str:
+    def generate_request_id(self) -> str:
         """Return a new id for a request without one."""
         self._request_count += 1
         return f"{self._context.app.incarnation:016x}-{self._request_count:x}"
@@ -109,15 +109,15 @@
         """Handle one request until its response has ended."""
         arrived_ms = self._context.app.clock.now_ms()
         if isinstance(request.protocol, CallerConnection):
-            request.protocol.note_request()
-        held = HeldBytes(budget=self._bodies)
+            request.protocol.stop_head_timer()
+        reservation = MemoryReservation(budget=self._bodies)
         self._request_count += 1
         number = self._request_count
         self._running[number] = "unread"
         try:
-            response = await self._async_serve(request, held, arrived_ms, number)
+            response = await self._async_serve(request, reservation, arrived_ms, number)
         finally:
-            held.release()
+            reservation.release()
             del self._running[number]
             self._drain.request_ended(number)
         if self._drain.draining and not response.prepared:
@@ -125,14 +125,14 @@
         return response
 
     async def _async_serve(
-        self, request: web.BaseRequest, held: HeldBytes, arrived_ms: int, number: int
+        self, request: web.BaseRequest, reservation: MemoryReservation, arrived_ms: int, number: int
     ) -> web.StreamResponse:
         limits = self._routing.limits
         if count_head_bytes(request) > limits.max_head_bytes:
             return self._reject_malformed(reject_head_size())
         body = await async_read_body(
             request=request,
-            held=held,
+            reservation=reservation,
             max_bytes=limits.max_body_bytes,
             idle_ms=limits.idle_timeout_ms,
         )
@@ -272,7 +272,7 @@
 
     def _reject_malformed(self, rejection: Rejection) -> web.Response:
         """Reject a request that could not be read, under an id that this router assigns."""
-        request_id = self.make_request_id()
+        request_id = self.generate_request_id()
         response = make_error_response(rejection=rejection, request_id=request_id)
         self._record_refusal(request_id, rejection.failure.reason, response.status, -1)
         return response
--- a/gypsumrouter/gateway/chats.py
+++ b/gypsumrouter/gateway/chats.py
@@ -1,4 +1,4 @@
-"""Names of chats: callers' own, or derived from the part of a conversation that stays the same."""
+"""Ids of chats, derived from the first messages of a conversation."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 def derive_chat_id(*, messages: Sequence[Mapping[str, Any]], user: str) -> str:
-    """Return a name that stays the same through all turns of a conversation.
+    """Return an id that is the same for all requests of a conversation.
 
-    It covers everything up to the first message of the user, which each later turn repeats.
+    It is a hash of the messages up to the first one of the user, which each request repeats.
     """
-    beginning = _take_beginning(messages)
-    text = json.dumps([user, beginning], sort_keys=True, separators=(",", ":"))
+    prefix = _get_stable_prefix(messages)
+    text = json.dumps([user, prefix], sort_keys=True, separators=(",", ":"))
     return xxhash.xxh3_128_hexdigest(text.encode())
 
 
 def has_assistant_message(messages: Sequence[Mapping[str, Any]]) -> bool:
-    """Return whether the conversation already holds an answer."""
+    """Return whether the conversation already contains an answer."""
     return any(message.get("role") == ROLE_ASSISTANT for message in messages)
 
 
-def _take_beginning(messages: Sequence[Mapping[str, Any]]) -> Sequence[Mapping[str, Any]]:
+def _get_stable_prefix(messages: Sequence[Mapping[str, Any]]) -> Sequence[Mapping[str, Any]]:
     for index, message in enumerate(messages):
         if message.get("role") == ROLE_USER:
             return messages[: index + 1]
