--- a/gypsumrouter/forwarding/connections.py
+++ b/gypsumrouter/forwarding/connections.py
@@ -11,7 +11,7 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Entry
 from gypsumrouter.forwarding.const import CONNECT_TIMEOUT_MS, MAX_IDLE_PER_UPSTREAM
-from gypsumrouter.forwarding.keep_alive import get_max_idle_ms
+from gypsumrouter.forwarding.keeping import get_max_idle_ms
 from gypsumrouter.helpers.http_connection import (
     ConnectFailed,
     HttpConnection,
--- a/gypsumrouter/forwarding/forwarder.py
+++ b/gypsumrouter/forwarding/forwarder.py
@@ -14,11 +14,11 @@
 from gypsumrouter.forwarding.budget import RetryBudget
 from gypsumrouter.forwarding.connections import ConnectionPool
 from gypsumrouter.forwarding.const import CALLER_TIMEOUT_MARGIN_MS, DRAIN_GRACE_MS
-from gypsumrouter.forwarding.drain import DrainAdmission
 from gypsumrouter.forwarding.execution import ForwardingContext
 from gypsumrouter.forwarding.handler import RequestHandler, RequestParser
 from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.inventory import CacheInventory, FetchCacheListing
+from gypsumrouter.forwarding.leaving import DrainAdmission
 from gypsumrouter.forwarding.metrics import ForwardingMetrics
 from gypsumrouter.forwarding.models import Dialect
 from gypsumrouter.forwarding.placement import Cap
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -24,8 +24,8 @@
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.directory import Directory
 from gypsumrouter.forwarding.const import RESPONSE_MARGIN_MS
-from gypsumrouter.forwarding.drain import DrainAdmission, estimate_duration_ms
 from gypsumrouter.forwarding.execution import ForwardingContext, RequestExecution
+from gypsumrouter.forwarding.leaving import DrainAdmission, estimate_duration_ms
 from gypsumrouter.forwarding.metrics import ForwardingMetrics
 from gypsumrouter.forwarding.models import CallerRequest
 from gypsumrouter.forwarding.progress import Progress
--- a/tests/forwarding/test_forwarding_limits.py
+++ b/tests/forwarding/test_forwarding_limits.py
@@ -8,8 +8,8 @@
 from gypsumrouter.core import Application
 from gypsumrouter.forwarding.budget import SAFETY_FACTOR, RetryBudget
 from gypsumrouter.forwarding.const import DRAIN_GRACE_MS
-from gypsumrouter.forwarding.drain import DrainAdmission
 from gypsumrouter.forwarding.health import DOWN_FIRST_MS, FAILURE_COST_MS, HealthTracker
+from gypsumrouter.forwarding.leaving import DrainAdmission
 from gypsumrouter.forwarding.placement import FETCH_SETUP_MS, FETCH_TOKENS_PER_MS
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
