--- a/bench/costs.py
+++ b/bench/costs.py
@@ -15,7 +15,7 @@
 from bench.relay import Phase, async_run_phase
 from bench.rig import Rig
 from bench.two_year import GAP_MS, KEY_WORKSPACES
-from gypsumrouter.idempotency.memory import CallMemory, Record
+from gypsumrouter.idempotency.records import Record, RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.placement.lru import LruMap
 from gypsumrouter.standins import EngineSettings
@@ -87,11 +87,13 @@
 
 def measure_call_bytes() -> float:
     """Return the memory of one remembered call with a short answer."""
-    memory = CallMemory(max_calls=THINGS, max_bytes=1 << 30)
+    memory = RecordStore(max_calls=THINGS, max_bytes=1 << 30)
 
     def add(number: int) -> None:
         digest = number.to_bytes(DIGEST_BYTES)
-        record = Record(digest=digest, fingerprint=digest[::-1], created_ms=number, drop_ms=number)
+        record = Record(
+            digest=digest, fingerprint=digest[::-1], created_ms=number, expires_ms=number
+        )
         memory.add(record)
         headers = (("Content-Type", f"application/json;{number}"),)
         memory.finish(record, Head(status=200, headers=headers), bytes(ANSWER_BYTES))
--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -27,7 +27,7 @@
 from gypsumrouter.running import RunningExchanges
 from gypsumrouter.settings import Link, LinkedSettings, RouterSettings, SideSettings, read_link_key
 from gypsumrouter.suspect_news import ListNames, SendTo, SuspectNewsSpread
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import EngineClient, UpstreamClient, make_client
 from gypsumrouter.util.clock import Clock
 
@@ -93,7 +93,7 @@
 ) -> Product:
     """Wire and start a router."""
     parts = make_shared_parts(app=app, settings=settings)
-    suspicion = Suspicion(app=app, notices=parts.notices)
+    suspicion = SuspectTracker(app=app, notices=parts.notices)
     gateway = Gateway(
         app=app,
         settings=settings,
@@ -131,7 +131,7 @@
 async def async_setup_side(*, app: Application, settings: SideSettings) -> Product:
     """Wire and start a side."""
     parts = make_shared_parts(app=app, settings=settings)
-    suspicion = Suspicion(
+    suspicion = SuspectTracker(
         app=app, notices=parts.notices, fleet=parts.fleet, pool=settings.upstream.pool
     )
     upstream = make_client(app=app, settings=settings.upstream)
@@ -184,7 +184,7 @@
     await upstream.async_start()
     addresses[ADDRESS_LINK] = await server.async_start()
     advertised = get_advertised(settings.link, addresses[ADDRESS_LINK])
-    idempotency.note_listening(advertised)
+    idempotency.set_listen_address(advertised)
     if orders is not None:
         orders.note_listening(advertised)
         await orders.async_start()
@@ -281,7 +281,7 @@
 
 
 def spread_suspect_news(
-    *, parts: SharedParts, suspicion: Suspicion, list_concerned: ListNames, send_to: SendTo
+    *, parts: SharedParts, suspicion: SuspectTracker, list_concerned: ListNames, send_to: SendTo
 ) -> None:
     """Tell other processes what this one learns of requests that crash their upstream."""
     SuspectNewsSpread(
--- a/gypsumrouter/exchange/once.py
+++ b/gypsumrouter/exchange/at_most_once.py
@@ -12,29 +12,29 @@
 from gypsumrouter.admission import Admission, Slot
 from gypsumrouter.core import Application
 from gypsumrouter.exchange.deadline import Deadline
-from gypsumrouter.exchange.execution import Execution, Try
+from gypsumrouter.exchange.execution import Attempt, Execution
 from gypsumrouter.exchange.sinks import Recorder
 from gypsumrouter.idempotency import Idempotency, Join, Replay, Run
 from gypsumrouter.link import Answer
 from gypsumrouter.link.models import Head, Open
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
-_GIVEN_UP = frozenset({Reason.CANCELLED, Reason.DEADLINE, Reason.TARGET_HOPELESS})
+_RETRY_REASONS = frozenset({Reason.CANCELLED, Reason.DEADLINE, Reason.TARGET_HOPELESS})
 
 
-class OnceParts(Struct, frozen=True, kw_only=True):
+class AtMostOnceContext(Struct, frozen=True, kw_only=True):
     """What every such call needs; `limit_ms` bounds a run that its caller can't stop."""
 
     app: Application
     admission: Admission
     execution: Execution
     idempotency: Idempotency
-    limit_ms: int
-    vet: Callable[[Open], Refused | None]
-    count_run: Callable[[int], None]
+    max_detached_ms: int
+    check: Callable[[Open], Refused | None]
+    count_active: Callable[[int], None]
 
 
-class OnceExchange:
+class AtMostOnceExchange:
     """Run one call that must not be repeated, or answer it from memory.
 
     After the hand-over the run belongs to the process: its caller may go, and its answer is
@@ -43,37 +43,37 @@
 
     __slots__ = (
         "_answer",
+        "_context",
         "_deadline",
         "_denied",
         "_joined",
-        "_parts",
         "_recorder",
         "_request",
         "_slot",
     )
 
-    def __init__(self, *, parts: OnceParts, request: Open, answer: Answer) -> None:
-        self._parts = parts
+    def __init__(self, *, context: AtMostOnceContext, request: Open, answer: Answer) -> None:
+        self._context = context
         self._request = request
         self._answer = answer
         self._denied: Failure | None = None
         self._joined = False
-        self._deadline = Deadline(clock=parts.app.clock, request=request)
-        self._recorder = Recorder(answer=answer, on_first_body=self._note_first_body)
+        self._deadline = Deadline(clock=context.app.clock, request=request)
+        self._recorder = Recorder(answer=answer, on_first_body=self._record_first_body)
         self._slot: Slot | None = None
 
     async def async_run(self) -> Failure | None:
         """Run or replay the call; None after a whole answer."""
         while True:
             failure = await self._async_begin()
-            if not self._may_begin_again(failure):
+            if not self._should_retry(failure):
                 return failure
 
     async def _async_begin(self) -> Failure | None:
         self._joined = False
-        match self._parts.idempotency.begin(self._request):
+        match self._context.idempotency.begin(self._request):
             case Run() as run:
-                return await self._async_follow(run)
+                return await self._async_run_detached(run)
             case Replay() as replay:
                 return await self._async_replay(replay)
             case Join() as join:
@@ -82,28 +82,28 @@
             case failure:
                 return failure
 
-    def _may_begin_again(self, failure: Failure | None) -> bool:
+    def _should_retry(self, failure: Failure | None) -> bool:
         """Return whether the call that was joined never ran, since its own caller gave it up."""
         if not self._joined or not isinstance(failure, Refused):
             return False
-        if self._answer.cancelled.is_set() or self._deadline.left_ms() == 0:
+        if self._answer.cancelled.is_set() or self._deadline.remaining_ms() == 0:
             return False
-        return failure.reason in _GIVEN_UP
+        return failure.reason in _RETRY_REASONS
 
-    async def _async_follow(self, run: Run) -> Failure | None:
+    async def _async_run_detached(self, run: Run) -> Failure | None:
         """Wait for the run as long as the caller does."""
-        task = self._parts.app.async_create_task(
+        task = self._context.app.async_create_task(
             self._async_execute(run), f"once {self._request.request_id}"
         )
         try:
             await self._async_wait(task)
-            if not task.done() and not self._recorder.handed:
+            if not task.done() and not self._recorder.sent:
                 await asyncio.shield(task)
         finally:
             if not task.done():
                 self._recorder.detach()
         if not task.done():
-            return self._fail_unfinished()
+            return self._make_unfinished()
         failure = task.result()
         if failure is None:
             await self._recorder.async_deliver()
@@ -122,7 +122,7 @@
             if not task.done():
                 task.cancel()
         if not task.done():
-            return self._fail_unfinished()
+            return self._make_unfinished()
         match task.result():
             case Replay() as replay:
                 return await self._async_replay(replay)
@@ -131,64 +131,66 @@
 
     async def _async_wait(self, task: asyncio.Task[Any]) -> None:
         """Wait until the task is done, the caller is gone or its time is over."""
-        gone = asyncio.ensure_future(self._answer.cancelled.wait())
-        late = asyncio.ensure_future(self._parts.app.clock.async_sleep(self._deadline.left_ms()))
+        disconnected = asyncio.ensure_future(self._answer.cancelled.wait())
+        deadline = asyncio.ensure_future(
+            self._context.app.clock.async_sleep(self._deadline.remaining_ms())
+        )
         try:
-            await asyncio.wait({task, gone, late}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({task, disconnected, deadline}, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            gone.cancel()
-            late.cancel()
+            disconnected.cancel()
+            deadline.cancel()
 
-    def _fail_unfinished(self) -> Failed:
+    def _make_unfinished(self) -> Failed:
         if self._answer.cancelled.is_set():
             return Failed(reason=Reason.CANCELLED, message="the caller is gone")
         return Failed(reason=Reason.DEADLINE, message="the call still runs")
 
     async def _async_execute(self, run: Run) -> Failure | None:
         """Run the call to its end and remember how it ended."""
-        self._parts.count_run(1)
+        self._context.count_active(1)
         try:
             with run:
-                return self._settle(run, await self._async_vet(run))
+                return self._settle(run, await self._async_check_and_run(run))
         finally:
-            self._parts.count_run(-1)
+            self._context.count_active(-1)
 
-    async def _async_vet(self, run: Run) -> Failure | None:
-        refused = self._parts.vet(self._request)
+    async def _async_check_and_run(self, run: Run) -> Failure | None:
+        refused = self._context.check(self._request)
         if refused is not None:
             return refused
-        return await self._async_admit(run)
+        return await self._async_admit_and_run(run)
 
-    async def _async_admit(self, run: Run) -> Failure | None:
+    async def _async_admit_and_run(self, run: Run) -> Failure | None:
         request = self._deadline.update(self._request)
-        slot = await self._parts.admission.async_admit(request, self._answer.cancelled)
+        slot = await self._context.admission.async_admit(request, self._answer.cancelled)
         if isinstance(slot, Refused):
             return slot
         self._slot = slot
         try:
-            return await self._parts.execution.async_try(
-                Try(
+            return await self._context.execution.async_attempt(
+                Attempt(
                     request=request,
                     sink=self._recorder,
                     slot=slot,
                     deadline=self._deadline,
-                    gone=self._answer.cancelled,
-                    allow=lambda: self._allow(run),
-                    limit_ms=self._deadline.left_ms() + self._parts.limit_ms,
+                    disconnected=self._answer.cancelled,
+                    authorize=lambda: self._authorize(run),
+                    max_run_ms=self._deadline.remaining_ms() + self._context.max_detached_ms,
                 )
             )
         finally:
             slot.release()
 
-    def _allow(self, run: Run) -> Failure | None:
+    def _authorize(self, run: Run) -> Failure | None:
         """Return why the call may not be handed over, None once it counts as run."""
         if self._answer.cancelled.is_set():
             return Refused(reason=Reason.CANCELLED, message="the caller is gone")
-        if self._deadline.left_ms() == 0:
+        if self._deadline.remaining_ms() == 0:
             return Refused(reason=Reason.DEADLINE, message="the time for the request is over")
-        self._denied = run.started()
+        self._denied = run.authorize()
         if self._denied is None:
-            self._recorder.handed = True
+            self._recorder.sent = True
         return self._denied
 
     def _settle(self, run: Run, failure: Failure | None) -> Failure | None:
@@ -197,21 +199,21 @@
             return failure
         match failure:
             case None:
-                self._remember(run)
+                self._record_answer(run)
             case Refused():
                 # The home speaks for the whole call: nobody else may take it.
-                return run.not_run(replace(failure, elsewhere=False))
+                return run.cancel(replace(failure, elsewhere=False))
             case Failed():
-                run.lost(failure.reason)
+                run.fail(failure.reason)
         return failure
 
-    def _remember(self, run: Run) -> None:
+    def _record_answer(self, run: Run) -> None:
         head = self._recorder.recorded_head
         if head is None or self._recorder.too_large:
-            run.lost(Reason.ANSWER_EVICTED)
+            run.fail(Reason.ANSWER_EVICTED)
             return
         run.finish(Head(status=head.status, headers=head.headers), self._recorder.body)
 
-    def _note_first_body(self) -> None:
+    def _record_first_body(self) -> None:
         if self._slot is not None:
-            self._parts.admission.record_first_token(self._slot)
+            self._context.admission.record_first_token(self._slot)
--- a/gypsumrouter/exchange/checks.py
+++ b/gypsumrouter/exchange/checks.py
@@ -13,7 +13,7 @@
 from gypsumrouter.upstream import UpstreamClient
 
 
-class Checks:
+class RequestChecks:
     """Decide whether this side may take a request at all."""
 
     __slots__ = ("_client", "_policy", "_settings", "_store", "_version")
@@ -35,17 +35,13 @@
     @property
     def ready(self) -> bool:
         """Return whether new work can run here."""
-        return self._find_not_ready() is None
+        return self._check_ready() is None
 
-    def find_refusal(self, request: Open) -> Refused | None:
+    def check_request(self, request: Open) -> Refused | None:
         """Return why a request of this pool can't run here, None if it can."""
-        return (
-            self._find_not_ready()
-            or self._find_missing_model(request)
-            or self._find_missing_key(request)
-        )
+        return self._check_ready() or self._check_model(request) or self._check_key(request)
 
-    def find_wrong_upstream(self, request: Open) -> Refused | None:
+    def check_target(self, request: Open) -> Refused | None:
         """Return a refusal if the request is for another pool."""
         if request.pool == self._settings.pool and request.kind is self._settings.kind:
             return None
@@ -55,16 +51,16 @@
             elsewhere=True,
         )
 
-    def _find_not_ready(self) -> Refused | None:
+    def _check_ready(self) -> Refused | None:
         if self._version == 0:
-            return _refuse_not_ready("no configuration is in force yet")
+            return _make_not_ready("no configuration is in force yet")
         if self._policy.get_pool(self._settings.pool) is None:
-            return _refuse_not_ready("the pool is not in the configuration")
+            return _make_not_ready("the pool is not in the configuration")
         if not self._client.up:
-            return _refuse_not_ready("the upstream does not answer")
+            return _make_not_ready("the upstream does not answer")
         return None
 
-    def _find_missing_model(self, request: Open) -> Refused | None:
+    def _check_model(self, request: Open) -> Refused | None:
         if self._settings.kind is not UpstreamKind.ENGINE or not request.model:
             return None
         if request.model in self._client.models:
@@ -76,7 +72,7 @@
             elsewhere=True,
         )
 
-    def _find_missing_key(self, request: Open) -> Refused | None:
+    def _check_key(self, request: Open) -> Refused | None:
         """Return a refusal where a router doesn't know yet that a call must not be repeated."""
         if request.idempotency_key:
             return None
@@ -87,7 +83,7 @@
         return Refused(reason=Reason.KEY_REQUIRED, message="this call needs an idempotency key")
 
 
-def _refuse_not_ready(message: str) -> Refused:
+def _make_not_ready(message: str) -> Refused:
     return Refused(
         reason=Reason.NOT_READY,
         message=message,
--- a/gypsumrouter/exchange/const.py
+++ b/gypsumrouter/exchange/const.py
@@ -4,5 +4,5 @@
 
 from typing import Final
 
-MAX_REMEMBERED_BYTES: Final = 256 * 1024
+MAX_RECORDED_BYTES: Final = 256 * 1024
 RETRY_AFTER_MS: Final = 500
--- a/gypsumrouter/exchange/deadline.py
+++ b/gypsumrouter/exchange/deadline.py
@@ -11,27 +11,27 @@
 class Deadline:
     """The end of a request's time; a request says how much was left when it came."""
 
-    __slots__ = ("_began_ms", "_clock", "_request")
+    __slots__ = ("_clock", "_received_ms", "_request")
 
     def __init__(self, *, clock: Clock, request: Open) -> None:
         self._clock = clock
         self._request = request
-        self._began_ms = clock.now_ms()
+        self._received_ms = clock.now_ms()
 
-    def left_ms(self) -> int:
+    def remaining_ms(self) -> int:
         """Return the milliseconds that are left, 0 when there are none."""
-        return max(0, self._request.deadline_ms - self._passed_ms())
+        return max(0, self._request.deadline_ms - self._elapsed_ms())
 
     def update(self, request: Open) -> Open:
         """Return the request with the time that has passed since it came."""
-        passed_ms = self._passed_ms()
-        if passed_ms == 0:
+        elapsed_ms = self._elapsed_ms()
+        if elapsed_ms == 0:
             return request
         return replace(
             request,
-            deadline_ms=self.left_ms(),
-            waited_ms=self._request.waited_ms + passed_ms,
+            deadline_ms=self.remaining_ms(),
+            waited_ms=self._request.waited_ms + elapsed_ms,
         )
 
-    def _passed_ms(self) -> int:
-        return self._clock.now_ms() - self._began_ms
+    def _elapsed_ms(self) -> int:
+        return self._clock.now_ms() - self._received_ms
--- a/gypsumrouter/exchange/execution.py
+++ b/gypsumrouter/exchange/execution.py
@@ -10,17 +10,17 @@
 from gypsumrouter.admission import Slot
 from gypsumrouter.core import Application
 from gypsumrouter.exchange.deadline import Deadline
-from gypsumrouter.exchange.sinks import Recorder, Relay, Stop
+from gypsumrouter.exchange.sinks import Recorder, Relay, StopReason
 from gypsumrouter.exchange.supervision import supervise_run
 from gypsumrouter.link.models import Open
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import HandOverDenied, UpstreamClient
 
-_STOPPED = frozenset({Reason.CANCELLED, Reason.SUSPECT_BUSY})
+_INTERRUPTED_REASONS = frozenset({Reason.CANCELLED, Reason.SUSPECT_BUSY})
 
 
-class Try(Struct, frozen=True, kw_only=True):
+class Attempt(Struct, frozen=True, kw_only=True):
     """What belongs to one try: the request, where its answer goes and what may stop it.
 
     `allow` is asked right before the first byte is sent; a failure that it returns forbids it.
@@ -30,10 +30,10 @@
     sink: Relay | Recorder
     slot: Slot
     deadline: Deadline
-    gone: asyncio.Event
-    allow: Callable[[], Failure | None]
+    disconnected: asyncio.Event
+    authorize: Callable[[], Failure | None]
     may_yield: bool = False
-    limit_ms: int | None = None
+    max_run_ms: int | None = None
 
 
 class Execution:
@@ -41,40 +41,42 @@
 
     __slots__ = ("_app", "_client", "_suspicion")
 
-    def __init__(self, *, app: Application, client: UpstreamClient, suspicion: Suspicion) -> None:
+    def __init__(
+        self, *, app: Application, client: UpstreamClient, suspicion: SuspectTracker
+    ) -> None:
         self._app = app
         self._client = client
         self._suspicion = suspicion
 
-    async def async_try(self, attempt: Try) -> Failure | None:
+    async def async_attempt(self, attempt: Attempt) -> Failure | None:
         """Run a request to its end or until it is stopped; None after a whole answer."""
         async with supervise_run(
             app=self._app,
             sink=attempt.sink,
-            gone=attempt.gone,
-            left_ms=attempt.deadline.left_ms(),
-            yield_asked=attempt.slot.yield_requested if attempt.may_yield else None,
-            limit_ms=attempt.limit_ms,
+            disconnected=attempt.disconnected,
+            remaining_ms=attempt.deadline.remaining_ms(),
+            yield_requested=attempt.slot.yield_requested if attempt.may_yield else None,
+            max_run_ms=attempt.max_run_ms,
         ):
-            failure = await self._async_isolate(attempt)
-        return _explain(attempt.sink.stop, failure)
+            failure = await self._async_enter_and_run(attempt)
+        return _apply_stop_reason(attempt.sink.stop_reason, failure)
 
-    async def _async_isolate(self, attempt: Try) -> Failure | None:
+    async def _async_enter_and_run(self, attempt: Attempt) -> Failure | None:
         """Run once the request may: a suspected one alone, all others together."""
-        token = await self._suspicion.async_enter(attempt.request.digest, attempt.sink.cancelled)
-        if isinstance(token, Refused):
-            return token
-        whole = False
+        permit = await self._suspicion.async_enter(attempt.request.digest, attempt.sink.cancelled)
+        if isinstance(permit, Refused):
+            return permit
+        complete = False
         try:
             failure = await self._async_run(attempt)
-            whole = failure is None
+            complete = failure is None
         finally:
-            token.end(whole=whole)
+            permit.end(complete=complete)
         return failure
 
-    async def _async_run(self, attempt: Try) -> Failure | None:
-        def hand_over() -> None:
-            denied = attempt.allow()
+    async def _async_run(self, attempt: Attempt) -> Failure | None:
+        def before_send() -> None:
+            denied = attempt.authorize()
             if denied is not None:
                 raise HandOverDenied(denied)
 
@@ -82,15 +84,15 @@
             request=attempt.request,
             answer=attempt.sink,
             priority=attempt.slot.priority,
-            handed_over=hand_over,
+            handed_over=before_send,
         )
 
 
-def _explain(stop: Stop | None, failure: Failure | None) -> Failure | None:
+def _apply_stop_reason(stop_reason: StopReason | None, failure: Failure | None) -> Failure | None:
     """Return the failure with the reason for which the run was stopped."""
-    if failure is None or stop is None or failure.reason not in _STOPPED:
+    if failure is None or stop_reason is None or failure.reason not in _INTERRUPTED_REASONS:
         return failure
-    reason, message = _name(stop)
+    reason, message = _describe_stop(stop_reason)
     match failure:
         case Refused():
             return Refused(reason=reason, message=message)
@@ -98,11 +100,11 @@
             return Failed(reason=reason, message=message)
 
 
-def _name(stop: Stop) -> tuple[Reason, str]:
-    match stop:
-        case Stop.CALLER_GONE:
+def _describe_stop(stop_reason: StopReason) -> tuple[Reason, str]:
+    match stop_reason:
+        case StopReason.CALLER_GONE:
             return Reason.CANCELLED, "the caller is gone"
-        case Stop.DEADLINE | Stop.LIMIT:
+        case StopReason.DEADLINE | StopReason.LIMIT:
             return Reason.DEADLINE, "the time for the request is over"
-        case Stop.YIELD:
+        case StopReason.YIELD:
             return Reason.CANCELLED, "the work gave way"
--- a/gypsumrouter/exchange/metrics.py
+++ b/gypsumrouter/exchange/metrics.py
@@ -9,24 +9,24 @@
 
 _OUTCOME: Final = "outcome"
 _EXECUTED: Final = "executed"
-_WHOLE: Final = (_OUTCOME, "whole"), (_EXECUTED, "run")
+_COMPLETE_LABELS: Final = (_OUTCOME, "whole"), (_EXECUTED, "run")
 
 
 class ExchangeMetrics:
     """Count how requests end."""
 
-    __slots__ = ("_outcomes", "deaths")
+    __slots__ = ("_outcomes", "crashes")
 
     def __init__(self, *, registry: MetricRegistry) -> None:
         self._outcomes = registry.counter("exchange_outcomes_total", "How requests ended")
-        self.deaths = registry.counter(
+        self.crashes = registry.counter(
             "exchange_upstream_deaths_total", "Deaths of the upstream with requests running"
         )
 
     def count(self, failure: Failure | None) -> None:
         """Count the end of one request."""
         if failure is None:
-            self._outcomes.inc(labels=_WHOLE)
+            self._outcomes.inc(labels=_COMPLETE_LABELS)
             return
         executed = get_executed(failure).value
         self._outcomes.inc(labels=((_OUTCOME, failure.reason.value), (_EXECUTED, executed)))
--- a/gypsumrouter/exchange/ports.py
+++ b/gypsumrouter/exchange/ports.py
@@ -7,7 +7,7 @@
 from gypsumrouter.link.models import Open
 
 
-class PrefixMoves(Protocol):
+class PrefixTransfers(Protocol):
     """Cached prefixes that can be brought from other engines."""
 
     async def async_fetch(self, request: Open) -> None:
@@ -23,7 +23,7 @@
         """Forget what the engine held before it started again."""
 
 
-class NoPrefixes:
+class NoPrefixTransfers:
     """Stands for the moves where the upstream has no cache."""
 
     __slots__ = ()
--- a/gypsumrouter/exchange/repeatable.py
+++ b/gypsumrouter/exchange/repeatable.py
@@ -7,9 +7,9 @@
 from gypsumrouter.admission import Admission, Slot
 from gypsumrouter.core import Application
 from gypsumrouter.exchange.deadline import Deadline
-from gypsumrouter.exchange.execution import Execution, Try
-from gypsumrouter.exchange.ports import PrefixMoves
-from gypsumrouter.exchange.sinks import Relay, Stop
+from gypsumrouter.exchange.execution import Attempt, Execution
+from gypsumrouter.exchange.ports import PrefixTransfers
+from gypsumrouter.exchange.sinks import Relay, StopReason
 from gypsumrouter.link import Answer
 from gypsumrouter.link.models import Open
 from gypsumrouter.outcomes import Failed, Failure, Refused
@@ -23,9 +23,9 @@
         "_answer",
         "_deadline",
         "_execution",
-        "_handed",
         "_prefixes",
         "_request",
+        "_sent",
     )
 
     def __init__(
@@ -34,7 +34,7 @@
         app: Application,
         admission: Admission,
         execution: Execution,
-        prefixes: PrefixMoves,
+        prefixes: PrefixTransfers,
         request: Open,
         answer: Answer,
     ) -> None:
@@ -44,7 +44,7 @@
         self._request = request
         self._answer = answer
         self._deadline = Deadline(clock=app.clock, request=request)
-        self._handed = False
+        self._sent = False
 
     async def async_run(self) -> Failure | None:
         """Run to the end; None after a whole answer."""
@@ -52,44 +52,44 @@
             request = self._deadline.update(self._request)
             slot = await self._admission.async_admit(request, self._answer.cancelled)
             if isinstance(slot, Refused):
-                return self._tell(slot)
+                return self._make_failure(slot)
             relay = Relay(
                 answer=self._answer,
                 on_first_body=partial(self._admission.record_first_token, slot),
             )
             try:
                 await self._prefixes.async_fetch(request)
-                failure = await self._async_try(request, slot, relay)
+                failure = await self._async_attempt(request, slot, relay)
                 self._prefixes.note_served(request, whole=failure is None)
             finally:
                 self._prefixes.note_ended(request)
                 slot.release()
             if failure is None:
-                relay.flush()
+                relay.flush_head()
                 return None
-            if relay.stop is not Stop.YIELD or relay.has_body:
-                return self._tell(failure)
+            if relay.stop_reason is not StopReason.YIELD or relay.has_body:
+                return self._make_failure(failure)
 
-    async def _async_try(self, request: Open, slot: Slot, relay: Relay) -> Failure | None:
-        return await self._execution.async_try(
-            Try(
+    async def _async_attempt(self, request: Open, slot: Slot, relay: Relay) -> Failure | None:
+        return await self._execution.async_attempt(
+            Attempt(
                 request=request,
                 sink=relay,
                 slot=slot,
                 deadline=self._deadline,
-                gone=self._answer.cancelled,
-                allow=self._allow,
+                disconnected=self._answer.cancelled,
+                authorize=self._authorize,
                 may_yield=True,
             )
         )
 
-    def _allow(self) -> Failure | None:
-        self._handed = True
+    def _authorize(self) -> Failure | None:
+        self._sent = True
         return None
 
-    def _tell(self, failure: Failure) -> Failure:
+    def _make_failure(self, failure: Failure) -> Failure:
         """Return the failure as it may be told: work that gave way has run in part."""
-        if not self._handed:
+        if not self._sent:
             return failure
         return Failed(
             reason=failure.reason,
--- a/gypsumrouter/exchange/runner.py
+++ b/gypsumrouter/exchange/runner.py
@@ -10,18 +10,18 @@
 from gypsumrouter.configuration import ConfigurationStore
 from gypsumrouter.configuration.models import Configuration
 from gypsumrouter.core import Application, Remove
-from gypsumrouter.exchange.checks import Checks
+from gypsumrouter.exchange.at_most_once import AtMostOnceContext, AtMostOnceExchange
+from gypsumrouter.exchange.checks import RequestChecks
 from gypsumrouter.exchange.execution import Execution
 from gypsumrouter.exchange.metrics import ExchangeMetrics
-from gypsumrouter.exchange.once import OnceExchange, OnceParts
-from gypsumrouter.exchange.ports import NoPrefixes, PrefixMoves
+from gypsumrouter.exchange.ports import NoPrefixTransfers, PrefixTransfers
 from gypsumrouter.exchange.repeatable import RepeatableExchange
 from gypsumrouter.idempotency import Idempotency
 from gypsumrouter.link import Answer
 from gypsumrouter.link.models import Hello, Open, Status
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 from gypsumrouter.settings import SideSettings
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import UpstreamClient
 
 _LOGGER = logging.getLogger(__name__)
@@ -40,6 +40,7 @@
         "_active",
         "_admission",
         "_app",
+        "_at_most_once_context",
         "_checks",
         "_client",
         "_execution",
@@ -47,12 +48,11 @@
         "_idle",
         "_listeners",
         "_metrics",
-        "_once",
         "_prefixes",
         "_settings",
         "_store",
         "_suspicion",
-        "leaving",
+        "draining",
     )
 
     def __init__(
@@ -64,11 +64,11 @@
         admission: Admission,
         upstream: UpstreamClient,
         idempotency: Idempotency,
-        suspicion: Suspicion,
-        prefixes: PrefixMoves | None = None,
+        suspicion: SuspectTracker,
+        prefixes: PrefixTransfers | None = None,
     ) -> None:
         self._app = app
-        self._prefixes = prefixes or NoPrefixes()
+        self._prefixes = prefixes or NoPrefixTransfers()
         self._settings = settings
         self._store = store
         self._admission = admission
@@ -80,18 +80,18 @@
         self._idle.set()
         self._listeners: list[Callable[[], None]] = []
         self._metrics = ExchangeMetrics(registry=app.metrics)
-        self._checks = Checks(settings=settings.upstream, store=store, client=upstream)
+        self._checks = RequestChecks(settings=settings.upstream, store=store, client=upstream)
         self._execution = Execution(app=app, client=upstream, suspicion=suspicion)
-        self._once = OnceParts(
+        self._at_most_once_context = AtMostOnceContext(
             app=app,
             admission=admission,
             execution=self._execution,
             idempotency=idempotency,
-            limit_ms=settings.limits.default_deadline_ms,
-            vet=self._vet,
-            count_run=self._count,
+            max_detached_ms=settings.limits.default_deadline_ms,
+            check=self._check,
+            count_active=self._count_active,
         )
-        self.leaving = False
+        self.draining = False
 
     @property
     def active(self) -> int:
@@ -102,7 +102,7 @@
         """Follow the configuration and the upstream, and take part in a planned stop."""
         self._configure(self._store.current)
         self._store.on_change(self._configure)
-        self._client.on_died(self._note_upstream_died)
+        self._client.on_died(self._handle_upstream_crash)
         self._client.on_up(lambda _up: self._notify())
         self._client.on_models(self._notify)
         self._admission.on_change(self._notify)
@@ -120,28 +120,28 @@
             load=self._admission.load,
             running=self._admission.running,
             weight=self._settings.upstream.weight,
-            leaving=self.leaving,
-            ready=not self.leaving and self._checks.ready,
+            leaving=self.draining,
+            ready=not self.draining and self._checks.ready,
             models=self._client.models,
             batch_waiting=self._admission.batch_waiting,
         )
 
-    def begin_leaving(self) -> None:
+    def begin_drain(self) -> None:
         """Refuse all new and waiting work from now on; what runs goes on."""
-        if self.leaving:
+        if self.draining:
             return
-        self.leaving = True
+        self.draining = True
         _LOGGER.info("Leaving: new work is refused")
         self._admission.stop()
         self._notify()
 
     async def async_handle(self, hello: Hello, request: Open, answer: Answer) -> None:
         """Run one request and end its answer."""
-        self._count(1)
+        self._count_active(1)
         try:
             failure = await self._async_run(request, answer)
         finally:
-            self._count(-1)
+            self._count_active(-1)
         if failure is None and answer.cancelled.is_set():
             failure = Failed(reason=Reason.CANCELLED, message="the caller is gone")
         self._metrics.count(failure)
@@ -152,14 +152,16 @@
             answer.fail(failure)
 
     async def _async_run(self, request: Open, answer: Answer) -> Failure | None:
-        refused = self._checks.find_wrong_upstream(request)
+        refused = self._checks.check_target(request)
         if refused is not None:
             return refused
         if request.idempotency_key:
             # What is remembered is told in any case, so memory comes before what may refuse.
-            once = OnceExchange(parts=self._once, request=request, answer=answer)
-            return await once.async_run()
-        refused = self._vet(request)
+            exchange = AtMostOnceExchange(
+                context=self._at_most_once_context, request=request, answer=answer
+            )
+            return await exchange.async_run()
+        refused = self._check(request)
         if refused is not None:
             return refused
         repeatable = RepeatableExchange(
@@ -172,11 +174,11 @@
         )
         return await repeatable.async_run()
 
-    def _vet(self, request: Open) -> Refused | None:
+    def _check(self, request: Open) -> Refused | None:
         """Return why a request can't run here now, by all but admission."""
-        if self.leaving:
+        if self.draining:
             return Refused(reason=Reason.LEAVING, message="this side is leaving", elsewhere=True)
-        refused = self._checks.find_refusal(request)
+        refused = self._checks.check_request(request)
         if refused is not None:
             return refused
         verdict = self._suspicion.check(request.digest)
@@ -193,12 +195,12 @@
             self._idempotency.configure(pool)
         self._notify()
 
-    def _note_upstream_died(self) -> None:
-        self._metrics.deaths.inc()
-        self._suspicion.note_upstream_died()
+    def _handle_upstream_crash(self) -> None:
+        self._metrics.crashes.inc()
+        self._suspicion.handle_upstream_crash()
         self._prefixes.note_engine_died()
 
-    def _count(self, change: int) -> None:
+    def _count_active(self, change: int) -> None:
         self._active += change
         if self._active == 0:
             self._idle.set()
@@ -210,13 +212,13 @@
             listener()
 
     async def _async_drain(self) -> None:
-        self.begin_leaving()
+        self.begin_drain()
         await self._idle.wait()
 
     def _dump(self) -> dict[str, object]:
         return {
             "active": self._active,
-            "leaving": self.leaving,
+            "leaving": self.draining,
             "ready": self._checks.ready,
             "outcomes": self._metrics.dump(),
         }
--- a/gypsumrouter/exchange/sinks.py
+++ b/gypsumrouter/exchange/sinks.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from gypsumrouter.exchange.const import MAX_REMEMBERED_BYTES
+from gypsumrouter.exchange.const import MAX_RECORDED_BYTES
 from gypsumrouter.link import Answer
 from gypsumrouter.link.models import Head
 
 
-class Stop(StrEnum):
+class StopReason(StrEnum):
     """Why a run was stopped."""
 
     CALLER_GONE = "caller_gone"
@@ -27,7 +27,7 @@
     again. `cancelled` stops the run, `stop` says why.
     """
 
-    __slots__ = ("_answer", "_head", "_on_first_body", "cancelled", "has_body", "stop")
+    __slots__ = ("_answer", "_head", "_on_first_body", "cancelled", "has_body", "stop_reason")
 
     def __init__(self, *, answer: Answer, on_first_body: Callable[[], None]) -> None:
         self._answer = answer
@@ -35,7 +35,7 @@
         self._head: Head | None = None
         self.cancelled = asyncio.Event()
         self.has_body = False
-        self.stop: Stop | None = None
+        self.stop_reason: StopReason | None = None
 
     def head(self, head: Head) -> None:
         """Keep the head until the body begins."""
@@ -47,22 +47,22 @@
             self._begin_body()
         await self._answer.async_write(body)
 
-    def flush(self) -> None:
+    def flush_head(self) -> None:
         """Pass the head of an answer without a body on."""
         if self._head is not None:
             self._answer.head(self._head)
             self._head = None
 
-    def ask_to_stop(self, stop: Stop) -> None:
+    def request_stop(self, stop_reason: StopReason) -> None:
         """Stop the run; only the first reason counts."""
-        if self.stop is None:
-            self.stop = stop
+        if self.stop_reason is None:
+            self.stop_reason = stop_reason
             self.cancelled.set()
 
     def _begin_body(self) -> None:
         self.has_body = True
         self._on_first_body()
-        self.flush()
+        self.flush_head()
 
 
 class Recorder:
@@ -78,10 +78,10 @@
         "_size",
         "cancelled",
         "detached",
-        "handed",
         "has_body",
         "recorded_head",
-        "stop",
+        "sent",
+        "stop_reason",
         "too_large",
     )
 
@@ -92,10 +92,10 @@
         self._size = 0
         self.cancelled = asyncio.Event()
         self.detached = False
-        self.handed = False
+        self.sent = False
         self.has_body = False
         self.recorded_head: Head | None = None
-        self.stop: Stop | None = None
+        self.stop_reason: StopReason | None = None
         self.too_large = False
 
     @property
@@ -113,45 +113,45 @@
             self.has_body = True
             self._on_first_body()
         if self.too_large:
-            await self._async_pass_on(body)
+            await self._async_forward(body)
             return
         self._parts.append(body)
         self._size += len(body)
-        if self._size > MAX_REMEMBERED_BYTES:
+        if self._size > MAX_RECORDED_BYTES:
             await self._async_overflow()
 
     async def async_deliver(self) -> None:
         """Give the caller what was kept, unless it has got it already."""
         if self.too_large:
             return
-        self._pass_on_head()
+        self._forward_head()
         for part in self._parts:
-            await self._async_pass_on(part)
+            await self._async_forward(part)
 
     def detach(self) -> None:
         """Pass nothing on from now on."""
         self.detached = True
 
-    def ask_to_stop(self, stop: Stop) -> None:
+    def request_stop(self, stop_reason: StopReason) -> None:
         """Stop the run if that is still allowed; only the first reason counts."""
-        if self.stop is not None:
+        if self.stop_reason is not None:
             return
-        if self.handed and stop is not Stop.LIMIT:
+        if self.sent and stop_reason is not StopReason.LIMIT:
             return
-        self.stop = stop
+        self.stop_reason = stop_reason
         self.cancelled.set()
 
     async def _async_overflow(self) -> None:
         self.too_large = True
         parts, self._parts = self._parts, []
-        self._pass_on_head()
+        self._forward_head()
         for part in parts:
-            await self._async_pass_on(part)
+            await self._async_forward(part)
 
-    def _pass_on_head(self) -> None:
+    def _forward_head(self) -> None:
         if self.recorded_head is not None and not self.detached:
             self._answer.head(self.recorded_head)
 
-    async def _async_pass_on(self, body: bytes) -> None:
+    async def _async_forward(self, body: bytes) -> None:
         if not self.detached:
             await self._answer.async_write(body)
--- a/gypsumrouter/exchange/supervision.py
+++ b/gypsumrouter/exchange/supervision.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from gypsumrouter.core import Application
-from gypsumrouter.exchange.sinks import Recorder, Relay, Stop
+from gypsumrouter.exchange.sinks import Recorder, Relay, StopReason
 
 
 @asynccontextmanager
@@ -16,26 +16,26 @@
     *,
     app: Application,
     sink: Relay | Recorder,
-    gone: asyncio.Event | None,
-    left_ms: int,
-    yield_asked: asyncio.Event | None,
-    limit_ms: int | None,
+    disconnected: asyncio.Event | None,
+    remaining_ms: int,
+    yield_requested: asyncio.Event | None,
+    max_run_ms: int | None,
 ) -> AsyncIterator[None]:
     """Watch over a run while the block lasts.
 
     `left_ms` is what is left of the caller's time, `limit_ms` what a run may take that its caller
     can't stop. `gone` and `yield_asked` are given only where they count.
     """
-    watches: list[Coroutine[Any, Any, None]] = [
-        _async_watch_time(app, sink, left_ms, Stop.DEADLINE)
+    watchers: list[Coroutine[Any, Any, None]] = [
+        _async_watch_timeout(app, sink, remaining_ms, StopReason.DEADLINE)
     ]
-    if limit_ms is not None:
-        watches.append(_async_watch_time(app, sink, limit_ms, Stop.LIMIT))
-    if gone is not None:
-        watches.append(_async_watch_caller(sink, gone))
-    if yield_asked is not None:
-        watches.append(_async_watch_yield(sink, yield_asked))
-    tasks = [app.async_create_task(watch, "exchange supervision") for watch in watches]
+    if max_run_ms is not None:
+        watchers.append(_async_watch_timeout(app, sink, max_run_ms, StopReason.LIMIT))
+    if disconnected is not None:
+        watchers.append(_async_watch_caller(sink, disconnected))
+    if yield_requested is not None:
+        watchers.append(_async_watch_yield(sink, yield_requested))
+    tasks = [app.async_create_task(watcher, "exchange supervision") for watcher in watchers]
     try:
         yield
     finally:
@@ -43,19 +43,19 @@
             task.cancel()
 
 
-async def _async_watch_time(
-    app: Application, sink: Relay | Recorder, left_ms: int, stop: Stop
+async def _async_watch_timeout(
+    app: Application, sink: Relay | Recorder, delay_ms: int, stop_reason: StopReason
 ) -> None:
-    await app.clock.async_sleep(left_ms)
-    sink.ask_to_stop(stop)
+    await app.clock.async_sleep(delay_ms)
+    sink.request_stop(stop_reason)
 
 
-async def _async_watch_caller(sink: Relay | Recorder, gone: asyncio.Event) -> None:
-    await gone.wait()
-    sink.ask_to_stop(Stop.CALLER_GONE)
+async def _async_watch_caller(sink: Relay | Recorder, disconnected: asyncio.Event) -> None:
+    await disconnected.wait()
+    sink.request_stop(StopReason.CALLER_GONE)
 
 
-async def _async_watch_yield(sink: Relay | Recorder, asked: asyncio.Event) -> None:
-    await asked.wait()
+async def _async_watch_yield(sink: Relay | Recorder, requested: asyncio.Event) -> None:
+    await requested.wait()
     if not sink.has_body:
-        sink.ask_to_stop(Stop.YIELD)
+        sink.request_stop(StopReason.YIELD)
--- a/gypsumrouter/gateway/candidates.py
+++ b/gypsumrouter/gateway/candidates.py
@@ -12,7 +12,7 @@
 from gypsumrouter.gateway.models import Call
 from gypsumrouter.instances import Instance
 from gypsumrouter.placement import Placement, PlacementQuery
-from gypsumrouter.suspicion import find_isolation_places
+from gypsumrouter.suspicion import select_isolation_instances
 
 
 class Candidate(Struct, frozen=True, kw_only=True):
@@ -90,7 +90,7 @@
         """Yield the instances of the pool that run suspects."""
         query = make_query(call, call.pool)
         members = self._fleet.members(call.pool.name)
-        for instance in find_isolation_places(call.pool.name, members):
+        for instance in select_isolation_instances(call.pool.name, members):
             yield Candidate(pool=call.pool, instance=instance, query=query)
 
     def _iterate_homes(self, call: Call) -> Iterator[Candidate]:
--- a/gypsumrouter/gateway/dispatch.py
+++ b/gypsumrouter/gateway/dispatch.py
@@ -16,7 +16,7 @@
 from gypsumrouter.link.models import Data, End, Head, Open
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 from gypsumrouter.placement import Placement
-from gypsumrouter.suspicion import Suspect, Suspicion
+from gypsumrouter.suspicion import Suspect, SuspectTracker
 
 if TYPE_CHECKING:
     from gypsumrouter.link import Exchange, LinkPool
@@ -47,7 +47,7 @@
         app: Application,
         links: LinkPool,
         placement: Placement,
-        suspicion: Suspicion,
+        suspicion: SuspectTracker,
         finder: CandidateFinder,
         metrics: GatewayMetrics,
         budget: RetryBudget,
@@ -119,7 +119,7 @@
 
     async def _async_warn(self, call: Call, candidate: Candidate) -> None:
         """Tell a side what is known of a suspect before the request itself reaches it."""
-        for news in self._suspicion.list_news(call.digest):
+        for news in self._suspicion.list_strikes(call.digest):
             await self._links.async_send(instance=candidate.instance, notice=news)
 
     async def _async_relay(
--- a/gypsumrouter/gateway/gateway.py
+++ b/gypsumrouter/gateway/gateway.py
@@ -35,7 +35,7 @@
 
 if TYPE_CHECKING:
     from gypsumrouter.link import LinkPool
-    from gypsumrouter.suspicion import Suspicion
+    from gypsumrouter.suspicion import SuspectTracker
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -68,7 +68,7 @@
         fleet: Fleet,
         links: LinkPool,
         placement: Placement,
-        suspicion: Suspicion,
+        suspicion: SuspectTracker,
     ) -> None:
         self._app = app
         self._fleet = fleet
--- a/gypsumrouter/gateway/homes.py
+++ b/gypsumrouter/gateway/homes.py
@@ -4,7 +4,7 @@
 
 from gypsumrouter.fleet import Fleet
 from gypsumrouter.gateway.const import MAX_HOMES
-from gypsumrouter.idempotency import find_home
+from gypsumrouter.idempotency import find_key_owner
 from gypsumrouter.instances import Instance, InstanceList
 
 
@@ -23,7 +23,7 @@
         left = {item.name: item for item in self._listed or self._fleet.members(pool)}
         homes: list[Instance] = []
         while len(homes) < MAX_HOMES:
-            name = find_home(pool=pool, workspace=workspace, key=key, instances=left.values())
+            name = find_key_owner(pool=pool, workspace=workspace, key=key, instances=left.values())
             if name is None:
                 break
             homes.append(left.pop(name))
--- a/gypsumrouter/idempotency/__init__.py
+++ b/gypsumrouter/idempotency/__init__.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from gypsumrouter.idempotency.calls import Idempotency
-from gypsumrouter.idempotency.homes import find_home
 from gypsumrouter.idempotency.keys import Key, parse_key
-from gypsumrouter.idempotency.memory import Join
 from gypsumrouter.idempotency.outcomes import Replay, get_call_outcome
+from gypsumrouter.idempotency.ownership import find_key_owner
+from gypsumrouter.idempotency.records import Join
 from gypsumrouter.idempotency.run import Run
 
 __all__ = [
@@ -15,7 +15,7 @@
     "Key",
     "Replay",
     "Run",
-    "find_home",
+    "find_key_owner",
     "get_call_outcome",
     "parse_key",
 ]
--- a/gypsumrouter/idempotency/calls.py
+++ b/gypsumrouter/idempotency/calls.py
@@ -10,12 +10,12 @@
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.fleet import Address, InstanceList
 from gypsumrouter.helpers.metrics import NO_LABELS
-from gypsumrouter.idempotency.confirmation import HomeConfirmation
-from gypsumrouter.idempotency.const import DIGEST_BYTES, MEMORY_RETRY_MS, SKEWS
-from gypsumrouter.idempotency.homes import Tenure
+from gypsumrouter.idempotency.const import DIGEST_BYTES, MEMORY_RETRY_MS, SKEW_FACTOR
 from gypsumrouter.idempotency.keys import Key, parse_key
-from gypsumrouter.idempotency.memory import CallMemory, Join, Record
 from gypsumrouter.idempotency.outcomes import Replay
+from gypsumrouter.idempotency.ownership import OwnershipHistory
+from gypsumrouter.idempotency.ownership_checks import OwnershipChecks
+from gypsumrouter.idempotency.records import Join, Record, RecordStore
 from gypsumrouter.idempotency.run import Run
 from gypsumrouter.link.models import Open
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
@@ -28,7 +28,7 @@
 DEFAULT_POLICY: Final = AtMostOnce(calls=())
 
 
-class PublishedLists(Protocol):
+class InstanceListEvents(Protocol):
     """The part of the fleet that homes are derived from."""
 
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
@@ -45,48 +45,54 @@
     says; whether a new call may run is decided by the lease of the list and by the tenure.
     """
 
-    __slots__ = ("_app", "_confirmation", "_memory", "_policy", "_results", "_settings", "_tenure")
+    __slots__ = ("_app", "_checks", "_ownership", "_policy", "_results", "_settings", "_store")
 
     def __init__(
-        self, *, app: Application, settings: Platform, fleet: PublishedLists, name: str, pool: str
+        self,
+        *,
+        app: Application,
+        settings: Platform,
+        fleet: InstanceListEvents,
+        name: str,
+        pool: str,
     ) -> None:
         self._app = app
         self._settings = settings
         self._policy = DEFAULT_POLICY
-        self._tenure = Tenure(name=name, pool=pool)
-        self._confirmation = HomeConfirmation(
-            app=app, settings=settings, policy=DEFAULT_POLICY, tenure=self._tenure
+        self._ownership = OwnershipHistory(name=name, pool=pool)
+        self._checks = OwnershipChecks(
+            app=app, settings=settings, policy=DEFAULT_POLICY, ownership=self._ownership
         )
-        self._memory = CallMemory(
+        self._store = RecordStore(
             max_calls=DEFAULT_POLICY.remembered_calls, max_bytes=DEFAULT_POLICY.remembered_bytes
         )
         self._results = app.metrics.counter(
             "gypsum_at_most_once_calls_total", "Calls that must not be repeated by their result"
         )
         self._add_gauges()
-        fleet.on_list(self._tenure.note_list)
-        fleet.on_fresh(self._tenure.note_fresh)
+        fleet.on_list(self._ownership.apply_list)
+        fleet.on_fresh(self._ownership.apply_refresh)
         app.add_dump_section(DUMP_SECTION, self._dump)
 
-    def note_listening(self, address: Address) -> None:
+    def set_listen_address(self, address: Address) -> None:
         """Say that the listener is bound, and at which address the list must name this process."""
-        self._confirmation.note_listening(address)
+        self._checks.set_listen_address(address)
 
     def configure(self, pool: Pool) -> None:
         """Take the window and the bounds from a configuration."""
         self._policy = pool.at_most_once or DEFAULT_POLICY
-        self._confirmation.set_policy(self._policy)
-        self._memory.set_bounds(
+        self._checks.set_policy(self._policy)
+        self._store.set_bounds(
             max_calls=self._policy.remembered_calls, max_bytes=self._policy.remembered_bytes
         )
 
-    def recall(self, request: Open) -> Replay | Join | Failure | None:
+    def find_known(self, request: Open) -> Replay | Join | Failure | None:
         """Return what is remembered of a call, None if it is not known here.
 
         It is true also while this process is leaving.
         """
-        self._memory.expire(self._app.clock.now_ms())
-        record = self._memory.get(_get_digest(request))
+        self._store.expire(self._app.clock.now_ms())
+        record = self._store.get(_get_digest(request))
         if record is None:
             return None
         if record.fingerprint != _get_fingerprint(request):
@@ -109,27 +115,27 @@
         key = parse_key(request.idempotency_key)
         if isinstance(key, Refused):
             return key
-        known = self.recall(request)
+        known = self.find_known(request)
         if known is not None:
             return known
 
         def recheck() -> Failure | None:
-            return self._confirmation.check(
-                workspace=request.workspace, key=key, forgotten_ms=self._memory.forgotten_ms
+            return self._checks.check(
+                workspace=request.workspace, key=key, expired_until_ms=self._store.expired_until_ms
             )
 
-        failure = recheck() or self._confirmation.check_transit(key, received_wall_ms)
-        failure = failure or self._check_room()
+        failure = recheck() or self._checks.check_transit(key, received_wall_ms)
+        failure = failure or self._check_capacity()
         if failure is not None:
             return failure
         record = self._make_record(request, key)
-        self._memory.add(record)
-        return Run(memory=self._memory, record=record, recheck=recheck)
+        self._store.add(record)
+        return Run(store=self._store, record=record, recheck=recheck)
 
-    def _check_room(self) -> Refused | None:
-        if self._memory.has_room():
+    def _check_capacity(self) -> Refused | None:
+        if self._store.has_capacity():
             return None
-        next_ms = self._memory.next_drop_ms
+        next_ms = self._store.next_expiry_ms
         now_ms = self._app.clock.now_ms()
         return Refused(
             reason=Reason.MEMORY_FULL,
@@ -142,14 +148,14 @@
             digest=_get_digest(request),
             fingerprint=_get_fingerprint(request),
             created_ms=key.created_ms,
-            drop_ms=self._app.clock.now_ms() + self._get_keep_ms(key),
+            expires_ms=self._app.clock.now_ms() + self._get_retention_ms(key),
         )
 
-    def _get_keep_ms(self, key: Key) -> int:
+    def _get_retention_ms(self, key: Key) -> int:
         """Return how long a call that begins now is remembered."""
-        margin_ms = SKEWS * self._settings.clock_skew_ms
+        margin_ms = SKEW_FACTOR * self._settings.clock_skew_ms
         if key.created_ms is None:
-            return self._confirmation.opaque_cover_ms + margin_ms
+            return self._checks.opaque_lifetime_ms + margin_ms
         age_ms = self._app.clock.wall_ms() - key.created_ms
         return self._policy.window_ms - age_ms + margin_ms
 
@@ -158,23 +164,23 @@
         metrics.gauge(
             "gypsum_remembered_calls",
             "Calls that are remembered",
-            lambda: {NO_LABELS: self._memory.calls},
+            lambda: {NO_LABELS: self._store.calls},
         )
         metrics.gauge(
             "gypsum_remembered_bytes",
             "Bytes that are accounted for the remembered calls",
-            lambda: {NO_LABELS: self._memory.used_bytes},
+            lambda: {NO_LABELS: self._store.used_bytes},
         )
 
     def _dump(self) -> dict[str, object]:
         return {
-            "remembered": self._memory.calls,
-            "running": self._memory.running,
-            "bytes": self._memory.used_bytes,
+            "remembered": self._store.calls,
+            "running": self._store.running,
+            "bytes": self._store.used_bytes,
             "window_ms": self._policy.window_ms,
-            "list_as_of_ms": self._tenure.as_of_ms,
-            "listed": self._tenure.present,
-            "listening_since_ms": self._confirmation.listening_since_ms,
+            "list_as_of_ms": self._ownership.as_of_ms,
+            "listed": self._ownership.is_listed,
+            "listening_since_ms": self._checks.listening_since_ms,
             "results": {
                 dict(labels)[LABEL_RESULT]: n for labels, n in self._results.values.items()
             },
--- a/gypsumrouter/idempotency/const.py
+++ b/gypsumrouter/idempotency/const.py
@@ -10,7 +10,7 @@
 MAX_TRANSIT_MS: Final = 120_000
 
 # How many clocks may be wrong against each other where two processes' times are compared.
-SKEWS: Final = 2
+SKEW_FACTOR: Final = 2
 
 DIGEST_BYTES: Final = 16
 RECORD_BYTES: Final = 600  # the measured cost of one remembered call without its answer
@@ -18,5 +18,5 @@
 RESERVED_ANSWER_BYTES: Final = 4 * 1024  # set aside for the answer while a call runs
 MAX_ANSWER_BYTES: Final = 256 * 1024  # a longer answer is remembered without its body
 
-MAX_DEPARTED: Final = 1_024
+MAX_REMOVED_INSTANCES: Final = 1_024
 MEMORY_RETRY_MS: Final = 1_000  # at least, where the memory is full
--- a/gypsumrouter/idempotency/outcomes.py
+++ b/gypsumrouter/idempotency/outcomes.py
@@ -15,7 +15,7 @@
     body: bytes
 
 
-Settled = Replay | Failure
+CallOutcome = Replay | Failure
 
 
 def get_call_outcome(failure: Failure, *, from_side: bool) -> Failure:
--- a/gypsumrouter/idempotency/confirmation.py
+++ b/gypsumrouter/idempotency/ownership_checks.py
@@ -7,73 +7,89 @@
 from gypsumrouter.configuration.models import AtMostOnce, OpaqueKeys
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Address
-from gypsumrouter.idempotency.const import MAX_TRANSIT_MS, SKEWS
-from gypsumrouter.idempotency.homes import Tenure
+from gypsumrouter.idempotency.const import MAX_TRANSIT_MS, SKEW_FACTOR
 from gypsumrouter.idempotency.keys import Key
+from gypsumrouter.idempotency.ownership import OwnershipHistory
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
 if TYPE_CHECKING:
     from gypsumrouter.settings import Platform
 
 
-class HomeConfirmation:
+class OwnershipChecks:
     """The checks of docs/decisions/0001: lease, tenure, and the age of a key against both.
 
     A refusal that says `elsewhere` speaks of the request alone. Any other one says that the call
     as a whole was not run before by anyone.
     """
 
-    __slots__ = ("_app", "_floor_ms", "_opaque_floor_ms", "_policy", "_settings", "_tenure")
+    __slots__ = (
+        "_app",
+        "_listening_since_ms",
+        "_ownership",
+        "_policy",
+        "_settings",
+        "_window_extended_ms",
+    )
 
     def __init__(
-        self, *, app: Application, settings: Platform, policy: AtMostOnce, tenure: Tenure
+        self,
+        *,
+        app: Application,
+        settings: Platform,
+        policy: AtMostOnce,
+        ownership: OwnershipHistory,
     ) -> None:
         self._app = app
         self._settings = settings
         self._policy = policy
-        self._tenure = tenure
-        self._floor_ms: int | None = None
-        self._opaque_floor_ms = 0
+        self._ownership = ownership
+        self._listening_since_ms: int | None = None
+        self._window_extended_ms = 0
 
     @property
     def listening_since_ms(self) -> int | None:
         """Return the wall time since when this process listens."""
-        return self._floor_ms
+        return self._listening_since_ms
 
     @property
-    def opaque_cover_ms(self) -> int:
+    def opaque_lifetime_ms(self) -> int:
         """Return how long after the first sending a request with an opaque key may arrive."""
         return self._policy.window_ms + MAX_TRANSIT_MS
 
-    def note_listening(self, address: Address) -> None:
+    def set_listen_address(self, address: Address) -> None:
         """Say that the listener is bound; calls of an earlier process here were begun before."""
-        self._floor_ms = self._app.clock.wall_ms()
-        self._tenure.set_address(address)
+        self._listening_since_ms = self._app.clock.wall_ms()
+        self._ownership.set_address(address)
 
     def set_policy(self, policy: AtMostOnce) -> None:
         """Change the window; a longer one does not cover what was sent before."""
         if policy.window_ms > self._policy.window_ms:
-            self._opaque_floor_ms = self._app.clock.wall_ms()
+            self._window_extended_ms = self._app.clock.wall_ms()
         self._policy = policy
 
-    def check(self, *, workspace: str, key: Key, forgotten_ms: int) -> Failure | None:
+    def check(self, *, workspace: str, key: Key, expired_until_ms: int) -> Failure | None:
         """Return None if no other process can have run this key, nor may run it now.
 
         `forgotten_ms` is the creation time up to which this process has forgotten its calls.
         """
         if self._app.stopping.is_set():
             return Refused(reason=Reason.LEAVING, elsewhere=True)
-        as_of_ms = self._tenure.as_of_ms
-        if as_of_ms is None or self._floor_ms is None:
+        as_of_ms = self._ownership.as_of_ms
+        if as_of_ms is None or self._listening_since_ms is None:
             return self._make_unconfirmed()
-        since_ms = self._tenure.find_since_ms(workspace=workspace, key=key.text)
-        if since_ms is None:
-            return self._make_not_home()
-        bound_ms = self._get_bound_ms(since_ms, self._floor_ms)
+        owned_since_ms = self._ownership.find_owned_since_ms(workspace=workspace, key=key.text)
+        if owned_since_ms is None:
+            return self._make_not_owner()
+        earlier_runs_until_ms = self._get_earlier_runs_until_ms(
+            owned_since_ms, self._listening_since_ms
+        )
         if key.created_ms is None:
-            return self._check_lease(as_of_ms) or self._check_opaque(bound_ms)
-        failure = self._check_age(key.created_ms, bound_ms, forgotten_ms)
-        return failure or self._check_lease(as_of_ms, key.created_ms) or self._check_ahead(key)
+            return self._check_lease(as_of_ms) or self._check_opaque(earlier_runs_until_ms)
+        failure = self._check_age(key.created_ms, earlier_runs_until_ms, expired_until_ms)
+        return (
+            failure or self._check_lease(as_of_ms, key.created_ms) or self._check_not_in_future(key)
+        )
 
     def check_transit(self, key: Key, received_wall_ms: int | None) -> Failure | None:
         """Stop a request with an opaque key that was held up for too long on its way."""
@@ -83,12 +99,14 @@
             return None
         return Failed(reason=Reason.KEY_EXPIRED, message="the request was on its way for too long")
 
-    def _check_age(self, created_ms: int, bound_ms: int, forgotten_ms: int) -> Failure | None:
-        expired_ms = self._app.clock.wall_ms() - self._policy.window_ms
-        if created_ms <= max(expired_ms, forgotten_ms):
+    def _check_age(
+        self, created_ms: int, earlier_runs_until_ms: int, expired_until_ms: int
+    ) -> Failure | None:
+        window_start_ms = self._app.clock.wall_ms() - self._policy.window_ms
+        if created_ms <= max(window_start_ms, expired_until_ms):
             message = f"the key is older than {self._policy.window_ms} ms"
             return Failed(reason=Reason.KEY_EXPIRED, message=message)
-        if created_ms <= bound_ms:
+        if created_ms <= earlier_runs_until_ms:
             message = "an earlier instance may have run this call"
             return Failed(reason=Reason.EARLIER_RUN_UNKNOWN, message=message)
         return None
@@ -98,41 +116,45 @@
         if -self._settings.clock_skew_ms <= age_ms < self._settings.list_lease_ms:
             return None
         # A later home takes only keys above the bound of its own, later tenure.
-        never_run = created_ms is not None and created_ms <= self._add_lease(as_of_ms)
+        never_run = created_ms is not None and created_ms <= self._get_lease_end_ms(as_of_ms)
         return self._make_unconfirmed(never_run=never_run)
 
-    def _check_ahead(self, key: Key) -> Failure | None:
+    def _check_not_in_future(self, key: Key) -> Failure | None:
         created_ms = key.created_ms or 0
         if created_ms <= self._app.clock.wall_ms() + self._settings.clock_skew_ms:
             return None
         message = "the creation time of the key lies ahead"
         return Refused(reason=Reason.KEY_INVALID, message=message)
 
-    def _check_opaque(self, bound_ms: int) -> Failure | None:
+    def _check_opaque(self, earlier_runs_until_ms: int) -> Failure | None:
         if self._policy.opaque_keys is OpaqueKeys.REFUSE:
             message = "the key must carry its creation time: send a UUIDv7 or a ULID"
             return Refused(reason=Reason.KEY_INVALID, message=message)
-        confirmed_ms = max(bound_ms, self._opaque_floor_ms) + self.opaque_cover_ms
-        young_ms = confirmed_ms - self._app.clock.wall_ms()
-        if young_ms < 0:
+        safe_from_ms = (
+            max(earlier_runs_until_ms, self._window_extended_ms) + self.opaque_lifetime_ms
+        )
+        wait_ms = safe_from_ms - self._app.clock.wall_ms()
+        if wait_ms < 0:
             return None
         return Failed(
             reason=Reason.HOME_TOO_YOUNG,
             message="an earlier instance may have run this call; a UUIDv7 as key waits less",
-            retry_after_ms=young_ms + 1,
+            retry_after_ms=wait_ms + 1,
         )
 
-    def _get_bound_ms(self, since_ms: int, floor_ms: int) -> int:
+    def _get_earlier_runs_until_ms(self, owned_since_ms: int, listening_since_ms: int) -> int:
         """Return the highest creation time of the keys that an earlier process can have run."""
-        return max(self._add_lease(since_ms), floor_ms + self._get_margin_ms())
+        return max(
+            self._get_lease_end_ms(owned_since_ms), listening_since_ms + self._get_skew_margin_ms()
+        )
 
-    def _add_lease(self, as_of_ms: int) -> int:
-        return as_of_ms + self._settings.list_lease_ms + self._get_margin_ms()
+    def _get_lease_end_ms(self, as_of_ms: int) -> int:
+        return as_of_ms + self._settings.list_lease_ms + self._get_skew_margin_ms()
 
-    def _get_margin_ms(self) -> int:
-        return SKEWS * self._settings.clock_skew_ms
+    def _get_skew_margin_ms(self) -> int:
+        return SKEW_FACTOR * self._settings.clock_skew_ms
 
-    def _make_not_home(self) -> Refused:
+    def _make_not_owner(self) -> Refused:
         retry_after_ms = self._settings.list_poll_ms
         return Refused(reason=Reason.NOT_HOME, retry_after_ms=retry_after_ms, elsewhere=True)
 
--- a/gypsumrouter/idempotency/memory.py
+++ b/gypsumrouter/idempotency/records.py
@@ -11,7 +11,7 @@
     RECORD_BYTES,
     RESERVED_ANSWER_BYTES,
 )
-from gypsumrouter.idempotency.outcomes import Replay, Settled
+from gypsumrouter.idempotency.outcomes import CallOutcome, Replay
 from gypsumrouter.link.models import Head
 from gypsumrouter.outcomes import Failed, Reason
 
@@ -19,23 +19,23 @@
 class Record:
     """One call: `outcome` is None while it runs; `drop_ms` is monotonic."""
 
-    __slots__ = ("created_ms", "digest", "drop_ms", "fingerprint", "outcome", "size", "waiter")
+    __slots__ = ("created_ms", "digest", "expires_ms", "fingerprint", "outcome", "size", "waiter")
 
     def __init__(
-        self, *, digest: bytes, fingerprint: bytes, created_ms: int | None, drop_ms: int
+        self, *, digest: bytes, fingerprint: bytes, created_ms: int | None, expires_ms: int
     ) -> None:
         self.digest = digest
         self.fingerprint = fingerprint
         self.created_ms = created_ms
-        self.drop_ms = drop_ms
+        self.expires_ms = expires_ms
         self.size = RECORD_BYTES + RESERVED_ANSWER_BYTES
-        self.outcome: Settled | None = None
-        self.waiter: asyncio.Future[Settled] | None = None
+        self.outcome: CallOutcome | None = None
+        self.waiter: asyncio.Future[CallOutcome] | None = None
 
     def __lt__(self, other: Record) -> bool:
-        return self.drop_ms < other.drop_ms
+        return self.expires_ms < other.expires_ms
 
-    async def async_wait(self) -> Settled:
+    async def async_wait(self) -> CallOutcome:
         """Return how the call ended; safe to cancel."""
         if self.outcome is not None:
             return self.outcome
@@ -43,7 +43,7 @@
             self.waiter = asyncio.get_running_loop().create_future()
         return await asyncio.shield(self.waiter)
 
-    def settle(self, outcome: Settled) -> None:
+    def set_outcome(self, outcome: CallOutcome) -> None:
         """Tell the end of the call to all who wait for it."""
         self.outcome = outcome
         if self.waiter is not None and not self.waiter.done():
@@ -59,19 +59,26 @@
     def __init__(self, record: Record) -> None:
         self._record = record
 
-    async def async_wait(self) -> Settled:
+    async def async_wait(self) -> CallOutcome:
         """Return how the running call ended; safe to cancel."""
         return await self._record.async_wait()
 
 
-class CallMemory:
+class RecordStore:
     """The calls that this process runs or has run.
 
     A running call is never dropped, an ended one not before its `drop_ms`. `forgotten_ms` is the
     highest creation time of all dropped calls: what is as old is not known any more.
     """
 
-    __slots__ = ("_ended", "_max_bytes", "_max_calls", "_records", "_used_bytes", "forgotten_ms")
+    __slots__ = (
+        "_ended",
+        "_max_bytes",
+        "_max_calls",
+        "_records",
+        "_used_bytes",
+        "expired_until_ms",
+    )
 
     def __init__(self, *, max_calls: int, max_bytes: int) -> None:
         self._max_calls = max_calls
@@ -79,7 +86,7 @@
         self._used_bytes = 0
         self._records: dict[bytes, Record] = {}
         self._ended: list[Record] = []
-        self.forgotten_ms = 0
+        self.expired_until_ms = 0
 
     @property
     def calls(self) -> int:
@@ -97,9 +104,9 @@
         return self._used_bytes
 
     @property
-    def next_drop_ms(self) -> int | None:
+    def next_expiry_ms(self) -> int | None:
         """Return when room is made next, None while every remembered call runs."""
-        return self._ended[0].drop_ms if self._ended else None
+        return self._ended[0].expires_ms if self._ended else None
 
     def set_bounds(self, *, max_calls: int, max_bytes: int) -> None:
         """Change the bounds; a smaller one drops nothing and only refuses new calls."""
@@ -110,7 +117,7 @@
         """Return what is remembered of a call."""
         return self._records.get(digest)
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether one more call fits."""
         needed = RECORD_BYTES + RESERVED_ANSWER_BYTES
         return len(self._records) < self._max_calls and self._used_bytes + needed <= self._max_bytes
@@ -120,17 +127,17 @@
         self._records[record.digest] = record
         self._used_bytes += record.size
 
-    def remove(self, record: Record, outcome: Settled) -> None:
+    def remove(self, record: Record, outcome: CallOutcome) -> None:
         """Forget a call that was not run, and tell those who wait for it why."""
         del self._records[record.digest]
         self._used_bytes -= record.size
-        record.settle(outcome)
+        record.set_outcome(outcome)
 
     def finish(self, record: Record, head: Head, body: bytes) -> None:
         """Keep the whole answer, or only that there was one where it is too large."""
         size = len(body) + _get_header_bytes(head)
-        room = self._max_bytes - self._used_bytes + record.size - RECORD_BYTES
-        if size <= RESERVED_ANSWER_BYTES or size <= min(room, MAX_ANSWER_BYTES):
+        available = self._max_bytes - self._used_bytes + record.size - RECORD_BYTES
+        if size <= RESERVED_ANSWER_BYTES or size <= min(available, MAX_ANSWER_BYTES):
             self._end(record, Replay(head=head, body=body), size)
             return
         if record.waiter is not None:
@@ -138,23 +145,23 @@
             record.waiter = None
         self._end(record, _make_evicted(head.status), 0)
 
-    def lose(self, record: Record, outcome: Failed) -> None:
+    def fail(self, record: Record, outcome: Failed) -> None:
         """Keep that the call was handed over and that its end is unknown."""
         self._end(record, outcome, 0)
 
     def expire(self, now_ms: int) -> None:
         """Drop the ended calls whose time is over."""
-        while self._ended and self._ended[0].drop_ms <= now_ms:
+        while self._ended and self._ended[0].expires_ms <= now_ms:
             record = heapq.heappop(self._ended)
             del self._records[record.digest]
             self._used_bytes -= record.size
-            self.forgotten_ms = max(self.forgotten_ms, record.created_ms or 0)
+            self.expired_until_ms = max(self.expired_until_ms, record.created_ms or 0)
 
-    def _end(self, record: Record, outcome: Settled, answer_bytes: int) -> None:
+    def _end(self, record: Record, outcome: CallOutcome, answer_bytes: int) -> None:
         self._used_bytes -= record.size
         record.size = RECORD_BYTES + answer_bytes
         self._used_bytes += record.size
-        record.settle(outcome)
+        record.set_outcome(outcome)
         heapq.heappush(self._ended, record)
 
 
--- a/gypsumrouter/idempotency/run.py
+++ b/gypsumrouter/idempotency/run.py
@@ -7,13 +7,13 @@
 from typing import Final, Self
 
 from gypsumrouter.exceptions import InvariantBroken
-from gypsumrouter.idempotency.memory import CallMemory, Record
+from gypsumrouter.idempotency.records import Record, RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
 Recheck = Callable[[], Failure | None]
 
-_ABANDONED: Final = Refused(reason=Reason.STOPPED, message="the run was given up before it began")
+_CANCELLED: Final = Refused(reason=Reason.STOPPED, message="the run was given up before it began")
 
 
 class Run:
@@ -23,13 +23,13 @@
     `lost` and `not_run` follows; used as a context manager, the run settles itself.
     """
 
-    __slots__ = ("_handed_over", "_memory", "_recheck", "_record")
+    __slots__ = ("_authorized", "_recheck", "_record", "_store")
 
-    def __init__(self, *, memory: CallMemory, record: Record, recheck: Recheck) -> None:
-        self._memory = memory
+    def __init__(self, *, store: RecordStore, record: Record, recheck: Recheck) -> None:
+        self._store = store
         self._record: Record | None = record
         self._recheck = recheck
-        self._handed_over = False
+        self._authorized = False
 
     def __enter__(self) -> Self:
         return self
@@ -42,44 +42,44 @@
     ) -> None:
         if self._record is None:
             return
-        if self._handed_over:
-            self.lost(Reason.UPSTREAM_LOST)
+        if self._authorized:
+            self.fail(Reason.UPSTREAM_LOST)
         else:
-            self.not_run(_ABANDONED)
+            self.cancel(_CANCELLED)
 
-    def started(self) -> Failure | None:
+    def authorize(self) -> Failure | None:
         """Return None if the call may be handed over now.
 
         Otherwise return why not: the run is over, and the call must not be handed over.
         """
         denied = self._recheck()
         if denied is not None:
-            self._memory.remove(self._take_record(), denied)
+            self._store.remove(self._take_record(), denied)
             return denied
-        self._handed_over = True
+        self._authorized = True
         return None
 
     def finish(self, head: Head, body: bytes) -> None:
         """Remember the whole answer."""
-        self._check_handed_over()
-        self._memory.finish(self._take_record(), head, body)
+        self._check_authorized()
+        self._store.finish(self._take_record(), head, body)
 
-    def lost(self, reason: Reason) -> None:
+    def fail(self, reason: Reason) -> None:
         """Remember that the call was handed over and that no whole answer came."""
-        self._check_handed_over()
+        self._check_authorized()
         outcome = Failed(
             reason=Reason.EARLIER_RUN_UNKNOWN,
             message=f"the call was handed over, and its answer was lost: {reason.value}",
         )
-        self._memory.lose(self._take_record(), outcome)
+        self._store.fail(self._take_record(), outcome)
 
-    def not_run(self, refused: Refused) -> Failure:
+    def cancel(self, refused: Refused) -> Failure:
         """Forget the call, which was not handed over; return what its caller may be told.
 
         That is `refused`, unless another instance may have become the home in the meantime.
         """
         outcome = self._recheck() or refused
-        self._memory.remove(self._take_record(), outcome)
+        self._store.remove(self._take_record(), outcome)
         return outcome
 
     def _take_record(self) -> Record:
@@ -89,6 +89,6 @@
         self._record = None
         return record
 
-    def _check_handed_over(self) -> None:
-        if not self._handed_over:
+    def _check_authorized(self) -> None:
+        if not self._authorized:
             raise InvariantBroken("a run ended that was never started")
--- a/gypsumrouter/suspect_news.py
+++ b/gypsumrouter/suspect_news.py
@@ -10,7 +10,7 @@
 from gypsumrouter.fleet import Fleet, Instance
 from gypsumrouter.link import LinkPool
 from gypsumrouter.link.models import SuspectNews
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 
 ListNames = Callable[[], Collection[str]]
 SendTo = Callable[[Collection[str], SuspectNews], None]
@@ -31,7 +31,7 @@
         app: Application,
         fleet: Fleet,
         links: LinkPool,
-        suspicion: Suspicion,
+        suspicion: SuspectTracker,
         list_concerned: ListNames,
         send_to: SendTo,
     ) -> None:
@@ -40,7 +40,7 @@
         self._links = links
         self._list_concerned = list_concerned
         self._send_to = send_to
-        suspicion.on_news(self._spread)
+        suspicion.on_new_strike(self._spread)
 
     def _spread(self, news: SuspectNews) -> None:
         # Read now: the runs that died are still known.
--- a/gypsumrouter/suspicion/__init__.py
+++ b/gypsumrouter/suspicion/__init__.py
@@ -2,9 +2,16 @@
 
 from __future__ import annotations
 
-from gypsumrouter.suspicion.gate import Token
+from gypsumrouter.suspicion.gate import RunPermit
+from gypsumrouter.suspicion.isolation import select_isolation_instances
 from gypsumrouter.suspicion.outcomes import Clear, Suspect, Verdict
-from gypsumrouter.suspicion.places import find_isolation_places
-from gypsumrouter.suspicion.suspicion import Suspicion
+from gypsumrouter.suspicion.tracker import SuspectTracker
 
-__all__ = ["Clear", "Suspect", "Suspicion", "Token", "Verdict", "find_isolation_places"]
+__all__ = [
+    "Clear",
+    "RunPermit",
+    "Suspect",
+    "SuspectTracker",
+    "Verdict",
+    "select_isolation_instances",
+]
--- a/gypsumrouter/suspicion/gate.py
+++ b/gypsumrouter/suspicion/gate.py
@@ -10,42 +10,42 @@
 from gypsumrouter.link.models import SuspectNews
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion.const import (
-    ALONE_WAIT_MS,
     BUSY_RETRY_MS,
-    CLOSED_MS,
-    MAX_WAITING,
-    OPEN_MS,
+    GATE_CLOSED_MS,
+    GATE_OPEN_MS,
+    ISOLATED_WAIT_MS,
+    MAX_WAITING_SUSPECTS,
     SHARED_WAIT_MS,
 )
 from gypsumrouter.suspicion.outcomes import Clear, Suspect, Verdict
 from gypsumrouter.suspicion.running import ActiveRun, RunningSet
 
-Judge = Callable[[], Verdict]
+GetVerdict = Callable[[], Verdict]
 
 
-class Token:
+class RunPermit:
     """The permission to run one request at the upstream; exactly one of its ends follows."""
 
-    __slots__ = ("_died", "_ended", "run")
+    __slots__ = ("_on_crash", "_on_end", "run")
 
     def __init__(
         self,
         *,
         run: ActiveRun,
-        ended: Callable[[ActiveRun, bool], None],
-        died: Callable[[ActiveRun], tuple[SuspectNews, ...]],
+        on_end: Callable[[ActiveRun, bool], None],
+        on_crash: Callable[[ActiveRun], tuple[SuspectNews, ...]],
     ) -> None:
         self.run = run
-        self._ended = ended
-        self._died = died
+        self._on_end = on_end
+        self._on_crash = on_crash
 
-    def end(self, *, whole: bool) -> None:
+    def end(self, *, complete: bool) -> None:
         """Say that the run is over, and whether it gave a whole answer; safe to repeat."""
-        self._ended(self.run, whole)
+        self._on_end(self.run, complete)
 
-    def died(self) -> tuple[SuspectNews, ...]:
+    def report_crash(self) -> tuple[SuspectNews, ...]:
         """Say that the upstream died; the reports of all that ran then count as one death."""
-        return self._died(self.run)
+        return self._on_crash(self.run)
 
 
 class IsolationGate:
@@ -58,7 +58,7 @@
     __slots__ = (
         "_app",
         "_changed",
-        "_closed_ms",
+        "_closed_since_ms",
         "_open_until_ms",
         "_running",
         "_suspect",
@@ -71,7 +71,7 @@
         self._changed = asyncio.Event()
         self._suspect: ActiveRun | None = None
         self._waiting: deque[object] = deque()
-        self._closed_ms: int | None = None
+        self._closed_since_ms: int | None = None
         self._open_until_ms = 0
 
     @property
@@ -85,24 +85,24 @@
         return self._suspect is not None
 
     async def async_enter(
-        self, *, digest: int, judge: Judge, cancelled: asyncio.Event
+        self, *, digest: int, get_verdict: GetVerdict, cancelled: asyncio.Event
     ) -> ActiveRun | Refused:
         """Wait for the turn of a request; the verdict may change while it waits."""
-        verdict = judge()
+        verdict = get_verdict()
         if isinstance(verdict, Refused):
             return verdict
         if isinstance(verdict, Suspect):
-            entered = await self._async_enter_alone(digest, judge, cancelled)
+            entered = await self._async_enter_isolated(digest, get_verdict, cancelled)
             if not isinstance(entered, Clear):
                 return entered
         return await self._async_enter_shared(digest, cancelled)
 
-    def note_changed(self) -> None:
+    def notify_waiters(self) -> None:
         """Let everyone who waits look again: a run has ended or a verdict may have changed."""
-        if self._suspect is not None and (self._suspect.dead or not len(self._running)):
+        if self._suspect is not None and (self._suspect.crashed or not len(self._running)):
             self._suspect = None
         if self._suspect is None:
-            self._settle_phase()
+            self._update_phase()
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
@@ -116,25 +116,25 @@
             await self._async_wait_for_change(cancelled, deadline_ms)
         return self._running.start(digest)
 
-    async def _async_enter_alone(
-        self, digest: int, judge: Judge, cancelled: asyncio.Event
+    async def _async_enter_isolated(
+        self, digest: int, get_verdict: GetVerdict, cancelled: asyncio.Event
     ) -> Clear | Refused | ActiveRun:
-        if len(self._waiting) >= MAX_WAITING:
+        if len(self._waiting) >= MAX_WAITING_SUSPECTS:
             return _make_busy()
         ticket = object()
         self._waiting.append(ticket)
         try:
-            return await self._async_wait_alone(ticket, digest, judge, cancelled)
+            return await self._async_wait_isolated(ticket, digest, get_verdict, cancelled)
         finally:
             self._waiting.remove(ticket)
-            self.note_changed()
+            self.notify_waiters()
 
-    async def _async_wait_alone(
-        self, ticket: object, digest: int, judge: Judge, cancelled: asyncio.Event
+    async def _async_wait_isolated(
+        self, ticket: object, digest: int, get_verdict: GetVerdict, cancelled: asyncio.Event
     ) -> Clear | Refused | ActiveRun:
-        deadline_ms = self._app.clock.now_ms() + ALONE_WAIT_MS
+        deadline_ms = self._app.clock.now_ms() + ISOLATED_WAIT_MS
         while True:
-            verdict = judge()
+            verdict = get_verdict()
             if not isinstance(verdict, Suspect):
                 return verdict
             now_ms = self._app.clock.now_ms()
@@ -149,8 +149,8 @@
     def _may_isolate(self, ticket: object, now_ms: int) -> bool:
         if self._suspect is not None or now_ms < self._open_until_ms:
             return False
-        if self._closed_ms is None:
-            self._closed_ms = now_ms
+        if self._closed_since_ms is None:
+            self._closed_since_ms = now_ms
         return self._waiting[0] is ticket and not len(self._running)
 
     def _is_closed(self) -> bool:
@@ -158,16 +158,16 @@
             return True
         return bool(self._waiting) and self._app.clock.now_ms() >= self._open_until_ms
 
-    def _settle_phase(self) -> None:
+    def _update_phase(self) -> None:
         """Open the gate for a while if it was closed for long, or if no suspect waits."""
         now_ms = self._app.clock.now_ms()
-        if self._closed_ms is None:
+        if self._closed_since_ms is None:
             return
         if not self._waiting:
-            self._closed_ms = None
-        elif not len(self._running) and now_ms - self._closed_ms >= CLOSED_MS:
-            self._closed_ms = None
-            self._open_until_ms = now_ms + OPEN_MS
+            self._closed_since_ms = None
+        elif not len(self._running) and now_ms - self._closed_since_ms >= GATE_CLOSED_MS:
+            self._closed_since_ms = None
+            self._open_until_ms = now_ms + GATE_OPEN_MS
 
     async def _async_wait_for_change(self, cancelled: asyncio.Event, until_ms: int) -> None:
         delay_ms = max(0, until_ms - self._app.clock.now_ms())
--- a/gypsumrouter/suspicion/places.py
+++ b/gypsumrouter/suspicion/isolation.py
@@ -8,15 +8,15 @@
 import xxhash
 
 from gypsumrouter.fleet import Instance
-from gypsumrouter.suspicion.const import INSTANCES_PER_PLACE
+from gypsumrouter.suspicion.const import INSTANCES_PER_ISOLATION_INSTANCE
 
 _SEPARATOR: Final = "\0"
 
 
-def find_isolation_places(pool: str, instances: Iterable[Instance]) -> tuple[Instance, ...]:
+def select_isolation_instances(pool: str, instances: Iterable[Instance]) -> tuple[Instance, ...]:
     """Return the instances that run the suspects of a pool, the same for equal views."""
     members = sorted(instances, key=lambda instance: _get_rank(pool, instance.name))
-    count = max(1, len(members) // INSTANCES_PER_PLACE)
+    count = max(1, len(members) // INSTANCES_PER_ISOLATION_INSTANCE)
     return tuple(members[:count])
 
 
--- a/gypsumrouter/suspicion/running.py
+++ b/gypsumrouter/suspicion/running.py
@@ -8,12 +8,12 @@
 class ActiveRun:
     """One run of a digest: `alone` while nothing else ran, `dead` once its upstream died."""
 
-    __slots__ = ("alone", "dead", "digest")
+    __slots__ = ("alone", "crashed", "digest")
 
     def __init__(self, *, digest: int, alone: bool) -> None:
         self.digest = digest
         self.alone = alone
-        self.dead = False
+        self.crashed = False
 
 
 class RunningSet:
@@ -41,13 +41,13 @@
         """Remove a run; one that was taken as dead is gone already."""
         self._runs.pop(run, None)
 
-    def take_dead(self) -> tuple[ActiveRun, ...]:
+    def remove_crashed(self) -> tuple[ActiveRun, ...]:
         """Remove all runs because the upstream died; the newest come first."""
-        dead = tuple(reversed(self._runs))
+        crashed = tuple(reversed(self._runs))
         self._runs.clear()
-        for run in dead:
-            run.dead = True
-        return dead
+        for run in crashed:
+            run.crashed = True
+        return crashed
 
 
 def list_digests(runs: Iterable[ActiveRun]) -> tuple[int, ...]:
--- a/gypsumrouter/suspicion/suspicion.py
+++ b/gypsumrouter/suspicion/tracker.py
@@ -12,12 +12,12 @@
 from gypsumrouter.helpers.metrics import NO_LABELS
 from gypsumrouter.link.models import SuspectNews
 from gypsumrouter.outcomes import Reason, Refused
-from gypsumrouter.suspicion.const import BUSY_RETRY_MS, MAX_STRIKE_DIGESTS, STRIKE_BITS
-from gypsumrouter.suspicion.gate import IsolationGate, Token
+from gypsumrouter.suspicion.const import BUSY_RETRY_MS, CRASH_ID_BITS, MAX_CRASH_DIGESTS
+from gypsumrouter.suspicion.crashes import CrashStore
+from gypsumrouter.suspicion.gate import IsolationGate, RunPermit
+from gypsumrouter.suspicion.isolation import select_isolation_instances
 from gypsumrouter.suspicion.outcomes import Suspect, Verdict
-from gypsumrouter.suspicion.places import find_isolation_places
 from gypsumrouter.suspicion.running import ActiveRun, RunningSet, list_digests
-from gypsumrouter.suspicion.strikes import StrikeMemory
 
 if TYPE_CHECKING:
     from gypsumrouter.fleet import Fleet
@@ -26,10 +26,10 @@
 _LOGGER = logging.getLogger(__name__)
 
 DUMP_SECTION: Final = "suspicion"
-NewsListener = Callable[[SuspectNews], None]
+StrikeListener = Callable[[SuspectNews], None]
 
 
-class Suspicion:
+class SuspectTracker:
     """Strikes of request digests, in a side and in a router.
 
     A side that is given its fleet and pool runs suspects only if it is one of the pool's places
@@ -39,14 +39,14 @@
     __slots__ = (
         "_active",
         "_app",
-        "_deaths",
+        "_crash_counter",
+        "_crashes",
         "_fleet",
         "_gate",
         "_listeners",
         "_pool",
-        "_refused",
+        "_refused_counter",
         "_running",
-        "_strikes",
         "_unsubscribe",
     )
 
@@ -61,41 +61,41 @@
         self._app = app
         self._fleet = fleet
         self._pool = pool
-        self._strikes = StrikeMemory(clock=app.clock)
+        self._crashes = CrashStore(clock=app.clock)
         self._running = RunningSet()
         self._gate = IsolationGate(app=app, running=self._running)
         self._active: dict[int, list[ActiveRun]] = {}
-        self._listeners: list[NewsListener] = []
-        self._deaths = app.metrics.counter(
+        self._listeners: list[StrikeListener] = []
+        self._crash_counter = app.metrics.counter(
             "gypsum_upstream_deaths_total", "Deaths of the upstream while requests ran"
         )
-        self._refused = app.metrics.counter(
+        self._refused_counter = app.metrics.counter(
             "gypsum_suspects_refused_total", "Requests refused because they crash upstreams"
         )
         app.metrics.gauge(
             "gypsum_suspect_digests",
             "Request digests with a strike",
-            lambda: {NO_LABELS: self._strikes.digests},
+            lambda: {NO_LABELS: self._crashes.digest_count},
         )
         app.add_dump_section(DUMP_SECTION, self._dump)
-        self._unsubscribe = notices.subscribe(SuspectNews, self._take_news)
+        self._unsubscribe = notices.subscribe(SuspectNews, self._handle_strike)
         app.on_stop(self._async_stop)
 
     def check(self, digest: int) -> Verdict:
         """Return what may be done with a request of this digest in this process."""
-        verdict = self._strikes.judge(digest)
+        verdict = self._crashes.get_verdict(digest)
         match verdict:
             case Refused():
-                self._refused.inc()
-            case Suspect() if not self._is_place():
-                return _make_wrong_place()
+                self._refused_counter.inc()
+            case Suspect() if not self._runs_suspects():
+                return _make_elsewhere()
         return verdict
 
-    def note_started(self, digest: int) -> None:
+    def record_start(self, digest: int) -> None:
         """Say that a request is being handed over, where the gate is not used."""
         self._active.setdefault(digest, []).append(self._running.start(digest))
 
-    def note_ended(self, digest: int, *, whole: bool = False) -> None:
+    def record_end(self, digest: int, *, complete: bool = False) -> None:
         """Say that a run begun by `note_started` is over; a whole one alone clears the digest."""
         runs = self._active.get(digest)
         if not runs:
@@ -103,34 +103,34 @@
         run = runs.pop(0)
         if not runs:
             del self._active[digest]
-        self._end(run, whole)
+        self._end(run, complete)
 
-    def note_upstream_died(self) -> tuple[SuspectNews, ...]:
+    def handle_upstream_crash(self) -> tuple[SuspectNews, ...]:
         """Say that the upstream died; everything that ran gets one strike.
 
         Reports that find nothing running count for nothing, so each run may report.
         """
-        dead = self._running.take_dead()
-        if not dead:
+        crashed = self._running.remove_crashed()
+        if not crashed:
             return ()
-        self._deaths.inc()
-        news = _make_news(list_digests(dead))
-        _LOGGER.warning("The upstream died while %s requests ran", len(dead))
-        for item in news:
-            self._add(item)
-        self._gate.note_changed()
-        return news
-
-    async def async_enter(self, digest: int, cancelled: asyncio.Event) -> Token | Refused:
+        self._crash_counter.inc()
+        strikes = _make_strikes(list_digests(crashed))
+        _LOGGER.warning("The upstream died while %s requests ran", len(crashed))
+        for strike in strikes:
+            self._add(strike)
+        self._gate.notify_waiters()
+        return strikes
+
+    async def async_enter(self, digest: int, cancelled: asyncio.Event) -> RunPermit | Refused:
         """Wait until a request may run here: suspects alone, all others together."""
         entered = await self._gate.async_enter(
-            digest=digest, judge=lambda: self.check(digest), cancelled=cancelled
+            digest=digest, get_verdict=lambda: self.check(digest), cancelled=cancelled
         )
         if isinstance(entered, Refused):
             return entered
-        return Token(run=entered, ended=self._end, died=self._note_died)
+        return RunPermit(run=entered, on_end=self._end, on_crash=self._handle_run_crash)
 
-    def on_news(self, listener: NewsListener) -> Remove:
+    def on_new_strike(self, listener: StrikeListener) -> Remove:
         """Register a listener for every strike that is new here, once for each digest."""
         self._listeners.append(listener)
 
@@ -140,64 +140,66 @@
 
         return remove
 
-    def list_news(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
+    def list_strikes(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
         """Return what is known of one digest, or of all, for a process that may not know it.
 
         Sent over a link before a request, it cannot come after it.
         """
-        return self._strikes.list_news(digest)
+        return self._crashes.list_strikes(digest)
 
     async def _async_stop(self) -> None:
         self._unsubscribe()
 
-    def _take_news(self, peer: Peer, news: SuspectNews) -> None:
-        self._add(news)
-        self._gate.note_changed()
+    def _handle_strike(self, peer: Peer, strike: SuspectNews) -> None:
+        self._add(strike)
+        self._gate.notify_waiters()
 
-    def _add(self, news: SuspectNews) -> None:
-        if not self._strikes.add(news):
+    def _add(self, strike: SuspectNews) -> None:
+        if not self._crashes.add(strike):
             return
         for listener in tuple(self._listeners):
-            listener(news)
+            listener(strike)
 
-    def _note_died(self, run: ActiveRun) -> tuple[SuspectNews, ...]:
-        return () if run.dead else self.note_upstream_died()
+    def _handle_run_crash(self, run: ActiveRun) -> tuple[SuspectNews, ...]:
+        return () if run.crashed else self.handle_upstream_crash()
 
-    def _end(self, run: ActiveRun, whole: bool) -> None:
+    def _end(self, run: ActiveRun, complete: bool) -> None:
         self._running.end(run)
-        if whole and run.alone and not run.dead:
-            self._strikes.clear(run.digest)
-        self._gate.note_changed()
+        if complete and run.alone and not run.crashed:
+            self._crashes.clear(run.digest)
+        self._gate.notify_waiters()
 
-    def _is_place(self) -> bool:
+    def _runs_suspects(self) -> bool:
         if self._fleet is None or not self._pool:
             return True
         members = self._fleet.members(self._pool)
-        places = find_isolation_places(self._pool, members)
-        return not places or any(place.name == self._app.name for place in places)
+        isolation_instances = select_isolation_instances(self._pool, members)
+        return not isolation_instances or any(
+            instance.name == self._app.name for instance in isolation_instances
+        )
 
     def _dump(self) -> dict[str, object]:
         return {
-            "strikes": self._strikes.strikes,
-            "suspect_digests": self._strikes.digests,
-            "refused_digests": self._strikes.count_proven(),
+            "strikes": self._crashes.crash_count,
+            "suspect_digests": self._crashes.digest_count,
+            "refused_digests": self._crashes.count_rejected(),
             "running": len(self._running),
             "isolating": self._gate.isolating,
             "waiting_suspects": self._gate.waiting,
-            "deaths": int(self._deaths.total()),
+            "deaths": int(self._crash_counter.total()),
         }
 
 
-def _make_news(digests: tuple[int, ...]) -> tuple[SuspectNews, ...]:
-    strike = secrets.randbits(STRIKE_BITS)
+def _make_strikes(digests: tuple[int, ...]) -> tuple[SuspectNews, ...]:
+    crash_id = secrets.randbits(CRASH_ID_BITS)
     alone = len(digests) == 1
     return tuple(
-        SuspectNews(digest=digest, strike=strike, alone=alone)
-        for digest in digests[:MAX_STRIKE_DIGESTS]
+        SuspectNews(digest=digest, strike=crash_id, alone=alone)
+        for digest in digests[:MAX_CRASH_DIGESTS]
     )
 
 
-def _make_wrong_place() -> Refused:
+def _make_elsewhere() -> Refused:
     return Refused(
         reason=Reason.SUSPECT_BUSY,
         message="a request that may crash the upstream runs at another instance",
--- a/tests/exchange/conftest.py
+++ b/tests/exchange/conftest.py
@@ -13,7 +13,7 @@
     POOL,
     SIDE,
     WORKSPACE,
-    FakeLists,
+    FakeInstanceLists,
     FakeUpstream,
     Side,
 )
@@ -26,10 +26,10 @@
 from gypsumrouter.idempotency import Idempotency
 from gypsumrouter.link import NoticeHub
 from gypsumrouter.settings import Identity, Link, Platform, SideSettings, Upstream
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.util.clock import ManualClock
 
-TENURE_MS = 60_000
+OWNERSHIP_MS = 60_000
 
 MakeSide = Callable[[UpstreamKind], Awaitable[Side]]
 
@@ -72,7 +72,7 @@
         apps.append(app)
         settings = make_settings(kind)
         store = ConfigurationStore(app=app)
-        lists = FakeLists()
+        lists = FakeInstanceLists()
         admission = Admission(app=app, weight=1.0, name=SIDE)
         upstream = FakeUpstream(models=(MODEL,) if kind is UpstreamKind.ENGINE else ())
         idempotency = Idempotency(
@@ -85,13 +85,13 @@
             admission=admission,
             upstream=upstream,
             idempotency=idempotency,
-            suspicion=Suspicion(app=app, notices=NoticeHub()),
+            suspicion=SuspectTracker(app=app, notices=NoticeHub()),
         )
         await runner.async_start()
         await store.async_offer(make_document(kind))
-        idempotency.note_listening(ADDRESS)
+        idempotency.set_listen_address(ADDRESS)
         lists.publish(clock.wall_ms())
-        clock.advance(TENURE_MS)
+        clock.advance(OWNERSHIP_MS)
         lists.refresh(clock.wall_ms())
         return Side(
             app=app,
--- a/tests/exchange/exchange_fakes.py
+++ b/tests/exchange/exchange_fakes.py
@@ -27,7 +27,7 @@
 ADDRESS = Address(host="127.0.0.1", port=7000)
 HELLO = Hello(name="router-1", role=Role.ROUTER, incarnation=7)
 LEASE_MS = 15_000
-LIMIT_S = 10
+TIMEOUT_S = 10
 REQUEST = Open(
     sequence=1,
     request_id="request-1",
@@ -91,18 +91,18 @@
         self.request = request
         self.answer = answer
         self.priority = priority
-        self.handed = False
+        self.sent = False
         self.outcome: asyncio.Future[Failure | None] = asyncio.get_running_loop().create_future()
-        self._handed_over = handed_over
+        self._on_send = handed_over
 
-    def hand_over(self) -> None:
+    def send(self) -> None:
         """Send the request, unless that is denied: then the run is over."""
         try:
-            self._handed_over()
+            self._on_send()
         except HandOverDenied as denied:
             self.outcome.set_result(denied.failure)
             return
-        self.handed = True
+        self.sent = True
 
     async def async_answer(self, body: bytes, *, status: int = 200) -> None:
         self.answer.head(Head(status=status, headers=(("Content-Type", "application/json"),)))
@@ -129,7 +129,7 @@
         """Do nothing."""
 
     async def async_next(self) -> FakeRun:
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await self._runs.get()
 
     async def async_run(
@@ -145,7 +145,7 @@
         if run.outcome.done():
             return run.outcome.result()
         self.cancelled.append(request.request_id)
-        if run.handed:
+        if run.sent:
             return Failed(reason=Reason.CANCELLED)
         return Refused(reason=Reason.CANCELLED)
 
@@ -164,7 +164,7 @@
         return lambda: None
 
 
-class FakeLists:
+class FakeInstanceLists:
     """The published lists, as the fleet tells of them."""
 
     def __init__(self) -> None:
@@ -206,7 +206,7 @@
     runner: ExchangeRunner
     upstream: FakeUpstream
     admission: Admission
-    lists: FakeLists
+    lists: FakeInstanceLists
     keys: int = 0
 
     def handle(self, request: Open) -> tuple[FakeAnswer, asyncio.Task[None]]:
@@ -223,10 +223,10 @@
 
     def drain(self) -> asyncio.Task[None]:
         """Begin a planned stop."""
-        return asyncio.ensure_future(asyncio.wait_for(self.app.async_drain(), LIMIT_S))
+        return asyncio.ensure_future(asyncio.wait_for(self.app.async_drain(), TIMEOUT_S))
 
     async def _async_handle(self, request: Open, answer: FakeAnswer) -> None:
-        async with asyncio.timeout(LIMIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.runner.async_handle(HELLO, request, answer)  # type: ignore[arg-type]
 
     def make_keyed(self, request: Open = REQUEST) -> Open:
--- a/tests/exchange/test_exchange_once.py
+++ b/tests/exchange/test_exchange_at_most_once.py
@@ -11,20 +11,22 @@
 from gypsumrouter.link.models import Open
 from gypsumrouter.outcomes import Failed, Reason, Refused
 
-LARGE = 300 * 1024
+TOO_LARGE = 300 * 1024
 
 
-async def async_begin(side: Side, call: Open) -> tuple[FakeAnswer, asyncio.Task[None], FakeRun]:
+async def async_begin_and_send(
+    side: Side, call: Open
+) -> tuple[FakeAnswer, asyncio.Task[None], FakeRun]:
     """Begin a call and hand it over."""
     answer, task = side.handle(call)
     run = await side.upstream.async_next()
-    run.hand_over()
+    run.send()
     return answer, task, run
 
 
 async def test_repeat_is_answered_from_memory(service_side: Side) -> None:
     call = service_side.make_keyed()
-    first, task, run = await async_begin(service_side, call)
+    first, task, run = await async_begin_and_send(service_side, call)
     await run.async_answer(b"reserved", status=201)
     run.finish()
     await task
@@ -39,7 +41,7 @@
 
 async def test_repeat_while_it_runs_joins_the_run(service_side: Side) -> None:
     call = service_side.make_keyed()
-    first, first_task, run = await async_begin(service_side, call)
+    first, first_task, run = await async_begin_and_send(service_side, call)
     second, second_task = service_side.handle(call)
     await async_settle()
     await run.async_answer(b"reserved")
@@ -52,7 +54,7 @@
 
 async def test_call_that_was_handed_over_goes_on_without_its_caller(service_side: Side) -> None:
     call = service_side.make_keyed()
-    answer, task, run = await async_begin(service_side, call)
+    answer, task, run = await async_begin_and_send(service_side, call)
     answer.cancelled.set()
     await task
 
@@ -70,7 +72,7 @@
     service_side: Side,
 ) -> None:
     call = service_side.make_keyed()
-    _, task, run = await async_begin(service_side, call)
+    _, task, run = await async_begin_and_send(service_side, call)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     await run.async_answer(b"reserved")
@@ -87,7 +89,7 @@
     service_side: Side,
 ) -> None:
     call = service_side.make_keyed()
-    answer, task, run = await async_begin(service_side, call)
+    answer, task, run = await async_begin_and_send(service_side, call)
     service_side.clock.advance(call.deadline_ms)
     await task
 
@@ -101,7 +103,7 @@
 
 async def test_call_that_never_ends_gives_its_slot_back(service_side: Side) -> None:
     call = service_side.make_keyed()
-    _, task, _ = await async_begin(service_side, call)
+    _, task, _ = await async_begin_and_send(service_side, call)
     for _ in range(10):
         service_side.clock.advance(call.deadline_ms)
         await async_settle()
@@ -118,10 +120,10 @@
     answer, task = service_side.handle(call)
     run = await service_side.upstream.async_next()
     service_side.clock.advance(LEASE_MS + 5_000)
-    run.hand_over()
+    run.send()
     await task
 
-    assert not run.handed
+    assert not run.sent
     assert isinstance(answer.failure, Refused | Failed)
     assert answer.failure.reason is Reason.HOME_UNCONFIRMED
 
@@ -131,10 +133,10 @@
     answer, task = service_side.handle(call)
     run = await service_side.upstream.async_next()
     answer.cancelled.set()
-    run.hand_over()
+    run.send()
     await task
 
-    assert not run.handed
+    assert not run.sent
     assert isinstance(answer.failure, Refused)
     assert answer.failure.reason is Reason.CANCELLED
 
@@ -149,7 +151,7 @@
     await async_settle()
     first.cancelled.set()
     run = await service_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"reserved")
     run.finish()
     await asyncio.gather(first_task, second_task)
@@ -161,7 +163,7 @@
 
 async def test_lost_answer_is_unknown_for_every_repeat(service_side: Side) -> None:
     call = service_side.make_keyed()
-    answer, task, run = await async_begin(service_side, call)
+    answer, task, run = await async_begin_and_send(service_side, call)
     run.finish(Failed(reason=Reason.UPSTREAM_LOST))
     await task
 
@@ -182,7 +184,7 @@
 
     assert isinstance(answer.failure, Refused)
     assert not answer.failure.elsewhere
-    again, again_task, run = await async_begin(service_side, call)
+    again, again_task, run = await async_begin_and_send(service_side, call)
     await run.async_answer(b"reserved")
     run.finish()
     await again_task
@@ -195,8 +197,8 @@
     service_side: Side, caller_stays: bool
 ) -> None:
     call = service_side.make_keyed()
-    answer, task, run = await async_begin(service_side, call)
-    await run.async_answer(b"x" * LARGE)
+    answer, task, run = await async_begin_and_send(service_side, call)
+    await run.async_answer(b"x" * TOO_LARGE)
     if not caller_stays:
         answer.cancelled.set()
         await task
@@ -206,7 +208,7 @@
     again = await service_side.async_handle(call)
 
     if caller_stays:
-        assert answer.body == b"x" * LARGE + b"end"
+        assert answer.body == b"x" * TOO_LARGE + b"end"
         assert answer.ended
     assert isinstance(again.failure, Failed)
     assert service_side.upstream.started == 1
@@ -214,11 +216,11 @@
 
 async def test_remembered_answer_is_told_while_leaving(service_side: Side) -> None:
     call = service_side.make_keyed()
-    _, task, run = await async_begin(service_side, call)
+    _, task, run = await async_begin_and_send(service_side, call)
     await run.async_answer(b"reserved")
     run.finish()
     await task
-    service_side.runner.begin_leaving()
+    service_side.runner.begin_drain()
 
     again = await service_side.async_handle(call)
     new = await service_side.async_handle(service_side.make_keyed())
@@ -229,7 +231,7 @@
 
 
 async def test_planned_stop_waits_for_a_call_whose_caller_went(service_side: Side) -> None:
-    answer, task, run = await async_begin(service_side, service_side.make_keyed())
+    answer, task, run = await async_begin_and_send(service_side, service_side.make_keyed())
     answer.cancelled.set()
     await task
     drain = service_side.drain()
@@ -243,7 +245,7 @@
 
 async def test_other_request_with_the_same_key_is_refused(service_side: Side) -> None:
     call = service_side.make_keyed()
-    _, task, run = await async_begin(service_side, call)
+    _, task, run = await async_begin_and_send(service_side, call)
     await run.async_answer(b"reserved")
     run.finish()
     await task
--- a/tests/exchange/test_exchange_repeatable.py
+++ b/tests/exchange/test_exchange_repeatable.py
@@ -19,7 +19,7 @@
 async def test_answer_is_passed_on_whole(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"one ")
     await run.answer.async_write(b"two")
     run.finish()
@@ -34,7 +34,7 @@
 async def test_answer_without_a_body_keeps_its_head(service_side: Side) -> None:
     answer, task = service_side.handle(REQUEST)
     run = await service_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"", status=204)
     run.finish()
     await task
@@ -86,7 +86,7 @@
     running = [engine_side.handle(replace(CHAT, request_id=name)) for name in ("a", "b")]
     runs = [await engine_side.upstream.async_next() for _ in running]
     for run in runs:
-        run.hand_over()
+        run.send()
     waiting, waiting_task = engine_side.handle(replace(CHAT, request_id="c"))
     await async_settle()
     drain = engine_side.drain()
@@ -109,7 +109,7 @@
 async def test_caller_that_goes_cancels_the_work_at_the_upstream(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"one")
     answer.cancelled.set()
     await task
@@ -133,7 +133,7 @@
 async def test_deadline_after_the_hand_over_is_unknown_and_cancels(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     engine_side.clock.advance(CHAT.deadline_ms)
     await task
 
@@ -159,21 +159,21 @@
     ]
     runs = [await engine_side.upstream.async_next()]
     await async_settle()
-    runs[0].hand_over()
+    runs[0].send()
     chats = [
         engine_side.handle(replace(CHAT, request_id=f"chat-{number}", digest=30 + number))
         for number in range(2)
     ]
     chat_runs = [await engine_side.upstream.async_next() for _ in chats]
     for run in chat_runs:
-        run.hand_over()
+        run.send()
         await run.async_answer(b"inspector")
         run.finish()
     for _, task in chats:
         await task
     for _ in reports:
         run = await engine_side.upstream.async_next()
-        run.hand_over()
+        run.send()
         await run.async_answer(b"report")
         run.finish()
     for answer, task in reports:
@@ -186,7 +186,7 @@
 async def test_batch_work_that_has_sent_a_byte_goes_on(engine_side: Side) -> None:
     report, report_task = engine_side.handle(REPORT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"first ")
     chats = [
         engine_side.handle(replace(CHAT, request_id=f"chat-{number}", digest=30 + number))
@@ -209,7 +209,7 @@
     second, second_task = engine_side.handle(replace(CHAT, request_id="b", digest=12))
     for _ in range(2):
         run = await engine_side.upstream.async_next()
-        run.hand_over()
+        run.send()
         if run.request.request_id == "b":
             engine_side.upstream.die()
         run.finish(Failed(reason=Reason.UPSTREAM_LOST))
@@ -219,7 +219,7 @@
 
     again, again_task = engine_side.handle(replace(CHAT, request_id="b", digest=12))
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     other, other_task = engine_side.handle(replace(CHAT, request_id="c", digest=13))
     await async_settle()
     assert engine_side.upstream.started == 3
@@ -227,7 +227,7 @@
     run.finish()
     await again_task
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"after")
     run.finish()
     await other_task
--- a/tests/gateway/gateway_fakes.py
+++ b/tests/gateway/gateway_fakes.py
@@ -215,7 +215,7 @@
     def check(self, digest: int) -> Verdict:
         return self.verdict
 
-    def list_news(self, digest: int) -> tuple[SuspectNews, ...]:
+    def list_strikes(self, digest: int) -> tuple[SuspectNews, ...]:
         return self.news
 
 
--- a/tests/gateway/test_gateway_retries.py
+++ b/tests/gateway/test_gateway_retries.py
@@ -5,7 +5,7 @@
 
 from gypsumrouter.link.models import Data, SuspectNews
 from gypsumrouter.outcomes import Failed, Reason, Refused
-from gypsumrouter.suspicion import Suspect, find_isolation_places
+from gypsumrouter.suspicion import Suspect, select_isolation_instances
 
 LOST = Failed(reason=Reason.LINK_LOST)
 OVER_CAP = Refused(reason=Reason.OVER_CAP, retry_after_ms=300, elsewhere=True)
@@ -74,7 +74,7 @@
 async def test_suspect_goes_first_to_its_isolation_place_which_is_told_before(
     router: Router,
 ) -> None:
-    place = find_isolation_places("engines", router.fleet.members("engines"))[0].name
+    place = select_isolation_instances("engines", router.fleet.members("engines"))[0].name
     news = SuspectNews(digest=1, strike=2, alone=False)
     router.suspicion.verdict, router.suspicion.news = Suspect(), (news,)
     busy = Refused(reason=Reason.SUSPECT_BUSY, elsewhere=True, retry_after_ms=1_000)
--- a/tests/idempotency/idempotency_world.py
+++ b/tests/idempotency/idempotency_world.py
@@ -21,7 +21,7 @@
 START_MS = 1_700_000_000_000
 
 
-class ScriptedLists:
+class FakeInstanceLists:
     """A list reader that is told what it read, and that takes states in their order only."""
 
     def __init__(self) -> None:
@@ -43,11 +43,11 @@
             return
         self.newest = listed
         if newest and listed.revision == newest.revision:
-            for fresh in self._on_fresh:
-                fresh(listed.as_of_ms)
+            for on_fresh in self._on_fresh:
+                on_fresh(listed.as_of_ms)
             return
-        for told in self._on_list:
-            told(listed)
+        for on_list in self._on_list:
+            on_list(listed)
 
 
 class Side:
@@ -60,7 +60,7 @@
         self.app = Application(
             name=name, role=Role.SIDE, data_centre="dc1", region="r1", clock=self.clock
         )
-        self.lists = ScriptedLists()
+        self.lists = FakeInstanceLists()
         self.idempotency = Idempotency(
             app=self.app,
             settings=Platform(list_lease_ms=LEASE_MS, clock_skew_ms=SKEW_MS),
@@ -69,7 +69,7 @@
             pool=POOL,
         )
         self.idempotency.configure(make_pool())
-        self.idempotency.note_listening(address)
+        self.idempotency.set_listen_address(address)
 
     def read(self, revision: int, *instances: Instance, as_of_ms: int | None = None) -> None:
         """Read a state of the list that holds now."""
--- a/tests/idempotency/test_idempotency_machine.py
+++ b/tests/idempotency/test_idempotency_machine.py
@@ -29,9 +29,9 @@
 
 from gypsumrouter.fleet import Address, Instance, InstanceList
 from gypsumrouter.idempotency import Run
-from gypsumrouter.idempotency.confirmation import HomeConfirmation
-from gypsumrouter.idempotency.homes import Tenure
-from gypsumrouter.idempotency.memory import CallMemory
+from gypsumrouter.idempotency.ownership import OwnershipHistory
+from gypsumrouter.idempotency.ownership_checks import OwnershipChecks
+from gypsumrouter.idempotency.records import RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.outcomes import Failure, Reason, Refused
 
@@ -51,7 +51,7 @@
     """One call of a caller; `sent_ms` is the true time of its first sending."""
 
     key: str
-    timed: bool
+    has_time: bool
     sent_ms: int
     runs: int = 0
 
@@ -62,7 +62,7 @@
     side: Side
     begun: list[tuple[Call, Run]] = field(default_factory=list)
     paused: bool = False
-    cut: bool = False
+    partitioned: bool = False
 
 
 class AtMostOnceMachine(RuleBasedStateMachine):
@@ -78,7 +78,7 @@
         self.processes: list[Process] = []
         self.calls: list[Call] = []
         self.publish(*(self.start(name) for name in SLOTS[:2]))
-        self.pass_quiet_time(LONG_MS)
+        self.pass_time_with_reads(LONG_MS)
 
     @property
     def instances(self) -> tuple[Instance, ...]:
@@ -112,14 +112,14 @@
         total_ms=st.sampled_from((4_000, LEASE_MS + 4 * SKEW_MS, WINDOW_MS, LONG_MS)),
         newest=st.booleans(),
     )
-    def pass_quiet_time(self, total_ms: int, newest: bool = False) -> None:
+    def pass_time_with_reads(self, total_ms: int, newest: bool = False) -> None:
         """Let time pass while all that can read the list do."""
         for _ in range(4):
             self.pass_time(total_ms // 4)
-            self.read_everywhere(0, newest)
+            self.read_list_everywhere(0, newest)
 
     @rule(lag_ms=st.sampled_from((0, 0, 400, 3_000)), newest=st.booleans())
-    def read_everywhere(self, lag_ms: int, newest: bool) -> None:
+    def read_list_everywhere(self, lag_ms: int, newest: bool) -> None:
         for index in range(len(self.processes)):
             for _ in range(1 if newest else len(self.states)):
                 self.read_list(index, lag_ms, newest)
@@ -127,13 +127,13 @@
     @rule(index=INDEX, lag_ms=st.sampled_from((0, 400, 3_000, 20_000)), newest=st.booleans())
     def read_list(self, index: int, lag_ms: int, newest: bool) -> None:
         """Read the next state from a replica that lags, or its newest one past a gap."""
-        process = self.get_process(index)
+        process = self.get_running_process(index)
         at_ms = self.true_ms - lag_ms
         past = [number for number, (since_ms, _) in enumerate(self.states) if since_ms <= at_ms]
-        if process is None or process.cut or not past:
+        if process is None or process.partitioned or not past:
             return
-        known = process.side.lists.newest
-        after = past[-1] if newest or known is None else known.revision + 1
+        current = process.side.lists.newest
+        after = past[-1] if newest or current is None else current.revision + 1
         revision = min(after, past[-1])
         as_of_ms = at_ms if revision == past[-1] else self.states[revision + 1][0] - 1
         instances = self.states[revision][1]
@@ -145,11 +145,11 @@
     def list_slot(self, name: str, replaced: bool) -> None:
         """List the newest process of a slot, or a new one at another address."""
         rest = [item for item in self.instances if item.name != name]
-        known = [process.side for process in self.processes if process.side.name == name]
-        if replaced or not known:
+        current = [process.side for process in self.processes if process.side.name == name]
+        if replaced or not current:
             self.publish(*rest, self.start(name))
         else:
-            self.publish(*rest, make_instance(name, known[-1].address))
+            self.publish(*rest, make_instance(name, current[-1].address))
 
     @rule(name=NAME)
     def remove_slot(self, name: str) -> None:
@@ -172,47 +172,47 @@
         clock = self.processes[index % len(self.processes)].side.clock
         clock.shift_wall(self.true_ms + skew_ms - clock.wall_ms())
 
-    @rule(index=INDEX, cut=st.booleans())
-    def stop_or_resume(self, index: int, cut: bool) -> None:
+    @rule(index=INDEX, partitioned=st.booleans())
+    def toggle_fault(self, index: int, partitioned: bool) -> None:
         """Cut a process off from the list, or pause it whole; or end that."""
         process = self.processes[index % len(self.processes)]
-        if cut:
-            process.cut = not process.cut
+        if partitioned:
+            process.partitioned = not process.partitioned
         else:
             process.paused = not process.paused
 
     # Callers
 
     @rule(
-        timed=st.booleans(),
+        has_time=st.booleans(),
         offset_ms=st.sampled_from((-20_000, -900, 0, 0, 0, 900)),
         end=st.sampled_from(("", "finish", "lost")),
     )
-    def make_calls(self, timed: bool, offset_ms: int, end: str) -> None:
+    def make_calls(self, has_time: bool, offset_ms: int, end: str) -> None:
         """Send new calls, by several routers, to every process that may be their home."""
         for number in range(len(self.calls), len(self.calls) + NEW_CALLS):
-            text = make_uuid7(self.true_ms + offset_ms, number) if timed else f"order-{number}"
-            self.calls.append(Call(key=text, timed=timed, sent_ms=self.true_ms))
+            text = make_uuid7(self.true_ms + offset_ms, number) if has_time else f"order-{number}"
+            self.calls.append(Call(key=text, has_time=has_time, sent_ms=self.true_ms))
         for index in range(len(self.processes)):
             for number in range(NEW_CALLS):
                 self.send(index, number)
-            self.go_on(index, end)
+            self.finish_runs(index, end)
 
     @rule(end=st.sampled_from(("", "finish", "not_run")))
     def repeat_recent_calls(self, end: str) -> None:
         for index in range(len(self.processes)):
             for number in range(min(RECENT_CALLS, len(self.calls))):
                 self.send(index, number)
-            self.go_on(index, end)
+            self.finish_runs(index, end)
 
     @rule(index=INDEX, number=st.integers(0, RECENT_CALLS - 1))
     def send(self, index: int, number: int) -> None:
         """Let a copy of a call arrive, sent by its caller or held up on its way."""
-        process = self.get_process(index)
+        process = self.get_running_process(index)
         if process is None or not self.calls:
             return
         call = self.calls[-1 - number % len(self.calls)]
-        if not call.timed and self.true_ms - call.sent_ms > WINDOW_MS + TRANSIT_MS:
+        if not call.has_time and self.true_ms - call.sent_ms > WINDOW_MS + TRANSIT_MS:
             return  # the stated end of the cover of an opaque key
         result = process.side.idempotency.begin(make_call(call.key))
         if isinstance(result, Run):
@@ -221,9 +221,9 @@
             self.check_not_run(call, result)
 
     @rule(index=INDEX, end=st.sampled_from(("finish", "lost", "not_run")))
-    def go_on(self, index: int, end: str) -> None:
+    def finish_runs(self, index: int, end: str) -> None:
         """Let what was begun reach its hand-over, or be refused before it."""
-        process = self.get_process(index)
+        process = self.get_running_process(index)
         if process is None or not end:
             return
         for call, run in process.begun:
@@ -232,9 +232,9 @@
 
     def end_run(self, call: Call, run: Run, end: str) -> None:
         if end == "not_run":
-            self.check_not_run(call, run.not_run(Refused(reason=Reason.OVER_CAP)))
+            self.check_not_run(call, run.cancel(Refused(reason=Reason.OVER_CAP)))
             return
-        denied = run.started()
+        denied = run.authorize()
         if denied is not None:
             self.check_not_run(call, denied)
             return
@@ -244,9 +244,9 @@
         if end == "finish":
             run.finish(HEAD, b"{}")
         else:
-            run.lost(Reason.UPSTREAM_LOST)
+            run.fail(Reason.UPSTREAM_LOST)
 
-    def get_process(self, index: int) -> Process | None:
+    def get_running_process(self, index: int) -> Process | None:
         process = self.processes[index % len(self.processes)]
         return None if process.paused else process
 
@@ -259,11 +259,11 @@
 @pytest.fixture(autouse=True)
 def short_transit(monkeypatch: pytest.MonkeyPatch) -> None:
     """Shorten the time on the way, so that opaque keys run within the machine's steps."""
-    monkeypatch.setattr("gypsumrouter.idempotency.confirmation.MAX_TRANSIT_MS", TRANSIT_MS)
+    monkeypatch.setattr("gypsumrouter.idempotency.ownership_checks.MAX_TRANSIT_MS", TRANSIT_MS)
 
 
 @pytest.fixture(autouse=True)
-def same_draws(monkeypatch: pytest.MonkeyPatch) -> None:
+def fixed_draws(monkeypatch: pytest.MonkeyPatch) -> None:
     """Draw the same values whatever else the process has loaded.
 
     The library also draws constants of all our modules that are loaded, derandomized or not.
@@ -296,45 +296,47 @@
     assert Machine.executed > 300
 
 
-def run_without_lease(self: HomeConfirmation, *_: object) -> None:
+def skip_lease_check(self: OwnershipChecks, *_: object) -> None:
     return None
 
 
-def run_from_the_beginning(self: HomeConfirmation, since_ms: int, floor_ms: int) -> int:
-    return floor_ms
+def ignore_ownership_start(
+    self: OwnershipChecks, owned_since_ms: int, listening_since_ms: int
+) -> int:
+    return listening_since_ms
 
 
-def accept_any_address(self: Tenure, candidates: list[Instance]) -> bool:
+def accept_any_address(self: OwnershipHistory, candidates: list[Instance]) -> bool:
     return any(item.name == self._name for item in candidates)
 
 
-def forget_early(self: CallMemory, now_ms: int) -> None:
+def expire_at_once(self: RecordStore, now_ms: int) -> None:
     while self._ended:
         record = self._ended.pop()
         del self._records[record.digest]
 
 
-def run_opaque_at_once(self: HomeConfirmation, bound_ms: int) -> None:
+def skip_opaque_check(self: OwnershipChecks, earlier_runs_until_ms: int) -> None:
     return None
 
 
 WEAKENED: tuple[tuple[str, type, str, Callable[..., object]], ...] = (
-    ("lease", HomeConfirmation, "_check_lease", run_without_lease),
-    ("tenure", HomeConfirmation, "_get_bound_ms", run_from_the_beginning),
-    ("own address", Tenure, "_is_listed", accept_any_address),
-    ("memory", CallMemory, "expire", forget_early),
-    ("opaque window", HomeConfirmation, "_check_opaque", run_opaque_at_once),
+    ("lease", OwnershipChecks, "_check_lease", skip_lease_check),
+    ("tenure", OwnershipChecks, "_get_earlier_runs_until_ms", ignore_ownership_start),
+    ("own address", OwnershipHistory, "_is_listed", accept_any_address),
+    ("memory", RecordStore, "expire", expire_at_once),
+    ("opaque window", OwnershipChecks, "_check_opaque", skip_opaque_check),
 )
 
 
 @pytest.mark.parametrize(
-    ("owner", "method", "weaker"),
+    ("owner", "method", "weakened"),
     [entry[1:] for entry in WEAKENED],
     ids=[entry[0] for entry in WEAKENED],
 )
 def test_machine_finds_the_fault_when_a_check_is_weakened(
-    monkeypatch: pytest.MonkeyPatch, owner: type, method: str, weaker: Callable[..., object]
+    monkeypatch: pytest.MonkeyPatch, owner: type, method: str, weakened: Callable[..., object]
 ) -> None:
-    monkeypatch.setattr(owner, method, weaker)
+    monkeypatch.setattr(owner, method, weakened)
     with pytest.raises(AssertionError, match="was executed"):
         explore(AtMostOnceMachine, examples=1_000, phases=(Phase.generate,))
--- a/tests/idempotency/test_idempotency_memory.py
+++ b/tests/idempotency/test_idempotency_memory.py
@@ -23,7 +23,7 @@
 def remember(side: Side, key: str, number: int, answer_bytes: int) -> None:
     run = side.idempotency.begin(make_call(key))
     assert isinstance(run, Run)
-    assert run.started() is None
+    assert run.authorize() is None
     run.finish(make_head(number), bytes(answer_bytes))
 
 
--- a/tests/idempotency/test_idempotency_reasons.py
+++ b/tests/idempotency/test_idempotency_reasons.py
@@ -19,15 +19,15 @@
 from gypsumrouter.configuration.models import OpaqueKeys
 from gypsumrouter.exceptions import InvariantBroken
 from gypsumrouter.fleet import Address, Instance
-from gypsumrouter.idempotency import Join, Replay, Run, find_home, get_call_outcome
-from gypsumrouter.idempotency.confirmation import HomeConfirmation
+from gypsumrouter.idempotency import Join, Replay, Run, find_key_owner, get_call_outcome
 from gypsumrouter.idempotency.const import MAX_ANSWER_BYTES, MAX_TRANSIT_MS
-from gypsumrouter.idempotency.homes import Tenure
+from gypsumrouter.idempotency.ownership import OwnershipHistory
+from gypsumrouter.idempotency.ownership_checks import OwnershipChecks
 from gypsumrouter.link.models import Head
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
 HEAD = Head(status=201, headers=(("Content-Type", "application/json"),))
-BOUND_MS = LEASE_MS + 2 * SKEW_MS
+NEW_OWNER_DELAY_MS = LEASE_MS + 2 * SKEW_MS
 
 
 def begin_now(side: Side, *, number: int = 0, age_ms: int = 0) -> Run | Replay | Join | Failure:
@@ -47,11 +47,11 @@
     call = make_call(make_uuid7(side.clock.wall_ms()))
     run = side.idempotency.begin(call)
     assert isinstance(run, Run)
-    assert run.started() is None
+    assert run.authorize() is None
     run.finish(HEAD, b"reserved")
     side.read(2)
     assert side.idempotency.begin(call) == Replay(head=HEAD, body=b"reserved")
-    assert side.idempotency.recall(call) == Replay(head=HEAD, body=b"reserved")
+    assert side.idempotency.find_known(call) == Replay(head=HEAD, body=b"reserved")
 
 
 async def test_repeat_joins_the_running_call_and_gets_its_answer(side: Side) -> None:
@@ -62,7 +62,7 @@
     waits = [asyncio.ensure_future(join.async_wait()) for join in joins if isinstance(join, Join)]
     await asyncio.sleep(0)
     waits[0].cancel()
-    assert run.started() is None
+    assert run.authorize() is None
     run.finish(HEAD, b"reserved")
     assert await waits[1] == Replay(head=HEAD, body=b"reserved")
 
@@ -74,7 +74,7 @@
     assert isinstance(run, Run)
     assert isinstance(join, Join)
     refused = Refused(reason=Reason.OVER_CAP, retry_after_ms=500)
-    assert run.not_run(refused) == refused
+    assert run.cancel(refused) == refused
     assert await join.async_wait() == refused
     assert isinstance(side.idempotency.begin(call), Run)
 
@@ -84,7 +84,7 @@
     run = side.idempotency.begin(call)
     assert isinstance(run, Run)
     with run:
-        assert run.started() is None
+        assert run.authorize() is None
     assert get_failure(side.idempotency.begin(call)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
 
@@ -93,9 +93,9 @@
     assert isinstance(run, Run)
     with pytest.raises(InvariantBroken):
         run.finish(HEAD, b"")
-    run.not_run(Refused(reason=Reason.OVER_CAP))
+    run.cancel(Refused(reason=Reason.OVER_CAP))
     with pytest.raises(InvariantBroken):
-        run.not_run(Refused(reason=Reason.OVER_CAP))
+        run.cancel(Refused(reason=Reason.OVER_CAP))
 
 
 def test_same_key_with_another_body_is_refused(side: Side) -> None:
@@ -137,7 +137,7 @@
     wall_ms = side.clock.wall_ms()
     for number in range(16):
         key = make_uuid7(wall_ms, number)
-        home = find_home(
+        home = find_key_owner(
             pool="records", workspace="chapin", key=key, instances=(get_own(side), other)
         )
         result = side.idempotency.begin(make_call(key))
@@ -177,51 +177,51 @@
     assert isinstance(run, Run)
     assert isinstance(refused, Run)
     side.clock.advance(LEASE_MS + 2 * SKEW_MS + 1)
-    denied = run.started()
+    denied = run.authorize()
     assert denied is not None
     assert denied.reason is Reason.HOME_UNCONFIRMED
     side.read(2)
-    assert refused.not_run(Refused(reason=Reason.OVER_CAP)).reason is Reason.NOT_HOME
+    assert refused.cancel(Refused(reason=Reason.OVER_CAP)).reason is Reason.NOT_HOME
 
 
 def test_key_from_before_the_tenure_is_unknown_and_a_later_one_runs(side: Side) -> None:
     side.read(2)
     side.read(3, get_own(side))
-    side.clock.advance(BOUND_MS + 1)
+    side.clock.advance(NEW_OWNER_DELAY_MS + 1)
     side.read(3, get_own(side))
     assert get_failure(begin_now(side, age_ms=1)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
     assert isinstance(begin_now(side), Run)
 
 
-def skip_a_revision(side: Side) -> None:
+def skip_revision(side: Side) -> None:
     side.clock.advance(1_000)
     side.read(3, get_own(side))
 
 
 def test_missed_revision_breaks_the_tenure(side: Side) -> None:
-    skip_a_revision(side)
+    skip_revision(side)
     assert get_failure(begin_now(side)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
 
 def test_missed_revision_would_run_twice_without_the_check(
     side: Side, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Tenure, "_break", lambda self, as_of_ms: None)
-    skip_a_revision(side)
+    monkeypatch.setattr(OwnershipHistory, "_reset", lambda self, as_of_ms: None)
+    skip_revision(side)
     assert isinstance(begin_now(side), Run)
 
 
-def restart_with_an_old_list(side: Side) -> tuple[Side, str]:
+def restart_with_old_list(side: Side) -> tuple[Side, str]:
     """Return a side started anew, and a key that its predecessor has run before."""
     key = make_uuid7(side.clock.wall_ms())
     fresh = Side(name=side.name, address=side.address, wall_ms=side.clock.wall_ms())
-    fresh.read(1, get_own(side), as_of_ms=fresh.clock.wall_ms() - BOUND_MS - 1)
+    fresh.read(1, get_own(side), as_of_ms=fresh.clock.wall_ms() - NEW_OWNER_DELAY_MS - 1)
     fresh.read(1, get_own(side))
     return fresh, key
 
 
 def test_restart_in_place_does_not_run_what_its_predecessor_may_have_run(side: Side) -> None:
-    fresh, key = restart_with_an_old_list(side)
+    fresh, key = restart_with_old_list(side)
     result = fresh.idempotency.begin(make_call(key))
     assert get_failure(result) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
@@ -230,11 +230,11 @@
     side: Side, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
-        HomeConfirmation,
-        "_get_bound_ms",
-        lambda self, since_ms, floor_ms: self._add_lease(since_ms),
+        OwnershipChecks,
+        "_get_earlier_runs_until_ms",
+        lambda self, owned_since_ms, listening_since_ms: self._get_lease_end_ms(owned_since_ms),
     )
-    fresh, key = restart_with_an_old_list(side)
+    fresh, key = restart_with_old_list(side)
     assert isinstance(fresh.idempotency.begin(make_call(key)), Run)
 
 
@@ -242,11 +242,11 @@
     side.read(2)
     side.read(3, get_own(side))
     call = make_call("order-4711")
-    young = side.idempotency.begin(call)
-    assert isinstance(young, Failed)
-    assert young.reason is Reason.HOME_TOO_YOUNG
-    assert young.retry_after_ms == BOUND_MS + WINDOW_MS + MAX_TRANSIT_MS + 1
-    side.clock.advance(young.retry_after_ms)
+    refused = side.idempotency.begin(call)
+    assert isinstance(refused, Failed)
+    assert refused.reason is Reason.HOME_TOO_YOUNG
+    assert refused.retry_after_ms == NEW_OWNER_DELAY_MS + WINDOW_MS + MAX_TRANSIT_MS + 1
+    side.clock.advance(refused.retry_after_ms)
     side.read(3, get_own(side))
     assert isinstance(side.idempotency.begin(call), Run)
 
@@ -265,15 +265,15 @@
 
 def test_request_with_an_opaque_key_that_was_held_up_is_not_run(side: Side) -> None:
     received_ms = side.clock.wall_ms() - MAX_TRANSIT_MS - 1
-    held_up = side.idempotency.begin(make_call("order-4711"), received_wall_ms=received_ms)
-    assert get_failure(held_up) == (Failed, Reason.KEY_EXPIRED)
+    delayed = side.idempotency.begin(make_call("order-4711"), received_wall_ms=received_ms)
+    assert get_failure(delayed) == (Failed, Reason.KEY_EXPIRED)
 
 
 def test_forgotten_key_is_expired_even_when_the_clock_goes_back(side: Side) -> None:
     key = make_uuid7(side.clock.wall_ms() + SKEW_MS)
     run = side.idempotency.begin(make_call(key))
     assert isinstance(run, Run)
-    assert run.started() is None
+    assert run.authorize() is None
     run.finish(HEAD, b"")
     side.clock.advance(WINDOW_MS + 3 * SKEW_MS)
     side.clock.shift_wall(-3 * SKEW_MS)
@@ -287,7 +287,7 @@
     runs = [begin_now(side, number=number) for number in range(2)]
     for run in runs:
         assert isinstance(run, Run)
-        assert run.started() is None
+        assert run.authorize() is None
         run.finish(HEAD, b"")
     full = begin_now(side, number=2)
     assert get_failure(full) == (Refused, Reason.MEMORY_FULL)
@@ -303,7 +303,7 @@
     call = make_call(make_uuid7(side.clock.wall_ms()))
     run = side.idempotency.begin(call)
     assert isinstance(run, Run)
-    assert run.started() is None
+    assert run.authorize() is None
     run.finish(HEAD, b"x" * (MAX_ANSWER_BYTES + 1))
     evicted = side.idempotency.begin(call)
     assert isinstance(evicted, Failed)
@@ -315,7 +315,7 @@
     waiting = begin_now(side, number=1)
     assert isinstance(waiting, Run)
     side.app.stopping.set()
-    denied = waiting.started()
+    denied = waiting.authorize()
     assert denied is not None
     assert denied.reason is Reason.LEAVING
     assert get_failure(begin_now(side, number=2)) == (Refused, Reason.LEAVING)
--- a/tests/integration/integration_fleet.py
+++ b/tests/integration/integration_fleet.py
@@ -19,7 +19,7 @@
 from gypsumrouter.const import HEADER_DEADLINE, HEADER_IDEMPOTENCY_KEY, PATH_SERVICES
 from gypsumrouter.fleet import Address
 from gypsumrouter.helpers.connector import ShieldedConnector
-from gypsumrouter.idempotency import find_home
+from gypsumrouter.idempotency import find_key_owner
 from gypsumrouter.outcomes import Executed
 from gypsumrouter.standins import Deployment, EngineSettings, make_configuration
 from gypsumrouter.util.clock import SystemClock
@@ -118,7 +118,7 @@
         while True:
             key = make_uuid7(wall_ms=self.clock.wall_ms(), randomness=self.random)
             pool, workspace = self.deployment.service_pool, self.deployment.workspaces[0].name
-            if find_home(pool=pool, workspace=workspace, key=key, instances=instances) == home:
+            if find_key_owner(pool=pool, workspace=workspace, key=key, instances=instances) == home:
                 return key
 
     async def async_call(self, group: Group, key: str, *, deadline_ms: int = DEADLINE_MS) -> Answer:
--- a/tests/suspicion/suspicion_world.py
+++ b/tests/suspicion/suspicion_world.py
@@ -10,13 +10,13 @@
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.link import NoticeHub, Peer
 from gypsumrouter.link.models import SuspectNews
-from gypsumrouter.suspicion import Suspicion, Token
+from gypsumrouter.suspicion import RunPermit, SuspectTracker
 from gypsumrouter.util.clock import ManualClock
 
 Listener = Callable[[Peer, SuspectNews], None]
 
 
-class FakeHub:
+class FakeNoticeHub:
     """The listeners for news from other processes."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         return lambda: self.listeners.remove(listener)
 
 
-class Member:
+class FakeProcess:
     """One process with its suspicion; what is new to it is kept in `told`."""
 
     def __init__(self, name: str = "e0", *, fleet: Any = None, pool: str = "") -> None:
@@ -35,33 +35,33 @@
         self.app = Application(
             name=name, role=Role.SIDE, data_centre="dc1", region="r", clock=self.clock
         )
-        self.hub = FakeHub()
-        self.suspicion = Suspicion(
+        self.hub = FakeNoticeHub()
+        self.suspicion = SuspectTracker(
             app=self.app, notices=cast(NoticeHub, self.hub), fleet=fleet, pool=pool
         )
-        self.told: list[SuspectNews] = []
-        self.suspicion.on_news(self.told.append)
+        self.announced: list[SuspectNews] = []
+        self.suspicion.on_new_strike(self.announced.append)
 
-    def hear(self, *news: SuspectNews) -> None:
-        for item in news:
+    def receive(self, *strikes: SuspectNews) -> None:
+        for item in strikes:
             for listener in self.hub.listeners:
                 listener(cast(Peer, None), item)
 
-    def die_with(self, *digests: int) -> tuple[SuspectNews, ...]:
+    def crash_with(self, *digests: int) -> tuple[SuspectNews, ...]:
         """Let the upstream die while these digests run."""
         for digest in digests:
-            self.suspicion.note_started(digest)
-        news = self.suspicion.note_upstream_died()
+            self.suspicion.record_start(digest)
+        strikes = self.suspicion.handle_upstream_crash()
         for digest in digests:
-            self.suspicion.note_ended(digest)
-        return news
+            self.suspicion.record_end(digest)
+        return strikes
 
     def enter(self, digest: int) -> asyncio.Task[Any]:
         return asyncio.ensure_future(self.suspicion.async_enter(digest, asyncio.Event()))
 
-    async def async_enter(self, digest: int) -> Token:
+    async def async_enter(self, digest: int) -> RunPermit:
         token = await self.suspicion.async_enter(digest, asyncio.Event())
-        assert isinstance(token, Token)
+        assert isinstance(token, RunPermit)
         return token
 
 
--- /dev/null
+++ b/tests/suspicion/test_suspicion_crashes.py
@@ -0,0 +1,175 @@
+"""What strikes say of a request, and how the news of them travels."""
+
+from __future__ import annotations
+
+import pytest
+from suspicion_world import FakeProcess
+
+from gypsumrouter.const import Role
+from gypsumrouter.fleet import Address, Instance
+from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.outcomes import Reason, Refused
+from gypsumrouter.suspicion import Clear, Suspect, select_isolation_instances
+from gypsumrouter.suspicion.const import CRASH_TTL_MS, MAX_CRASHES, PROOF_TTL_MS
+
+CRASHING = 666
+
+
+class FakeFleet:
+    def __init__(self, *names: str) -> None:
+        self.instances = tuple(make_engine(name) for name in names)
+
+    def members(self, pool: str) -> tuple[Instance, ...]:
+        return self.instances
+
+
+def make_engine(name: str) -> Instance:
+    return Instance(
+        name=name,
+        role=Role.SIDE,
+        address=Address(host="10.0.0.1", port=7000),
+        data_centre="dc1",
+        region="r",
+        pool="engines",
+    )
+
+
+def is_rejected(process: FakeProcess, digest: int) -> bool:
+    verdict = process.suspicion.check(digest)
+    return isinstance(verdict, Refused) and verdict.reason is Reason.SUSPECT
+
+
+def test_one_death_makes_all_that_ran_suspect_with_one_strike() -> None:
+    process = FakeProcess()
+    strikes = process.crash_with(CRASHING, 1, 2, 2)
+    assert {item.digest for item in strikes} == {CRASHING, 1, 2}
+    assert len({item.strike for item in strikes}) == 1
+    assert process.announced == list(strikes)
+    assert process.suspicion.check(1) == Suspect()
+    assert process.suspicion.check(3) == Clear()
+
+
+def test_reports_of_the_same_death_count_once() -> None:
+    process = FakeProcess()
+    process.suspicion.record_start(1)
+    process.suspicion.record_start(2)
+    assert len(process.suspicion.handle_upstream_crash()) == 2
+    assert process.suspicion.handle_upstream_crash() == ()
+    process.suspicion.record_end(1)
+    assert process.suspicion.handle_upstream_crash() == ()
+
+
+def test_single_death_alone_is_no_proof() -> None:
+    process = FakeProcess()
+    process.crash_with(1)
+    assert process.suspicion.check(1) == Suspect()
+
+
+def test_death_alone_after_a_strike_is_proof_and_clears_the_neighbours_everywhere() -> None:
+    first, second, router = FakeProcess(), FakeProcess(), FakeProcess()
+    strikes = first.crash_with(CRASHING, 1, 2)
+    second.receive(*strikes)
+    more = second.crash_with(CRASHING)
+    router.receive(*strikes, *more)
+    first.receive(*more)
+    for process in (first, second, router):
+        assert is_rejected(process, CRASHING)
+        assert process.suspicion.check(1) == Clear()
+
+
+def test_only_digest_common_to_two_deaths_is_proven_in_any_order_of_the_news() -> None:
+    first, second, router = FakeProcess(), FakeProcess(), FakeProcess()
+    strikes = [*first.crash_with(1, CRASHING, 2), *second.crash_with(3, CRASHING, 4)]
+    router.receive(*reversed(strikes))
+    assert is_rejected(router, CRASHING)
+    assert [router.suspicion.check(digest) for digest in (1, 2, 3, 4)] == [Clear()] * 4
+
+
+def test_digests_that_died_together_twice_stay_suspect_and_are_not_refused() -> None:
+    process = FakeProcess()
+    for _ in range(2):
+        process.crash_with(CRASHING, 1)
+    assert process.suspicion.check(CRASHING) == Suspect()
+    assert process.suspicion.check(1) == Suspect()
+
+
+@pytest.mark.parametrize(("whole", "expected"), [(True, Clear()), (False, Suspect())])
+def test_whole_run_alone_clears(complete: bool, expected: Clear | Suspect) -> None:
+    process = FakeProcess()
+    strikes = process.crash_with(CRASHING, 1)
+    process.suspicion.record_start(1)
+    process.suspicion.record_end(1, complete=complete)
+    process.receive(*strikes)
+    assert process.suspicion.check(1) == expected
+
+
+def test_whole_run_beside_another_does_not_clear() -> None:
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1)
+    process.suspicion.record_start(1)
+    process.suspicion.record_start(5)
+    process.suspicion.record_end(5, complete=True)
+    process.suspicion.record_end(1, complete=True)
+    assert process.suspicion.check(1) == Suspect()
+
+
+def test_news_is_forwarded_once() -> None:
+    process = FakeProcess()
+    strikes = SuspectNews(digest=1, strike=2, alone=False)
+    process.receive(strikes, strikes)
+    assert process.announced == [strikes]
+    assert process.suspicion.list_strikes(1) == (strikes,)
+    assert process.suspicion.list_strikes(7) == ()
+
+
+def test_strikes_and_proofs_end_with_their_time() -> None:
+    process = FakeProcess()
+    process.crash_with(1, 2)
+    process.crash_with(CRASHING, 3)
+    process.crash_with(CRASHING)
+    process.clock.advance(CRASH_TTL_MS)
+    assert process.suspicion.check(1) == Clear()
+    assert is_rejected(process, CRASHING)
+    process.clock.advance(PROOF_TTL_MS)
+    assert process.suspicion.check(CRASHING) == Clear()
+    assert process.suspicion.list_strikes() == ()
+
+
+def test_memory_of_strikes_is_bounded_and_keeps_proofs() -> None:
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1)
+    process.crash_with(CRASHING)
+    for number in range(3 * MAX_CRASHES):
+        process.crash_with(1_000 + number, 5_000 + number)
+    assert is_rejected(process, CRASHING)
+    assert len(process.suspicion.list_strikes()) <= 2 * MAX_CRASHES
+
+
+def test_suspects_run_only_at_the_places_of_their_pool() -> None:
+    fleet = FakeFleet("e0", "e1", "e2")
+    (selected,) = select_isolation_instances("engines", fleet.members("engines"))
+    for name in ("e0", "e1", "e2"):
+        process = FakeProcess(name, fleet=fleet, pool="engines")
+        process.crash_with(1, 2)
+        verdict = process.suspicion.check(1)
+        if name == selected.name:
+            assert verdict == Suspect()
+        else:
+            assert isinstance(verdict, Refused)
+            assert verdict.reason is Reason.SUSPECT_BUSY
+            assert verdict.elsewhere
+    assert (
+        len(select_isolation_instances("engines", [make_engine(f"e{n}") for n in range(930)]))
+        == 116
+    )
+
+
+async def test_dump_metrics_and_stop() -> None:
+    process = FakeProcess()
+    process.crash_with(1, 2)
+    dump = process.app.dump()["suspicion"]
+    assert isinstance(dump, dict)
+    assert (dump["strikes"], dump["suspect_digests"], dump["refused_digests"]) == (1, 2, 0)
+    assert b"gypsum_upstream_deaths_total 1" in process.app.metrics.render()
+    await process.app.async_stop()
+    assert process.hub.listeners == []
--- a/tests/suspicion/test_suspicion_gate.py
+++ b/tests/suspicion/test_suspicion_gate.py
@@ -4,131 +4,131 @@
 
 import asyncio
 
-from suspicion_world import Member, async_settle
+from suspicion_world import FakeProcess, async_settle
 
 from gypsumrouter.outcomes import Reason, Refused
-from gypsumrouter.suspicion import Token
+from gypsumrouter.suspicion import RunPermit
 from gypsumrouter.suspicion.const import (
-    ALONE_WAIT_MS,
-    CLOSED_MS,
-    MAX_WAITING,
-    OPEN_MS,
+    GATE_CLOSED_MS,
+    GATE_OPEN_MS,
+    ISOLATED_WAIT_MS,
+    MAX_WAITING_SUSPECTS,
     SHARED_WAIT_MS,
 )
 
-CRASHER = 666
+CRASHING = 666
 
 
 async def test_suspect_waits_until_nothing_runs_and_keeps_others_out() -> None:
-    member = Member()
-    member.die_with(CRASHER, 1)
-    running = await member.async_enter(5)
-    suspect, other = member.enter(1), member.enter(6)
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1)
+    running = await process.async_enter(5)
+    suspect, other = process.enter(1), process.enter(6)
     await async_settle()
     assert not suspect.done()
-    running.end(whole=True)
+    running.end(complete=True)
     await async_settle()
-    assert isinstance(suspect.result(), Token)
+    assert isinstance(suspect.result(), RunPermit)
     assert not other.done()
-    member.clock.advance(SHARED_WAIT_MS)
+    process.clock.advance(SHARED_WAIT_MS)
     refused = await other
     assert isinstance(refused, Refused)
     assert (refused.reason, refused.elsewhere) == (Reason.SUSPECT_BUSY, True)
 
 
 async def test_whole_run_alone_clears_and_lets_the_others_in() -> None:
-    member = Member()
-    member.die_with(CRASHER, 1)
-    alone = await member.async_enter(1)
-    waiting = member.enter(5)
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1)
+    alone = await process.async_enter(1)
+    waiting = process.enter(5)
     await async_settle()
-    alone.end(whole=True)
-    assert isinstance(await waiting, Token)
-    assert isinstance(await member.async_enter(1), Token)
+    alone.end(complete=True)
+    assert isinstance(await waiting, RunPermit)
+    assert isinstance(await process.async_enter(1), RunPermit)
 
 
 async def test_crasher_brings_down_two_upstreams_and_frees_its_waiting_neighbours() -> None:
-    first, second = Member("e0"), Member("e1")
-    tokens = [await first.async_enter(digest) for digest in (1, 2, CRASHER)]
-    news = [item for token in tokens for item in token.died()]
-    assert len(news) == 3
-    second.hear(*news)
-    crasher = await second.async_enter(CRASHER)
+    first, second = FakeProcess("e0"), FakeProcess("e1")
+    tokens = [await first.async_enter(digest) for digest in (1, 2, CRASHING)]
+    strikes = [item for token in tokens for item in token.report_crash()]
+    assert len(strikes) == 3
+    second.receive(*strikes)
+    crashing_permit = await second.async_enter(CRASHING)
     neighbours = [second.enter(digest) for digest in (1, 2)]
     await async_settle()
-    proof = crasher.died()
-    crasher.end(whole=False)
+    proof = crashing_permit.report_crash()
+    crashing_permit.end(complete=False)
     entered = await asyncio.gather(*neighbours)
-    assert [type(token) for token in entered] == [Token, Token]
-    first.hear(*proof)
-    for member in (first, second):
-        refused = await member.suspicion.async_enter(CRASHER, asyncio.Event())
+    assert [type(token) for token in entered] == [RunPermit, RunPermit]
+    first.receive(*proof)
+    for process in (first, second):
+        refused = await process.suspicion.async_enter(CRASHING, asyncio.Event())
         assert isinstance(refused, Refused)
         assert refused.reason is Reason.SUSPECT
 
 
 async def test_suspect_that_waits_is_refused_when_its_proof_arrives() -> None:
-    member, other = Member("e0"), Member("e1")
-    news = member.die_with(CRASHER, 1)
-    other.hear(*news)
-    await member.async_enter(5)
-    waiting = member.enter(CRASHER)
+    process, other = FakeProcess("e0"), FakeProcess("e1")
+    strikes = process.crash_with(CRASHING, 1)
+    other.receive(*strikes)
+    await process.async_enter(5)
+    waiting = process.enter(CRASHING)
     await async_settle()
-    member.hear(*other.die_with(CRASHER))
+    process.receive(*other.crash_with(CRASHING))
     refused = await waiting
     assert isinstance(refused, Refused)
     assert refused.reason is Reason.SUSPECT
 
 
 async def test_wait_of_a_suspect_is_bounded_and_opens_the_gate_again() -> None:
-    member = Member()
-    member.die_with(CRASHER, 1)
-    await member.async_enter(5)
-    waiting = member.enter(1)
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1)
+    await process.async_enter(5)
+    waiting = process.enter(1)
     await async_settle()
-    member.clock.advance(ALONE_WAIT_MS)
+    process.clock.advance(ISOLATED_WAIT_MS)
     refused = await waiting
     assert isinstance(refused, Refused)
     assert refused.reason is Reason.SUSPECT_BUSY
-    assert isinstance(await member.async_enter(6), Token)
+    assert isinstance(await process.async_enter(6), RunPermit)
 
 
 async def test_cancelled_suspect_gives_its_place_up() -> None:
-    member = Member()
-    member.die_with(CRASHER, 1)
-    await member.async_enter(5)
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1)
+    await process.async_enter(5)
     cancelled = asyncio.Event()
-    waiting = asyncio.ensure_future(member.suspicion.async_enter(1, cancelled))
+    waiting = asyncio.ensure_future(process.suspicion.async_enter(1, cancelled))
     await async_settle()
     cancelled.set()
     assert isinstance(await waiting, Refused)
-    assert isinstance(await member.async_enter(6), Token)
+    assert isinstance(await process.async_enter(6), RunPermit)
 
 
 async def test_number_of_waiting_suspects_is_bounded() -> None:
-    member = Member()
-    member.die_with(CRASHER, 1)
-    await member.async_enter(5)
-    waiting = [member.enter(1) for _ in range(MAX_WAITING)]
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1)
+    await process.async_enter(5)
+    waiting = [process.enter(1) for _ in range(MAX_WAITING_SUSPECTS)]
     await async_settle()
-    assert isinstance(await member.suspicion.async_enter(1, asyncio.Event()), Refused)
+    assert isinstance(await process.suspicion.async_enter(1, asyncio.Event()), Refused)
     for task in waiting:
         task.cancel()
 
 
 async def test_gate_opens_for_other_work_between_many_suspects() -> None:
-    member = Member()
-    member.die_with(CRASHER, 1, 2)
-    first = await member.async_enter(1)
-    second = member.enter(2)
+    process = FakeProcess()
+    process.crash_with(CRASHING, 1, 2)
+    first = await process.async_enter(1)
+    second = process.enter(2)
     await async_settle()
-    member.clock.advance(CLOSED_MS)
-    first.end(whole=True)
+    process.clock.advance(GATE_CLOSED_MS)
+    first.end(complete=True)
     await async_settle()
     assert not second.done()
-    other = await member.async_enter(5)
-    member.clock.advance(OPEN_MS)
+    other = await process.async_enter(5)
+    process.clock.advance(GATE_OPEN_MS)
     await async_settle()
     assert not second.done()
-    other.end(whole=True)
-    assert isinstance(await second, Token)
+    other.end(complete=True)
+    assert isinstance(await second, RunPermit)
