--- a/gypsumrouter/exchange/at_most_once.py
+++ b/gypsumrouter/exchange/at_most_once.py
@@ -1,4 +1,4 @@
-"""Calls that must not be repeated: run once to their end, whatever becomes of the caller."""
+"""Requests with an idempotency key, which are executed at most once."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 class AtMostOnceContext(Struct, frozen=True, kw_only=True):
-    """What every such call needs; `limit_ms` bounds a run that its caller can't stop."""
+    """Dependencies shared by all at-most-once calls of a side.
+
+    `max_detached_ms` is how long a run may continue after its caller's deadline.
+    """
 
     app: Application
     admission: Admission
@@ -35,10 +38,10 @@
 
 
 class AtMostOnceExchange:
-    """Run one call that must not be repeated, or answer it from memory.
+    """Runs an at-most-once call, replays its stored response, or joins a run in progress.
 
-    After the hand-over the run belongs to the process: its caller may go, and its answer is
-    remembered for whoever asks again.
+    Once the call is sent to the upstream, neither its caller's cancellation nor its deadline stops
+    the run. The response is stored and replayed to repeats of the call.
     """
 
     __slots__ = (
@@ -63,7 +66,7 @@
         self._slot: Slot | None = None
 
     async def async_run(self) -> Failure | None:
-        """Run or replay the call; None after a whole answer."""
+        """Run, join or replay the call; return None after a complete response."""
         while True:
             failure = await self._async_begin()
             if not self._should_retry(failure):
@@ -83,7 +86,7 @@
                 return failure
 
     def _should_retry(self, failure: Failure | None) -> bool:
-        """Return whether the call that was joined never ran, since its own caller gave it up."""
+        """Return whether to start over: the joined run was abandoned before it was sent."""
         if not self._joined or not isinstance(failure, Refused):
             return False
         if self._answer.cancelled.is_set() or self._deadline.remaining_ms() == 0:
@@ -91,7 +94,7 @@
         return failure.reason in _RETRY_REASONS
 
     async def _async_run_detached(self, run: Run) -> Failure | None:
-        """Wait for the run as long as the caller does."""
+        """Run the call in a task of its own, and wait until it ends or the caller stops waiting."""
         task = self._context.app.async_create_task(
             self._async_execute(run), f"once {self._request.request_id}"
         )
@@ -130,7 +133,7 @@
                 return failure
 
     async def _async_wait(self, task: asyncio.Task[Any]) -> None:
-        """Wait until the task is done, the caller is gone or its time is over."""
+        """Wait until the task is done, the caller has cancelled or its deadline has passed."""
         disconnected = asyncio.ensure_future(self._answer.cancelled.wait())
         deadline = asyncio.ensure_future(
             self._context.app.clock.async_sleep(self._deadline.remaining_ms())
@@ -147,7 +150,7 @@
         return Failed(reason=Reason.DEADLINE, message="the call still runs")
 
     async def _async_execute(self, run: Run) -> Failure | None:
-        """Run the call to its end and remember how it ended."""
+        """Run the call to its end and store its outcome."""
         self._context.count_active(1)
         try:
             with run:
@@ -183,7 +186,7 @@
             slot.release()
 
     def _authorize(self, run: Run) -> Failure | None:
-        """Return why the call may not be handed over, None once it counts as run."""
+        """Return None if the call may be sent, which then counts as run; else why not."""
         if self._answer.cancelled.is_set():
             return Refused(reason=Reason.CANCELLED, message="the caller is gone")
         if self._deadline.remaining_ms() == 0:
@@ -194,14 +197,14 @@
         return self._denied
 
     def _settle(self, run: Run, failure: Failure | None) -> Failure | None:
-        """Remember the end of the run, and return what its caller may be told."""
+        """Store the outcome of the run and return the failure to report to the caller."""
         if self._denied is not None:
             return failure
         match failure:
             case None:
                 self._record_answer(run)
             case Refused():
-                # The home speaks for the whole call: nobody else may take it.
+                # This refusal is about the call as a whole, so no other instance may be tried.
                 return run.cancel(replace(failure, elsewhere=False))
             case Failed():
                 run.fail(failure.reason)
--- a/gypsumrouter/exchange/checks.py
+++ b/gypsumrouter/exchange/checks.py
@@ -1,4 +1,4 @@
-"""What a side checks of a request before anything else."""
+"""Checks that a request must pass before it is queued for the upstream."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestChecks:
-    """Decide whether this side may take a request at all."""
+    """Check readiness, target pool, model and idempotency key of incoming requests."""
 
     __slots__ = ("_client", "_policy", "_settings", "_store", "_version")
 
@@ -28,21 +28,21 @@
         self._version = store.current.version
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a new configuration into use."""
+        """Apply a new configuration."""
         self._policy = Policy(configuration=configuration)
         self._version = configuration.version
 
     @property
     def ready(self) -> bool:
-        """Return whether new work can run here."""
+        """Return whether new requests can be accepted."""
         return self._check_ready() is None
 
     def check_request(self, request: Open) -> Refused | None:
-        """Return why a request of this pool can't run here, None if it can."""
+        """Return a refusal if a request for this pool cannot run here, else None."""
         return self._check_ready() or self._check_model(request) or self._check_key(request)
 
     def check_target(self, request: Open) -> Refused | None:
-        """Return a refusal if the request is for another pool."""
+        """Return a refusal if the request is for another pool or kind of upstream."""
         if request.pool == self._settings.pool and request.kind is self._settings.kind:
             return None
         return Refused(
@@ -73,7 +73,10 @@
         )
 
     def _check_key(self, request: Open) -> Refused | None:
-        """Return a refusal where a router doesn't know yet that a call must not be repeated."""
+        """Return a refusal if an at-most-once call has no idempotency key.
+
+        Routers require the key too, but may still use an older configuration.
+        """
         if request.idempotency_key:
             return None
         if not self._policy.must_not_repeat(
--- a/gypsumrouter/exchange/const.py
+++ b/gypsumrouter/exchange/const.py
@@ -1,4 +1,4 @@
-"""Constants of the exchange of a side."""
+"""Constants of request handling in a side; times in milliseconds, sizes in bytes."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/exchange/deadline.py
+++ b/gypsumrouter/exchange/deadline.py
@@ -1,4 +1,4 @@
-"""The time that is left of a request."""
+"""Tracking of a request's deadline."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class Deadline:
-    """The end of a request's time; a request says how much was left when it came."""
+    """Deadline of a request, counted from its arrival.
+
+    A request carries the time that remained when its sender sent it, not an absolute time.
+    """
 
     __slots__ = ("_clock", "_received_ms", "_request")
 
@@ -19,11 +22,11 @@
         self._received_ms = clock.now_ms()
 
     def remaining_ms(self) -> int:
-        """Return the milliseconds that are left, 0 when there are none."""
+        """Return the remaining time, 0 if the deadline has passed."""
         return max(0, self._request.deadline_ms - self._elapsed_ms())
 
     def update(self, request: Open) -> Open:
-        """Return the request with the time that has passed since it came."""
+        """Return the request with its remaining and waited time adjusted to now."""
         elapsed_ms = self._elapsed_ms()
         if elapsed_ms == 0:
             return request
--- a/gypsumrouter/exchange/execution.py
+++ b/gypsumrouter/exchange/execution.py
@@ -1,4 +1,4 @@
-"""One try of a request at the upstream, under supervision."""
+"""Runs an admitted request at the upstream, bounded by its deadline and by cancellation."""
 
 from __future__ import annotations
 
@@ -21,9 +21,11 @@
 
 
 class Attempt(Struct, frozen=True, kw_only=True):
-    """What belongs to one try: the request, where its answer goes and what may stop it.
+    """One attempt to run a request: the request, the sink of its response and its limits.
 
-    `allow` is asked right before the first byte is sent; a failure that it returns forbids it.
+    `authorize` is called right before the first byte is sent; if it returns a failure, nothing is
+    sent. `disconnected` is set when the caller cancels. `may_yield` allows admission to preempt the
+    attempt, and `max_run_ms` bounds a run that its caller cannot stop.
     """
 
     request: Open
@@ -37,7 +39,7 @@
 
 
 class Execution:
-    """Run admitted requests at the upstream."""
+    """Runs admitted requests at the upstream."""
 
     __slots__ = ("_app", "_client", "_suspicion")
 
@@ -49,7 +51,7 @@
         self._suspicion = suspicion
 
     async def async_attempt(self, attempt: Attempt) -> Failure | None:
-        """Run a request to its end or until it is stopped; None after a whole answer."""
+        """Run a request until it ends or is stopped; return None after a complete response."""
         async with supervise_run(
             app=self._app,
             sink=attempt.sink,
@@ -62,7 +64,7 @@
         return _apply_stop_reason(attempt.sink.stop_reason, failure)
 
     async def _async_enter_and_run(self, attempt: Attempt) -> Failure | None:
-        """Run once the request may: a suspected one alone, all others together."""
+        """Run the request once the isolation gate admits it; suspects run alone."""
         permit = await self._suspicion.async_enter(attempt.request.digest, attempt.sink.cancelled)
         if isinstance(permit, Refused):
             return permit
@@ -89,7 +91,7 @@
 
 
 def _apply_stop_reason(stop_reason: StopReason | None, failure: Failure | None) -> Failure | None:
-    """Return the failure with the reason for which the run was stopped."""
+    """Replace the reason of an interrupted run by why it was stopped."""
     if failure is None or stop_reason is None or failure.reason not in _INTERRUPTED_REASONS:
         return failure
     reason, message = _describe_stop(stop_reason)
--- a/gypsumrouter/exchange/metrics.py
+++ b/gypsumrouter/exchange/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the exchanges of a side."""
+"""Metrics of the requests that a side handles."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ExchangeMetrics:
-    """Count how requests end."""
+    """Counts requests by outcome, and crashes of the upstream."""
 
     __slots__ = ("_outcomes", "crashes")
 
--- a/gypsumrouter/exchange/ports.py
+++ b/gypsumrouter/exchange/ports.py
@@ -1,4 +1,4 @@
-"""What the exchange needs of other aggregates that a side may lack."""
+"""Interface to the prefix cache transfers, which only sides of some engines have."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class PrefixTransfers(Protocol):
-    """Cached prefixes that can be brought from other engines."""
+    """Fetches cached prefixes from other engines before a request runs."""
 
     async def async_fetch(self, request: Open) -> None:
-        """Bring the prefix of a request here where that costs less than computing it."""
+        """Fetch the prefix of a request where that is cheaper than its prefill."""
 
     def note_served(self, request: Open, *, whole: bool) -> None:
-        """Note that the engine ran a request, to its end if it was `whole`."""
+        """Record that the engine ran a request, to completion if `whole`."""
 
     def note_ended(self, request: Open) -> None:
-        """Note the end of a run that began with a fetch."""
+        """Record the end of a run that began with a fetch."""
 
     def note_engine_died(self) -> None:
-        """Forget what the engine held before it started again."""
+        """Drop the record of the engine's cache, which the crash has emptied."""
 
 
 class NoPrefixTransfers:
-    """Stands for the moves where the upstream has no cache."""
+    """No-op implementation for upstreams without a prefix cache."""
 
     __slots__ = ()
 
--- a/gypsumrouter/exchange/repeatable.py
+++ b/gypsumrouter/exchange/repeatable.py
@@ -1,4 +1,4 @@
-"""Requests that may be run again: cancelled with their caller, and able to give way."""
+"""Requests that may be run more than once: cancelled with their caller, and preemptible."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RepeatableExchange:
-    """Run one request that may be repeated; work that gave way is admitted again."""
+    """Runs one repeatable request; a preempted one is queued again."""
 
     __slots__ = (
         "_admission",
@@ -47,7 +47,7 @@
         self._sent = False
 
     async def async_run(self) -> Failure | None:
-        """Run to the end; None after a whole answer."""
+        """Run the request until it ends; return None after a complete response."""
         while True:
             request = self._deadline.update(self._request)
             slot = await self._admission.async_admit(request, self._answer.cancelled)
@@ -88,7 +88,7 @@
         return None
 
     def _make_failure(self, failure: Failure) -> Failure:
-        """Return the failure as it may be told: work that gave way has run in part."""
+        """Return the failure to report: once an attempt was sent, the request may have run."""
         if not self._sent:
             return failure
         return Failed(
--- a/gypsumrouter/exchange/runner.py
+++ b/gypsumrouter/exchange/runner.py
@@ -1,4 +1,4 @@
-"""One request from the link to the upstream and back, in the order that the promises need."""
+"""Entry point for the requests that a side receives over its link."""
 
 from __future__ import annotations
 
@@ -30,10 +30,11 @@
 
 
 class ExchangeRunner:
-    """Run every request of a side.
+    """Runs all requests of a side.
 
-    The order is: pool, memory of calls that must not be repeated, leaving and readiness, model,
-    suspicion, admission, upstream. All before the hand-over may refuse, nothing after it.
+    The steps are, in this order: check the target pool, look up stored at-most-once calls, check
+    draining, readiness and the model, check for requests suspected of crashing the upstream, queue
+    for admission, and send to the upstream. A request can be refused until it is sent.
     """
 
     __slots__ = (
@@ -95,11 +96,11 @@
 
     @property
     def active(self) -> int:
-        """Return how many exchanges and runs have not ended."""
+        """Return the number of requests and detached runs in progress."""
         return self._active
 
     async def async_start(self) -> None:
-        """Follow the configuration and the upstream, and take part in a planned stop."""
+        """Subscribe to configuration and upstream changes, and register the drain hook."""
         self._configure(self._store.current)
         self._store.on_change(self._configure)
         self._client.on_died(self._handle_upstream_crash)
@@ -110,12 +111,12 @@
         self._app.add_dump_section(DUMP_SECTION, self._dump)
 
     def on_status(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for each change of what `make_status` returns."""
+        """Register a listener for changes of the status."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
     def make_status(self) -> Status:
-        """Return what this side says of itself now."""
+        """Return the current status that is sent to routers."""
         return Status(
             load=self._admission.load,
             running=self._admission.running,
@@ -127,16 +128,16 @@
         )
 
     def begin_drain(self) -> None:
-        """Refuse all new and waiting work from now on; what runs goes on."""
+        """Refuse new and queued requests from now on; running ones continue."""
         if self.draining:
             return
         self.draining = True
-        _LOGGER.info("Leaving: new work is refused")
+        _LOGGER.info("Draining: refusing new and queued requests, running requests continue")
         self._admission.stop()
         self._notify()
 
     async def async_handle(self, hello: Hello, request: Open, answer: Answer) -> None:
-        """Run one request and end its answer."""
+        """Run one request and complete its answer."""
         self._count_active(1)
         try:
             failure = await self._async_run(request, answer)
@@ -156,7 +157,7 @@
         if refused is not None:
             return refused
         if request.idempotency_key:
-            # What is remembered is told in any case, so memory comes before what may refuse.
+            # Stored outcomes are returned even while draining or not ready.
             exchange = AtMostOnceExchange(
                 context=self._at_most_once_context, request=request, answer=answer
             )
@@ -175,7 +176,7 @@
         return await repeatable.async_run()
 
     def _check(self, request: Open) -> Refused | None:
-        """Return why a request can't run here now, by all but admission."""
+        """Return a refusal if a request cannot be queued for admission, else None."""
         if self.draining:
             return Refused(reason=Reason.LEAVING, message="this side is leaving", elsewhere=True)
         refused = self._checks.check_request(request)
--- a/gypsumrouter/exchange/sinks.py
+++ b/gypsumrouter/exchange/sinks.py
@@ -1,4 +1,4 @@
-"""Where an upstream's answer goes: on to the caller, or into memory first."""
+"""Sinks for an upstream's response: relayed to the caller, or recorded first."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Relay:
-    """Pass an answer on as it comes.
+    """Streams a response to the caller.
 
-    The head waits for the first byte of the body, so that a run can be given up before and made
-    again. `cancelled` stops the run, `stop` says why.
+    The head is held back until the first byte of the body, so that a run can be preempted and
+    repeated before that. `cancelled` stops the run, and `stop_reason` is why it was set.
     """
 
     __slots__ = ("_answer", "_head", "_on_first_body", "cancelled", "has_body", "stop_reason")
@@ -38,23 +38,23 @@
         self.stop_reason: StopReason | None = None
 
     def head(self, head: Head) -> None:
-        """Keep the head until the body begins."""
+        """Hold the head back until the body begins."""
         self._head = head
 
     async def async_write(self, body: bytes) -> None:
-        """Pass a part of the body on."""
+        """Forward a chunk of the body."""
         if not self.has_body:
             self._begin_body()
         await self._answer.async_write(body)
 
     def flush_head(self) -> None:
-        """Pass the head of an answer without a body on."""
+        """Forward the head if it has not been sent, as for a response without a body."""
         if self._head is not None:
             self._answer.head(self._head)
             self._head = None
 
     def request_stop(self, stop_reason: StopReason) -> None:
-        """Stop the run; only the first reason counts."""
+        """Stop the run; the first reason is kept."""
         if self.stop_reason is None:
             self.stop_reason = stop_reason
             self.cancelled.set()
@@ -66,9 +66,9 @@
 
 
 class Recorder:
-    """Keep an answer that is remembered, up to a bound; a larger one is passed on instead.
+    """Records a response of up to `MAX_RECORDED_BYTES`; a larger one is streamed instead.
 
-    Once the call is `handed`, neither its caller nor the caller's deadline stop it.
+    Once the call is `sent`, neither the caller's cancellation nor its deadline stops the run.
     """
 
     __slots__ = (
@@ -100,15 +100,15 @@
 
     @property
     def body(self) -> bytes:
-        """Return the whole body; empty if it is too large to be kept."""
+        """Return the recorded body; empty if the response is too large."""
         return b"".join(self._parts)
 
     def head(self, head: Head) -> None:
-        """Keep the head."""
+        """Record the head."""
         self.recorded_head = head
 
     async def async_write(self, body: bytes) -> None:
-        """Keep a part of the body, or pass it on once there is too much."""
+        """Record a chunk of the body, or forward it if the response is too large."""
         if not self.has_body:
             self.has_body = True
             self._on_first_body()
@@ -121,7 +121,7 @@
             await self._async_overflow()
 
     async def async_deliver(self) -> None:
-        """Give the caller what was kept, unless it has got it already."""
+        """Send the recorded response to the caller, unless it was streamed."""
         if self.too_large:
             return
         self._forward_head()
@@ -129,11 +129,11 @@
             await self._async_forward(part)
 
     def detach(self) -> None:
-        """Pass nothing on from now on."""
+        """Forward nothing from now on, since the caller has stopped waiting."""
         self.detached = True
 
     def request_stop(self, stop_reason: StopReason) -> None:
-        """Stop the run if that is still allowed; only the first reason counts."""
+        """Stop the run; a sent one only stops at its time limit. The first reason is kept."""
         if self.stop_reason is not None:
             return
         if self.sent and stop_reason is not StopReason.LIMIT:
--- a/gypsumrouter/exchange/supervision.py
+++ b/gypsumrouter/exchange/supervision.py
@@ -1,4 +1,4 @@
-"""Stop a run when its caller is gone, its time is over or it is asked to give way."""
+"""Stops a run on its caller's cancellation, on a timeout or on preemption."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     yield_requested: asyncio.Event | None,
     max_run_ms: int | None,
 ) -> AsyncIterator[None]:
-    """Watch over a run while the block lasts.
+    """Stop the run of the block, by way of `sink`, when one of its conditions occurs.
 
-    `left_ms` is what is left of the caller's time, `limit_ms` what a run may take that its caller
-    can't stop. `gone` and `yield_asked` are given only where they count.
+    `remaining_ms` is the time until the caller's deadline; `max_run_ms` bounds a run that its
+    caller cannot stop. `disconnected`, `yield_requested` and `max_run_ms` are ignored if None.
     """
     watchers: list[Coroutine[Any, Any, None]] = [
         _async_watch_timeout(app, sink, remaining_ms, StopReason.DEADLINE)
