--- a/gypsumrouter/idempotency/__init__.py
+++ b/gypsumrouter/idempotency/__init__.py
@@ -1,4 +1,8 @@
-"""Calls that must not be repeated: their keys, their homes and the memory of their answers."""
+"""At-most-once execution of calls with an idempotency key.
+
+Each key is owned by one instance of a pool, which runs the call and stores its
+response for repeats.
+"""
 
 from __future__ import annotations
 
--- a/gypsumrouter/idempotency/calls.py
+++ b/gypsumrouter/idempotency/calls.py
@@ -1,4 +1,4 @@
-"""The calls of one side that must not be repeated."""
+"""At-most-once calls of one side."""
 
 from __future__ import annotations
 
@@ -29,20 +29,21 @@
 
 
 class InstanceListEvents(Protocol):
-    """The part of the fleet that homes are derived from."""
+    """Source of the published instance lists, which determine the owner of a key."""
 
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
-        """Register a listener for every list that is accepted."""
+        """Register a listener for each accepted list."""
 
     def on_fresh(self, listener: Callable[[int], None]) -> Remove:
-        """Register a listener for the wall time by which the list was unchanged."""
+        """Register a listener for the wall time at which the list was last confirmed unchanged."""
 
 
 class Idempotency:
-    """What one side runs at most once.
+    """Decides for each call with an idempotency key whether it runs, and stores its outcome.
 
-    Nothing is run before `note_listening`. What is remembered is always told, whatever the list
-    says; whether a new call may run is decided by the lease of the list and by the tenure.
+    Nothing runs before `set_listen_address`. Stored outcomes are returned regardless of the
+    instance list. Whether a new call may run depends on the lease of the list and on how long this
+    process has owned the key.
     """
 
     __slots__ = ("_app", "_checks", "_ownership", "_policy", "_results", "_settings", "_store")
@@ -75,11 +76,11 @@
         app.add_dump_section(DUMP_SECTION, self._dump)
 
     def set_listen_address(self, address: Address) -> None:
-        """Say that the listener is bound, and at which address the list must name this process."""
+        """Set the address that lists must have for this process; call once it listens there."""
         self._checks.set_listen_address(address)
 
     def configure(self, pool: Pool) -> None:
-        """Take the window and the bounds from a configuration."""
+        """Apply the time window and the storage limits of a pool's configuration."""
         self._policy = pool.at_most_once or DEFAULT_POLICY
         self._checks.set_policy(self._policy)
         self._store.set_bounds(
@@ -87,9 +88,9 @@
         )
 
     def find_known(self, request: Open) -> Replay | Join | Failure | None:
-        """Return what is remembered of a call, None if it is not known here.
+        """Return the stored outcome or the running call, None if the call is unknown.
 
-        It is true also while this process is leaving.
+        The result is also valid while this process is draining.
         """
         self._store.expire(self._app.clock.now_ms())
         record = self._store.get(_get_digest(request))
@@ -103,9 +104,9 @@
     def begin(
         self, request: Open, *, received_wall_ms: int | None = None
     ) -> Run | Replay | Join | Failure:
-        """Decide what becomes of a call.
+        """Return whether to run, replay, join or fail a call.
 
-        `received_wall_ms` is the wall time at which a router read the request.
+        `received_wall_ms` is the wall time at which a router received the request.
         """
         result = self._begin(request, received_wall_ms)
         self._results.inc(labels=((LABEL_RESULT, _get_label(result)),))
@@ -152,7 +153,7 @@
         )
 
     def _get_retention_ms(self, key: Key) -> int:
-        """Return how long a call that begins now is remembered."""
+        """Return how long the outcome of a call that begins now is stored."""
         margin_ms = SKEW_FACTOR * self._settings.clock_skew_ms
         if key.created_ms is None:
             return self._checks.opaque_lifetime_ms + margin_ms
@@ -196,7 +197,7 @@
 
 
 def _digest(*parts: bytes) -> bytes:
-    """Return a digest that callers cannot make collide, with the parts kept apart."""
+    """Return a cryptographic digest of the length-prefixed parts."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(8))
--- a/gypsumrouter/idempotency/keys.py
+++ b/gypsumrouter/idempotency/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys, and the creation time that some of them carry."""
+"""Parsing of idempotency keys and of the creation time in UUIDv7 and ULID keys."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Key(Struct, frozen=True, kw_only=True):
-    """An idempotency key; `created_ms` is the wall time that it carries, None if it is opaque."""
+    """An idempotency key; `created_ms` is its encoded creation time, None if it is opaque."""
 
     text: str
     created_ms: int | None
 
 
 def parse_key(text: str) -> Key | Refused:
-    """Return the key with its creation time where it is a UUIDv7 or a ULID."""
+    """Return the key, with its creation time if it is a UUIDv7 or a ULID, or why it is invalid."""
     if not text:
         return Refused(
             reason=Reason.KEY_REQUIRED,
--- a/gypsumrouter/idempotency/outcomes.py
+++ b/gypsumrouter/idempotency/outcomes.py
@@ -1,4 +1,4 @@
-"""What the home of a key answers besides a new run."""
+"""Outcomes of an at-most-once call."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Replay(Struct, frozen=True, kw_only=True):
-    """The whole answer of the run that is remembered."""
+    """The stored response of an earlier run."""
 
     head: Head
     body: bytes
@@ -19,11 +19,11 @@
 
 
 def get_call_outcome(failure: Failure, *, from_side: bool) -> Failure:
-    """Return what the caller of a call that must not be repeated may be told of its end.
+    """Return the failure of a call as it may be reported to the caller.
 
-    A refusal speaks of one request. That the call as a whole was not run is only known to its
-    home, which never says that another instance may take it. All other refusals leave open
-    whether an earlier request with the same key has run.
+    Only the owner of the key knows that no request with it has run; it reports this by a `Refused`
+    without `elsewhere`. A refusal by a router, or one with `elsewhere`, leaves open whether an
+    earlier request with the same key has run, so it is returned as `Failed`.
     """
     match failure:
         case Refused(elsewhere=elsewhere) if elsewhere or not from_side:
--- a/gypsumrouter/idempotency/ownership.py
+++ b/gypsumrouter/idempotency/ownership.py
@@ -1,4 +1,4 @@
-"""Which instance is the home of a key, and since when without a break."""
+"""Owner of an idempotency key by rendezvous hashing, and the time since it owns the key."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 def find_key_owner(
     *, pool: str, workspace: str, key: str, instances: Iterable[Instance]
 ) -> str | None:
-    """Return the name of the instance of a published list that is the home of a key."""
+    """Return the name of the instance that owns a key, None if the pool has no candidate."""
     names = (item.name for item in instances if _is_candidate(item, pool))
     prefix = _make_hash_prefix(pool, workspace, key)
     return max(names, key=lambda name: _get_rank(prefix, name), default=None)
 
 
 class OwnershipHistory:
-    """How long this process has been the home of keys, by the sequence of published lists.
+    """Tracks since when this process has owned keys, from consecutive instance list revisions.
 
-    All times are the list's own `as_of_ms`. `since_ms` of a key is the time of the first state of
-    an unbroken run of revisions, in all of which this process was the key's home. A missed
-    revision breaks the run, and so does a list that names another address for our name.
+    All times are `as_of_ms` of lists. A key is owned since the first of the consecutive revisions
+    in which this process was its owner. A missed revision resets the history, and ownership ends
+    with a list that has this process's name at another address.
     """
 
     __slots__ = (
@@ -55,16 +55,16 @@
 
     @property
     def as_of_ms(self) -> int | None:
-        """Return the time of the newest state, None before the first."""
+        """Return the time as of which the newest list was valid, None before the first list."""
         return None if self._newest is None else self._newest.as_of_ms
 
     @property
     def is_listed(self) -> bool:
-        """Return whether the newest list names this process as a candidate."""
+        """Return whether this process is a candidate in the newest list."""
         return self._listed_since_ms is not None
 
     def set_address(self, address: Address) -> None:
-        """Say where the list must name this process; tenure begins anew with the newest list."""
+        """Set the address that lists must have for this process, and reset the history."""
         self._address = address
         newest = self._newest
         self._newest = None
@@ -72,12 +72,12 @@
             self.apply_list(newest)
 
     def apply_refresh(self, as_of_ms: int) -> None:
-        """Take in that the newest list was unchanged by `as_of_ms`."""
+        """Record that the newest list was still valid at `as_of_ms`."""
         if self._newest is not None:
             self._newest = replace(self._newest, as_of_ms=max(self._newest.as_of_ms, as_of_ms))
 
     def apply_list(self, listed: InstanceList) -> None:
-        """Take in the next list."""
+        """Apply a list; if a revision was missed, the history is reset."""
         if self._newest is None or listed.revision != self._newest.revision + 1:
             self._reset(listed.as_of_ms)
         candidates = [item for item in listed.instances if _is_candidate(item, self._pool)]
@@ -86,7 +86,7 @@
         self._newest = listed
 
     def find_owned_since_ms(self, *, workspace: str, key: str) -> int | None:
-        """Return since when this process has been the home of a key, None if it is not."""
+        """Return since when this process has owned a key, None if it does not."""
         if self._listed_since_ms is None:
             return None
         prefix = _make_hash_prefix(self._pool, workspace, key)
@@ -139,5 +139,5 @@
 
 
 def _get_rank(prefix: str, name: str) -> tuple[int, str]:
-    """Return the rank of an instance for a key; the name settles equal hashes."""
+    """Return the rank of an instance for a key; ties are broken by name."""
     return (xxhash.xxh3_64_intdigest((prefix + name).encode()), name)
--- a/gypsumrouter/idempotency/ownership_checks.py
+++ b/gypsumrouter/idempotency/ownership_checks.py
@@ -1,4 +1,4 @@
-"""Whether this process is the home of a key, and no other one can have run it."""
+"""Checks that this process owns a key and that no other process can have run its call."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class OwnershipChecks:
-    """The checks of docs/decisions/0001: lease, tenure, and the age of a key against both.
+    """Checks of the list lease, of the time since this process owns a key, and of the key's age.
 
-    A refusal that says `elsewhere` speaks of the request alone. Any other one says that the call
-    as a whole was not run before by anyone.
+    The design is described in docs/decisions/0001. A `Refused` with `elsewhere` only says that this
+    process did not run the request. Any other `Refused` says that no process has run the call. A
+    `Failed` leaves open whether it ran.
     """
 
     __slots__ = (
@@ -49,29 +50,29 @@
 
     @property
     def listening_since_ms(self) -> int | None:
-        """Return the wall time since when this process listens."""
+        """Return the wall time at which this process began to listen."""
         return self._listening_since_ms
 
     @property
     def opaque_lifetime_ms(self) -> int:
-        """Return how long after the first sending a request with an opaque key may arrive."""
+        """Return how long after its first attempt a call with an opaque key may still arrive."""
         return self._policy.window_ms + MAX_TRANSIT_MS
 
     def set_listen_address(self, address: Address) -> None:
-        """Say that the listener is bound; calls of an earlier process here were begun before."""
+        """Set the listen address; calls of an earlier process at it began before now."""
         self._listening_since_ms = self._app.clock.wall_ms()
         self._ownership.set_address(address)
 
     def set_policy(self, policy: AtMostOnce) -> None:
-        """Change the window; a longer one does not cover what was sent before."""
+        """Change the time window; a longer one only applies to calls sent from now on."""
         if policy.window_ms > self._policy.window_ms:
             self._window_extended_ms = self._app.clock.wall_ms()
         self._policy = policy
 
     def check(self, *, workspace: str, key: Key, expired_until_ms: int) -> Failure | None:
-        """Return None if no other process can have run this key, nor may run it now.
+        """Return None if no other process can have run the key's call or may run it now.
 
-        `forgotten_ms` is the creation time up to which this process has forgotten its calls.
+        `expired_until_ms` is the highest creation time of the calls whose records have expired.
         """
         if self._app.stopping.is_set():
             return Refused(reason=Reason.LEAVING, elsewhere=True)
@@ -92,7 +93,7 @@
         )
 
     def check_transit(self, key: Key, received_wall_ms: int | None) -> Failure | None:
-        """Stop a request with an opaque key that was held up for too long on its way."""
+        """Reject a request with an opaque key that took longer than `MAX_TRANSIT_MS` to arrive."""
         if key.created_ms is not None or received_wall_ms is None:
             return None
         if self._app.clock.wall_ms() - received_wall_ms <= MAX_TRANSIT_MS:
@@ -115,7 +116,7 @@
         age_ms = self._app.clock.wall_ms() - as_of_ms
         if -self._settings.clock_skew_ms <= age_ms < self._settings.list_lease_ms:
             return None
-        # A later home takes only keys above the bound of its own, later tenure.
+        # A later owner rejects keys created before its ownership began plus lease and clock skew.
         never_run = created_ms is not None and created_ms <= self._get_lease_end_ms(as_of_ms)
         return self._make_unconfirmed(never_run=never_run)
 
@@ -143,7 +144,7 @@
         )
 
     def _get_earlier_runs_until_ms(self, owned_since_ms: int, listening_since_ms: int) -> int:
-        """Return the highest creation time of the keys that an earlier process can have run."""
+        """Return the highest creation time of keys that an earlier process may have run."""
         return max(
             self._get_lease_end_ms(owned_since_ms), listening_since_ms + self._get_skew_margin_ms()
         )
--- a/gypsumrouter/idempotency/records.py
+++ b/gypsumrouter/idempotency/records.py
@@ -1,4 +1,4 @@
-"""The remembered calls of one home: bounded, and never forgotten before their time."""
+"""Bounded in-memory store of at-most-once calls; records are kept until they expire."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Record:
-    """One call: `outcome` is None while it runs; `drop_ms` is monotonic."""
+    """One call; `outcome` is None while it runs, and `expires_ms` is in monotonic time."""
 
     __slots__ = ("created_ms", "digest", "expires_ms", "fingerprint", "outcome", "size", "waiter")
 
@@ -36,7 +36,7 @@
         return self.expires_ms < other.expires_ms
 
     async def async_wait(self) -> CallOutcome:
-        """Return how the call ended; safe to cancel."""
+        """Wait for the outcome of the call; can be cancelled without affecting the call."""
         if self.outcome is not None:
             return self.outcome
         if self.waiter is None:
@@ -44,7 +44,7 @@
         return await asyncio.shield(self.waiter)
 
     def set_outcome(self, outcome: CallOutcome) -> None:
-        """Tell the end of the call to all who wait for it."""
+        """Set the outcome and wake up all waiters."""
         self.outcome = outcome
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(outcome)
@@ -52,7 +52,7 @@
 
 
 class Join:
-    """The same call is running here now."""
+    """Handle to a running call, for a repeat of it."""
 
     __slots__ = ("_record",)
 
@@ -60,15 +60,16 @@
         self._record = record
 
     async def async_wait(self) -> CallOutcome:
-        """Return how the running call ended; safe to cancel."""
+        """Wait for the outcome of the call; can be cancelled without affecting the call."""
         return await self._record.async_wait()
 
 
 class RecordStore:
-    """The calls that this process runs or has run.
+    """Records of the calls that this process runs or has run.
 
-    A running call is never dropped, an ended one not before its `drop_ms`. `forgotten_ms` is the
-    highest creation time of all dropped calls: what is as old is not known any more.
+    The record of a running call is never removed, that of an ended call not before `expires_ms`.
+    `expired_until_ms` is the highest creation time of all expired records: a call that old may have
+    run here without a record of it.
     """
 
     __slots__ = (
@@ -90,7 +91,7 @@
 
     @property
     def calls(self) -> int:
-        """Return the number of remembered calls."""
+        """Return the number of records."""
         return len(self._records)
 
     @property
@@ -100,41 +101,41 @@
 
     @property
     def used_bytes(self) -> int:
-        """Return the bytes that are accounted for the remembered calls."""
+        """Return the bytes accounted for all records."""
         return self._used_bytes
 
     @property
     def next_expiry_ms(self) -> int | None:
-        """Return when room is made next, None while every remembered call runs."""
+        """Return when the next record expires, None while all calls are running."""
         return self._ended[0].expires_ms if self._ended else None
 
     def set_bounds(self, *, max_calls: int, max_bytes: int) -> None:
-        """Change the bounds; a smaller one drops nothing and only refuses new calls."""
+        """Change the limits; lower ones drop no records but prevent new ones."""
         self._max_calls = max_calls
         self._max_bytes = max_bytes
 
     def get(self, digest: bytes) -> Record | None:
-        """Return what is remembered of a call."""
+        """Return the record of a call."""
         return self._records.get(digest)
 
     def has_capacity(self) -> bool:
-        """Return whether one more call fits."""
+        """Return whether one more call can be stored."""
         needed = RECORD_BYTES + RESERVED_ANSWER_BYTES
         return len(self._records) < self._max_calls and self._used_bytes + needed <= self._max_bytes
 
     def add(self, record: Record) -> None:
-        """Remember a call that is about to run."""
+        """Add the record of a call that is about to run."""
         self._records[record.digest] = record
         self._used_bytes += record.size
 
     def remove(self, record: Record, outcome: CallOutcome) -> None:
-        """Forget a call that was not run, and tell those who wait for it why."""
+        """Remove a call that was not run, and pass `outcome` to its waiters."""
         del self._records[record.digest]
         self._used_bytes -= record.size
         record.set_outcome(outcome)
 
     def finish(self, record: Record, head: Head, body: bytes) -> None:
-        """Keep the whole answer, or only that there was one where it is too large."""
+        """Store the response, or only its status if it is too large."""
         size = len(body) + _get_header_bytes(head)
         available = self._max_bytes - self._used_bytes + record.size - RECORD_BYTES
         if size <= RESERVED_ANSWER_BYTES or size <= min(available, MAX_ANSWER_BYTES):
@@ -146,11 +147,11 @@
         self._end(record, _make_evicted(head.status), 0)
 
     def fail(self, record: Record, outcome: Failed) -> None:
-        """Keep that the call was handed over and that its end is unknown."""
+        """Store that the call was sent to the upstream without a complete response."""
         self._end(record, outcome, 0)
 
     def expire(self, now_ms: int) -> None:
-        """Drop the ended calls whose time is over."""
+        """Remove the expired records."""
         while self._ended and self._ended[0].expires_ms <= now_ms:
             record = heapq.heappop(self._ended)
             del self._records[record.digest]
--- a/gypsumrouter/idempotency/run.py
+++ b/gypsumrouter/idempotency/run.py
@@ -1,4 +1,4 @@
-"""One run of a call that must not be repeated."""
+"""Execution of one at-most-once call."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class Run:
-    """The permission to run a call once.
+    """Permission to run a call once.
 
-    `started` is asked right before the hand-over to the upstream. Then exactly one of `finish`,
-    `lost` and `not_run` follows; used as a context manager, the run settles itself.
+    `authorize` is called right before the call is sent to the upstream. The run ends with `finish`
+    or `fail` if the call was sent, and with `cancel` otherwise. As a context manager, it ends a run
+    that has no outcome on exit.
     """
 
     __slots__ = ("_authorized", "_recheck", "_record", "_store")
@@ -48,9 +49,9 @@
             self.cancel(_CANCELLED)
 
     def authorize(self) -> Failure | None:
-        """Return None if the call may be handed over now.
+        """Return None if the call may be sent now.
 
-        Otherwise return why not: the run is over, and the call must not be handed over.
+        Otherwise return why not; the run has then ended, and the call must not be sent.
         """
         denied = self._recheck()
         if denied is not None:
@@ -60,12 +61,12 @@
         return None
 
     def finish(self, head: Head, body: bytes) -> None:
-        """Remember the whole answer."""
+        """Store the complete response."""
         self._check_authorized()
         self._store.finish(self._take_record(), head, body)
 
     def fail(self, reason: Reason) -> None:
-        """Remember that the call was handed over and that no whole answer came."""
+        """Store that the call was sent and no complete response was received."""
         self._check_authorized()
         outcome = Failed(
             reason=Reason.EARLIER_RUN_UNKNOWN,
@@ -74,9 +75,9 @@
         self._store.fail(self._take_record(), outcome)
 
     def cancel(self, refused: Refused) -> Failure:
-        """Forget the call, which was not handed over; return what its caller may be told.
+        """Remove the record of the call, which was not sent; return the failure to report.
 
-        That is `refused`, unless another instance may have become the home in the meantime.
+        That is `refused`, unless another instance may have become the owner of the key.
         """
         outcome = self._recheck() or refused
         self._store.remove(self._take_record(), outcome)
@@ -85,10 +86,12 @@
     def _take_record(self) -> Record:
         record = self._record
         if record is None:
-            raise InvariantBroken("a run was settled twice")
+            raise InvariantBroken("at-most-once run: expected one outcome, got a second")
         self._record = None
         return record
 
     def _check_authorized(self) -> None:
         if not self._authorized:
-            raise InvariantBroken("a run ended that was never started")
+            raise InvariantBroken(
+                "at-most-once run: got an outcome before authorize() allowed the run"
+            )
