--- a/gypsumrouter/suspicion/__init__.py
+++ b/gypsumrouter/suspicion/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash their upstream: strikes, isolation, refusal and the news of them."""
+"""Detection, isolation and refusal of requests that crash their upstream."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/suspicion/crashes.py
+++ b/gypsumrouter/suspicion/crashes.py
@@ -1,4 +1,4 @@
-"""The strikes that are remembered, and what follows from them for a digest."""
+"""Store of upstream crashes, from which the verdict on a request digest is derived."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Crash:
-    """One death of an upstream: the digests that ran then, and those cleared since."""
+    """A crash of an upstream: the digests that ran at the time, and those cleared since."""
 
     __slots__ = ("alone", "cleared", "crash_id", "digests", "expires_ms")
 
@@ -29,16 +29,15 @@
         self.cleared: set[int] = set()
 
     def includes(self, digest: int) -> bool:
-        """Return whether the death was already told of this digest."""
+        """Return whether a strike of this digest was already added to the crash."""
         return digest in self.digests or digest in self.cleared
 
 
 class CrashStore:
-    """Bounded memory of strikes.
+    """Bounded store of crashes; a digest has one strike for each crash during which it ran.
 
-    A digest is proven to crash when it is the only one that two deaths have in common; a death
-    in which it ran alone has no other. A strike that a proven digest explains does not count
-    against its neighbours.
+    A digest is proven to crash its upstream when it is the only one that two crashes have in
+    common. Crashes during which a proven digest ran do not count against the other digests.
     """
 
     __slots__ = ("_by_digest", "_clock", "_crashes")
@@ -50,7 +49,7 @@
 
     @property
     def crash_count(self) -> int:
-        """Return the number of deaths that are remembered."""
+        """Return the number of stored crashes."""
         return len(self._crashes)
 
     @property
@@ -59,7 +58,7 @@
         return len(self._by_digest)
 
     def add(self, strike: SuspectNews) -> bool:
-        """Take in one strike of one digest; returns whether it was new."""
+        """Add a strike of a digest; return whether it was new."""
         self._expire()
         crash = self._get_or_create(strike.strike)
         full = len(crash.digests) >= MAX_CRASH_DIGESTS
@@ -72,13 +71,13 @@
         return True
 
     def clear(self, digest: int) -> None:
-        """Take the strikes of a digest back: it ran to its end alone."""
+        """Remove the strikes of a digest, which has completed a run alone."""
         for crash in self._by_digest.pop(digest, ()):
             crash.digests.discard(digest)
             crash.cleared.add(digest)
 
     def get_verdict(self, digest: int) -> Verdict:
-        """Return what may be done with a request of this digest."""
+        """Return whether a request with this digest may run."""
         if digest not in self._by_digest:
             return Clear()
         self._expire()
@@ -91,7 +90,7 @@
         return Suspect()
 
     def list_strikes(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
-        """Return the strikes of a digest, or of all, as news for another process."""
+        """Return the strikes of a digest, or of all digests, as messages to other processes."""
         self._expire()
         crashes = self._crashes.values() if digest is None else self._by_digest.get(digest, ())
         return tuple(
--- a/gypsumrouter/suspicion/gate.py
+++ b/gypsumrouter/suspicion/gate.py
@@ -1,4 +1,4 @@
-"""The gate before an upstream: suspects run alone, everything else runs together."""
+"""Gate in front of an upstream: suspects run alone, other requests run concurrently."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RunPermit:
-    """The permission to run one request at the upstream; exactly one of its ends follows."""
+    """Permission to run one request at the upstream, ended by `end`."""
 
     __slots__ = ("_on_crash", "_on_end", "run")
 
@@ -40,19 +40,19 @@
         self._on_crash = on_crash
 
     def end(self, *, complete: bool) -> None:
-        """Say that the run is over, and whether it gave a whole answer; safe to repeat."""
+        """End the run, with whether its response was complete; idempotent."""
         self._on_end(self.run, complete)
 
     def report_crash(self) -> tuple[SuspectNews, ...]:
-        """Say that the upstream died; the reports of all that ran then count as one death."""
+        """Report that the upstream crashed; the reports of concurrent runs count as one crash."""
         return self._on_crash(self.run)
 
 
 class IsolationGate:
-    """Decides who may enter the upstream of one side.
+    """Decides when a request may run at the upstream of a side.
 
-    A suspect waits until nothing runs, and nothing enters while it waits and runs. After
-    `CLOSED_MS` of this the gate is open to all other work for `OPEN_MS`.
+    A suspect waits until no request runs, and no other request is admitted while it waits or runs.
+    When the gate has been closed for `GATE_CLOSED_MS`, it admits other requests for `GATE_OPEN_MS`.
     """
 
     __slots__ = (
@@ -76,18 +76,18 @@
 
     @property
     def waiting(self) -> int:
-        """Return the number of suspects that wait."""
+        """Return the number of waiting suspects."""
         return len(self._waiting)
 
     @property
     def isolating(self) -> bool:
-        """Return whether a suspect runs alone."""
+        """Return whether a suspect is running in isolation."""
         return self._suspect is not None
 
     async def async_enter(
         self, *, digest: int, get_verdict: GetVerdict, cancelled: asyncio.Event
     ) -> ActiveRun | Refused:
-        """Wait for the turn of a request; the verdict may change while it waits."""
+        """Wait until a request may run; its verdict is re-evaluated while it waits."""
         verdict = get_verdict()
         if isinstance(verdict, Refused):
             return verdict
@@ -98,7 +98,7 @@
         return await self._async_enter_shared(digest, cancelled)
 
     def notify_waiters(self) -> None:
-        """Let everyone who waits look again: a run has ended or a verdict may have changed."""
+        """Wake up all waiters after the end of a run or a possible change of verdicts."""
         if self._suspect is not None and (self._suspect.crashed or not len(self._running)):
             self._suspect = None
         if self._suspect is None:
@@ -159,7 +159,7 @@
         return bool(self._waiting) and self._app.clock.now_ms() >= self._open_until_ms
 
     def _update_phase(self) -> None:
-        """Open the gate for a while if it was closed for long, or if no suspect waits."""
+        """Open the gate if no suspect waits, or after `GATE_CLOSED_MS` for `GATE_OPEN_MS`."""
         now_ms = self._app.clock.now_ms()
         if self._closed_since_ms is None:
             return
--- a/gypsumrouter/suspicion/isolation.py
+++ b/gypsumrouter/suspicion/isolation.py
@@ -1,4 +1,4 @@
-"""Which instances of a pool run suspects."""
+"""Selection of the instances of a pool that run suspects."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def select_isolation_instances(pool: str, instances: Iterable[Instance]) -> tuple[Instance, ...]:
-    """Return the instances that run the suspects of a pool, the same for equal views."""
+    """Return the instances that run the suspects of a pool, chosen by hash from its members."""
     members = sorted(instances, key=lambda instance: _get_rank(pool, instance.name))
     count = max(1, len(members) // INSTANCES_PER_ISOLATION_INSTANCE)
     return tuple(members[:count])
--- a/gypsumrouter/suspicion/outcomes.py
+++ b/gypsumrouter/suspicion/outcomes.py
@@ -1,4 +1,4 @@
-"""What may be done with a request, by what is known of its digest."""
+"""Verdicts on whether a request with a given digest may run."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Clear(Struct, frozen=True, kw_only=True):
-    """Nothing speaks against the request."""
+    """The request may run normally."""
 
 
 class Suspect(Struct, frozen=True, kw_only=True):
-    """The request was running when an upstream died; it may only run alone."""
+    """The request was running during an upstream crash, and may only run alone."""
 
     alone: bool = True
 
--- a/gypsumrouter/suspicion/running.py
+++ b/gypsumrouter/suspicion/running.py
@@ -1,4 +1,4 @@
-"""What runs at the upstream now, and whether each run was alone."""
+"""Requests running at the upstream, and whether each has run alone."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ActiveRun:
-    """One run of a digest: `alone` while nothing else ran, `dead` once its upstream died."""
+    """A run of a digest: `alone` if no other overlapped it, `crashed` if its upstream crashed."""
 
     __slots__ = ("alone", "crashed", "digest")
 
@@ -17,7 +17,7 @@
 
 
 class RunningSet:
-    """The runs of one upstream, in the order of their start."""
+    """Running requests of one upstream, in the order of their start."""
 
     __slots__ = ("_runs",)
 
@@ -28,7 +28,7 @@
         return len(self._runs)
 
     def start(self, digest: int) -> ActiveRun:
-        """Add a run; all that run beside it are not alone any more."""
+        """Add a run; concurrent runs no longer count as alone."""
         alone = not self._runs
         if not alone:
             for other in self._runs:
@@ -38,11 +38,11 @@
         return run
 
     def end(self, run: ActiveRun) -> None:
-        """Remove a run; one that was taken as dead is gone already."""
+        """Remove a run, unless `remove_crashed` has removed it."""
         self._runs.pop(run, None)
 
     def remove_crashed(self) -> tuple[ActiveRun, ...]:
-        """Remove all runs because the upstream died; the newest come first."""
+        """Remove and return all runs after a crash of the upstream, newest first."""
         crashed = tuple(reversed(self._runs))
         self._runs.clear()
         for run in crashed:
@@ -51,5 +51,5 @@
 
 
 def list_digests(runs: Iterable[ActiveRun]) -> tuple[int, ...]:
-    """Return the different digests of runs, in their order."""
+    """Return the distinct digests of runs, in their order."""
     return tuple(dict.fromkeys(run.digest for run in runs))
--- a/gypsumrouter/suspicion/tracker.py
+++ b/gypsumrouter/suspicion/tracker.py
@@ -1,4 +1,4 @@
-"""What one process knows of requests that crash their upstream."""
+"""Tracking of requests that are suspected or proven to crash their upstream."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class SuspectTracker:
-    """Strikes of request digests, in a side and in a router.
+    """Tracks crash suspects by request digest, in a side or in a router.
 
-    A side that is given its fleet and pool runs suspects only if it is one of the pool's places
-    for them. News that was not known before goes to the listeners, who tell the other processes.
+    A side that has a fleet and a pool runs suspects only if it is one of the pool's isolation
+    instances. New strikes are passed to the listeners, which announce them to other processes.
     """
 
     __slots__ = (
@@ -82,7 +82,7 @@
         app.on_stop(self._async_stop)
 
     def check(self, digest: int) -> Verdict:
-        """Return what may be done with a request of this digest in this process."""
+        """Return whether a request with this digest may run in this process."""
         verdict = self._crashes.get_verdict(digest)
         match verdict:
             case Refused():
@@ -92,11 +92,11 @@
         return verdict
 
     def record_start(self, digest: int) -> None:
-        """Say that a request is being handed over, where the gate is not used."""
+        """Record the start of a run that does not pass the gate."""
         self._active.setdefault(digest, []).append(self._running.start(digest))
 
     def record_end(self, digest: int, *, complete: bool = False) -> None:
-        """Say that a run begun by `note_started` is over; a whole one alone clears the digest."""
+        """Record the end of a run; if it was complete and ran alone, the digest is cleared."""
         runs = self._active.get(digest)
         if not runs:
             return
@@ -106,23 +106,26 @@
         self._end(run, complete)
 
     def handle_upstream_crash(self) -> tuple[SuspectNews, ...]:
-        """Say that the upstream died; everything that ran gets one strike.
+        """Add a strike for each digest that was running when the upstream crashed.
 
-        Reports that find nothing running count for nothing, so each run may report.
+        Further reports of the same crash have no effect, so that each run may report it.
         """
         crashed = self._running.remove_crashed()
         if not crashed:
             return ()
         self._crash_counter.inc()
         strikes = _make_strikes(list_digests(crashed))
-        _LOGGER.warning("The upstream died while %s requests ran", len(crashed))
+        _LOGGER.warning(
+            "The upstream crashed with %s requests running; they are now crash suspects",
+            len(crashed),
+        )
         for strike in strikes:
             self._add(strike)
         self._gate.notify_waiters()
         return strikes
 
     async def async_enter(self, digest: int, cancelled: asyncio.Event) -> RunPermit | Refused:
-        """Wait until a request may run here: suspects alone, all others together."""
+        """Wait until a request may run; suspects run alone, others concurrently."""
         entered = await self._gate.async_enter(
             digest=digest, get_verdict=lambda: self.check(digest), cancelled=cancelled
         )
@@ -131,7 +134,7 @@
         return RunPermit(run=entered, on_end=self._end, on_crash=self._handle_run_crash)
 
     def on_new_strike(self, listener: StrikeListener) -> Remove:
-        """Register a listener for every strike that is new here, once for each digest."""
+        """Register a listener that is called once for each new strike."""
         self._listeners.append(listener)
 
         def remove() -> None:
@@ -141,9 +144,9 @@
         return remove
 
     def list_strikes(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
-        """Return what is known of one digest, or of all, for a process that may not know it.
+        """Return the strikes of one digest, or of all, to send to another process.
 
-        Sent over a link before a request, it cannot come after it.
+        Links preserve order, so strikes sent before a request are handled before it.
         """
         return self._crashes.list_strikes(digest)
 
