--- a/tests/exchange/conftest.py
+++ b/tests/exchange/conftest.py
@@ -1,4 +1,4 @@
-"""A side without its link and its HTTP: the runner among the real aggregates."""
+"""Fixtures with an exchange runner, real collaborators, a fake upstream and a fake link."""
 
 from __future__ import annotations
 
--- a/tests/exchange/exchange_fakes.py
+++ b/tests/exchange/exchange_fakes.py
@@ -1,4 +1,4 @@
-"""An upstream driven by hand, a fake answer and requests for the tests of the exchange."""
+"""Fake upstream and answer, and requests, for the tests of request handling in a side."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FakeAnswer:
-    """Collect an answer and insist on the order of its parts, as the link does."""
+    """Collects an answer and asserts the order of its parts, as the link does."""
 
     def __init__(self) -> None:
         self.cancelled = asyncio.Event()
@@ -83,7 +83,7 @@
 
 
 class FakeRun:
-    """One run at the upstream, driven by a test."""
+    """One run at the upstream, controlled by the test."""
 
     def __init__(
         self, *, request: Open, answer: Sink, priority: int, handed_over: Callable[[], None]
@@ -96,7 +96,7 @@
         self._on_send = handed_over
 
     def send(self) -> None:
-        """Send the request, unless that is denied: then the run is over."""
+        """Send the request; if that is denied, end the run."""
         try:
             self._on_send()
         except HandOverDenied as denied:
@@ -114,7 +114,7 @@
 
 
 class FakeUpstream:
-    """An upstream whose runs wait for a test; cancelled ones end at once."""
+    """An upstream whose runs are controlled by the test; a cancelled run ends at once."""
 
     def __init__(self, *, models: tuple[str, ...] = ()) -> None:
         self.up = True
@@ -123,7 +123,7 @@
         self.cancelled: list[str] = []
         self.started = 0
         self._runs: asyncio.Queue[FakeRun] = asyncio.Queue()
-        self._died: list[Callable[[], None]] = []
+        self._crash_listeners: list[Callable[[], None]] = []
 
     async def async_start(self) -> None:
         """Do nothing."""
@@ -149,13 +149,13 @@
             return Failed(reason=Reason.CANCELLED)
         return Refused(reason=Reason.CANCELLED)
 
-    def die(self) -> None:
-        for listener in self._died:
+    def crash(self) -> None:
+        for listener in self._crash_listeners:
             listener()
 
     def on_died(self, listener: Callable[[], None]) -> Remove:
-        self._died.append(listener)
-        return lambda: self._died.remove(listener)
+        self._crash_listeners.append(listener)
+        return lambda: self._crash_listeners.remove(listener)
 
     def on_up(self, listener: Callable[[bool], None]) -> Remove:
         return lambda: None
@@ -165,7 +165,7 @@
 
 
 class FakeInstanceLists:
-    """The published lists, as the fleet tells of them."""
+    """Source of instance lists, published by the test."""
 
     def __init__(self) -> None:
         self._on_list: list[Callable[[InstanceList], None]] = []
@@ -199,7 +199,7 @@
 
 @dataclass(kw_only=True)
 class Side:
-    """A runner with real aggregates around it, and what a test drives it by."""
+    """A runner with real collaborators, and the fakes that control it."""
 
     app: Application
     clock: ManualClock
@@ -210,7 +210,7 @@
     keys: int = 0
 
     def handle(self, request: Open) -> tuple[FakeAnswer, asyncio.Task[None]]:
-        """Begin a request; the task ends with its answer."""
+        """Begin a request; the task ends when its answer does."""
         answer = FakeAnswer()
         task = asyncio.ensure_future(self._async_handle(request, answer))
         return answer, task
@@ -230,13 +230,13 @@
             await self.runner.async_handle(HELLO, request, answer)  # type: ignore[arg-type]
 
     def make_keyed(self, request: Open = REQUEST) -> Open:
-        """Return a call that must not be repeated, with a new key of this moment."""
+        """Return an at-most-once call with a new key created now."""
         self.keys += 1
         value = (self.clock.wall_ms() << 80) | (7 << 76) | (2 << 62) | self.keys
         return replace(request, idempotency_key=str(uuid.UUID(int=value)))
 
 
 async def async_settle() -> None:
-    """Let every task go on until it waits for something that a test decides."""
+    """Run all tasks until they wait for the clock or for the fakes."""
     for _ in range(20):
         await asyncio.sleep(0)
--- a/tests/exchange/test_exchange_at_most_once.py
+++ b/tests/exchange/test_exchange_at_most_once.py
@@ -1,4 +1,4 @@
-"""Calls that must not be repeated, from the link to the upstream and back."""
+"""Tests of at-most-once calls in the exchange runner."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 async def async_begin_and_send(
     side: Side, call: Open
 ) -> tuple[FakeAnswer, asyncio.Task[None], FakeRun]:
-    """Begin a call and hand it over."""
+    """Begin a call and send it to the upstream."""
     answer, task = side.handle(call)
     run = await side.upstream.async_next()
     run.send()
     return answer, task, run
 
 
-async def test_repeat_is_answered_from_memory(service_side: Side) -> None:
+async def test_repeat_gets_stored_response(service_side: Side) -> None:
     call = service_side.make_keyed()
     first, task, run = await async_begin_and_send(service_side, call)
     await run.async_answer(b"reserved", status=201)
@@ -39,7 +39,7 @@
     assert service_side.upstream.started == 1
 
 
-async def test_repeat_while_it_runs_joins_the_run(service_side: Side) -> None:
+async def test_repeat_of_running_call_joins_it(service_side: Side) -> None:
     call = service_side.make_keyed()
     first, first_task, run = await async_begin_and_send(service_side, call)
     second, second_task = service_side.handle(call)
@@ -52,7 +52,7 @@
     assert service_side.upstream.started == 1
 
 
-async def test_call_that_was_handed_over_goes_on_without_its_caller(service_side: Side) -> None:
+async def test_sent_call_continues_after_caller_disconnects(service_side: Side) -> None:
     call = service_side.make_keyed()
     answer, task, run = await async_begin_and_send(service_side, call)
     answer.cancelled.set()
@@ -68,7 +68,7 @@
     assert service_side.upstream.started == 1
 
 
-async def test_call_that_was_handed_over_goes_on_when_its_task_is_cancelled(
+async def test_sent_call_continues_after_its_task_is_cancelled(
     service_side: Side,
 ) -> None:
     call = service_side.make_keyed()
@@ -85,7 +85,7 @@
     assert service_side.upstream.started == 1
 
 
-async def test_deadline_after_the_hand_over_is_unknown_and_the_call_goes_on(
+async def test_sent_call_continues_after_deadline_and_is_reported_as_unknown(
     service_side: Side,
 ) -> None:
     call = service_side.make_keyed()
@@ -101,7 +101,7 @@
     assert (await service_side.async_handle(call)).body == b"reserved"
 
 
-async def test_call_that_never_ends_gives_its_slot_back(service_side: Side) -> None:
+async def test_call_that_never_ends_is_cancelled_and_releases_its_slot(service_side: Side) -> None:
     call = service_side.make_keyed()
     _, task, _ = await async_begin_and_send(service_side, call)
     for _ in range(10):
@@ -115,7 +115,7 @@
     assert isinstance(again.failure, Failed)
 
 
-async def test_lease_that_ran_out_before_the_hand_over_sends_nothing(service_side: Side) -> None:
+async def test_call_is_not_sent_after_lease_expires(service_side: Side) -> None:
     call = service_side.make_keyed()
     answer, task = service_side.handle(call)
     run = await service_side.upstream.async_next()
@@ -128,7 +128,7 @@
     assert answer.failure.reason is Reason.HOME_UNCONFIRMED
 
 
-async def test_caller_that_goes_before_the_hand_over_sends_nothing(service_side: Side) -> None:
+async def test_call_is_not_sent_after_caller_disconnects(service_side: Side) -> None:
     call = service_side.make_keyed()
     answer, task = service_side.handle(call)
     run = await service_side.upstream.async_next()
@@ -141,7 +141,7 @@
     assert answer.failure.reason is Reason.CANCELLED
 
 
-async def test_joined_call_whose_own_caller_went_before_the_hand_over_still_runs(
+async def test_joined_call_runs_again_if_first_caller_disconnects_before_sending(
     service_side: Side,
 ) -> None:
     call = service_side.make_keyed()
@@ -161,7 +161,7 @@
     assert second.ended
 
 
-async def test_lost_answer_is_unknown_for_every_repeat(service_side: Side) -> None:
+async def test_call_with_lost_response_stays_unknown_for_repeats(service_side: Side) -> None:
     call = service_side.make_keyed()
     answer, task, run = await async_begin_and_send(service_side, call)
     run.finish(Failed(reason=Reason.UPSTREAM_LOST))
@@ -175,7 +175,7 @@
     assert service_side.upstream.started == 1
 
 
-async def test_refused_call_was_not_run_and_may_run_later(service_side: Side) -> None:
+async def test_refused_call_may_run_later(service_side: Side) -> None:
     call = service_side.make_keyed()
     answer, task = service_side.handle(call)
     run = await service_side.upstream.async_next()
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("caller_stays", [True, False])
-async def test_answer_too_large_to_be_remembered_is_passed_on_once(
+async def test_too_large_response_is_streamed_and_not_replayed(
     service_side: Side, caller_stays: bool
 ) -> None:
     call = service_side.make_keyed()
@@ -214,7 +214,7 @@
     assert service_side.upstream.started == 1
 
 
-async def test_remembered_answer_is_told_while_leaving(service_side: Side) -> None:
+async def test_stored_response_is_replayed_while_draining(service_side: Side) -> None:
     call = service_side.make_keyed()
     _, task, run = await async_begin_and_send(service_side, call)
     await run.async_answer(b"reserved")
@@ -230,7 +230,7 @@
     assert new.failure.reason is Reason.LEAVING
 
 
-async def test_planned_stop_waits_for_a_call_whose_caller_went(service_side: Side) -> None:
+async def test_drain_waits_for_call_whose_caller_disconnected(service_side: Side) -> None:
     answer, task, run = await async_begin_and_send(service_side, service_side.make_keyed())
     answer.cancelled.set()
     await task
@@ -243,7 +243,7 @@
     await drain
 
 
-async def test_other_request_with_the_same_key_is_refused(service_side: Side) -> None:
+async def test_different_request_with_same_key_is_refused(service_side: Side) -> None:
     call = service_side.make_keyed()
     _, task, run = await async_begin_and_send(service_side, call)
     await run.async_answer(b"reserved")
--- a/tests/exchange/test_exchange_repeatable.py
+++ b/tests/exchange/test_exchange_repeatable.py
@@ -1,4 +1,4 @@
-"""Requests that may be repeated, from the link to the upstream and back."""
+"""Tests of repeatable requests in the exchange runner."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 REPORT = replace(CHAT, request_id="report-1", caller_class="reports", digest=12)
 
 
-async def test_answer_is_passed_on_whole(engine_side: Side) -> None:
+async def test_complete_response_is_relayed(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
     run.send()
@@ -31,7 +31,7 @@
     assert engine_side.admission.load == 0
 
 
-async def test_answer_without_a_body_keeps_its_head(service_side: Side) -> None:
+async def test_head_of_response_without_body_is_relayed(service_side: Side) -> None:
     answer, task = service_side.handle(REQUEST)
     run = await service_side.upstream.async_next()
     run.send()
@@ -62,7 +62,7 @@
     assert engine_side.upstream.started == 0
 
 
-async def test_upstream_that_does_not_answer_is_not_ready(engine_side: Side) -> None:
+async def test_request_is_refused_while_upstream_is_down(engine_side: Side) -> None:
     engine_side.upstream.up = False
 
     answer = await engine_side.async_handle(CHAT)
@@ -72,7 +72,7 @@
     assert not engine_side.runner.make_status().ready
 
 
-async def test_call_that_must_not_be_repeated_is_refused_without_a_key(service_side: Side) -> None:
+async def test_at_most_once_call_without_key_is_refused(service_side: Side) -> None:
     answer = await service_side.async_handle(replace(REQUEST, path="/sign-offs/7"))
 
     assert isinstance(answer.failure, Refused)
@@ -80,7 +80,7 @@
     assert service_side.upstream.started == 0
 
 
-async def test_leaving_side_refuses_new_and_waiting_work_and_ends_what_runs(
+async def test_draining_side_refuses_new_and_queued_requests_and_completes_running_ones(
     engine_side: Side,
 ) -> None:
     running = [engine_side.handle(replace(CHAT, request_id=name)) for name in ("a", "b")]
@@ -106,7 +106,7 @@
     assert [answer.ended for answer, _ in running] == [True, True]
 
 
-async def test_caller_that_goes_cancels_the_work_at_the_upstream(engine_side: Side) -> None:
+async def test_caller_disconnect_cancels_run_at_upstream(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
     run.send()
@@ -120,7 +120,7 @@
     assert engine_side.admission.load == 0
 
 
-async def test_deadline_before_the_hand_over_is_not_run(engine_side: Side) -> None:
+async def test_deadline_before_sending_is_a_refusal(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     await engine_side.upstream.async_next()
     engine_side.clock.advance(CHAT.deadline_ms)
@@ -130,7 +130,7 @@
     assert answer.failure.reason is Reason.DEADLINE
 
 
-async def test_deadline_after_the_hand_over_is_unknown_and_cancels(engine_side: Side) -> None:
+async def test_deadline_after_sending_is_a_failure_and_cancels_run(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
     run.send()
@@ -142,7 +142,7 @@
     assert engine_side.upstream.cancelled == ["request-1"]
 
 
-async def test_refusal_of_the_upstream_is_passed_on_as_not_run(engine_side: Side) -> None:
+async def test_refusal_by_upstream_client_is_returned_unchanged(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
     refusal = Refused(reason=Reason.UNREACHABLE, elsewhere=True)
@@ -152,7 +152,9 @@
     assert answer.failure == refusal
 
 
-async def test_batch_work_without_a_byte_gives_way_and_runs_again(engine_side: Side) -> None:
+async def test_batch_request_without_body_sent_is_preempted_and_runs_again(
+    engine_side: Side,
+) -> None:
     reports = [
         engine_side.handle(replace(REPORT, request_id=f"report-{number}", digest=20 + number))
         for number in range(2)
@@ -183,7 +185,7 @@
     assert engine_side.upstream.cancelled == ["report-0"]
 
 
-async def test_batch_work_that_has_sent_a_byte_goes_on(engine_side: Side) -> None:
+async def test_batch_request_with_body_sent_is_not_preempted(engine_side: Side) -> None:
     report, report_task = engine_side.handle(REPORT)
     run = await engine_side.upstream.async_next()
     run.send()
@@ -204,14 +206,14 @@
         answer.cancelled.set()
 
 
-async def test_requests_of_a_dead_upstream_run_alone_afterwards(engine_side: Side) -> None:
+async def test_requests_running_at_upstream_crash_run_alone_afterwards(engine_side: Side) -> None:
     first, first_task = engine_side.handle(CHAT)
     second, second_task = engine_side.handle(replace(CHAT, request_id="b", digest=12))
     for _ in range(2):
         run = await engine_side.upstream.async_next()
         run.send()
         if run.request.request_id == "b":
-            engine_side.upstream.die()
+            engine_side.upstream.crash()
         run.finish(Failed(reason=Reason.UPSTREAM_LOST))
     await asyncio.gather(first_task, second_task)
     assert isinstance(first.failure, Failed)
--- a/tests/suspicion/suspicion_world.py
+++ b/tests/suspicion/suspicion_world.py
@@ -1,4 +1,4 @@
-"""Shared parts of the tests of suspicion."""
+"""Fakes for the tests of crash suspects."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FakeNoticeHub:
-    """The listeners for news from other processes."""
+    """Link to other processes, from which a test can deliver strikes."""
 
     def __init__(self) -> None:
         self.listeners: list[Listener] = []
@@ -28,7 +28,7 @@
 
 
 class FakeProcess:
-    """One process with its suspicion; what is new to it is kept in `told`."""
+    """A process with a suspect tracker; `announced` has the strikes that its listener received."""
 
     def __init__(self, name: str = "e0", *, fleet: Any = None, pool: str = "") -> None:
         self.clock = ManualClock()
@@ -48,7 +48,7 @@
                 listener(cast(Peer, None), item)
 
     def crash_with(self, *digests: int) -> tuple[SuspectNews, ...]:
-        """Let the upstream die while these digests run."""
+        """Crash the upstream while requests with these digests run."""
         for digest in digests:
             self.suspicion.record_start(digest)
         strikes = self.suspicion.handle_upstream_crash()
@@ -60,12 +60,12 @@
         return asyncio.ensure_future(self.suspicion.async_enter(digest, asyncio.Event()))
 
     async def async_enter(self, digest: int) -> RunPermit:
-        token = await self.suspicion.async_enter(digest, asyncio.Event())
-        assert isinstance(token, RunPermit)
-        return token
+        permit = await self.suspicion.async_enter(digest, asyncio.Event())
+        assert isinstance(permit, RunPermit)
+        return permit
 
 
 async def async_settle() -> None:
-    """Let every task that can go on do so."""
+    """Run all tasks until they wait for the clock or an event."""
     for _ in range(10):
         await asyncio.sleep(0)
--- a/tests/suspicion/test_suspicion_gate.py
+++ b/tests/suspicion/test_suspicion_gate.py
@@ -1,4 +1,4 @@
-"""The gate before an upstream: suspects run alone."""
+"""Tests of the isolation gate: suspects run alone, without blocking other requests for long."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     SHARED_WAIT_MS,
 )
 
-CRASHING = 666
+CRASHING_DIGEST = 666
 
 
-async def test_suspect_waits_until_nothing_runs_and_keeps_others_out() -> None:
+async def test_suspect_waits_for_running_requests_and_blocks_new_ones() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1)
+    process.crash_with(CRASHING_DIGEST, 1)
     running = await process.async_enter(5)
     suspect, other = process.enter(1), process.enter(6)
     await async_settle()
@@ -36,9 +36,9 @@
     assert (refused.reason, refused.elsewhere) == (Reason.SUSPECT_BUSY, True)
 
 
-async def test_whole_run_alone_clears_and_lets_the_others_in() -> None:
+async def test_complete_isolated_run_clears_suspect_and_opens_gate() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1)
+    process.crash_with(CRASHING_DIGEST, 1)
     alone = await process.async_enter(1)
     waiting = process.enter(5)
     await async_settle()
@@ -47,42 +47,42 @@
     assert isinstance(await process.async_enter(1), RunPermit)
 
 
-async def test_crasher_brings_down_two_upstreams_and_frees_its_waiting_neighbours() -> None:
+async def test_second_crash_proves_digest_and_clears_waiting_suspects() -> None:
     first, second = FakeProcess("e0"), FakeProcess("e1")
-    tokens = [await first.async_enter(digest) for digest in (1, 2, CRASHING)]
-    strikes = [item for token in tokens for item in token.report_crash()]
+    permits = [await first.async_enter(digest) for digest in (1, 2, CRASHING_DIGEST)]
+    strikes = [item for permit in permits for item in permit.report_crash()]
     assert len(strikes) == 3
     second.receive(*strikes)
-    crashing_permit = await second.async_enter(CRASHING)
+    crashing_permit = await second.async_enter(CRASHING_DIGEST)
     neighbours = [second.enter(digest) for digest in (1, 2)]
     await async_settle()
     proof = crashing_permit.report_crash()
     crashing_permit.end(complete=False)
     entered = await asyncio.gather(*neighbours)
-    assert [type(token) for token in entered] == [RunPermit, RunPermit]
+    assert [type(permit) for permit in entered] == [RunPermit, RunPermit]
     first.receive(*proof)
     for process in (first, second):
-        refused = await process.suspicion.async_enter(CRASHING, asyncio.Event())
+        refused = await process.suspicion.async_enter(CRASHING_DIGEST, asyncio.Event())
         assert isinstance(refused, Refused)
         assert refused.reason is Reason.SUSPECT
 
 
-async def test_suspect_that_waits_is_refused_when_its_proof_arrives() -> None:
+async def test_waiting_suspect_is_refused_when_proven_elsewhere() -> None:
     process, other = FakeProcess("e0"), FakeProcess("e1")
-    strikes = process.crash_with(CRASHING, 1)
+    strikes = process.crash_with(CRASHING_DIGEST, 1)
     other.receive(*strikes)
     await process.async_enter(5)
-    waiting = process.enter(CRASHING)
+    waiting = process.enter(CRASHING_DIGEST)
     await async_settle()
-    process.receive(*other.crash_with(CRASHING))
+    process.receive(*other.crash_with(CRASHING_DIGEST))
     refused = await waiting
     assert isinstance(refused, Refused)
     assert refused.reason is Reason.SUSPECT
 
 
-async def test_wait_of_a_suspect_is_bounded_and_opens_the_gate_again() -> None:
+async def test_suspect_wait_times_out_and_gate_opens() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1)
+    process.crash_with(CRASHING_DIGEST, 1)
     await process.async_enter(5)
     waiting = process.enter(1)
     await async_settle()
@@ -93,9 +93,9 @@
     assert isinstance(await process.async_enter(6), RunPermit)
 
 
-async def test_cancelled_suspect_gives_its_place_up() -> None:
+async def test_cancelled_suspect_no_longer_blocks_other_requests() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1)
+    process.crash_with(CRASHING_DIGEST, 1)
     await process.async_enter(5)
     cancelled = asyncio.Event()
     waiting = asyncio.ensure_future(process.suspicion.async_enter(1, cancelled))
@@ -105,9 +105,9 @@
     assert isinstance(await process.async_enter(6), RunPermit)
 
 
-async def test_number_of_waiting_suspects_is_bounded() -> None:
+async def test_number_of_waiting_suspects_is_limited() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1)
+    process.crash_with(CRASHING_DIGEST, 1)
     await process.async_enter(5)
     waiting = [process.enter(1) for _ in range(MAX_WAITING_SUSPECTS)]
     await async_settle()
@@ -116,9 +116,9 @@
         task.cancel()
 
 
-async def test_gate_opens_for_other_work_between_many_suspects() -> None:
+async def test_gate_opens_for_other_requests_between_suspects() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1, 2)
+    process.crash_with(CRASHING_DIGEST, 1, 2)
     first = await process.async_enter(1)
     second = process.enter(2)
     await async_settle()
--- a/tests/suspicion/test_suspicion_crashes.py
+++ b/tests/suspicion/test_suspicion_strikes.py
@@ -1,4 +1,4 @@
-"""What strikes say of a request, and how the news of them travels."""
+"""Tests of verdicts derived from crashes, and of the announcement of strikes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gypsumrouter.suspicion import Clear, Suspect, select_isolation_instances
 from gypsumrouter.suspicion.const import CRASH_TTL_MS, MAX_CRASHES, PROOF_TTL_MS
 
-CRASHING = 666
+CRASHING_DIGEST = 666
 
 
 class FakeFleet:
@@ -39,17 +39,17 @@
     return isinstance(verdict, Refused) and verdict.reason is Reason.SUSPECT
 
 
-def test_one_death_makes_all_that_ran_suspect_with_one_strike() -> None:
+def test_crash_makes_all_running_digests_suspect() -> None:
     process = FakeProcess()
-    strikes = process.crash_with(CRASHING, 1, 2, 2)
-    assert {item.digest for item in strikes} == {CRASHING, 1, 2}
+    strikes = process.crash_with(CRASHING_DIGEST, 1, 2, 2)
+    assert {item.digest for item in strikes} == {CRASHING_DIGEST, 1, 2}
     assert len({item.strike for item in strikes}) == 1
     assert process.announced == list(strikes)
     assert process.suspicion.check(1) == Suspect()
     assert process.suspicion.check(3) == Clear()
 
 
-def test_reports_of_the_same_death_count_once() -> None:
+def test_repeated_reports_of_a_crash_count_once() -> None:
     process = FakeProcess()
     process.suspicion.record_start(1)
     process.suspicion.record_start(2)
@@ -59,53 +59,53 @@
     assert process.suspicion.handle_upstream_crash() == ()
 
 
-def test_single_death_alone_is_no_proof() -> None:
+def test_single_crash_is_no_proof() -> None:
     process = FakeProcess()
     process.crash_with(1)
     assert process.suspicion.check(1) == Suspect()
 
 
-def test_death_alone_after_a_strike_is_proof_and_clears_the_neighbours_everywhere() -> None:
+def test_second_crash_alone_is_proof_and_clears_other_digests() -> None:
     first, second, router = FakeProcess(), FakeProcess(), FakeProcess()
-    strikes = first.crash_with(CRASHING, 1, 2)
+    strikes = first.crash_with(CRASHING_DIGEST, 1, 2)
     second.receive(*strikes)
-    more = second.crash_with(CRASHING)
+    more = second.crash_with(CRASHING_DIGEST)
     router.receive(*strikes, *more)
     first.receive(*more)
     for process in (first, second, router):
-        assert is_rejected(process, CRASHING)
+        assert is_rejected(process, CRASHING_DIGEST)
         assert process.suspicion.check(1) == Clear()
 
 
-def test_only_digest_common_to_two_deaths_is_proven_in_any_order_of_the_news() -> None:
+def test_only_digest_common_to_two_crashes_is_proven_in_any_order_of_strikes() -> None:
     first, second, router = FakeProcess(), FakeProcess(), FakeProcess()
-    strikes = [*first.crash_with(1, CRASHING, 2), *second.crash_with(3, CRASHING, 4)]
+    strikes = [*first.crash_with(1, CRASHING_DIGEST, 2), *second.crash_with(3, CRASHING_DIGEST, 4)]
     router.receive(*reversed(strikes))
-    assert is_rejected(router, CRASHING)
+    assert is_rejected(router, CRASHING_DIGEST)
     assert [router.suspicion.check(digest) for digest in (1, 2, 3, 4)] == [Clear()] * 4
 
 
-def test_digests_that_died_together_twice_stay_suspect_and_are_not_refused() -> None:
+def test_two_digests_common_to_two_crashes_stay_suspect() -> None:
     process = FakeProcess()
     for _ in range(2):
-        process.crash_with(CRASHING, 1)
-    assert process.suspicion.check(CRASHING) == Suspect()
+        process.crash_with(CRASHING_DIGEST, 1)
+    assert process.suspicion.check(CRASHING_DIGEST) == Suspect()
     assert process.suspicion.check(1) == Suspect()
 
 
-@pytest.mark.parametrize(("whole", "expected"), [(True, Clear()), (False, Suspect())])
-def test_whole_run_alone_clears(complete: bool, expected: Clear | Suspect) -> None:
+@pytest.mark.parametrize(("complete", "expected"), [(True, Clear()), (False, Suspect())])
+def test_only_complete_run_alone_clears_suspect(complete: bool, expected: Clear | Suspect) -> None:
     process = FakeProcess()
-    strikes = process.crash_with(CRASHING, 1)
+    strikes = process.crash_with(CRASHING_DIGEST, 1)
     process.suspicion.record_start(1)
     process.suspicion.record_end(1, complete=complete)
     process.receive(*strikes)
     assert process.suspicion.check(1) == expected
 
 
-def test_whole_run_beside_another_does_not_clear() -> None:
+def test_complete_concurrent_run_does_not_clear_suspect() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1)
+    process.crash_with(CRASHING_DIGEST, 1)
     process.suspicion.record_start(1)
     process.suspicion.record_start(5)
     process.suspicion.record_end(5, complete=True)
@@ -113,39 +113,39 @@
     assert process.suspicion.check(1) == Suspect()
 
 
-def test_news_is_forwarded_once() -> None:
+def test_repeated_strike_is_announced_once() -> None:
     process = FakeProcess()
-    strikes = SuspectNews(digest=1, strike=2, alone=False)
-    process.receive(strikes, strikes)
-    assert process.announced == [strikes]
-    assert process.suspicion.list_strikes(1) == (strikes,)
+    strike = SuspectNews(digest=1, strike=2, alone=False)
+    process.receive(strike, strike)
+    assert process.announced == [strike]
+    assert process.suspicion.list_strikes(1) == (strike,)
     assert process.suspicion.list_strikes(7) == ()
 
 
-def test_strikes_and_proofs_end_with_their_time() -> None:
+def test_crashes_and_proofs_expire() -> None:
     process = FakeProcess()
     process.crash_with(1, 2)
-    process.crash_with(CRASHING, 3)
-    process.crash_with(CRASHING)
+    process.crash_with(CRASHING_DIGEST, 3)
+    process.crash_with(CRASHING_DIGEST)
     process.clock.advance(CRASH_TTL_MS)
     assert process.suspicion.check(1) == Clear()
-    assert is_rejected(process, CRASHING)
+    assert is_rejected(process, CRASHING_DIGEST)
     process.clock.advance(PROOF_TTL_MS)
-    assert process.suspicion.check(CRASHING) == Clear()
+    assert process.suspicion.check(CRASHING_DIGEST) == Clear()
     assert process.suspicion.list_strikes() == ()
 
 
-def test_memory_of_strikes_is_bounded_and_keeps_proofs() -> None:
+def test_number_of_crashes_is_limited_and_proofs_are_kept() -> None:
     process = FakeProcess()
-    process.crash_with(CRASHING, 1)
-    process.crash_with(CRASHING)
+    process.crash_with(CRASHING_DIGEST, 1)
+    process.crash_with(CRASHING_DIGEST)
     for number in range(3 * MAX_CRASHES):
         process.crash_with(1_000 + number, 5_000 + number)
-    assert is_rejected(process, CRASHING)
+    assert is_rejected(process, CRASHING_DIGEST)
     assert len(process.suspicion.list_strikes()) <= 2 * MAX_CRASHES
 
 
-def test_suspects_run_only_at_the_places_of_their_pool() -> None:
+def test_suspects_run_only_on_isolation_instances() -> None:
     fleet = FakeFleet("e0", "e1", "e2")
     (selected,) = select_isolation_instances("engines", fleet.members("engines"))
     for name in ("e0", "e1", "e2"):
@@ -164,7 +164,7 @@
     )
 
 
-async def test_dump_metrics_and_stop() -> None:
+async def test_dump_metrics_and_unsubscribe_on_stop() -> None:
     process = FakeProcess()
     process.crash_with(1, 2)
     dump = process.app.dump()["suspicion"]
