--- a/tests/idempotency/conftest.py
+++ b/tests/idempotency/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the calls that must not be repeated."""
+"""Fixtures for the tests of at-most-once calls."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def side() -> Side:
-    """Return a side that has been the only home for longer than every bound."""
+    """Return a side that has owned all keys for longer than the time window and the lease."""
     side = Side(name="a", address=Address(host="10.0.0.1", port=7000))
     own = make_instance(side.name, side.address)
     side.read(1, own)
--- a/tests/idempotency/idempotency_world.py
+++ b/tests/idempotency/idempotency_world.py
@@ -1,4 +1,4 @@
-"""Shared parts of the tests of calls that must not be repeated."""
+"""Fakes and factories for the tests of at-most-once calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FakeInstanceLists:
-    """A list reader that is told what it read, and that takes states in their order only."""
+    """List reader whose lists are supplied by the test; older revisions are ignored."""
 
     def __init__(self) -> None:
         self.newest: InstanceList | None = None
@@ -51,7 +51,7 @@
 
 
 class Side:
-    """One process with its own clock and its own reader of the list."""
+    """A side process with its own clock and its own list reader."""
 
     def __init__(self, *, name: str, address: Address, wall_ms: int = START_MS) -> None:
         self.name = name
@@ -72,7 +72,7 @@
         self.idempotency.set_listen_address(address)
 
     def read(self, revision: int, *instances: Instance, as_of_ms: int | None = None) -> None:
-        """Read a state of the list that holds now."""
+        """Receive a list that is valid now, or as of `as_of_ms`."""
         wall_ms = self.clock.wall_ms() if as_of_ms is None else as_of_ms
         self.lists.read(
             InstanceList(revision=revision, as_of_ms=wall_ms, instances=tuple(instances))
--- a/tests/idempotency/test_idempotency_keys.py
+++ b/tests/idempotency/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys and the time that they carry."""
+"""Tests of parsing idempotency keys and their creation time."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
         ("order-4711", None),
     ],
 )
-def test_creation_time_is_read_from_uuid7_and_ulid(text: str, created_ms: int | None) -> None:
+def test_creation_time_is_parsed_from_uuid7_and_ulid(text: str, created_ms: int | None) -> None:
     assert parse_key(text) == Key(text=text, created_ms=created_ms)
 
 
 @given(created_ms=st.integers(0, 2**48 - 1), number=st.integers(0, 2**62 - 1))
 @settings(derandomize=True, deadline=None)
-def test_every_uuid7_gives_its_time(created_ms: int, number: int) -> None:
+def test_creation_time_of_any_uuid7_is_parsed(created_ms: int, number: int) -> None:
     key = parse_key(make_uuid7(created_ms, number))
     assert isinstance(key, Key)
     assert key.created_ms == created_ms
@@ -37,6 +37,6 @@
 
 @given(text=st.text(max_size=2 * MAX_KEY_LENGTH))
 @settings(derandomize=True, deadline=None)
-def test_any_text_is_a_key_or_refused(text: str) -> None:
+def test_any_text_is_accepted_or_refused_by_length_and_characters(text: str) -> None:
     allowed = 0 < len(text) <= MAX_KEY_LENGTH and all("!" <= letter <= "~" for letter in text)
     assert isinstance(parse_key(text), Key if allowed else Refused)
--- a/tests/idempotency/test_idempotency_memory.py
+++ b/tests/idempotency/test_idempotency_memory.py
@@ -1,4 +1,4 @@
-"""What a remembered call costs, against what is accounted for it."""
+"""Guards against accounting less memory for stored calls than they use."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return Head(status=201, headers=headers)
 
 
-def remember(side: Side, key: str, number: int, answer_bytes: int) -> None:
+def store_call(side: Side, key: str, number: int, answer_bytes: int) -> None:
     run = side.idempotency.begin(make_call(key))
     assert isinstance(run, Run)
     assert run.authorize() is None
@@ -28,14 +28,14 @@
 
 
 @pytest.mark.parametrize("answer_bytes", [0, 200])
-def test_accounted_bytes_cover_the_memory_that_is_used(side: Side, answer_bytes: int) -> None:
+def test_accounted_bytes_cover_used_memory(side: Side, answer_bytes: int) -> None:
     keys = [make_uuid7(side.clock.wall_ms(), number) for number in range(CALLS)]
     side.idempotency.configure(make_pool(calls=CALLS, size=1 << 30))
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for number, key in enumerate(keys):
-        remember(side, key, number, answer_bytes)
+        store_call(side, key, number, answer_bytes)
     gc.collect()
     used = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
--- a/tests/idempotency/test_idempotency_reasons.py
+++ b/tests/idempotency/test_idempotency_reasons.py
@@ -1,4 +1,4 @@
-"""Each way in which a home answers a call that must not be repeated."""
+"""Tests of each outcome of beginning an at-most-once call."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     return type(result), result.reason
 
 
-def test_repeat_gets_the_first_answer_again_even_when_the_home_has_changed(side: Side) -> None:
+def test_repeat_replays_stored_response_after_change_of_owner(side: Side) -> None:
     call = make_call(make_uuid7(side.clock.wall_ms()))
     run = side.idempotency.begin(call)
     assert isinstance(run, Run)
@@ -54,7 +54,7 @@
     assert side.idempotency.find_known(call) == Replay(head=HEAD, body=b"reserved")
 
 
-async def test_repeat_joins_the_running_call_and_gets_its_answer(side: Side) -> None:
+async def test_repeat_joins_running_call_and_gets_its_response(side: Side) -> None:
     call = make_call(make_uuid7(side.clock.wall_ms()))
     run = side.idempotency.begin(call)
     joins = [side.idempotency.begin(call) for _ in range(2)]
@@ -67,7 +67,7 @@
     assert await waits[1] == Replay(head=HEAD, body=b"reserved")
 
 
-async def test_joined_call_that_was_not_run_is_refused_and_may_run_later(side: Side) -> None:
+async def test_joined_call_that_was_cancelled_is_refused_and_may_run_later(side: Side) -> None:
     call = make_call(make_uuid7(side.clock.wall_ms()))
     run = side.idempotency.begin(call)
     join = side.idempotency.begin(call)
@@ -79,7 +79,7 @@
     assert isinstance(side.idempotency.begin(call), Run)
 
 
-def test_lost_call_is_never_run_again(side: Side) -> None:
+def test_call_with_lost_response_is_not_run_again(side: Side) -> None:
     call = make_call(make_uuid7(side.clock.wall_ms()))
     run = side.idempotency.begin(call)
     assert isinstance(run, Run)
@@ -88,7 +88,7 @@
     assert get_failure(side.idempotency.begin(call)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
 
-def test_run_is_settled_once_and_not_ended_before_its_start(side: Side) -> None:
+def test_run_accepts_one_outcome_and_none_before_authorization(side: Side) -> None:
     run = begin_now(side)
     assert isinstance(run, Run)
     with pytest.raises(InvariantBroken):
@@ -114,7 +114,9 @@
         (-SKEW_MS - 1, (Refused, Reason.KEY_INVALID)),
     ],
 )
-def test_time_of_a_key_is_checked(side: Side, age_ms: int, expected: tuple[type, Reason]) -> None:
+def test_expired_and_future_keys_are_rejected(
+    side: Side, age_ms: int, expected: tuple[type, Reason]
+) -> None:
     assert get_failure(begin_now(side, age_ms=age_ms)) == expected
     assert isinstance(begin_now(side, age_ms=max(age_ms, -2 * SKEW_MS) // 2), Run)
 
@@ -126,12 +128,12 @@
     assert result.reason is (Reason.KEY_INVALID if key else Reason.KEY_REQUIRED)
 
 
-def test_nothing_runs_before_the_first_list_or_the_listener(side: Side) -> None:
+def test_nothing_runs_before_first_list(side: Side) -> None:
     fresh = Side(name="a", address=side.address)
     assert get_failure(begin_now(fresh)) == (Failed, Reason.HOME_UNCONFIRMED)
 
 
-def test_other_instances_key_is_sent_elsewhere(side: Side) -> None:
+def test_key_of_another_owner_is_refused_with_elsewhere(side: Side) -> None:
     other = make_instance("b", Address(host="10.0.0.2", port=7000))
     side.read(2, get_own(side), other)
     wall_ms = side.clock.wall_ms()
@@ -154,16 +156,14 @@
         make_instance("a", Address(host="10.0.0.1", port=7000), pool="engines"),
     ],
 )
-def test_list_that_names_another_address_or_pool_for_us_ends_our_home(
-    side: Side, listed: Instance
-) -> None:
+def test_list_with_another_address_or_pool_ends_ownership(side: Side, listed: Instance) -> None:
     side.read(2, listed)
     assert get_failure(begin_now(side)) == (Refused, Reason.NOT_HOME)
     side.read(3, get_own(side))
     assert get_failure(begin_now(side)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
 
-def test_old_list_is_not_run_only_where_no_later_home_can_have_run_the_call(side: Side) -> None:
+def test_stale_list_is_refusal_only_if_no_later_owner_can_have_run_call(side: Side) -> None:
     key = make_uuid7(side.clock.wall_ms())
     side.clock.advance(LEASE_MS)
     early = side.idempotency.begin(make_call(key))
@@ -172,7 +172,7 @@
     assert get_failure(begin_now(side)) == (Failed, Reason.HOME_UNCONFIRMED)
 
 
-def test_lease_is_checked_again_at_the_hand_over(side: Side) -> None:
+def test_lease_is_checked_again_before_sending(side: Side) -> None:
     run, refused = begin_now(side, number=1), begin_now(side, number=2)
     assert isinstance(run, Run)
     assert isinstance(refused, Run)
@@ -184,7 +184,7 @@
     assert refused.cancel(Refused(reason=Reason.OVER_CAP)).reason is Reason.NOT_HOME
 
 
-def test_key_from_before_the_tenure_is_unknown_and_a_later_one_runs(side: Side) -> None:
+def test_key_created_before_ownership_fails_and_later_key_runs(side: Side) -> None:
     side.read(2)
     side.read(3, get_own(side))
     side.clock.advance(NEW_OWNER_DELAY_MS + 1)
@@ -198,12 +198,12 @@
     side.read(3, get_own(side))
 
 
-def test_missed_revision_breaks_the_tenure(side: Side) -> None:
+def test_missed_revision_resets_ownership(side: Side) -> None:
     skip_revision(side)
     assert get_failure(begin_now(side)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
 
-def test_missed_revision_would_run_twice_without_the_check(
+def test_missed_revision_would_run_call_again_without_reset(
     side: Side, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(OwnershipHistory, "_reset", lambda self, as_of_ms: None)
@@ -212,7 +212,7 @@
 
 
 def restart_with_old_list(side: Side) -> tuple[Side, str]:
-    """Return a side started anew, and a key that its predecessor has run before."""
+    """Return a restarted side that has read an old list, and a key from before the restart."""
     key = make_uuid7(side.clock.wall_ms())
     fresh = Side(name=side.name, address=side.address, wall_ms=side.clock.wall_ms())
     fresh.read(1, get_own(side), as_of_ms=fresh.clock.wall_ms() - NEW_OWNER_DELAY_MS - 1)
@@ -220,13 +220,13 @@
     return fresh, key
 
 
-def test_restart_in_place_does_not_run_what_its_predecessor_may_have_run(side: Side) -> None:
+def test_restarted_side_does_not_run_key_from_before_restart(side: Side) -> None:
     fresh, key = restart_with_old_list(side)
     result = fresh.idempotency.begin(make_call(key))
     assert get_failure(result) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
 
-def test_restart_in_place_would_run_twice_without_the_start_time(
+def test_restarted_side_would_run_call_again_without_its_start_time(
     side: Side, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
@@ -238,7 +238,7 @@
     assert isinstance(fresh.idempotency.begin(make_call(key)), Run)
 
 
-def test_opaque_key_waits_until_the_home_is_older_than_the_window(side: Side) -> None:
+def test_opaque_key_fails_until_owned_for_longer_than_window(side: Side) -> None:
     side.read(2)
     side.read(3, get_own(side))
     call = make_call("order-4711")
@@ -251,25 +251,25 @@
     assert isinstance(side.idempotency.begin(call), Run)
 
 
-def test_opaque_key_is_refused_where_the_configuration_says_so(side: Side) -> None:
+def test_opaque_key_is_refused_if_configured(side: Side) -> None:
     side.idempotency.configure(make_pool(opaque=OpaqueKeys.REFUSE))
     result = side.idempotency.begin(make_call("order-4711"))
     assert get_failure(result) == (Refused, Reason.KEY_INVALID)
 
 
-def test_longer_window_does_not_cover_what_was_already_forgotten(side: Side) -> None:
+def test_extended_window_applies_to_new_opaque_keys_only(side: Side) -> None:
     side.idempotency.configure(make_pool(window_ms=2 * WINDOW_MS))
     result = side.idempotency.begin(make_call("order-4711"))
     assert get_failure(result) == (Failed, Reason.HOME_TOO_YOUNG)
 
 
-def test_request_with_an_opaque_key_that_was_held_up_is_not_run(side: Side) -> None:
+def test_delayed_request_with_opaque_key_is_not_run(side: Side) -> None:
     received_ms = side.clock.wall_ms() - MAX_TRANSIT_MS - 1
     delayed = side.idempotency.begin(make_call("order-4711"), received_wall_ms=received_ms)
     assert get_failure(delayed) == (Failed, Reason.KEY_EXPIRED)
 
 
-def test_forgotten_key_is_expired_even_when_the_clock_goes_back(side: Side) -> None:
+def test_expired_key_stays_expired_after_clock_steps_back(side: Side) -> None:
     key = make_uuid7(side.clock.wall_ms() + SKEW_MS)
     run = side.idempotency.begin(make_call(key))
     assert isinstance(run, Run)
@@ -282,7 +282,7 @@
     assert get_failure(result) == (Failed, Reason.KEY_EXPIRED)
 
 
-def test_full_memory_refuses_and_never_forgets_early(side: Side) -> None:
+def test_full_store_refuses_new_calls_and_keeps_records(side: Side) -> None:
     side.idempotency.configure(make_pool(calls=2))
     runs = [begin_now(side, number=number) for number in range(2)]
     for run in runs:
@@ -299,7 +299,7 @@
     assert isinstance(begin_now(side, number=2), Run)
 
 
-def test_answer_that_is_too_large_is_remembered_as_run_without_it(side: Side) -> None:
+def test_too_large_response_is_stored_as_status_only(side: Side) -> None:
     call = make_call(make_uuid7(side.clock.wall_ms()))
     run = side.idempotency.begin(call)
     assert isinstance(run, Run)
@@ -311,7 +311,7 @@
     assert "201" in evicted.message
 
 
-def test_stopping_side_starts_nothing_but_tells_what_it_remembers(side: Side) -> None:
+def test_stopping_side_starts_no_runs(side: Side) -> None:
     waiting = begin_now(side, number=1)
     assert isinstance(waiting, Run)
     side.app.stopping.set()
@@ -321,7 +321,7 @@
     assert get_failure(begin_now(side, number=2)) == (Refused, Reason.LEAVING)
 
 
-def test_only_the_home_may_say_that_a_call_was_not_run() -> None:
+def test_only_owner_reports_call_as_not_run() -> None:
     here = Refused(reason=Reason.OVER_CAP, retry_after_ms=5)
     elsewhere = Refused(reason=Reason.NOT_HOME, elsewhere=True)
     assert get_call_outcome(here, from_side=True) == here
@@ -329,7 +329,7 @@
     assert isinstance(get_call_outcome(elsewhere, from_side=True), Failed)
 
 
-def test_dump_counts_and_holds_no_keys(side: Side) -> None:
+def test_dump_has_counts_but_no_keys(side: Side) -> None:
     side.idempotency.begin(make_call("order-4711"))
     dump = side.app.dump()["idempotency"]
     assert isinstance(dump, dict)
