--- a/tests/idempotency/test_idempotency_machine.py
+++ b/tests/idempotency/test_idempotency_machine.py
@@ -1,7 +1,7 @@
-"""At most once in a fleet of sides with different views, pauses, restarts and replacements.
+"""Property test: no call runs twice, whatever instance lists the processes have read.
 
-Routers do not decide, so a copy of a call may reach any process at any time. A process may have
-been removed from the list, replaced at another address, cut off or paused with an old view.
+A copy of a call may reach any process at any time. A process may have been removed from the list,
+replaced at another address, restarted, paused, or partitioned from the list.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class Call(Struct, kw_only=True):
-    """One call of a caller; `sent_ms` is the true time of its first sending."""
+    """A call with its key; `sent_ms` is the true time of its first attempt."""
 
     key: str
     has_time: bool
@@ -57,16 +57,16 @@
 
 
 class Process(Struct, kw_only=True):
-    """A side and the runs that it has begun; a paused one does nothing, a cut one reads nothing."""
+    """A side and its pending runs; when paused it does nothing, when partitioned it reads no list."""
 
     side: Side
-    begun: list[tuple[Call, Run]] = field(default_factory=list)
+    pending_runs: list[tuple[Call, Run]] = field(default_factory=list)
     paused: bool = False
     partitioned: bool = False
 
 
 class AtMostOnceMachine(RuleBasedStateMachine):
-    """The platform, its processes and the callers; all times count from one true clock."""
+    """The published lists, the processes and the callers, with one true clock."""
 
     executed = 0
 
@@ -91,7 +91,7 @@
         self.states.append((self.true_ms, instances))
 
     def start(self, name: str) -> Instance:
-        """Start a process at an address of its own."""
+        """Start a process at a new address."""
         self.addresses += 1
         address = Address(host="10.0.0.1", port=self.addresses)
         side = Side(name=name, address=address, wall_ms=self.true_ms)
@@ -113,7 +113,7 @@
         newest=st.booleans(),
     )
     def pass_time_with_reads(self, total_ms: int, newest: bool = False) -> None:
-        """Let time pass while all that can read the list do."""
+        """Advance the clock in steps, reading the list in all processes after each."""
         for _ in range(4):
             self.pass_time(total_ms // 4)
             self.read_list_everywhere(0, newest)
@@ -126,16 +126,18 @@
 
     @rule(index=INDEX, lag_ms=st.sampled_from((0, 400, 3_000, 20_000)), newest=st.booleans())
     def read_list(self, index: int, lag_ms: int, newest: bool) -> None:
-        """Read the next state from a replica that lags, or its newest one past a gap."""
+        """Read the next list from a lagging replica, or its newest one, skipping revisions."""
         process = self.get_running_process(index)
-        at_ms = self.true_ms - lag_ms
-        past = [number for number, (since_ms, _) in enumerate(self.states) if since_ms <= at_ms]
-        if process is None or process.partitioned or not past:
+        replica_ms = self.true_ms - lag_ms
+        readable = [
+            number for number, (since_ms, _) in enumerate(self.states) if since_ms <= replica_ms
+        ]
+        if process is None or process.partitioned or not readable:
             return
         current = process.side.lists.newest
-        after = past[-1] if newest or current is None else current.revision + 1
-        revision = min(after, past[-1])
-        as_of_ms = at_ms if revision == past[-1] else self.states[revision + 1][0] - 1
+        next_revision = readable[-1] if newest or current is None else current.revision + 1
+        revision = min(next_revision, readable[-1])
+        as_of_ms = replica_ms if revision == readable[-1] else self.states[revision + 1][0] - 1
         instances = self.states[revision][1]
         process.side.lists.read(
             InstanceList(revision=revision, as_of_ms=as_of_ms, instances=instances)
@@ -144,27 +146,27 @@
     @rule(name=NAME, replaced=st.booleans())
     def list_slot(self, name: str, replaced: bool) -> None:
         """List the newest process of a slot, or a new one at another address."""
-        rest = [item for item in self.instances if item.name != name]
+        others = [item for item in self.instances if item.name != name]
         current = [process.side for process in self.processes if process.side.name == name]
         if replaced or not current:
-            self.publish(*rest, self.start(name))
+            self.publish(*others, self.start(name))
         else:
-            self.publish(*rest, make_instance(name, current[-1].address))
+            self.publish(*others, make_instance(name, current[-1].address))
 
     @rule(name=NAME)
     def remove_slot(self, name: str) -> None:
-        """Take a slot off the list; its process goes on with the view that it has."""
+        """Remove a slot from the list; its process keeps running with the list that it has."""
         self.publish(*(item for item in self.instances if item.name != name))
 
     # Processes
 
     @rule(index=INDEX, skew_ms=SKEW, lag_ms=st.sampled_from((0, 3_000, 20_000)))
     def restart_in_place(self, index: int, skew_ms: int, lag_ms: int) -> None:
-        """End a process and start it again with an empty memory at the same address."""
+        """Restart a process at the same address, which loses its records."""
         process = self.processes[index % len(self.processes)]
         old = process.side
         process.side = Side(name=old.name, address=old.address, wall_ms=self.true_ms + skew_ms)
-        process.begun.clear()
+        process.pending_runs.clear()
         self.read_list(index, lag_ms, True)
 
     @rule(index=INDEX, skew_ms=SKEW)
@@ -174,7 +176,7 @@
 
     @rule(index=INDEX, partitioned=st.booleans())
     def toggle_fault(self, index: int, partitioned: bool) -> None:
-        """Cut a process off from the list, or pause it whole; or end that."""
+        """Partition a process from the list or pause it, or end that."""
         process = self.processes[index % len(self.processes)]
         if partitioned:
             process.partitioned = not process.partitioned
@@ -189,7 +191,7 @@
         end=st.sampled_from(("", "finish", "lost")),
     )
     def make_calls(self, has_time: bool, offset_ms: int, end: str) -> None:
-        """Send new calls, by several routers, to every process that may be their home."""
+        """Send new calls to every process."""
         for number in range(len(self.calls), len(self.calls) + NEW_CALLS):
             text = make_uuid7(self.true_ms + offset_ms, number) if has_time else f"order-{number}"
             self.calls.append(Call(key=text, has_time=has_time, sent_ms=self.true_ms))
@@ -207,28 +209,28 @@
 
     @rule(index=INDEX, number=st.integers(0, RECENT_CALLS - 1))
     def send(self, index: int, number: int) -> None:
-        """Let a copy of a call arrive, sent by its caller or held up on its way."""
+        """Deliver a copy of a call to a process, repeated or delayed."""
         process = self.get_running_process(index)
         if process is None or not self.calls:
             return
         call = self.calls[-1 - number % len(self.calls)]
         if not call.has_time and self.true_ms - call.sent_ms > WINDOW_MS + TRANSIT_MS:
-            return  # the stated end of the cover of an opaque key
+            return  # opaque keys are only protected for this long
         result = process.side.idempotency.begin(make_call(call.key))
         if isinstance(result, Run):
-            process.begun.append((call, result))
+            process.pending_runs.append((call, result))
         elif isinstance(result, Refused):
             self.check_not_run(call, result)
 
     @rule(index=INDEX, end=st.sampled_from(("finish", "lost", "not_run")))
     def finish_runs(self, index: int, end: str) -> None:
-        """Let what was begun reach its hand-over, or be refused before it."""
+        """Send or cancel the pending runs of a process."""
         process = self.get_running_process(index)
         if process is None or not end:
             return
-        for call, run in process.begun:
+        for call, run in process.pending_runs:
             self.end_run(call, run, end)
-        process.begun.clear()
+        process.pending_runs.clear()
 
     def end_run(self, call: Call, run: Run, end: str) -> None:
         if end == "not_run":
@@ -253,27 +255,29 @@
     def check_not_run(self, call: Call, failure: Failure) -> None:
         match failure:
             case Refused(elsewhere=False):
-                assert call.runs == 0, f"{call.key} was executed, but is called not run"
+                assert call.runs == 0, f"{call.key} was executed, but was reported as not run"
 
 
 @pytest.fixture(autouse=True)
 def short_transit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shorten the time on the way, so that opaque keys run within the machine's steps."""
+    """Shorten the transit time, so that opaque keys run within the machine's steps."""
     monkeypatch.setattr("gypsumrouter.idempotency.ownership_checks.MAX_TRANSIT_MS", TRANSIT_MS)
 
 
 @pytest.fixture(autouse=True)
 def fixed_draws(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Draw the same values whatever else the process has loaded.
+    """Make the drawn values independent of the modules that are loaded.
 
-    The library also draws constants of all our modules that are loaded, derandomized or not.
+    Hypothesis also draws constants found in loaded local modules, even when derandomized.
     """
     monkeypatch.setattr(providers, "_get_local_constants", Constants)
-    # What earlier tests of the process left there has these constants in it.
+    # The cache may hold such constants from earlier tests of the process.
     monkeypatch.setattr(providers, "CONSTANTS_CACHE", LRUCache(1_024))
 
 
-def explore(machine: type[AtMostOnceMachine], *, examples: int, phases: tuple[Phase, ...]) -> None:
+def run_machine(
+    machine: type[AtMostOnceMachine], *, examples: int, phases: tuple[Phase, ...]
+) -> None:
     run_state_machine_as_test(
         machine,
         settings=settings(
@@ -288,11 +292,11 @@
     )
 
 
-def test_no_call_is_executed_twice_nor_called_not_run_after_it_ran() -> None:
+def test_no_call_is_executed_twice_nor_reported_as_not_run_after_it_ran() -> None:
     class Machine(AtMostOnceMachine):
         executed = 0
 
-    explore(Machine, examples=300, phases=(Phase.generate,))
+    run_machine(Machine, examples=300, phases=(Phase.generate,))
     assert Machine.executed > 300
 
 
@@ -339,4 +343,4 @@
 ) -> None:
     monkeypatch.setattr(owner, method, weakened)
     with pytest.raises(AssertionError, match="was executed"):
-        explore(AtMostOnceMachine, examples=1_000, phases=(Phase.generate,))
+        run_machine(AtMostOnceMachine, examples=1_000, phases=(Phase.generate,))
