--- a/gypsumrouter/exchange/at_most_once.py
+++ b/gypsumrouter/exchange/at_most_once.py
@@ -154,7 +154,7 @@
         self._context.count_active(1)
         try:
             with run:
-                return self._settle(run, await self._async_check_and_run(run))
+                return self._store_outcome(run, await self._async_check_and_run(run))
         finally:
             self._context.count_active(-1)
 
@@ -196,7 +196,7 @@
             self._recorder.sent = True
         return self._denied
 
-    def _settle(self, run: Run, failure: Failure | None) -> Failure | None:
+    def _store_outcome(self, run: Run, failure: Failure | None) -> Failure | None:
         """Store the outcome of the run and return the failure to report to the caller."""
         if self._denied is not None:
             return failure
--- a/gypsumrouter/exchange/runner.py
+++ b/gypsumrouter/exchange/runner.py
@@ -226,7 +226,7 @@
 
 
 def _log(hello: Hello, request: Open, failure: Failure | None) -> None:
-    outcome = "whole" if failure is None else failure.reason.value
+    outcome = "complete" if failure is None else failure.reason.value
     _LOGGER.debug(
         "Request %s from %s, attempt %s: %s",
         request.request_id,
--- a/gypsumrouter/idempotency/calls.py
+++ b/gypsumrouter/idempotency/calls.py
@@ -87,7 +87,7 @@
             max_calls=self._policy.remembered_calls, max_bytes=self._policy.remembered_bytes
         )
 
-    def find_known(self, request: Open) -> Replay | Join | Failure | None:
+    def lookup(self, request: Open) -> Replay | Join | Failure | None:
         """Return the stored outcome or the running call, None if the call is unknown.
 
         The result is also valid while this process is draining.
@@ -116,9 +116,9 @@
         key = parse_key(request.idempotency_key)
         if isinstance(key, Refused):
             return key
-        known = self.find_known(request)
-        if known is not None:
-            return known
+        stored = self.lookup(request)
+        if stored is not None:
+            return stored
 
         def recheck() -> Failure | None:
             return self._checks.check(
--- a/tests/idempotency/test_idempotency_machine.py
+++ b/tests/idempotency/test_idempotency_machine.py
@@ -57,7 +57,7 @@
 
 
 class Process(Struct, kw_only=True):
-    """A side and its pending runs; when paused it does nothing, when partitioned it reads no list."""
+    """A side and its pending runs; it does nothing if paused, reads no list if partitioned."""
 
     side: Side
     pending_runs: list[tuple[Call, Run]] = field(default_factory=list)
--- a/tests/idempotency/test_idempotency_reasons.py
+++ b/tests/idempotency/test_idempotency_reasons.py
@@ -51,7 +51,7 @@
     run.finish(HEAD, b"reserved")
     side.read(2)
     assert side.idempotency.begin(call) == Replay(head=HEAD, body=b"reserved")
-    assert side.idempotency.find_known(call) == Replay(head=HEAD, body=b"reserved")
+    assert side.idempotency.lookup(call) == Replay(head=HEAD, body=b"reserved")
 
 
 async def test_repeat_joins_running_call_and_gets_its_response(side: Side) -> None:
@@ -139,11 +139,11 @@
     wall_ms = side.clock.wall_ms()
     for number in range(16):
         key = make_uuid7(wall_ms, number)
-        home = find_key_owner(
+        owner = find_key_owner(
             pool="records", workspace="chapin", key=key, instances=(get_own(side), other)
         )
         result = side.idempotency.begin(make_call(key))
-        assert isinstance(result, Run if home == "a" else Refused)
+        assert isinstance(result, Run if owner == "a" else Refused)
         if isinstance(result, Refused):
             assert result.reason is Reason.NOT_HOME
             assert result.elsewhere
--- a/tests/suspicion/test_suspicion_gate.py
+++ b/tests/suspicion/test_suspicion_gate.py
@@ -54,11 +54,11 @@
     assert len(strikes) == 3
     second.receive(*strikes)
     crashing_permit = await second.async_enter(CRASHING_DIGEST)
-    neighbours = [second.enter(digest) for digest in (1, 2)]
+    waiting = [second.enter(digest) for digest in (1, 2)]
     await async_settle()
     proof = crashing_permit.report_crash()
     crashing_permit.end(complete=False)
-    entered = await asyncio.gather(*neighbours)
+    entered = await asyncio.gather(*waiting)
     assert [type(permit) for permit in entered] == [RunPermit, RunPermit]
     first.receive(*proof)
     for process in (first, second):
