--- a/gypsumrouter/idempotency/ownership_checks.py
+++ b/gypsumrouter/idempotency/ownership_checks.py
@@ -19,9 +19,9 @@
 class OwnershipChecks:
     """Checks of the list lease, of the time since this process owns a key, and of the key's age.
 
-    The design is described in docs/decisions/0001. A `Refused` with `elsewhere` only means that this
-    process did not run the request. Any other `Refused` means that no process has run the call. A
-    `Failed` leaves open whether it ran.
+    The design is described in docs/decisions/0001. A `Refused` with `elsewhere` only means that
+    this process did not run the request. Any other `Refused` means that no process has run the
+    call. A `Failed` leaves open whether it ran.
     """
 
     __slots__ = (
