--- a/bench/placement_strategies.py
+++ b/bench/placement_strategies.py
@@ -12,16 +12,16 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
+from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads
 from gypsumrouter.forwarding.placed import Placement, SentRequest
 from gypsumrouter.forwarding.placement import Cap, order_by_affinity
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import BackoffTracker
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
-from gypsumrouter.peers.const import NEWS_MS, NEWS_MS_PER_PEER
+from gypsumrouter.peers.const import UPDATE_INTERVAL_MS, UPDATE_INTERVAL_MS_PER_PEER
 from gypsumrouter.util.clock import ManualClock
 
 SERVICE: Final = "models"
@@ -133,7 +133,7 @@
         self._revision = 1
         self._directories: list[Directory] = []
         self._placers = [self._make_placer(load, number) for number in range(load.routers)]
-        self._period_ms = NEWS_MS + NEWS_MS_PER_PEER * (load.routers - 1)
+        self._period_ms = UPDATE_INTERVAL_MS + UPDATE_INTERVAL_MS_PER_PEER * (load.routers - 1)
         self._news: list[list[tuple[int, str]]] = [[] for _ in self._placers]
         self._told_ms = [number * self._period_ms // load.routers for number in range(load.routers)]
         self._sent: dict[int, SentRequest] = {}
--- a/gypsumrouter/forwarding/placer.py
+++ b/gypsumrouter/forwarding/placer.py
@@ -9,10 +9,11 @@
 
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations
+from gypsumrouter.forwarding.backoff import BackoffTracker
+from gypsumrouter.forwarding.cache_index import CACHE_TTL_MS, CacheIndex
 from gypsumrouter.forwarding.const import SOURCE_ANSWER
 from gypsumrouter.forwarding.eligibility import NO_UPSTREAM, Eligibility, PlacementRefusal
 from gypsumrouter.forwarding.health import HealthTracker
-from gypsumrouter.forwarding.holdings import CACHE_TTL_MS, CacheIndex
 from gypsumrouter.forwarding.loads import LoadTracker, UpstreamLoad, get_mean
 from gypsumrouter.forwarding.models import AnswerFacts, Prompt, PromptPart
 from gypsumrouter.forwarding.placed import CopySource, Placement, SentRequest
@@ -25,8 +26,7 @@
     choose_plain,
 )
 from gypsumrouter.forwarding.plain_admission import PlainAdmission
-from gypsumrouter.forwarding.reading import PrefillSpeed
-from gypsumrouter.forwarding.rests import BackoffTracker
+from gypsumrouter.forwarding.prefill_speed import PrefillSpeed
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.mechanisms import Mechanism
 
@@ -80,9 +80,9 @@
         self._app = app
         self._directory = directory
         self._cap = cap
-        self._allows_copies = Mechanism.COPIES not in without
-        self._uses_affinity = Mechanism.STABLE_ORDER not in without
-        self._prefers_local = Mechanism.NEAR_FIRST not in without
+        self._allows_copies = Mechanism.CACHE_TRANSFER not in without
+        self._uses_affinity = Mechanism.AFFINITY not in without
+        self._prefers_local = Mechanism.LOCALITY not in without
         self._eligibility = Eligibility(
             evacuations=evacuations,
             health=health,
@@ -92,7 +92,7 @@
             without=without,
         )
         self._weighs_health = Mechanism.HEALTH not in without
-        self._keeps_removed = Mechanism.LAPSED_BELIEFS not in without
+        self._keeps_removed = Mechanism.CACHE_RETENTION not in without
         self._by_service: dict[str, dict[str, Entry]] = {}
         # When each incarnation was removed from the directory.
         self._removed_ms: dict[str, int] = {}
@@ -102,11 +102,11 @@
         self.cache_index = CacheIndex()
         self.prefill_speed = PrefillSpeed()
         self.plain = PlainAdmission(count_routers=slow_start.count_routers)
-        self._spreads_plain = Mechanism.PLAIN_SPREAD not in without
-        self._refuses_late = Mechanism.HOPELESS_REFUSED not in without
+        self._spreads_plain = Mechanism.PLAIN_OWN_LOAD not in without
+        self._refuses_late = Mechanism.DEADLINE_ADMISSION not in without
         self.loads = LoadTracker(
             prefill_speed=self.prefill_speed,
-            extrapolates_prefill=Mechanism.READING_ON not in without,
+            extrapolates_prefill=Mechanism.PREFILL_PROGRESS not in without,
         )
         self._placement_listeners: list[PlacementListener] = []
         self._started_ms = app.clock.now_ms()
--- a/gypsumrouter/idempotency/__init__.py
+++ b/gypsumrouter/idempotency/__init__.py
@@ -9,7 +9,7 @@
 from gypsumrouter.idempotency.calls import Idempotency
 from gypsumrouter.idempotency.keys import Key, parse_key
 from gypsumrouter.idempotency.outcomes import Replay, get_call_outcome
-from gypsumrouter.idempotency.ownership import find_key_owner
+from gypsumrouter.idempotency.ownership import find_owner
 from gypsumrouter.idempotency.records import Join
 from gypsumrouter.idempotency.run import Run
 
@@ -19,7 +19,7 @@
     "Key",
     "Replay",
     "Run",
-    "find_key_owner",
+    "find_owner",
     "get_call_outcome",
     "parse_key",
 ]
--- a/gypsumrouter/idempotency/ownership.py
+++ b/gypsumrouter/idempotency/ownership.py
@@ -15,9 +15,7 @@
 _SEPARATOR: Final = "\0"
 
 
-def find_key_owner(
-    *, pool: str, workspace: str, key: str, instances: Iterable[Instance]
-) -> str | None:
+def find_owner(*, pool: str, workspace: str, key: str, instances: Iterable[Instance]) -> str | None:
     """Return the name of the instance that owns a key, None if the pool has no candidate."""
     names = (item.name for item in instances if _is_candidate(item, pool))
     prefix = _make_hash_prefix(pool, workspace, key)
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -15,14 +15,14 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Entry
-from gypsumrouter.forwarding import handler, holdings
-from gypsumrouter.forwarding.holdings import CacheIndex
+from gypsumrouter.forwarding import cache_index, handler
+from gypsumrouter.forwarding.cache_index import CacheIndex
 from gypsumrouter.forwarding.inventory import CacheInventory, CacheListing
 from gypsumrouter.journal import Journal
 from gypsumrouter.link import HeldAt, HeldNews, Notice, NoticeHub, Peer
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
-from gypsumrouter.peers import held
-from gypsumrouter.peers.held import HeldDesk
+from gypsumrouter.peers import inventory as peer_inventory
+from gypsumrouter.peers.inventory import InventoryCoordinator
 
 SEEDS = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 ENGINES = 23
@@ -36,25 +36,25 @@
 
     def __init__(self) -> None:
         self.hubs: dict[str, NoticeHub] = {}
-        self.desks: dict[str, HeldDesk] = {}
+        self.coordinators: dict[str, InventoryCoordinator] = {}
         self.cache_indexes: dict[str, CacheIndex] = {}
         self.refused: set[tuple[str, str]] = set()
 
-    def add(self, address: str) -> HeldDesk:
+    def add(self, address: str) -> InventoryCoordinator:
         """Start a router."""
         app = Application(name=address, role=Role.FORWARDER, data_centre="a", region="r")
         hub = self.hubs[address] = NoticeHub()
-        cache_index = self.cache_indexes[address] = CacheIndex()
-        desk = self.desks[address] = HeldDesk(
+        own_index = self.cache_indexes[address] = CacheIndex()
+        coordinator = self.coordinators[address] = InventoryCoordinator(
             app=app,
             journal=Journal(app=app),
             notices=hub,
-            holdings=cache_index,
-            own=lambda: address,
+            cache_index=own_index,
+            get_own_address=lambda: address,
             list_seeds=lambda: SEEDS,
             send=lambda target, notice: self._async_send(address, target, notice),
         )
-        return desk
+        return coordinator
 
     async def _async_send(self, source: str, target: str, notice: Notice) -> bool:
         if target not in self.hubs or (source, target) in self.refused:
@@ -74,9 +74,11 @@
 
 def test_each_engine_is_queried_by_one_seed_with_the_others_as_fallbacks() -> None:
     net = Net()
-    desks = [net.add(seed) for seed in SEEDS]
+    coordinators = [net.add(seed) for seed in SEEDS]
     other = net.add("10.0.0.9:7")
-    ranks = [[desk.rank(position) for desk in desks] for position in range(ENGINES)]
+    ranks = [
+        [coordinator.rank(position) for coordinator in coordinators] for position in range(ENGINES)
+    ]
     assert all(sorted(ranks_of_engine) == [0, 1, 2] for ranks_of_engine in ranks)
     queried = [
         sum(ranks_of_engine[number] == 0 for ranks_of_engine in ranks)
@@ -92,9 +94,9 @@
     net.cache_indexes[SEEDS[0]].note_cached(
         part=7, upstream="i-1", now_ms=running._app.clock.now_ms()
     )
-    running.note_informed()
+    running.publish_inventory()
     for address in (SEEDS[1], "10.0.0.9:7"):
-        assert await net.add(address).async_ask()
+        assert await net.add(address).async_request()
         assert net.cache_indexes[address].list_cached(now_ms=running._app.clock.now_ms()) == {
             "i-1": (7,)
         }
@@ -105,26 +107,28 @@
 ) -> None:
     """After the loss of all routers no seed has listings, so waiting for one is pointless."""
     net = Net()
-    desks = [net.add(seed) for seed in SEEDS[:2]]
-    monkeypatch.setattr(held, "SEED_PATIENCE_MS", FOREVER_MS)
+    coordinators = [net.add(seed) for seed in SEEDS[:2]]
+    monkeypatch.setattr(peer_inventory, "SEED_TIMEOUT_MS", FOREVER_MS)
     async with asyncio.timeout(HANG_S):
-        assert await asyncio.gather(*(desk.async_ask() for desk in desks)) == [False, False]
+        assert await asyncio.gather(
+            *(coordinator.async_request() for coordinator in coordinators)
+        ) == [False, False]
 
 
 async def test_router_that_is_not_a_seed_waits_until_a_seed_has_the_listings(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
+    monkeypatch.setattr(peer_inventory, "NON_SEED_TIMEOUT_MS", FOREVER_MS)
     net = Net()
     seed = net.add(SEEDS[0])
-    asking = asyncio.ensure_future(net.add("10.0.0.9:7").async_ask())
+    asking = asyncio.ensure_future(net.add("10.0.0.9:7").async_request())
     async with asyncio.timeout(HANG_S):
-        while not seed._wanting:
+        while not seed._waiting_peers:
             await asyncio.get_running_loop().run_in_executor(None, lambda: None)
     assert not asking.done()
     now_ms = seed._app.clock.now_ms()
     net.cache_indexes[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
-    seed.note_informed()
+    seed.publish_inventory()
     assert await asking
 
 
@@ -135,11 +139,11 @@
     now_ms = first._app.clock.now_ms()
     net.cache_indexes[SEEDS[0]].note_cached(part=7, upstream="i-1", now_ms=now_ms)
     net.cache_indexes[SEEDS[0]].note_cached(part=8, upstream="i-2", now_ms=now_ms)
-    await first.async_share("i-1", (7,))
+    await first.async_share_listing("i-1", (7,))
     second = net.add(SEEDS[1])
     reported: list[str] = []
-    second.on_told(reported.append)
-    assert not await second.async_ask()
+    second.on_listing_received(reported.append)
+    assert not await second.async_request()
     assert reported == ["i-1"]
 
 
@@ -148,10 +152,10 @@
     first = net.add(SEEDS[0])
     second = net.add(SEEDS[1])
     reported: list[str] = []
-    second.on_told(reported.append)
-    assert not await second.async_ask()
+    second.on_listing_received(reported.append)
+    assert not await second.async_request()
     net.refused.add((SEEDS[0], SEEDS[1]))
-    await first.async_share("i-1", (7,))
+    await first.async_share_listing("i-1", (7,))
     assert reported == ["i-1"]
 
 
@@ -159,8 +163,8 @@
     net = Net()
     first = net.add(SEEDS[0])
     reported: list[str] = []
-    net.add(SEEDS[1]).on_told(reported.append)
-    await first.async_share("i-1", (7, 8))
+    net.add(SEEDS[1]).on_listing_received(reported.append)
+    await first.async_share_listing("i-1", (7, 8))
     assert reported == ["i-1"]
     listed = net.cache_indexes[SEEDS[1]].list_cached(now_ms=first._app.clock.now_ms())
     assert listed == {"i-1": (7, 8)}
@@ -190,11 +194,11 @@
     """About as many engines as each of three seeds has to query in a fleet of 120."""
     queried: list[str] = []
 
-    async def async_ask(self: CacheInventory, entry: Entry) -> CacheListing:
+    async def async_request(self: CacheInventory, entry: Entry) -> CacheListing:
         queried.append(entry.upstream)
         return CacheListing(parts=())
 
-    monkeypatch.setattr(CacheInventory, "_async_fetch", async_ask)
+    monkeypatch.setattr(CacheInventory, "_async_fetch", async_request)
     names = [f"i-more-{number}" for number in range(37)]
     for name in names:
         address = world.addresses["i-models-1"]
@@ -210,9 +214,9 @@
     caplog: pytest.LogCaptureFixture,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(held, "OTHER_PATIENCE_MS", FOREVER_MS)
+    monkeypatch.setattr(peer_inventory, "NON_SEED_TIMEOUT_MS", FOREVER_MS)
     monkeypatch.setattr(handler, "START_WAIT_MS", FOREVER_MS)
-    monkeypatch.setattr(holdings, "COPY_READY_MS", 0)
+    monkeypatch.setattr(cache_index, "COPY_READY_MS", 0)
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
     seed = str(world.product.addresses["link"])
--- a/tests/forwarding/test_forwarding_service_time.py
+++ b/tests/forwarding/test_forwarding_service_time.py
@@ -71,7 +71,7 @@
         pressure=0.85,
         upstreams=upstreams,
         work_ms=work_ms,
-        without=(Mechanism.PLAIN_SPREAD, Mechanism.HOPELESS_REFUSED),
+        without=(Mechanism.PLAIN_OWN_LOAD, Mechanism.DEADLINE_ADMISSION),
     )
     assert baseline.in_time < 0.95 * baseline.asked
 
@@ -86,7 +86,7 @@
         pressure=1.15,
         upstreams=upstreams,
         work_ms=work_ms,
-        without=(Mechanism.HOPELESS_REFUSED,),
+        without=(Mechanism.DEADLINE_ADMISSION,),
     )
     assert tally.in_time > baseline.in_time
     assert tally.credit > baseline.credit + 0.1
--- a/tests/idempotency/test_idempotency_reasons.py
+++ b/tests/idempotency/test_idempotency_reasons.py
@@ -19,7 +19,7 @@
 from gypsumrouter.configuration.models import OpaqueKeys
 from gypsumrouter.exceptions import InvariantBroken
 from gypsumrouter.fleet import Address, Instance
-from gypsumrouter.idempotency import Join, Replay, Run, find_key_owner, get_call_outcome
+from gypsumrouter.idempotency import Join, Replay, Run, find_owner, get_call_outcome
 from gypsumrouter.idempotency.const import MAX_ANSWER_BYTES, MAX_TRANSIT_MS
 from gypsumrouter.idempotency.ownership import OwnershipHistory
 from gypsumrouter.idempotency.ownership_checks import OwnershipChecks
@@ -139,7 +139,7 @@
     wall_ms = side.clock.wall_ms()
     for number in range(16):
         key = make_uuid7(wall_ms, number)
-        owner = find_key_owner(
+        owner = find_owner(
             pool="records", workspace="chapin", key=key, instances=(get_own(side), other)
         )
         result = side.idempotency.begin(make_call(key))
