--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -27,7 +27,7 @@
 from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import Link, LinkedSettings, RouterSettings, SideSettings, read_link_key
 from gypsumrouter.suspect_gossip import ListNames, SendTo, SuspectGossip
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import EngineClient, UpstreamClient, make_client
 from gypsumrouter.util.clock import Clock
 
@@ -93,7 +93,7 @@
 ) -> RunningProcess:
     """Build and start the components of a router."""
     shared = make_shared_components(app=app, settings=settings)
-    suspicion = Suspicion(app=app, notices=shared.notices)
+    suspicion = SuspectTracker(app=app, notices=shared.notices)
     gateway = Gateway(
         app=app,
         settings=settings,
@@ -131,7 +131,7 @@
 async def async_setup_side(*, app: Application, settings: SideSettings) -> RunningProcess:
     """Build and start the components of a side."""
     shared = make_shared_components(app=app, settings=settings)
-    suspicion = Suspicion(
+    suspicion = SuspectTracker(
         app=app, notices=shared.notices, fleet=shared.fleet, pool=settings.upstream.pool
     )
     upstream = make_client(app=app, settings=settings.upstream)
@@ -185,7 +185,7 @@
     await upstream.async_start()
     addresses[ADDRESS_LINK] = await server.async_start()
     advertised = get_advertised(settings.link, addresses[ADDRESS_LINK])
-    idempotency.note_listening(advertised)
+    idempotency.set_listen_address(advertised)
     if orders is not None:
         orders.note_listening(advertised)
         await orders.async_start()
@@ -282,7 +282,11 @@
 
 
 def start_suspect_gossip(
-    *, shared: SharedComponents, suspicion: Suspicion, list_affected: ListNames, send_to: SendTo
+    *,
+    shared: SharedComponents,
+    suspicion: SuspectTracker,
+    list_affected: ListNames,
+    send_to: SendTo,
 ) -> None:
     """Start forwarding suspect reports to other processes."""
     SuspectGossip(
--- a/gypsumrouter/exchange/sinks.py
+++ b/gypsumrouter/exchange/sinks.py
@@ -1,4 +1,4 @@
-"""Where an upstream's answer goes: on to the caller, or into memory first."""
+"""Sinks for an upstream's response: relayed to the caller, or recorded first."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from gypsumrouter.exchange.const import MAX_REMEMBERED_BYTES
+from gypsumrouter.exchange.const import MAX_RECORDED_BYTES
 from gypsumrouter.link import Answer
 from gypsumrouter.link.models import Head
 
 
-class Stop(StrEnum):
+class StopReason(StrEnum):
     """Why a run was stopped."""
 
     CALLER_GONE = "caller_gone"
@@ -21,13 +21,13 @@
 
 
 class Relay:
-    """Pass an answer on as it comes.
+    """Streams a response to the caller.
 
-    The head waits for the first byte of the body, so that a run can be given up before and made
-    again. `cancelled` stops the run, `stop` says why.
+    The head is held back until the first byte of the body, so that a run can be preempted and
+    repeated before that. `cancelled` stops the run, and `stop_reason` is why it was set.
     """
 
-    __slots__ = ("_answer", "_head", "_on_first_body", "cancelled", "has_body", "stop")
+    __slots__ = ("_answer", "_head", "_on_first_body", "cancelled", "has_body", "stop_reason")
 
     def __init__(self, *, answer: Answer, on_first_body: Callable[[], None]) -> None:
         self._answer = answer
@@ -35,40 +35,40 @@
         self._head: Head | None = None
         self.cancelled = asyncio.Event()
         self.has_body = False
-        self.stop: Stop | None = None
+        self.stop_reason: StopReason | None = None
 
     def head(self, head: Head) -> None:
-        """Keep the head until the body begins."""
+        """Hold the head back until the body begins."""
         self._head = head
 
     async def async_write(self, body: bytes) -> None:
-        """Pass a part of the body on."""
+        """Forward a chunk of the body."""
         if not self.has_body:
             self._begin_body()
         await self._answer.async_write(body)
 
-    def flush(self) -> None:
-        """Pass the head of an answer without a body on."""
+    def flush_head(self) -> None:
+        """Forward the head if it has not been sent, as for a response without a body."""
         if self._head is not None:
             self._answer.head(self._head)
             self._head = None
 
-    def ask_to_stop(self, stop: Stop) -> None:
-        """Stop the run; only the first reason counts."""
-        if self.stop is None:
-            self.stop = stop
+    def request_stop(self, stop_reason: StopReason) -> None:
+        """Stop the run; the first reason is kept."""
+        if self.stop_reason is None:
+            self.stop_reason = stop_reason
             self.cancelled.set()
 
     def _begin_body(self) -> None:
         self.has_body = True
         self._on_first_body()
-        self.flush()
+        self.flush_head()
 
 
 class Recorder:
-    """Keep an answer that is remembered, up to a bound; a larger one is passed on instead.
+    """Records a response of up to `MAX_RECORDED_BYTES`; a larger one is streamed instead.
 
-    Once the call is `handed`, neither its caller nor the caller's deadline stop it.
+    Once the call is `sent`, neither the caller's cancellation nor its deadline stops the run.
     """
 
     __slots__ = (
@@ -78,10 +78,10 @@
         "_size",
         "cancelled",
         "detached",
-        "handed",
         "has_body",
         "recorded_head",
-        "stop",
+        "sent",
+        "stop_reason",
         "too_large",
     )
 
@@ -92,66 +92,66 @@
         self._size = 0
         self.cancelled = asyncio.Event()
         self.detached = False
-        self.handed = False
+        self.sent = False
         self.has_body = False
         self.recorded_head: Head | None = None
-        self.stop: Stop | None = None
+        self.stop_reason: StopReason | None = None
         self.too_large = False
 
     @property
     def body(self) -> bytes:
-        """Return the whole body; empty if it is too large to be kept."""
+        """Return the recorded body; empty if the response is too large."""
         return b"".join(self._parts)
 
     def head(self, head: Head) -> None:
-        """Keep the head."""
+        """Record the head."""
         self.recorded_head = head
 
     async def async_write(self, body: bytes) -> None:
-        """Keep a part of the body, or pass it on once there is too much."""
+        """Record a chunk of the body, or forward it if the response is too large."""
         if not self.has_body:
             self.has_body = True
             self._on_first_body()
         if self.too_large:
-            await self._async_pass_on(body)
+            await self._async_forward(body)
             return
         self._parts.append(body)
         self._size += len(body)
-        if self._size > MAX_REMEMBERED_BYTES:
+        if self._size > MAX_RECORDED_BYTES:
             await self._async_overflow()
 
     async def async_deliver(self) -> None:
-        """Give the caller what was kept, unless it has got it already."""
+        """Send the recorded response to the caller, unless it was streamed."""
         if self.too_large:
             return
-        self._pass_on_head()
+        self._forward_head()
         for part in self._parts:
-            await self._async_pass_on(part)
+            await self._async_forward(part)
 
     def detach(self) -> None:
-        """Pass nothing on from now on."""
+        """Forward nothing from now on, since the caller has stopped waiting."""
         self.detached = True
 
-    def ask_to_stop(self, stop: Stop) -> None:
-        """Stop the run if that is still allowed; only the first reason counts."""
-        if self.stop is not None:
+    def request_stop(self, stop_reason: StopReason) -> None:
+        """Stop the run; a sent one only stops at its time limit. The first reason is kept."""
+        if self.stop_reason is not None:
             return
-        if self.handed and stop is not Stop.LIMIT:
+        if self.sent and stop_reason is not StopReason.LIMIT:
             return
-        self.stop = stop
+        self.stop_reason = stop_reason
         self.cancelled.set()
 
     async def _async_overflow(self) -> None:
         self.too_large = True
         parts, self._parts = self._parts, []
-        self._pass_on_head()
+        self._forward_head()
         for part in parts:
-            await self._async_pass_on(part)
+            await self._async_forward(part)
 
-    def _pass_on_head(self) -> None:
+    def _forward_head(self) -> None:
         if self.recorded_head is not None and not self.detached:
             self._answer.head(self.recorded_head)
 
-    async def _async_pass_on(self, body: bytes) -> None:
+    async def _async_forward(self, body: bytes) -> None:
         if not self.detached:
             await self._answer.async_write(body)
--- a/gypsumrouter/suspect_gossip.py
+++ b/gypsumrouter/suspect_gossip.py
@@ -10,7 +10,7 @@
 from gypsumrouter.fleet import Fleet, Instance
 from gypsumrouter.link import LinkPool
 from gypsumrouter.link.models import SuspectNews
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 
 ListNames = Callable[[], Collection[str]]
 SendTo = Callable[[Collection[str], SuspectNews], None]
@@ -32,7 +32,7 @@
         app: Application,
         fleet: Fleet,
         links: LinkPool,
-        suspicion: Suspicion,
+        suspicion: SuspectTracker,
         list_affected: ListNames,
         send_to: SendTo,
     ) -> None:
@@ -41,7 +41,7 @@
         self._links = links
         self._list_affected = list_affected
         self._send_to = send_to
-        suspicion.on_news(self._forward)
+        suspicion.on_new_strike(self._forward)
 
     def _forward(self, report: SuspectNews) -> None:
         # Evaluated here and not in the task, because the failed exchanges are still tracked now.
--- a/tests/exchange/test_exchange_repeatable.py
+++ b/tests/exchange/test_exchange_repeatable.py
@@ -1,4 +1,4 @@
-"""Requests that may be repeated, from the link to the upstream and back."""
+"""Tests of repeatable requests in the exchange runner."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 REPORT = replace(CHAT, request_id="report-1", caller_class="reports", digest=12)
 
 
-async def test_answer_is_passed_on_whole(engine_side: Side) -> None:
+async def test_complete_response_is_relayed(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"one ")
     await run.answer.async_write(b"two")
     run.finish()
@@ -31,10 +31,10 @@
     assert engine_side.admission.load == 0
 
 
-async def test_answer_without_a_body_keeps_its_head(service_side: Side) -> None:
+async def test_head_of_response_without_body_is_relayed(service_side: Side) -> None:
     answer, task = service_side.handle(REQUEST)
     run = await service_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"", status=204)
     run.finish()
     await task
@@ -62,7 +62,7 @@
     assert engine_side.upstream.started == 0
 
 
-async def test_upstream_that_does_not_answer_is_not_ready(engine_side: Side) -> None:
+async def test_request_is_refused_while_upstream_is_down(engine_side: Side) -> None:
     engine_side.upstream.up = False
 
     answer = await engine_side.async_handle(CHAT)
@@ -72,7 +72,7 @@
     assert not engine_side.runner.make_status().ready
 
 
-async def test_call_that_must_not_be_repeated_is_refused_without_a_key(service_side: Side) -> None:
+async def test_at_most_once_call_without_key_is_refused(service_side: Side) -> None:
     answer = await service_side.async_handle(replace(REQUEST, path="/sign-offs/7"))
 
     assert isinstance(answer.failure, Refused)
@@ -80,13 +80,13 @@
     assert service_side.upstream.started == 0
 
 
-async def test_leaving_side_refuses_new_and_waiting_work_and_ends_what_runs(
+async def test_draining_side_refuses_new_and_queued_requests_and_completes_running_ones(
     engine_side: Side,
 ) -> None:
     running = [engine_side.handle(replace(CHAT, request_id=name)) for name in ("a", "b")]
     runs = [await engine_side.upstream.async_next() for _ in running]
     for run in runs:
-        run.hand_over()
+        run.send()
     waiting, waiting_task = engine_side.handle(replace(CHAT, request_id="c"))
     await async_settle()
     drain = engine_side.drain()
@@ -106,10 +106,10 @@
     assert [answer.ended for answer, _ in running] == [True, True]
 
 
-async def test_caller_that_goes_cancels_the_work_at_the_upstream(engine_side: Side) -> None:
+async def test_caller_disconnect_cancels_run_at_upstream(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"one")
     answer.cancelled.set()
     await task
@@ -120,7 +120,7 @@
     assert engine_side.admission.load == 0
 
 
-async def test_deadline_before_the_hand_over_is_not_run(engine_side: Side) -> None:
+async def test_deadline_before_sending_is_a_refusal(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     await engine_side.upstream.async_next()
     engine_side.clock.advance(CHAT.deadline_ms)
@@ -130,10 +130,10 @@
     assert answer.failure.reason is Reason.DEADLINE
 
 
-async def test_deadline_after_the_hand_over_is_unknown_and_cancels(engine_side: Side) -> None:
+async def test_deadline_after_sending_is_a_failure_and_cancels_run(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     engine_side.clock.advance(CHAT.deadline_ms)
     await task
 
@@ -142,7 +142,7 @@
     assert engine_side.upstream.cancelled == ["request-1"]
 
 
-async def test_refusal_of_the_upstream_is_passed_on_as_not_run(engine_side: Side) -> None:
+async def test_refusal_by_upstream_client_is_returned_unchanged(engine_side: Side) -> None:
     answer, task = engine_side.handle(CHAT)
     run = await engine_side.upstream.async_next()
     refusal = Refused(reason=Reason.UNREACHABLE, elsewhere=True)
@@ -152,28 +152,30 @@
     assert answer.failure == refusal
 
 
-async def test_batch_work_without_a_byte_gives_way_and_runs_again(engine_side: Side) -> None:
+async def test_batch_request_without_body_sent_is_preempted_and_runs_again(
+    engine_side: Side,
+) -> None:
     reports = [
         engine_side.handle(replace(REPORT, request_id=f"report-{number}", digest=20 + number))
         for number in range(2)
     ]
     runs = [await engine_side.upstream.async_next()]
     await async_settle()
-    runs[0].hand_over()
+    runs[0].send()
     chats = [
         engine_side.handle(replace(CHAT, request_id=f"chat-{number}", digest=30 + number))
         for number in range(2)
     ]
     chat_runs = [await engine_side.upstream.async_next() for _ in chats]
     for run in chat_runs:
-        run.hand_over()
+        run.send()
         await run.async_answer(b"inspector")
         run.finish()
     for _, task in chats:
         await task
     for _ in reports:
         run = await engine_side.upstream.async_next()
-        run.hand_over()
+        run.send()
         await run.async_answer(b"report")
         run.finish()
     for answer, task in reports:
@@ -183,10 +185,10 @@
     assert engine_side.upstream.cancelled == ["report-0"]
 
 
-async def test_batch_work_that_has_sent_a_byte_goes_on(engine_side: Side) -> None:
+async def test_batch_request_with_body_sent_is_not_preempted(engine_side: Side) -> None:
     report, report_task = engine_side.handle(REPORT)
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"first ")
     chats = [
         engine_side.handle(replace(CHAT, request_id=f"chat-{number}", digest=30 + number))
@@ -204,14 +206,14 @@
         answer.cancelled.set()
 
 
-async def test_requests_of_a_dead_upstream_run_alone_afterwards(engine_side: Side) -> None:
+async def test_requests_running_at_upstream_crash_run_alone_afterwards(engine_side: Side) -> None:
     first, first_task = engine_side.handle(CHAT)
     second, second_task = engine_side.handle(replace(CHAT, request_id="b", digest=12))
     for _ in range(2):
         run = await engine_side.upstream.async_next()
-        run.hand_over()
+        run.send()
         if run.request.request_id == "b":
-            engine_side.upstream.die()
+            engine_side.upstream.crash()
         run.finish(Failed(reason=Reason.UPSTREAM_LOST))
     await asyncio.gather(first_task, second_task)
     assert isinstance(first.failure, Failed)
@@ -219,7 +221,7 @@
 
     again, again_task = engine_side.handle(replace(CHAT, request_id="b", digest=12))
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     other, other_task = engine_side.handle(replace(CHAT, request_id="c", digest=13))
     await async_settle()
     assert engine_side.upstream.started == 3
@@ -227,7 +229,7 @@
     run.finish()
     await again_task
     run = await engine_side.upstream.async_next()
-    run.hand_over()
+    run.send()
     await run.async_answer(b"after")
     run.finish()
     await other_task
