--- a/bench/plain_replay.py
+++ b/bench/plain_replay.py
@@ -15,12 +15,12 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuations, Record
+from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.eligibility import PlacementRefusal
 from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import PeerLoads, UpstreamLoad
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import BackoffTracker
 from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
@@ -230,16 +230,16 @@
 class Others:
     """The other routers, all of them known."""
 
-    own = "r"
+    own_address = "r"
 
     def list_addresses(self) -> tuple[str, ...]:
         """Return one address less than there are routers."""
         return tuple(str(number) for number in range(ROUTERS - 1))
 
-    def get_grown_ms(self) -> int:
+    def get_last_added_ms(self) -> int:
         """Return that they were there from the beginning."""
         return 0
 
-    def has_heard(self) -> bool:
+    def has_received_update(self) -> bool:
         """Return that they were heard."""
         return True
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -22,8 +22,8 @@
     Evacuations,
     name_incarnation,
 )
-from gypsumrouter.forwarding.connections import UpstreamConnections
-from gypsumrouter.forwarding.const import SOURCE_ANSWER
+from gypsumrouter.forwarding.connections import ConnectionPool
+from gypsumrouter.forwarding.const import SOURCE_RESPONSE
 from gypsumrouter.forwarding.placer import Placer
 from gypsumrouter.helpers.http_connection import ConnectFailed, ConnectionBroken, HttpConnection
 from gypsumrouter.routing import RoutingStore
@@ -50,13 +50,13 @@
 class CacheListing(Struct, frozen=True, kw_only=True):
     """The prompt parts in the cache of an engine.
 
-    `started_ms` is when the engine was started (Unix time; 0 if not reported); `leaving` is set if
-    the engine is shutting down.
+    `started_ms` is when the engine was started (Unix time; 0 if not reported); `draining` is true
+    if the engine is shutting down.
     """
 
     parts: tuple[CachedPart, ...]
     started_ms: int = 0
-    leaving: bool = False
+    draining: bool = False
 
 
 class FetchCacheListing(Protocol):
@@ -73,20 +73,20 @@
     def complete(self) -> asyncio.Event:
         """Return the event that is set when a peer has reported the listings of all engines."""
 
-    async def async_ask(self) -> bool:
+    async def async_request(self) -> bool:
         """Query the peers; return whether one reported the listings of all engines in time."""
 
     def rank(self, position: int) -> int:
         """Return how many routers have precedence in querying the engine at a list position."""
 
-    async def async_share(self, upstream: str, parts: tuple[int, ...]) -> None:
+    async def async_share_listing(self, upstream: str, parts: tuple[int, ...]) -> None:
         """Send the cached parts of an engine to the other routers."""
 
-    def on_told(self, listener: Callable[[str], None]) -> None:
+    def on_listing_received(self, listener: Callable[[str], None]) -> None:
         """Call `listener` with each engine whose listing a peer reported."""
 
-    def note_informed(self) -> None:
-        """Record that this router has the listings of all engines."""
+    def publish_inventory(self) -> None:
+        """Mark this router's inventory as complete and send it to the peers that wait for it."""
 
 
 class CacheInventory:
@@ -98,12 +98,12 @@
 
     __slots__ = (
         "_app",
-        "_connections",
         "_directory",
         "_evacuations",
         "_fetch_listing",
         "_peers",
         "_placer",
+        "_pool",
         "_reported",
         "_routing",
         "done",
@@ -117,7 +117,7 @@
         evacuations: Evacuations,
         routing: RoutingStore,
         placer: Placer,
-        connections: UpstreamConnections,
+        pool: ConnectionPool,
         fetch_listing: FetchCacheListing,
     ) -> None:
         self._app = app
@@ -125,7 +125,7 @@
         self._evacuations = evacuations
         self._routing = routing
         self._placer = placer
-        self._connections = connections
+        self._pool = pool
         self._fetch_listing = fetch_listing
         self._peers: InventoryPeers | None = None
         self._reported: dict[str, asyncio.Event] = {}
@@ -134,7 +134,7 @@
     def set_peers(self, peers: InventoryPeers) -> None:
         """Set the routers to query before the engines and to share listings with."""
         self._peers = peers
-        peers.on_told(self._note_reported)
+        peers.on_listing_received(self._note_reported)
 
     def async_start(self) -> None:
         """Start loading in the background, once the directory and the configuration are loaded."""
@@ -144,7 +144,7 @@
         """Set `done`: loading has finished, or is not needed because all engines are new."""
         self.done.set()
         if self._peers is not None:
-            self._peers.note_informed()
+            self._peers.publish_inventory()
 
     async def _async_run(self) -> None:
         reported = self._app.async_create_task(self._async_query_peers(), "ask peers")
@@ -157,7 +157,7 @@
         self.mark_complete()
 
     async def _async_query_peers(self) -> bool:
-        return self._peers is not None and await self._peers.async_ask()
+        return self._peers is not None and await self._peers.async_request()
 
     async def _async_load_share(self, peers: InventoryPeers) -> None:
         """Query this router's share of the engines, until a peer has reported all listings."""
@@ -228,20 +228,18 @@
         parts = tuple(part.part for part in listing.parts if part.tokens >= MIN_PART_TOKENS)
         for part in parts:
             self._placer.note_cached(part=part, upstream=incarnation)
-        if listing.leaving:
-            self._directory.note_leaving(incarnation, source=SOURCE_ANSWER)
+        if listing.draining:
+            self._directory.note_leaving(incarnation, source=SOURCE_RESPONSE)
         _LOGGER.info("Upstream %s listed %d cached prompt parts", incarnation, len(listing.parts))
         if self._peers is not None:
-            await self._peers.async_share(incarnation, parts)
+            await self._peers.async_share_listing(incarnation, parts)
 
     async def _async_fetch(self, entry: Entry) -> CacheListing:
-        leased = await self._connections.async_lease(
-            entry, repeatable=True, timeout_ms=LIST_TIMEOUT_MS
-        )
+        pooled = await self._pool.async_acquire(entry, repeatable=True, timeout_ms=LIST_TIMEOUT_MS)
         try:
-            listing = await self._fetch_listing(leased.connection)
+            listing = await self._fetch_listing(pooled.connection)
         except BaseException:
-            leased.connection.close()
+            pooled.connection.close()
             raise
-        self._connections.give_back(entry, leased.connection)
+        self._pool.release(entry, pooled.connection)
         return listing
--- a/gypsumrouter/gateway/intake.py
+++ b/gypsumrouter/gateway/intake.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked call: caller, path, head and body."""
+"""Conversion of HTTP requests to calls: authentication, routing by path, validation."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from aiohttp import hdrs, web
 
 from gypsumrouter.callers import (
-    HeldBytes,
+    MemoryReservation,
     Rejection,
     async_read_body,
     count_head_bytes,
@@ -26,7 +26,7 @@
 )
 from gypsumrouter.core import Application
 from gypsumrouter.gateway.calls import CallFactory
-from gypsumrouter.gateway.checks import check_head, check_service_path
+from gypsumrouter.gateway.checks import check_service_path, parse_head
 from gypsumrouter.gateway.const import BEARER_PREFIX, MODELS_OWNER
 from gypsumrouter.gateway.models import Call, CallerHead, Target
 from gypsumrouter.gateway.policies import CompiledPolicy
@@ -41,7 +41,7 @@
 
 
 class Intake:
-    """Checks requests and turns them into calls."""
+    """Validates HTTP requests and converts them to calls."""
 
     __slots__ = ("_app", "_limits")
 
@@ -54,29 +54,29 @@
         *,
         request: web.BaseRequest,
         running: RunningRequest,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         compiled: CompiledPolicy,
     ) -> Call | web.Response | Rejection:
-        """Return the call to dispatch, the answer to a question of the router, or a rejection."""
+        """Return the call to dispatch, a response of the router itself, or a rejection."""
         if count_head_bytes(request) > self._limits.max_head_bytes:
             return reject_head_size()
         workspace = find_workspace(request, compiled)
         if workspace is None:
             return reject(Reason.UNAUTHENTICATED, param=hdrs.AUTHORIZATION)
         running.workspace = workspace.name
-        head = check_head(request.headers.items())
+        head = parse_head(request.headers.items())
         if isinstance(head, Rejection):
             return head
         match request.rel_url.raw_path:
             case str() as path if path == PATH_MODELS:
-                return _answer_models(request, compiled, running.request_id)
+                return _make_models_response(request, compiled, running.request_id)
             case str() as path if path == PATH_CHAT:
                 return await self._async_accept_chat(
-                    request, running, held, compiled, workspace, head
+                    request, running, reservation, compiled, workspace, head
                 )
             case str() as path if path.startswith(PATH_SERVICES):
                 return await self._async_accept_service_call(
-                    request, running, held, compiled, workspace, head
+                    request, running, reservation, compiled, workspace, head
                 )
         return reject(Reason.NOT_FOUND, "There is nothing at this path", param="path")
 
@@ -84,7 +84,7 @@
         self,
         request: web.BaseRequest,
         running: RunningRequest,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         compiled: CompiledPolicy,
         workspace: Workspace,
         head: CallerHead,
@@ -94,7 +94,7 @@
         if hdrs.CONTENT_ENCODING in request.headers:
             message = "The body must not be compressed"
             return reject_field(hdrs.CONTENT_ENCODING, message, status=STATUS_UNSUPPORTED_ENCODING)
-        body = await self._async_read(request, held)
+        body = await self._async_read_body(request, reservation)
         if isinstance(body, Rejection):
             return body
         return self._make_factory(compiled).make_chat(
@@ -109,15 +109,15 @@
         self,
         request: web.BaseRequest,
         running: RunningRequest,
-        held: HeldBytes,
+        reservation: MemoryReservation,
         compiled: CompiledPolicy,
         workspace: Workspace,
         head: CallerHead,
     ) -> Call | Rejection:
         if METHOD.fullmatch(request.method) is None:
             return _reject_method("GET, POST")
-        service, _, rest = request.rel_url.raw_path.removeprefix(PATH_SERVICES).partition("/")
-        path = f"/{rest}"
+        service, _, subpath = request.rel_url.raw_path.removeprefix(PATH_SERVICES).partition("/")
+        path = f"/{subpath}"
         decoded_path = check_service_path(path)
         if isinstance(decoded_path, Rejection):
             return decoded_path
@@ -125,7 +125,7 @@
             path = f"{path}?{request.rel_url.raw_query_string}"
         if PATH_AND_QUERY.fullmatch(path) is None:
             return reject_field("path", "The path and the query must be percent-encoded")
-        body = await self._async_read(request, held)
+        body = await self._async_read_body(request, reservation)
         if isinstance(body, Rejection):
             return body
         target = Target(kind=UpstreamKind.SERVICE, method=request.method, path=path, pool=service)
@@ -139,10 +139,12 @@
             arrived_ms=running.arrived_ms,
         )
 
-    async def _async_read(self, request: web.BaseRequest, held: HeldBytes) -> bytes | Rejection:
+    async def _async_read_body(
+        self, request: web.BaseRequest, reservation: MemoryReservation
+    ) -> bytes | Rejection:
         return await async_read_body(
             request=request,
-            held=held,
+            reservation=reservation,
             max_bytes=self._limits.max_body_bytes,
             idle_ms=self._limits.caller_idle_ms,
         )
@@ -156,14 +158,14 @@
 
 
 def find_workspace(request: web.BaseRequest, compiled: CompiledPolicy) -> Workspace | None:
-    """Return the workspace whose key the caller shows."""
-    given = request.headers.get(hdrs.AUTHORIZATION, "")
-    if not given.startswith(BEARER_PREFIX) or not given.isascii():
+    """Return the workspace of the bearer token, None if there is no valid one."""
+    authorization = request.headers.get(hdrs.AUTHORIZATION, "")
+    if not authorization.startswith(BEARER_PREFIX) or not authorization.isascii():
         return None
-    return compiled.policy.find_workspace(given.removeprefix(BEARER_PREFIX).strip())
+    return compiled.policy.find_workspace(authorization.removeprefix(BEARER_PREFIX).strip())
 
 
-def _answer_models(
+def _make_models_response(
     request: web.BaseRequest, compiled: CompiledPolicy, request_id: str
 ) -> web.Response | Rejection:
     if request.method not in (hdrs.METH_GET, hdrs.METH_HEAD):
--- a/gypsumrouter/idempotency/run.py
+++ b/gypsumrouter/idempotency/run.py
@@ -1,4 +1,4 @@
-"""One run of a call that must not be repeated."""
+"""Execution of one at-most-once call."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 from typing import Final, Self
 
 from gypsumrouter.exceptions import InvariantBroken
-from gypsumrouter.idempotency.memory import CallMemory, Record
+from gypsumrouter.idempotency.records import Record, RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
 Recheck = Callable[[], Failure | None]
 
-_ABANDONED: Final = Refused(reason=Reason.STOPPED, message="the run was given up before it began")
+_CANCELLED: Final = Refused(reason=Reason.STOPPED, message="the run was given up before it began")
 
 
 class Run:
-    """The permission to run a call once.
+    """Permission to run a call once.
 
-    `started` is asked right before the hand-over to the upstream. Then exactly one of `finish`,
-    `lost` and `not_run` follows; used as a context manager, the run settles itself.
+    `authorize` is called right before the call is sent to the upstream. The run ends with `finish`
+    or `fail` if the call was sent, and with `cancel` otherwise. As a context manager, it ends a run
+    that has no outcome on exit.
     """
 
-    __slots__ = ("_handed_over", "_memory", "_recheck", "_record")
+    __slots__ = ("_authorized", "_recheck", "_record", "_store")
 
-    def __init__(self, *, memory: CallMemory, record: Record, recheck: Recheck) -> None:
-        self._memory = memory
+    def __init__(self, *, store: RecordStore, record: Record, recheck: Recheck) -> None:
+        self._store = store
         self._record: Record | None = record
         self._recheck = recheck
-        self._handed_over = False
+        self._authorized = False
 
     def __enter__(self) -> Self:
         return self
@@ -42,53 +43,55 @@
     ) -> None:
         if self._record is None:
             return
-        if self._handed_over:
-            self.lost(Reason.UPSTREAM_LOST)
+        if self._authorized:
+            self.fail(Reason.UPSTREAM_LOST)
         else:
-            self.not_run(_ABANDONED)
+            self.cancel(_CANCELLED)
 
-    def started(self) -> Failure | None:
-        """Return None if the call may be handed over now.
+    def authorize(self) -> Failure | None:
+        """Return None if the call may be sent now.
 
-        Otherwise return why not: the run is over, and the call must not be handed over.
+        Otherwise return why not; the run has then ended, and the call must not be sent.
         """
         denied = self._recheck()
         if denied is not None:
-            self._memory.remove(self._take_record(), denied)
+            self._store.remove(self._take_record(), denied)
             return denied
-        self._handed_over = True
+        self._authorized = True
         return None
 
     def finish(self, head: Head, body: bytes) -> None:
-        """Remember the whole answer."""
-        self._check_handed_over()
-        self._memory.finish(self._take_record(), head, body)
+        """Store the complete response."""
+        self._check_authorized()
+        self._store.finish(self._take_record(), head, body)
 
-    def lost(self, reason: Reason) -> None:
-        """Remember that the call was handed over and that no whole answer came."""
-        self._check_handed_over()
+    def fail(self, reason: Reason) -> None:
+        """Store that the call was sent and no complete response was received."""
+        self._check_authorized()
         outcome = Failed(
             reason=Reason.EARLIER_RUN_UNKNOWN,
             message=f"the call was handed over, and its answer was lost: {reason.value}",
         )
-        self._memory.lose(self._take_record(), outcome)
+        self._store.fail(self._take_record(), outcome)
 
-    def not_run(self, refused: Refused) -> Failure:
-        """Forget the call, which was not handed over; return what its caller may be told.
+    def cancel(self, refused: Refused) -> Failure:
+        """Remove the record of the call, which was not sent; return the failure to report.
 
-        That is `refused`, unless another instance may have become the home in the meantime.
+        That is `refused`, unless another instance may have become the owner of the key.
         """
         outcome = self._recheck() or refused
-        self._memory.remove(self._take_record(), outcome)
+        self._store.remove(self._take_record(), outcome)
         return outcome
 
     def _take_record(self) -> Record:
         record = self._record
         if record is None:
-            raise InvariantBroken("a run was settled twice")
+            raise InvariantBroken("at-most-once run: expected one outcome, got a second")
         self._record = None
         return record
 
-    def _check_handed_over(self) -> None:
-        if not self._handed_over:
-            raise InvariantBroken("a run ended that was never started")
+    def _check_authorized(self) -> None:
+        if not self._authorized:
+            raise InvariantBroken(
+                "at-most-once run: got an outcome before authorize() allowed the run"
+            )
--- a/gypsumrouter/peers/evacuations.py
+++ b/gypsumrouter/peers/evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations between the book of a router and the news to its peers."""
+"""Conversion of evacuations between a router's records and the messages to its peers."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from gypsumrouter.link import EvacuationTold
 
 
-def write_evacuations(evacuations: Evacuations) -> tuple[EvacuationTold, ...]:
-    """Return all that a router knows of evacuations: little, and any news may be the last."""
+def encode_evacuations(evacuations: Evacuations) -> tuple[EvacuationTold, ...]:
+    """Return all known evacuations as message entries; every message carries the full set."""
     return tuple(
         EvacuationTold(data_centre=e.data_centre, revision=e.revision, active=e.active)
         for e in evacuations.list_all()
     )
 
 
-def take_evacuations(
-    evacuations: Evacuations, told: Iterable[EvacuationTold], *, source: str
+def merge_evacuations(
+    evacuations: Evacuations, received: Iterable[EvacuationTold], *, source: str
 ) -> None:
-    """Take what a peer told; older news than what is known change nothing."""
-    for e in told:
+    """Merge evacuations received from a peer; entries of older revisions are ignored."""
+    for e in received:
         evacuation = Evacuation(data_centre=e.data_centre, revision=e.revision, active=e.active)
         evacuations.merge(evacuation, source=source)
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -1,7 +1,8 @@
-"""The exchange between routers: found through seeds, one task a peer, never in a request's path.
+"""State exchange between routers, which runs in background tasks and never delays a request.
 
-Each router tells its neighbours, those of its own data centre, all that it has; what other data
-centres have comes through relays. Seeds are told where it is, and tell it where the others are.
+Routers discover each other through the seeds. A router sends its full state to its neighbours, the
+routers of its own data centre, and its address to the seeds, which reply with the addresses of
+the other routers. State of other data centres is relayed; see `relays.py`.
 """
 
 from __future__ import annotations
@@ -29,19 +30,19 @@
     Strike,
 )
 from gypsumrouter.mechanisms import Mechanism
-from gypsumrouter.peers.catch_up import CatchUpDesk
+from gypsumrouter.peers.catch_up import CatchUpCoordinator
 from gypsumrouter.peers.const import (
-    NEWS_MS,
-    NEWS_MS_PER_PEER,
-    ROUTERS_MS,
+    ROUTER_LIST_INTERVAL_MS,
+    UPDATE_INTERVAL_MS,
+    UPDATE_INTERVAL_MS_PER_PEER,
 )
-from gypsumrouter.peers.evacuations import write_evacuations
-from gypsumrouter.peers.held import HeldDesk
-from gypsumrouter.peers.loads import read_loads, write_loads
+from gypsumrouter.peers.evacuations import encode_evacuations
+from gypsumrouter.peers.inventory import InventoryCoordinator
+from gypsumrouter.peers.loads import decode_loads, encode_loads
 from gypsumrouter.peers.outbox import Outbox
-from gypsumrouter.peers.relays import RelayDesk
-from gypsumrouter.peers.routers import KnownRouter, RouterBook
-from gypsumrouter.peers.watchers import WatchDesk
+from gypsumrouter.peers.relays import DataCentreRelay
+from gypsumrouter.peers.routers import PeerRouter, RouterRegistry
+from gypsumrouter.peers.watchers import WatchCoordinator
 from gypsumrouter.published import WatchState
 from gypsumrouter.routing import RoutingConfiguration, RoutingStore
 from gypsumrouter.settings import ForwarderSettings, read_link_key
@@ -50,7 +51,7 @@
 
 
 class Mesh:
-    """Sends this router's news to its neighbours and the seeds, and takes theirs."""
+    """Sends updates to the neighbours and the seeds, and processes updates received from peers."""
 
     __slots__ = (
         "_app",
@@ -58,7 +59,7 @@
         "_directory",
         "_evacuations",
         "_forwarder",
-        "_held",
+        "_inventory",
         "_journal",
         "_outbox",
         "_pool",
@@ -66,8 +67,8 @@
         "_routers",
         "_routing",
         "_seeds",
+        "_sending_to",
         "_server",
-        "_tasks",
         "_watch",
         "_without",
     )
@@ -92,12 +93,12 @@
         self._directory = directory
         self._evacuations = evacuations
         self._forwarder = forwarder
-        self._routers = RouterBook(
-            clock=app.clock, own=settings.link_address, data_centre=app.data_centre
+        self._routers = RouterRegistry(
+            clock=app.clock, own_address=settings.link_address, data_centre=app.data_centre
         )
         self._seeds = settings.seeds
-        # The routers that a task of this one tells.
-        self._tasks: set[str] = set()
+        # Addresses of the routers that have a running update task.
+        self._sending_to: set[str] = set()
         self._outbox = Outbox()
         notices = NoticeHub(app=app)
         key = read_link_key(settings.link)
@@ -110,7 +111,7 @@
             answer_memory_bytes=settings.limits.answer_memory_bytes,
         )
         self._pool = LinkPool(app=app, settings=settings.link, key=key, notices=notices)
-        self._catch_up = CatchUpDesk(
+        self._catch_up = CatchUpCoordinator(
             app=app,
             journal=journal,
             routing=routing,
@@ -121,7 +122,7 @@
             routing_state=routing_state,
             upstreams=upstreams,
         )
-        self._watch = WatchDesk(
+        self._watch = WatchCoordinator(
             app=app,
             routers=self._routers,
             routing_store=routing,
@@ -132,7 +133,7 @@
             routing=routing_state,
             upstreams=upstreams,
         )
-        self._relays = RelayDesk(
+        self._relays = DataCentreRelay(
             app=app,
             routers=self._routers,
             routing=routing,
@@ -145,169 +146,175 @@
             send=self._async_send,
             without=settings.without,
         )
-        self._held = HeldDesk(
+        self._inventory = InventoryCoordinator(
             app=app,
             journal=journal,
             notices=notices,
-            holdings=forwarder.placer.cache_index,
-            own=lambda: self._routers.own,
+            cache_index=forwarder.placer.cache_index,
+            get_own_address=lambda: self._routers.own_address,
             list_seeds=self._list_seeds,
             send=self._async_send,
         )
         self._without = settings.without
-        if Mechanism.TOLD_INVENTORY not in settings.without:
-            forwarder.inventory.set_peers(self._held)
+        if Mechanism.PEER_INVENTORY not in settings.without:
+            forwarder.inventory.set_peers(self._inventory)
         forwarder.placer.slow_start.set_fleet(self._routers)
-        notices.subscribe(RouterNews, self._take_news)
+        notices.subscribe(RouterNews, self._handle_update)
         forwarder.placer.on_placed(self._note_placed)
         forwarder.suspects.on_strike(self._note_strike)
         app.add_dump_section("peers", self._dump)
 
     async def async_start(self) -> Address:
-        """Listen for links, begin to tell the seeds, and return the address."""
+        """Bind the link listener, start the update tasks and return the bound address."""
         address = await self._server.async_start()
-        self._routers.own = str(address)
+        self._routers.own_address = str(address)
         for seed in self._seeds:
-            self._learn(seed, seed=True)
-        self._count_routers()
+            self._add_router(seed, seed=True)
+        self._update_retry_budget()
         self._watch.async_start()
         self._relays.async_start()
         return address
 
-    def take_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Tell other seeds from now on; one that is no seed any more stays while it answers."""
+    def set_seeds(self, seeds: tuple[str, ...]) -> None:
+        """Replace the seeds; a former seed is kept as a regular router until it expires."""
         self._seeds = seeds
-        for text, known in self._routers.items():
-            known.seed = text in seeds
+        for address, known in self._routers.items():
+            known.seed = address in seeds
         for seed in seeds:
-            self._learn(seed, seed=True)
-        self._count_routers()
+            self._add_router(seed, seed=True)
+        self._update_retry_budget()
 
-    def _learn(self, text: str, *, data_centre: str = "", seed: bool = False) -> None:
-        known = self._routers.learn(text, data_centre=data_centre, seed=seed)
-        if known is not None and self._routers.is_told(text) and text not in self._tasks:
-            self._tasks.add(text)
-            self._app.async_create_task(self._async_tell(text, known), f"peer {text}")
+    def _add_router(self, address: str, *, data_centre: str = "", seed: bool = False) -> None:
+        known = self._routers.add(address, data_centre=data_centre, seed=seed)
+        if (
+            known is not None
+            and self._routers.receives_updates(address)
+            and address not in self._sending_to
+        ):
+            self._sending_to.add(address)
+            self._app.async_create_task(self._async_send_updates(address, known), f"peer {address}")
 
-    async def _async_tell(self, text: str, known: KnownRouter) -> None:
-        """Send news to one peer for as long as it is a neighbour that is heard of, or a seed."""
-        while self._routers.is_told(text):
-            placed, end = self._outbox.since(known.told)
-            news = self._make_news(known, placed)
-            sent = await self._async_send(text, news)
-            if sent and not known.renewed:
-                known.told = end
-            known.renewed = False
-            self._note_reached(text, known, sent)
+    async def _async_send_updates(self, address: str, known: PeerRouter) -> None:
+        """Send updates to one peer for as long as it is a known neighbour or a seed."""
+        while self._routers.receives_updates(address):
+            placed, end = self._outbox.read_from(known.sent_position)
+            update = self._make_update(known, placed)
+            sent = await self._async_send(address, update)
+            if sent and not known.restarted:
+                known.sent_position = end
+            known.restarted = False
+            self._record_reachability(address, known, sent)
             await self._app.clock.async_sleep(self._get_period_ms(known))
-        self._tasks.discard(text)
+        self._sending_to.discard(address)
 
-    def _get_period_ms(self, known: KnownRouter) -> int:
-        """Return how often a router is told; all routers tell the seeds, few their neighbours."""
+    def _get_period_ms(self, known: PeerRouter) -> int:
+        """Return the update interval; a seed receives updates from all routers of the fleet."""
         neighbour = self._routers.is_neighbour(known)
         peers = len(self._routers.list_neighbours()) if neighbour else len(self._routers)
-        return NEWS_MS + NEWS_MS_PER_PEER * peers
+        return UPDATE_INTERVAL_MS + UPDATE_INTERVAL_MS_PER_PEER * peers
 
     def _list_seeds(self) -> tuple[str, ...]:
-        """Return the seeds that are addresses, this router among them where it is one."""
+        """Return the seeds with a valid address, including this router if it is a seed."""
         return tuple(
-            seed for seed in self._seeds if seed == self._routers.own or seed in self._routers
+            seed
+            for seed in self._seeds
+            if seed == self._routers.own_address or seed in self._routers
         )
 
-    async def _async_send(self, text: str, notice: Notice) -> bool:
-        """Send a notice to the router whose link listens at an address."""
+    async def _async_send(self, address: str, notice: Notice) -> bool:
+        """Send a notice to the router at an address; return whether it was sent."""
         instance = Instance(
             name="",
             role=Role.FORWARDER,
-            address=parse_address(text),
+            address=parse_address(address),
             data_centre="",
             region="",
         )
         return await self._pool.async_send(instance=instance, notice=notice)
 
-    def _make_news(self, known: KnownRouter, placed: tuple[PlacedPart, ...]) -> RouterNews:
-        news = RouterNews(
-            address=self._routers.own,
+    def _make_update(self, known: PeerRouter, placed: tuple[PlacedPart, ...]) -> RouterNews:
+        update = RouterNews(
+            address=self._routers.own_address,
             routers=self._list_routers(known),
             routing_version=self._routing.version,
             list_revision=self._directory.newest,
-            evacuations=write_evacuations(self._evacuations),
+            evacuations=encode_evacuations(self._evacuations),
             data_centre=self._app.data_centre,
         )
         if not self._routers.is_neighbour(known):
-            return news
+            return update
         placer = self._forwarder.placer
         return replace(
-            news,
-            loads=write_loads(placer.loads),
+            update,
+            loads=encode_loads(placer.loads),
             placed=placed,
-            strikes=self._outbox.strikes(now_ms=self._app.clock.now_ms()),
+            strikes=self._outbox.list_strikes(now_ms=self._app.clock.now_ms()),
             refused=placer.health.list_refusals(),
         )
 
-    def _list_routers(self, known: KnownRouter) -> tuple[RouterAt, ...]:
-        """Return the other routers, or nothing where a peer was told the same a moment ago."""
+    def _list_routers(self, known: PeerRouter) -> tuple[RouterAt, ...]:
+        """Return the live routers, or nothing if a list of the same size was sent recently."""
         now_ms = self._app.clock.now_ms()
-        same = known.routers_told == len(self._routers)
-        if same and now_ms - known.routers_told_ms < ROUTERS_MS:
+        same = known.sent_router_count == len(self._routers)
+        if same and now_ms - known.sent_routers_ms < ROUTER_LIST_INTERVAL_MS:
             return ()
-        known.routers_told = len(self._routers)
-        known.routers_told_ms = now_ms
-        return self._routers.list_living()
+        known.sent_router_count = len(self._routers)
+        known.sent_routers_ms = now_ms
+        return self._routers.list_live_routers()
 
-    def _note_reached(self, text: str, known: KnownRouter, sent: bool) -> None:
+    def _record_reachability(self, address: str, known: PeerRouter, sent: bool) -> None:
         now_ms = self._app.clock.now_ms()
-        if sent and known.reached is False:
-            lost_ms = now_ms - known.reached_ms
-            self._journal.record(DependencyRegained(dependency=f"peer {text}", lost_ms=lost_ms))
-        if not sent and known.reached is True:
-            self._journal.record(DependencyLost(dependency=f"peer {text}", reason="no link"))
+        if sent and known.reachable is False:
+            lost_ms = now_ms - known.last_reached_ms
+            self._journal.record(DependencyRegained(dependency=f"peer {address}", lost_ms=lost_ms))
+        if not sent and known.reachable is True:
+            self._journal.record(DependencyLost(dependency=f"peer {address}", reason="no link"))
         if sent:
-            known.reached_ms = now_ms
-        known.reached = sent
+            known.last_reached_ms = now_ms
+        known.reachable = sent
 
-    def _take_news(self, peer: Peer, news: RouterNews) -> None:
+    def _handle_update(self, peer: Peer, update: RouterNews) -> None:
         now_ms = self._app.clock.now_ms()
-        self._learn(news.address, data_centre=news.data_centre)
-        known = self._routers.get(news.address)
+        self._add_router(update.address, data_centre=update.data_centre)
+        known = self._routers.get(update.address)
         if known is not None:
-            known.note_heard(peer, data_centre=news.data_centre, now_ms=now_ms)
-        self._catch_up.take_evacuations(peer, news.evacuations)
-        for router in news.routers:
-            self._learn(router.address, data_centre=router.data_centre)
-        if news.data_centre == self._app.data_centre:
-            self._take_loads(peer, news, now_ms)
+            known.note_update(peer, data_centre=update.data_centre, now_ms=now_ms)
+        self._catch_up.merge_evacuations(peer, update.evacuations)
+        for router in update.routers:
+            self._add_router(router.address, data_centre=router.data_centre)
+        if update.data_centre == self._app.data_centre:
+            self._apply_update(peer, update, now_ms)
         elif known is not None and not known.seed:
-            self._answer(peer, known)
-        self._catch_up.compare(
-            peer, routing_version=news.routing_version, list_revision=news.list_revision
+            self._send_router_list(peer, known)
+        self._catch_up.check_versions(
+            peer, routing_version=update.routing_version, list_revision=update.list_revision
         )
-        self._count_routers()
+        self._update_retry_budget()
 
-    def _answer(self, peer: Peer, known: KnownRouter) -> None:
-        """Tell a router that takes this one for a seed where the others are."""
-        news = self._make_news(known, ())
-        if news.routers:
-            peer.send(news)
+    def _send_router_list(self, peer: Peer, known: PeerRouter) -> None:
+        """Send the router list to a router elsewhere that uses this one as a seed."""
+        update = self._make_update(known, ())
+        if update.routers:
+            peer.send(update)
 
-    def _take_loads(self, peer: Peer, news: RouterNews, now_ms: int) -> None:
+    def _apply_update(self, peer: Peer, update: RouterNews, now_ms: int) -> None:
         placer = self._forwarder.placer
         if Mechanism.PEER_LOADS not in self._without:
-            placer.loads.set_peer_loads(peer.hello.name, read_loads(news, now_ms=now_ms))
-        placed = self._list_placed(news)
+            placer.loads.set_peer_loads(peer.hello.name, decode_loads(update, now_ms=now_ms))
+        placed = self._list_placed(update)
         for part in placed:
             placer.cache_index.note(part=part.part, upstream=part.upstream, now_ms=now_ms)
-        placer.apply_peer_refusals(news.refused)
-        self._relays.note_refused(news.refused)
+        placer.apply_peer_refusals(update.refused)
+        self._relays.note_refused(update.refused)
         self._relays.note_placed(placed)
-        for strike in news.strikes:
+        for strike in update.strikes:
             if self._forwarder.suspects.add_strike(
                 strike.digest, strike.upstream, source=peer.hello.name
             ):
                 self._relays.note_strike(strike)
 
-    def _list_placed(self, news: RouterNews) -> tuple[PlacedPart, ...]:
-        return () if Mechanism.PEER_PLACEMENTS in self._without else news.placed
+    def _list_placed(self, update: RouterNews) -> tuple[PlacedPart, ...]:
+        return () if Mechanism.PEER_PLACEMENTS in self._without else update.placed
 
     def _note_placed(self, part: int, upstream: str) -> None:
         placed = PlacedPart(part=part, upstream=upstream)
@@ -315,7 +322,7 @@
         self._relays.note_placed((placed,))
 
     def count_alive(self) -> int:
-        """Return the number of peers that were heard a moment ago."""
+        """Return the number of live routers of the fleet, without this one."""
         return self._routers.count_alive()
 
     def is_watcher(self) -> bool:
@@ -332,26 +339,26 @@
         self._outbox.add_strike(strike, now_ms=now_ms)
         self._relays.note_strike(strike)
 
-    def _count_routers(self) -> None:
-        """Tell the retry budget among how many routers it is shared."""
+    def _update_retry_budget(self) -> None:
+        """Set the number of routers that share the retry budget."""
         alive = self._routers.count_alive()
         self._forwarder.budget.routers = 1 + max(alive, self._routers.count_seeds())
 
     def _dump(self) -> object:
         now_ms = self._app.clock.now_ms()
         routers = {
-            text: {
+            address: {
                 "data_centre": known.data_centre,
-                "reached": known.reached,
-                "heard_ms_ago": None if known.peer is None else now_ms - known.heard_ms,
+                "reached": known.reachable,
+                "heard_ms_ago": None if known.peer is None else now_ms - known.last_update_ms,
             }
-            for text, known in self._routers.items()
+            for address, known in self._routers.items()
         }
         data_centres = {
             name: {
                 "alive": other.alive,
                 "relay": other.relay,
-                "heard_ms_ago": now_ms - other.heard_ms,
+                "heard_ms_ago": now_ms - other.last_update_ms,
             }
             for name, other in self._routers.data_centres.items()
             if other.relay or other.alive
--- a/gypsumrouter/platform/engines.py
+++ b/gypsumrouter/platform/engines.py
@@ -27,7 +27,7 @@
         return CacheListing(
             parts=parts,
             started_ms=int(document.get("born", 0)),
-            leaving=names.says_leaving(answer.get(names.SERVER_LEAVING)),
+            draining=names.says_leaving(answer.get(names.SERVER_LEAVING)),
         )
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
         raise ConnectionBroken(f"no list of parts: {error!r}") from None
--- /dev/null
+++ b/gypsumrouter/suspicion/tracker.py
@@ -0,0 +1,211 @@
+"""Tracking of requests that are suspected or proven to crash their upstream."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import secrets
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Final
+
+from gypsumrouter.core import Application, Remove
+from gypsumrouter.helpers.metrics import NO_LABELS
+from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.outcomes import Reason, Refused
+from gypsumrouter.suspicion.const import BUSY_RETRY_MS, CRASH_ID_BITS, MAX_CRASH_DIGESTS
+from gypsumrouter.suspicion.crashes import CrashStore
+from gypsumrouter.suspicion.gate import IsolationGate, RunPermit
+from gypsumrouter.suspicion.isolation import select_isolation_instances
+from gypsumrouter.suspicion.outcomes import Suspect, Verdict
+from gypsumrouter.suspicion.running import ActiveRun, RunningSet, list_digests
+
+if TYPE_CHECKING:
+    from gypsumrouter.fleet import Fleet
+    from gypsumrouter.link import NoticeHub, Peer
+
+_LOGGER = logging.getLogger(__name__)
+
+DUMP_SECTION: Final = "suspicion"
+StrikeListener = Callable[[SuspectNews], None]
+
+
+class SuspectTracker:
+    """Tracks crash suspects by request digest, in a side or in a router.
+
+    A side that has a fleet and a pool runs suspects only if it is one of the pool's isolation
+    instances. New strikes are passed to the listeners, which announce them to other processes.
+    """
+
+    __slots__ = (
+        "_active",
+        "_app",
+        "_crash_counter",
+        "_crashes",
+        "_fleet",
+        "_gate",
+        "_listeners",
+        "_pool",
+        "_refused_counter",
+        "_running",
+        "_unsubscribe",
+    )
+
+    def __init__(
+        self,
+        *,
+        app: Application,
+        notices: NoticeHub,
+        fleet: Fleet | None = None,
+        pool: str = "",
+    ) -> None:
+        self._app = app
+        self._fleet = fleet
+        self._pool = pool
+        self._crashes = CrashStore(clock=app.clock)
+        self._running = RunningSet()
+        self._gate = IsolationGate(app=app, running=self._running)
+        self._active: dict[int, list[ActiveRun]] = {}
+        self._listeners: list[StrikeListener] = []
+        self._crash_counter = app.metrics.counter(
+            "gypsum_upstream_deaths_total", "Deaths of the upstream while requests ran"
+        )
+        self._refused_counter = app.metrics.counter(
+            "gypsum_suspects_refused_total", "Requests refused because they crash upstreams"
+        )
+        app.metrics.gauge(
+            "gypsum_suspect_digests",
+            "Request digests with a strike",
+            lambda: {NO_LABELS: self._crashes.digest_count},
+        )
+        app.add_dump_section(DUMP_SECTION, self._dump)
+        self._unsubscribe = notices.subscribe(SuspectNews, self._handle_strike)
+        app.on_stop(self._async_stop)
+
+    def check(self, digest: int) -> Verdict:
+        """Return whether a request with this digest may run in this process."""
+        verdict = self._crashes.get_verdict(digest)
+        match verdict:
+            case Refused():
+                self._refused_counter.inc()
+            case Suspect() if not self._runs_suspects():
+                return _make_elsewhere()
+        return verdict
+
+    def record_start(self, digest: int) -> None:
+        """Record the start of a run that does not pass the gate."""
+        self._active.setdefault(digest, []).append(self._running.start(digest))
+
+    def record_end(self, digest: int, *, complete: bool = False) -> None:
+        """Record the end of a run; if it was complete and ran alone, the digest is cleared."""
+        runs = self._active.get(digest)
+        if not runs:
+            return
+        run = runs.pop(0)
+        if not runs:
+            del self._active[digest]
+        self._end(run, complete)
+
+    def handle_upstream_crash(self) -> tuple[SuspectNews, ...]:
+        """Add a strike for each digest that was running when the upstream crashed.
+
+        Further reports of the same crash have no effect, so that each run may report it.
+        """
+        crashed = self._running.remove_crashed()
+        if not crashed:
+            return ()
+        self._crash_counter.inc()
+        strikes = _make_strikes(list_digests(crashed))
+        _LOGGER.warning(
+            "The upstream crashed with %s requests running; they are now crash suspects",
+            len(crashed),
+        )
+        for strike in strikes:
+            self._add(strike)
+        self._gate.notify_waiters()
+        return strikes
+
+    async def async_enter(self, digest: int, cancelled: asyncio.Event) -> RunPermit | Refused:
+        """Wait until a request may run; suspects run alone, others concurrently."""
+        entered = await self._gate.async_enter(
+            digest=digest, get_verdict=lambda: self.check(digest), cancelled=cancelled
+        )
+        if isinstance(entered, Refused):
+            return entered
+        return RunPermit(run=entered, on_end=self._end, on_crash=self._handle_run_crash)
+
+    def on_new_strike(self, listener: StrikeListener) -> Remove:
+        """Register a listener that is called once for each new strike."""
+        self._listeners.append(listener)
+
+        def remove() -> None:
+            if listener in self._listeners:
+                self._listeners.remove(listener)
+
+        return remove
+
+    def list_strikes(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
+        """Return the strikes of one digest, or of all, to send to another process.
+
+        Links preserve order, so strikes sent before a request are handled before it.
+        """
+        return self._crashes.list_strikes(digest)
+
+    async def _async_stop(self) -> None:
+        self._unsubscribe()
+
+    def _handle_strike(self, peer: Peer, strike: SuspectNews) -> None:
+        self._add(strike)
+        self._gate.notify_waiters()
+
+    def _add(self, strike: SuspectNews) -> None:
+        if not self._crashes.add(strike):
+            return
+        for listener in tuple(self._listeners):
+            listener(strike)
+
+    def _handle_run_crash(self, run: ActiveRun) -> tuple[SuspectNews, ...]:
+        return () if run.crashed else self.handle_upstream_crash()
+
+    def _end(self, run: ActiveRun, complete: bool) -> None:
+        self._running.end(run)
+        if complete and run.alone and not run.crashed:
+            self._crashes.clear(run.digest)
+        self._gate.notify_waiters()
+
+    def _runs_suspects(self) -> bool:
+        if self._fleet is None or not self._pool:
+            return True
+        members = self._fleet.members(self._pool)
+        isolation_instances = select_isolation_instances(self._pool, members)
+        return not isolation_instances or any(
+            instance.name == self._app.name for instance in isolation_instances
+        )
+
+    def _dump(self) -> dict[str, object]:
+        return {
+            "strikes": self._crashes.crash_count,
+            "suspect_digests": self._crashes.digest_count,
+            "refused_digests": self._crashes.count_rejected(),
+            "running": len(self._running),
+            "isolating": self._gate.isolating,
+            "waiting_suspects": self._gate.waiting,
+            "deaths": int(self._crash_counter.total()),
+        }
+
+
+def _make_strikes(digests: tuple[int, ...]) -> tuple[SuspectNews, ...]:
+    crash_id = secrets.randbits(CRASH_ID_BITS)
+    alone = len(digests) == 1
+    return tuple(
+        SuspectNews(digest=digest, strike=crash_id, alone=alone)
+        for digest in digests[:MAX_CRASH_DIGESTS]
+    )
+
+
+def _make_elsewhere() -> Refused:
+    return Refused(
+        reason=Reason.SUSPECT_BUSY,
+        message="a request that may crash the upstream runs at another instance",
+        retry_after_ms=BUSY_RETRY_MS,
+        elsewhere=True,
+    )
