--- a/bench/churn.py
+++ b/bench/churn.py
@@ -13,6 +13,7 @@
 import uvloop
 from msgspec import Struct
 
+from bench.both_deployments import add_common_options, async_run_deployments
 from bench.churn_faults import Churn, ChurnCounts
 from bench.churn_plan import (
     STEP_MS,
@@ -22,9 +23,8 @@
     plan_chats,
     sum_chat_tokens,
 )
-from bench.duo import add_common_options, async_run_deployments
-from bench.planned import PlannedChat, TurnResult, merge_outcomes
-from bench.policies import OURS, OURS_WITH_HINT, BenchPolicy, choose_policies, list_baselines
+from bench.planned_chats import PlannedChat, TurnResult, count_violations
+from bench.policies import PRODUCT, PRODUCT_WITH_HINT, BenchPolicy, list_baselines, select_policies
 from bench.report import Value, print_machine, print_result, print_table
 from bench.stage import Stage, get_deployment, open_stage
 from bench.tally import Tally
@@ -100,8 +100,8 @@
         calm=options.calm,
     )
     ideal = compute_ideal(chats, model=deployment.model, memory_tokens=memory, times=times)
-    policies = choose_policies(
-        [OURS, OURS_WITH_HINT, *list_baselines(first_come=False)], options.policies
+    policies = select_policies(
+        [PRODUCT, PRODUCT_WITH_HINT, *list_baselines(fifo=False)], options.policies
     )
     outcomes = [await async_measure_policy(policy, scenario) for policy in policies]
     report(scenario, ideal, outcomes)
@@ -160,7 +160,7 @@
         later = [item for item in outcome.results if times.is_after(item.at_ms)]
         reuse[outcome.policy] = round(get_reuse(churned), 4)
         after[outcome.policy] = round(get_reuse(later), 4)
-        wrong[outcome.policy] = sum(merge_outcomes(outcome.tally).values())
+        wrong[outcome.policy] = sum(count_violations(outcome.tally).values())
         rows.append(
             [
                 outcome.policy,
@@ -197,7 +197,7 @@
     baselines = [
         round(get_reuse([item for item in outcome.results if times.is_churn(item.at_ms)]), 4)
         for outcome in outcomes
-        if outcome.policy not in (OURS.name, OURS_WITH_HINT.name)
+        if outcome.policy not in (PRODUCT.name, PRODUCT_WITH_HINT.name)
     ]
     print_result(
         {
--- a/bench/churn_plan.py
+++ b/bench/churn_plan.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from bench.accounts import choose_accounts
-from bench.planned import PlannedChat, PlannedTurn, make_answer, write_words
+from bench.planned_chats import PlannedChat, PlannedTurn, make_answer, make_prompt_text
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.standins import Deployment
 from gypsumrouter.standins.cache import CacheEventLog, PrefixCache
@@ -61,7 +61,7 @@
         at_ms = randomness.uniform(0, period_s * MS_PER_S)
         while at_ms < times.end_ms:
             size = TURN_TOKENS if turns else FIRST_TOKENS
-            content = write_words(randomness, tokens=size)
+            content = make_prompt_text(randomness, tokens=size)
             turns.append(PlannedTurn(at_ms=round(at_ms), content=content, tokens=ANSWER_TOKENS))
             at_ms += period_s * MS_PER_S * randomness.uniform(0.7, 1.3)
         chats.append(PlannedChat(name=f"chat-{number}", account=account, turns=tuple(turns)))
--- a/bench/config.py
+++ b/bench/config.py
@@ -15,7 +15,7 @@
 from bench.in_force import Events, count_reverted, find_in_force, get_median, measure_delays
 from bench.members import Spread, async_measure_spread
 from bench.report import Value, print_machine, print_result, print_table
-from bench.two_year import PROCESSES
+from bench.target_scale import PROCESSES
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.standins import OutageKind
 
--- a/bench/config_fleet.py
+++ b/bench/config_fleet.py
@@ -16,7 +16,7 @@
 from bench.probe_host import ProbedProcess
 from bench.processes import DaemonProcess
 from bench.rig import READY_POLL_MS, Rig
-from bench.two_year import WORKSPACES
+from bench.target_scale import WORKSPACES
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.instances import Address
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -18,7 +18,7 @@
 from bench.report import print_machine, print_result, print_table
 from bench.slope_math import Line, fit_kinds, spread_over_day, sum_at
 from bench.stages import STAGE_LOAD, FullSize
-from bench.two_year import (
+from bench.target_scale import (
     ANSWER_MS,
     CHANGES_A_DAY,
     CONTROL_BYTES_S_MAX,
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -14,7 +14,7 @@
 from bench.metered_platform import MeteredPlatform
 from bench.relay import Phase, async_run_phase
 from bench.rig import Rig
-from bench.two_year import GAP_MS, KEY_WORKSPACES
+from bench.target_scale import GAP_MS, KEY_WORKSPACES
 from gypsumrouter.idempotency.records import Record, RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.placement.lru import LruMap
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -41,7 +41,7 @@
     STAGE_STATUSES,
     FullSize,
 )
-from bench.two_year import (
+from bench.target_scale import (
     ANSWER_MS,
     KEY_WORKSPACES,
     REQUESTS_S,
--- a/bench/grid.py
+++ b/bench/grid.py
@@ -21,7 +21,7 @@
 from bench.metered_platform import MeteredPlatform
 from bench.paced_engine import PacedEngine
 from bench.rig import Rig
-from bench.two_year import KEY_WORKSPACES, STREAMS_A_PAIR
+from bench.target_scale import KEY_WORKSPACES, STREAMS_A_PAIR
 from gypsumrouter.const import Role
 
 TOKENS: Final = 24
--- a/bench/member_host.py
+++ b/bench/member_host.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from bench.child import Child, Command, async_serve
-from bench.two_year import Place
+from bench.target_scale import Place
 from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.configuration.models import Configuration
 from gypsumrouter.const import MS_PER_S, Role
--- a/bench/members.py
+++ b/bench/members.py
@@ -14,8 +14,8 @@
 from bench.member_host import Events, MemberHost
 from bench.metered_platform import MeteredPlatform
 from bench.processes import read_usage
-from bench.still_list import StillList
-from bench.two_year import REGIONS, ROUTERS, SIDES, Place, list_places
+from bench.static_list import StillList
+from bench.target_scale import REGIONS, ROUTERS, SIDES, Place, list_places
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.standins import OutageKind
 
--- a/bench/metered_platform.py
+++ b/bench/metered_platform.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Struct
 
-from bench.two_year import make_configuration, make_deployment
+from bench.target_scale import make_configuration, make_deployment
 from gypsumrouter.const import Role, UpstreamKind
 from gypsumrouter.instances import Address
 from gypsumrouter.standins import FaultProxy, InstanceListService, SidePlan, StandinPlatform, Way
--- a/bench/paced_engine.py
+++ b/bench/paced_engine.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from bench.two_year import ANSWER_MS
+from bench.target_scale import ANSWER_MS
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.instances import Address
 from gypsumrouter.standins.listener import StandinListener
--- a/bench/peer_host.py
+++ b/bench/peer_host.py
@@ -13,7 +13,7 @@
 
 from bench.child import Child, Command, async_serve
 from bench.light_peers import LightPeer, LightRouters
-from bench.two_year import Place
+from bench.target_scale import Place
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.instances import Address, Instance
 
--- a/bench/planned.py
+++ b/bench/planned_chats.py
@@ -20,7 +20,7 @@
     render_prompt,
 )
 
-WORD_BYTES: Final = 8
+BYTES_PER_WORD: Final = 8
 
 
 class PlannedTurn(Struct, frozen=True, kw_only=True):
@@ -53,11 +53,11 @@
     cached_tokens: int = 0
 
 
-class Play(Struct, kw_only=True):
+class ChatRun(Struct, kw_only=True):
     """What the callers of one run share: when it began, and the results so far."""
 
     began_ms: int
-    brings_hint: bool
+    sends_hint: bool
     results: list[TurnResult] = field(default_factory=list)
 
 
@@ -72,7 +72,7 @@
         self,
         *,
         context: CallerContext,
-        play: Play,
+        run: ChatRun,
         chat: PlannedChat,
         model: str,
         seed: int,
@@ -86,21 +86,21 @@
             model=model,
             shape=ChatShape(stream=stream),
         )
-        self.play = play
+        self.run = run
         self.plan = chat
 
-    async def async_play(self) -> None:
+    async def async_run_chat(self) -> None:
         """Play all turns."""
         for turn in self.plan.turns:
-            due_ms = self.play.began_ms + turn.at_ms
+            due_ms = self.run.began_ms + turn.at_ms
             await self.clock.async_sleep(max(0, due_ms - self.clock.now_ms()))
-            await self._async_play_turn(turn)
+            await self._async_run_turn(turn)
 
-    async def _async_play_turn(self, turn: PlannedTurn) -> None:
+    async def _async_run_turn(self, turn: PlannedTurn) -> None:
         self.messages.append(Message(role="user", content=turn.content))
         result = TurnResult(account=self.account, at_ms=turn.at_ms)
-        self.play.results.append(result)
-        answer = await self.async_try_until_answered(lambda: self._async_count_try(turn, result))
+        self.run.results.append(result)
+        answer = await self.async_try_until_answered(lambda: self._async_attempt(turn, result))
         if answer is not None and self._check(answer, turn.tokens):
             result.served = True
             result.prompt_tokens = answer.prompt_tokens
@@ -108,9 +108,9 @@
             return
         self.messages.append(make_answer(self.messages, model=self.model, tokens=turn.tokens))
 
-    async def _async_count_try(self, turn: PlannedTurn, result: TurnResult) -> Whole | NoAnswer:
-        waited_ms = self.clock.now_ms() - self.play.began_ms - turn.at_ms
-        if not self.play.brings_hint:
+    async def _async_attempt(self, turn: PlannedTurn, result: TurnResult) -> Whole | NoAnswer:
+        waited_ms = self.clock.now_ms() - self.run.began_ms - turn.at_ms
+        if not self.run.sends_hint:
             self.hint = ""
         result.tries += 1
         outcome = await self._async_try(turn.tokens)
@@ -122,12 +122,12 @@
         return outcome
 
 
-async def async_play_chats(
+async def async_run_chats(
     chats: tuple[PlannedChat, ...], *, make_caller: Callable[[int, PlannedChat], PlannedCaller]
 ) -> None:
     """Play all chats to their end."""
     callers = [make_caller(number, chat) for number, chat in enumerate(chats)]
-    await asyncio.gather(*(caller.async_play() for caller in callers))
+    await asyncio.gather(*(caller.async_run_chat() for caller in callers))
 
 
 def make_answer(messages: list[Message], *, model: str, tokens: int) -> Message:
@@ -136,13 +136,13 @@
     return Message(role="assistant", content=make_text(digest, tokens))
 
 
-def write_words(randomness: random.Random, *, tokens: int) -> str:
+def make_prompt_text(randomness: random.Random, *, tokens: int) -> str:
     """Return text that costs about a number of tokens."""
-    words = tokens * BYTES_PER_TOKEN // WORD_BYTES
+    words = tokens * BYTES_PER_TOKEN // BYTES_PER_WORD
     return " ".join(f"{randomness.getrandbits(28):07x}" for _ in range(max(1, words)))
 
 
-def merge_outcomes(tally: Tally) -> dict[str, int]:
+def count_violations(tally: Tally) -> dict[str, int]:
     """Return what must be nothing: answers lost or wrong, whatever the policy is."""
     return {
         "lost": tally.lost,
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -18,43 +18,40 @@
 class BenchPolicy(Struct, frozen=True, kw_only=True):
     """How requests are placed and admitted in one run.
 
-    `brings_hint` is whether callers send the placement hint of the last answer back. With
-    `first_come` the sides know neither a cap nor classes.
+    `sends_hint` is whether callers send the placement hint of the last answer back. With
+    `fifo` the sides know neither a cap nor classes.
     """
 
     name: str
     placement: PlacementKind
-    brings_hint: bool = False
-    first_come: bool = False
+    sends_hint: bool = False
+    fifo: bool = False
 
     def adapt(self, configuration: Configuration) -> Configuration:
         """Return the configuration under which this policy runs."""
-        return make_first_come(configuration) if self.first_come else configuration
+        return make_fifo(configuration) if self.fifo else configuration
 
 
-OURS: Final = BenchPolicy(name="ours", placement=PlacementKind.RENDEZVOUS)
-OURS_WITH_HINT: Final = BenchPolicy(
-    name="ours_with_hint", placement=PlacementKind.RENDEZVOUS, brings_hint=True
+PRODUCT: Final = BenchPolicy(name="ours", placement=PlacementKind.RENDEZVOUS)
+PRODUCT_WITH_HINT: Final = BenchPolicy(
+    name="ours_with_hint", placement=PlacementKind.RENDEZVOUS, sends_hint=True
 )
 BASELINE_KINDS: Final = tuple(
     kind for kind in PlacementKind if kind is not PlacementKind.RENDEZVOUS
 )
 
 
-def list_baselines(*, first_come: bool) -> list[BenchPolicy]:
+def list_baselines(*, fifo: bool) -> list[BenchPolicy]:
     """Return every baseline, with our admission or with plain first-come order."""
-    return [
-        BenchPolicy(name=kind.value, placement=kind, first_come=first_come)
-        for kind in BASELINE_KINDS
-    ]
+    return [BenchPolicy(name=kind.value, placement=kind, fifo=fifo) for kind in BASELINE_KINDS]
 
 
-def choose_policies(policies: list[BenchPolicy], names: list[str] | None) -> list[BenchPolicy]:
+def select_policies(policies: list[BenchPolicy], names: list[str] | None) -> list[BenchPolicy]:
     """Return the policies of these names, all without names."""
     return [policy for policy in policies if names is None or policy.name in names]
 
 
-def make_first_come(configuration: Configuration) -> Configuration:
+def make_fifo(configuration: Configuration) -> Configuration:
     """Return a configuration under which sides serve in the order of arrival, without a cap.
 
     Classes that are all alike, far targets and equal shares leave only the time of arrival to
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -98,8 +98,10 @@
         direct = await async_run_phase(replace(plan, origins=tuple(f"http://{a}" for a in engines)))
         platform = StandinPlatform(clock=SystemClock(), deployments=(deployment,))
         await platform.async_start()
-        platform.publish(widen_pools(make_configuration(deployment, version=2)))
-        platform.plans = tuple(make_plan(index, address) for index, address in enumerate(engines))
+        platform.publish(raise_pool_limits(make_configuration(deployment, version=2)))
+        platform.plans = tuple(
+            make_side_plan(index, address) for index, address in enumerate(engines)
+        )
         rig = Rig(platform=platform)
         stack.push_async_callback(rig.async_stop)
         await rig.async_start(routers=1)
@@ -112,7 +114,7 @@
     return 0
 
 
-def make_plan(index: int, address: Address) -> SidePlan:
+def make_side_plan(index: int, address: Address) -> SidePlan:
     """Return the plan of the side beside one engine."""
     deployment = kotlovnica()
     return SidePlan(
@@ -125,7 +127,7 @@
     )
 
 
-def widen_pools(configuration: Configuration) -> Configuration:
+def raise_pool_limits(configuration: Configuration) -> Configuration:
     """Return the configuration with pools that never refuse at this load."""
     pools = tuple(replace(pool, slots=SLOTS, floor=SLOTS) for pool in configuration.pools)
     return replace(configuration, pools=pools)
--- a/bench/role_slopes.py
+++ b/bench/role_slopes.py
@@ -24,7 +24,7 @@
     STAGE_STATUSES,
     FullSize,
 )
-from bench.two_year import CHANGES_A_DAY, LIST_CHANGES_A_DAY, PROCESSES, WORKSPACES
+from bench.target_scale import CHANGES_A_DAY, LIST_CHANGES_A_DAY, PROCESSES, WORKSPACES
 from gypsumrouter.const import MS_PER_S
 
 MB: Final = 1_000_000
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -35,7 +35,7 @@
     measure_status_us,
 )
 from bench.stages import STAGE_LOAD, FullSize
-from bench.two_year import (
+from bench.target_scale import (
     CONTROL_BYTES_S_MAX,
     CONTROL_RSS_MB_MAX,
     CORE_SHARE_MAX,
--- a/bench/stage.py
+++ b/bench/stage.py
@@ -13,7 +13,7 @@
 from msgspec.structs import replace
 
 from bench.load import CallerContext
-from bench.planned import PlannedCaller, PlannedChat, Play, async_play_chats
+from bench.planned_chats import ChatRun, PlannedCaller, PlannedChat, async_run_chats
 from bench.policies import BenchPolicy
 from bench.rig import Rig
 from bench.tally import Tally
@@ -42,7 +42,7 @@
     clock: Clock
     session: aiohttp.ClientSession
     callers: list[Address]
-    play: Play
+    play: ChatRun
     tally: Tally
     tries: int
 
@@ -65,14 +65,14 @@
         def make_caller(number: int, chat: PlannedChat) -> PlannedCaller:
             return PlannedCaller(
                 context=context,
-                play=self.play,
+                run=self.play,
                 chat=chat,
                 model=self.deployment.model,
                 seed=seed + number,
                 stream=stream,
             )
 
-        await async_play_chats(chats, make_caller=make_caller)
+        await async_run_chats(chats, make_caller=make_caller)
 
 
 @asynccontextmanager
@@ -108,7 +108,7 @@
                 clock=clock,
                 session=session,
                 callers=rig.list_callers(),
-                play=Play(began_ms=clock.now_ms(), brings_hint=policy.brings_hint),
+                play=ChatRun(began_ms=clock.now_ms(), sends_hint=policy.sends_hint),
                 tally=Tally(),
                 tries=tries,
             )
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -14,9 +14,9 @@
 import uvloop
 from msgspec import Struct
 
-from bench.duo import add_common_options, async_run_deployments
-from bench.planned import PlannedChat, TurnResult, merge_outcomes
-from bench.policies import OURS, BenchPolicy, choose_policies, list_baselines
+from bench.both_deployments import add_common_options, async_run_deployments
+from bench.planned_chats import PlannedChat, TurnResult, count_violations
+from bench.policies import PRODUCT, BenchPolicy, list_baselines, select_policies
 from bench.relay import get_percentile
 from bench.report import Value, print_machine, print_result, print_table
 from bench.skew import SkewSampler
@@ -84,8 +84,8 @@
     scenario = Scenario(
         deployment=deployment, chats=planner.plan(load), times=times, seed=options.seed
     )
-    baselines = list_baselines(first_come=not options.our_admission)
-    policies = choose_policies([OURS, *baselines], options.policies)
+    baselines = list_baselines(fifo=not options.our_admission)
+    policies = select_policies([PRODUCT, *baselines], options.policies)
     outcomes = [await async_measure_policy(policy, scenario) for policy in policies]
     report(scenario, outcomes)
     return 0
@@ -182,7 +182,7 @@
             "target_met_in_surge": {
                 item.name: round(get_met_share(surge, item), 4) for item in classes
             },
-            "lost_or_wrong": sum(merge_outcomes(outcome.tally).values()),
+            "lost_or_wrong": sum(count_violations(outcome.tally).values()),
             "bench_late_ms_p99": round(get_percentile(outcome.sampler.late_ms, P99), 1),
         }
         for name, value in row.items():
--- a/bench/surge_plan.py
+++ b/bench/surge_plan.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from bench.accounts import Account
-from bench.planned import PlannedChat, PlannedTurn, write_words
+from bench.planned_chats import PlannedChat, PlannedTurn, make_prompt_text
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.standins import Deployment
 from gypsumrouter.standins.deployments import CLASS_REPORTS, WorkspacePlan
@@ -104,7 +104,7 @@
 
     def _make_turn(self, at_s: float, number: int, tokens: int) -> PlannedTurn:
         size = NEXT_TOKENS if number else PROMPT_TOKENS
-        content = write_words(self._random, tokens=size)
+        content = make_prompt_text(self._random, tokens=size)
         return PlannedTurn(at_ms=round(at_s * MS_PER_S), content=content, tokens=tokens)
 
     def _add(self, caller_class: str, turns: tuple[PlannedTurn, ...], *, surge: bool) -> None:
