--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -1,7 +1,7 @@
 """What each mechanism of the forwarder is worth: a play with it, and one without it.
 
 Each play runs in a copy of the repository whose deploy template switches one mechanism off. The
-program that plays, and the days, are given on the command line.
+program that runs, and the days, are given on the command line.
 """
 
 from __future__ import annotations
@@ -22,64 +22,68 @@
 from gypsumrouter.mechanisms import Mechanism
 
 TEMPLATE: Final = Path("deploy/forwarder.json.tmpl")
-ALL_ON: Final = "(all on)"
-REPORT: Final = "{report}"
+ALL_ENABLED: Final = "(all on)"
+REPORT_PLACEHOLDER: Final = "{report}"
 # What a copy needs to be built and run.
-COPIED: Final = ("deploy", "gypsumrouter", "target", "pyproject.toml", "requirements.txt")
-PLAY_S: Final = 1_800
+COPIED_PATHS: Final = ("deploy", "gypsumrouter", "target", "pyproject.toml", "requirements.txt")
+COMMAND_TIMEOUT_S: Final = 1_800
 
 
-class Play(Struct, frozen=True, kw_only=True):
+class AblationRun(Struct, frozen=True, kw_only=True):
     """One run: without which mechanism, and which command of the list."""
 
-    without: str
+    disabled: str
     command: int
 
 
-def switch_off(template: str, mechanism: str) -> str:
+def disable_mechanism(template: str, mechanism: str) -> str:
     """Return a deploy template that switches one mechanism off."""
-    if mechanism == ALL_ON:
+    if mechanism == ALL_ENABLED:
         return template
     head, brace, tail = template.partition("{")
     return f'{head}{brace}\n  "without": ["{mechanism}"],{tail}'
 
 
-def make_copy(*, source: Path, target: Path, mechanism: str) -> None:
+def copy_repository(*, source: Path, target: Path, mechanism: str) -> None:
     """Make a copy of the repository without one mechanism."""
     target.mkdir(parents=True)
-    for name in COPIED:
+    for name in COPIED_PATHS:
         path = source / name
         if path.is_dir():
             shutil.copytree(path, target / name, symlinks=True)
         elif path.exists():
             shutil.copy2(path, target / name)
     template = target / TEMPLATE
-    template.write_text(switch_off(template.read_text(), mechanism))
+    template.write_text(disable_mechanism(template.read_text(), mechanism))
     for command in (("init", "-q"), ("add", "-A")):
         subprocess.run(("git", *command), cwd=target, check=True)
 
 
-def play(*, folder: Path, command: str, report: Path, field: str) -> float | None:
+def run_command(*, folder: Path, command: str, report: Path, field: str) -> float | None:
     """Return the figure of one run; None where it gave none."""
-    words = [word.replace(REPORT, str(report)) for word in command.split()]
+    arguments = [part.replace(REPORT_PLACEHOLDER, str(report)) for part in command.split()]
     with report.with_suffix(".txt").open("w") as log:
-        subprocess.run(words, cwd=folder, stdout=log, stderr=log, timeout=PLAY_S, check=False)
+        subprocess.run(
+            arguments, cwd=folder, stdout=log, stderr=log, timeout=COMMAND_TIMEOUT_S, check=False
+        )
     try:
         return float(json.loads(report.read_text())[field])
     except (OSError, ValueError, KeyError):
         return None
 
 
-def format_table(figures: dict[Play, float | None], commands: int) -> str:
+def format_table(figures: dict[AblationRun, float | None], commands: int) -> str:
     """Return one row a mechanism: the mean, what it loses without it, and each play."""
-    base = _mean([figures.get(Play(without=ALL_ON, command=n)) for n in range(commands)])
+    base = _mean(
+        [figures.get(AblationRun(disabled=ALL_ENABLED, command=n)) for n in range(commands)]
+    )
     rows = ["| without | mean | worth of it | each play |", "| --- | --- | --- | --- |"]
-    for name in dict.fromkeys(play.without for play in figures):
-        values = [figures.get(Play(without=name, command=n)) for n in range(commands)]
+    for name in dict.fromkeys(run.disabled for run in figures):
+        values = [figures.get(AblationRun(disabled=name, command=n)) for n in range(commands)]
         mean = _mean(values)
-        worth = "" if mean is None or base is None else f"{base - mean:+.4f}"
+        gain = "" if mean is None or base is None else f"{base - mean:+.4f}"
         shown = " ".join("failed" if value is None else f"{value:.3f}" for value in values)
-        rows.append(f"| {name} | {'' if mean is None else f'{mean:.4f}'} | {worth} | {shown} |")
+        rows.append(f"| {name} | {'' if mean is None else f'{mean:.4f}'} | {gain} | {shown} |")
     return "\n".join(rows)
 
 
@@ -89,7 +93,9 @@
 
 
 @click.command()
-@click.option("--play", "commands", multiple=True, required=True, help=f"A command; {REPORT}.")
+@click.option(
+    "--play", "commands", multiple=True, required=True, help=f"A command; {REPORT_PLACEHOLDER}."
+)
 @click.option("--scratch", type=click.Path(path_type=Path), required=True, help="A new folder.")
 @click.option("--only", multiple=True, help="Mechanisms; all by default.")
 @click.option("--field", default="G", show_default=True, help="The figure's name in a report.")
@@ -97,23 +103,23 @@
 def run(
     commands: tuple[str, ...], scratch: Path, only: tuple[str, ...], field: str, jobs: int
 ) -> None:
-    """Play each command with all mechanisms, and without each of them."""
-    names = (ALL_ON, *(only or tuple(mechanism.value for mechanism in Mechanism)))
+    """AblationRun each command with all mechanisms, and without each of them."""
+    names = (ALL_ENABLED, *(only or tuple(mechanism.value for mechanism in Mechanism)))
     scratch = scratch.resolve()
     for name in names:
-        make_copy(source=Path.cwd(), target=scratch / name, mechanism=name)
-    plays = [Play(without=name, command=n) for name in names for n in range(len(commands))]
+        copy_repository(source=Path.cwd(), target=scratch / name, mechanism=name)
+    runs = [AblationRun(disabled=name, command=n) for name in names for n in range(len(commands))]
 
-    def run_one(one: Play) -> float | None:
-        return play(
-            folder=scratch / one.without,
+    def run_one(one: AblationRun) -> float | None:
+        return run_command(
+            folder=scratch / one.disabled,
             command=commands[one.command],
-            report=scratch / f"{one.without}.{one.command}.json",
+            report=scratch / f"{one.disabled}.{one.command}.json",
             field=field,
         )
 
     with ThreadPoolExecutor(max_workers=jobs) as pool:
-        figures = dict(zip(plays, pool.map(run_one, plays), strict=True))
+        figures = dict(zip(runs, pool.map(run_one, runs), strict=True))
     print(format_table(figures, len(commands)))
 
 
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,7 +1,7 @@
-"""Compares ways of deciding over the same loads, paired by seed.
+"""Compares variants of deciding over the same loads, paired by seed.
 
-`python -m bench compare [DECISION] [--seeds N]`: each way plays each load with each seed; a table
-for each load has the mean and the spread of what callers got, and the share of seeds that a way
+`python -m bench compare [DECISION] [--seeds N]`: each variant plays each load with each seed; a table
+for each load has the mean and the spread of what callers got, and the share of seeds that a variant
 won.
 """
 
@@ -19,9 +19,9 @@
 from gypsumrouter.mechanisms import Mechanism
 
 SEEDS: Final = 5
-WORK_MS: Final = 90.0
+SERVICE_TIME_MS: Final = 90.0
 # How long each play lasts, in units of a request's work.
-DURATION: Final = 120
+DURATION_SERVICE_TIMES: Final = 120
 # How much arrives, and how many upstreams serve it.
 PLAIN_LOADS: Final = ((0.6, 3), (0.85, 3), (0.85, 2), (1.0, 3), (1.15, 1), (1.4, 2))
 
@@ -29,77 +29,83 @@
 class PlainLoad(Struct, frozen=True, kw_only=True):
     """How much arrives against what the upstreams of a plain service serve."""
 
-    pressure: float
+    offered_load: float
     upstreams: int
 
     @property
     def name(self) -> str:
         """Return a name for tables."""
-        return f"{self.pressure:g} of what {self.upstreams} serve"
+        return f"{self.offered_load:g} of what {self.upstreams} serve"
 
 
-class Way(Struct, frozen=True, kw_only=True):
-    """One way of deciding, by the mechanisms that it does without."""
+class Variant(Struct, frozen=True, kw_only=True):
+    """One variant of deciding, by the mechanisms that it does without."""
 
     name: str
     without: frozenset[Mechanism] = frozenset()
 
 
 class Decision(Struct, frozen=True, kw_only=True):
-    """A decision with its ways, the kept one first, and the loads that it answers."""
+    """A decision with its variants, the kept one first, and the loads that it answers."""
 
-    ways: tuple[Way, ...]
+    variants: tuple[Variant, ...]
     loads: tuple[PlainLoad, ...]
 
 
 DECISIONS: Final = {
     "plain": Decision(
-        ways=(
-            Way(name="spread, hopeless refused"),
-            Way(name="spread", without=frozenset({Mechanism.DEADLINE_ADMISSION})),
-            Way(
+        variants=(
+            Variant(name="spread, hopeless refused"),
+            Variant(name="spread", without=frozenset({Mechanism.DEADLINE_ADMISSION})),
+            Variant(
                 name="least loaded",
                 without=frozenset({Mechanism.DEADLINE_ADMISSION, Mechanism.PLAIN_OWN_LOAD}),
             ),
-            Way(
+            Variant(
                 name="least loaded, hopeless refused",
                 without=frozenset({Mechanism.PLAIN_OWN_LOAD}),
             ),
         ),
         loads=tuple(
-            PlainLoad(pressure=pressure, upstreams=upstreams) for pressure, upstreams in PLAIN_LOADS
+            PlainLoad(offered_load=offered_load, upstreams=upstreams)
+            for offered_load, upstreams in PLAIN_LOADS
         ),
     ),
 }
 
 
-def play(way: Way, load: PlainLoad, seed: int) -> Tally:
+def run_replay(variant: Variant, load: PlainLoad, seed: int) -> Tally:
     """Return how the requests of one play ended."""
-    replay = PlainReplay(work_ms=WORK_MS, upstreams=load.upstreams, without=way.without, seed=seed)
-    return replay.play(pressure=load.pressure, duration_ms=DURATION * WORK_MS)
+    replay = PlainReplay(
+        work_ms=SERVICE_TIME_MS, upstreams=load.upstreams, without=variant.without, seed=seed
+    )
+    return replay.play(
+        pressure=load.offered_load, duration_ms=DURATION_SERVICE_TIMES * SERVICE_TIME_MS
+    )
 
 
 def compare(decision: Decision, load: PlainLoad, seeds: int) -> dict[str, list[Tally]]:
-    """Return the plays of each way, in the order of the seeds."""
+    """Return the plays of each variant, in the order of the seeds."""
     return {
-        way.name: [play(way, load, seed) for seed in range(1, seeds + 1)] for way in decision.ways
+        variant.name: [run_replay(variant, load, seed) for seed in range(1, seeds + 1)]
+        for variant in decision.variants
     }
 
 
-def count_won(played: dict[str, list[Tally]], name: str) -> float:
-    """Return the share of seeds in which no other way had more credit."""
-    rounds = list(zip(*played.values(), strict=True))
-    best = [max(tally.credit for tally in tallies) for tallies in rounds]
-    own = [tally.credit for tally in played[name]]
+def get_win_share(results: dict[str, list[Tally]], name: str) -> float:
+    """Return the share of seeds in which no other variant had more credit."""
+    per_seed = list(zip(*results.values(), strict=True))
+    best = [max(tally.credit for tally in tallies) for tallies in per_seed]
+    own = [tally.credit for tally in results[name]]
     won = sum(1 for o, b in zip(own, best, strict=True) if o >= b)
     return won / len(best)
 
 
-def print_comparison(load: PlainLoad, played: dict[str, list[Tally]]) -> dict[str, float]:
-    """Print the table of one load and return the mean credit of each way."""
+def print_comparison(load: PlainLoad, results: dict[str, list[Tally]]) -> dict[str, float]:
+    """Print the table of one load and return the mean credit of each variant."""
     means: dict[str, float] = {}
     rows = []
-    for name, tallies in played.items():
+    for name, tallies in results.items():
         credits_ = [tally.credit for tally in tallies]
         means[name] = round(statistics.mean(credits_), 4)
         spread = statistics.stdev(credits_) if len(credits_) > 1 else 0.0
@@ -112,7 +118,7 @@
                     statistics.mean(getattr(tally, part) / tally.asked for tally in tallies)
                     for part in ("in_time", "late", "refused")
                 ),
-                count_won(played, name),
+                get_win_share(results, name),
             )
         )
     columns = ("way", "credit", "spread", "in time", "late", "refused", "seeds won")
--- a/bench/config_fleet.py
+++ b/bench/config_fleet.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct, field
 
-from bench.in_force import find_in_force, read_logs
+from bench.in_force import get_in_force_ms, read_logs
 from bench.ledger import Spent, async_begin, async_end
 from bench.metered_platform import MeteredPlatform
 from bench.paced_engine import PacedEngine
@@ -20,10 +20,10 @@
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.instances import Address
 
-KINDS: Final = ("configuration_news", "parts_request", "parts")
+CONFIGURATION_KINDS: Final = ("configuration_news", "parts_request", "parts")
 SETTLE_S: Final = 3.0
-START_LIMIT_S: Final = 20.0
-SPREAD_LIMIT_S: Final = 30.0
+START_TIMEOUT_S: Final = 20.0
+IN_FORCE_TIMEOUT_S: Final = 30.0
 POLL_S: Final = 0.2
 
 
@@ -47,11 +47,11 @@
     platform: MeteredPlatform
     rig: Rig
     upstream: Address
-    spare: list[str]
+    spare_sides: list[str]
     document_bytes: int = 1
     probed: list[ProbedProcess] = field(default_factory=list)
     accepted_ms: dict[int, int] = field(default_factory=dict)
-    started_s: list[float] = field(default_factory=list)
+    start_times_s: list[float] = field(default_factory=list)
 
     def publish(self) -> int:
         """Publish the next version, with one workspace changed, and return it."""
@@ -72,43 +72,43 @@
 
     async def async_wait_in_force(self, version: int) -> bool:
         """Wait until every process has a version in force; False after half a minute."""
-        for _ in range(round(SPREAD_LIMIT_S / POLL_S)):
+        for _ in range(round(IN_FORCE_TIMEOUT_S / POLL_S)):
             events = self.read_events().values()
-            if all(find_in_force(in_force, version) < float("inf") for in_force in events):
+            if all(get_in_force_ms(in_force, version) < float("inf") for in_force in events):
                 return True
             await asyncio.sleep(POLL_S)
         return False
 
-    async def async_start_another(self) -> None:
+    async def async_start_spare_side(self) -> None:
         """Start one more side and note how long it took until it served."""
         began_s = time.monotonic()
-        process = await self.rig.async_start_side(self.spare.pop())
+        process = await self.rig.async_start_side(self.spare_sides.pop())
         while not await self.rig.async_is_ready(process):
-            if time.monotonic() - began_s > START_LIMIT_S:
+            if time.monotonic() - began_s > START_TIMEOUT_S:
                 break
             await asyncio.sleep(READY_POLL_MS / MS_PER_S)
-        self.started_s.append(time.monotonic() - began_s)
+        self.start_times_s.append(time.monotonic() - began_s)
 
-    async def async_take_pauses(self) -> dict[Role, dict[str, float]]:
+    async def async_pop_lags(self) -> dict[Role, dict[str, float]]:
         """Return the longest pauses of the probed loops since the last call."""
-        return {probed.role: await probed.async_take() for probed in self.probed}
+        return {probed.role: await probed.async_pop_longest() for probed in self.probed}
 
-    async def async_measure_changes(self, *, changes: int, pause_s: float) -> ChangeCost:
+    async def async_measure_changes(self, *, changes: int, interval_s: float) -> ChangeCost:
         """Publish changes one after the other and return what one costs each kind of process."""
         processes = self.list_processes()
-        watching_before = await self._async_list_watching(processes)
+        watching_before = await self._async_list_watchers(processes)
         read_before = self._count_platform_bytes()
         begins = {process.name: await async_begin(self.rig, [process]) for process in processes}
         for _ in range(changes):
             self.publish()
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(interval_s)
         await asyncio.sleep(SETTLE_S)
         spent = {
             process.name: await async_end(self.rig, [process], begins[process.name])
             for process in processes
         }
         read = self._count_platform_bytes() - read_before
-        watching_after = await self._async_list_watching(processes)
+        watching_after = await self._async_list_watchers(processes)
         # Who began or ended to watch meanwhile is neither.
         watchers = [spent[name] for name in watching_before & watching_after]
         others = [spent[name] for name in spent.keys() - watching_before - watching_after]
@@ -122,7 +122,7 @@
             other_cpu_s=_average_cpu_s(others) / changes,
         )
 
-    async def _async_list_watching(self, processes: list[DaemonProcess]) -> set[str]:
+    async def _async_list_watchers(self, processes: list[DaemonProcess]) -> set[str]:
         """Return the names of the processes that watch the platform now."""
         dumps = [await self.rig.async_dump(process) for process in processes]
         return {
@@ -136,7 +136,7 @@
 
 
 async def async_start_fleet(
-    stack: AsyncExitStack, *, routers: int, sides: int, spare: int = 0, probes: bool = True
+    stack: AsyncExitStack, *, routers: int, sides: int, spare_sides: int = 0, probes: bool = True
 ) -> ConfigFleet:
     """Start a fleet that ends with the stack, and wait until it holds the whole document."""
     platform = MeteredPlatform(workspaces=WORKSPACES)
@@ -147,13 +147,13 @@
     upstream = await engine.async_start()
     stack.push_async_callback(engine.async_stop)
     probed_sides = 1 if probes else 0
-    platform.plan_sides(count=sides + spare + probed_sides, upstream=upstream)
+    platform.plan_sides(count=sides + spare_sides + probed_sides, upstream=upstream)
     names = [plan.name for plan in platform.plans]
     fleet = ConfigFleet(
         platform=platform,
         rig=rig,
         upstream=upstream,
-        spare=names[sides + probed_sides :],
+        spare_sides=names[sides + probed_sides :],
     )
     await asyncio.gather(*(rig.async_start_side(name) for name in names[:sides]))
     await asyncio.gather(*(rig.async_start_router(index) for index in range(routers)))
@@ -171,13 +171,13 @@
 ) -> None:
     platform, deployment = fleet.platform, fleet.platform.deployment
     link = {"key_file": str(fleet.rig.folder / "link.key")}
-    place = {"data_centre": deployment.get_data_centre(router), "region": deployment.region}
+    location = {"data_centre": deployment.get_data_centre(router), "region": deployment.region}
     name = f"{deployment.name}-router-{router + 1}"
-    wanted = {
+    settings_by_role = {
         Role.SIDE: platform.make_side_settings(side, link=link),
-        Role.ROUTER: platform.make_router_settings(name, link=link, **place),
+        Role.ROUTER: platform.make_router_settings(name, link=link, **location),
     }
-    for role, settings in wanted.items():
+    for role, settings in settings_by_role.items():
         probed = ProbedProcess(role=role, settings=settings)
         stack.push_async_callback(probed.async_stop)
         await probed.async_start()
@@ -185,7 +185,7 @@
         if role is Role.SIDE:
             platform.list_side(side, probed.link)
         else:
-            platform.list_router(name, probed.link, **place)
+            platform.list_router(name, probed.link, **location)
 
 
 def _average_bytes(spent: list[Spent]) -> float:
@@ -197,4 +197,4 @@
 
 
 def _sum_bytes(spent: Spent) -> float:
-    return sum(spent.rates.get(kind, 0.0) for kind in KINDS) * spent.seconds
+    return sum(spent.rates.get(kind, 0.0) for kind in CONFIGURATION_KINDS) * spent.seconds
--- a/bench/control.py
+++ b/bench/control.py
@@ -16,16 +16,16 @@
 from bench.grid import GridPoint, async_measure_point
 from bench.ledger import HANDSHAKE_KINDS, KIND_STATUS, Rates, Spent
 from bench.report import print_machine, print_result, print_table
-from bench.slope_math import Line, fit_kinds, spread_over_day, sum_at
+from bench.slope_math import Line, fit_kinds, get_mean_rate, sum_at
 from bench.stages import STAGE_LOAD, FullSize
 from bench.target_scale import (
     ANSWER_MS,
-    CHANGES_A_DAY,
+    CHANGES_PER_DAY,
     CONTROL_BYTES_S_MAX,
     DATA_CENTRES,
-    LIST_CHANGES_A_DAY,
+    LIST_CHANGES_PER_DAY,
     PROCESSES,
-    REQUESTS_S_A_PAIR,
+    REQUESTS_S_PER_PAIR,
     ROUTERS,
     SIDES,
 )
@@ -38,10 +38,10 @@
 KIND_LIST_CHANGES: Final = "platform_list_changes"
 KIND_CHANGES: Final = "configuration_changes"
 KIND_DOCUMENTS: Final = "platform_documents_in_turn"
-HOLDING_ROUTERS: Final = 3
-HOLDING_SIDES: Final = 12
+CONFIG_FLEET_ROUTERS: Final = 3
+CONFIG_FLEET_SIDES: Final = 12
 CHANGES: Final = 4
-CHANGE_PAUSE_S: Final = 1.5
+CHANGE_INTERVAL_S: Final = 1.5
 
 
 class RoleControl(Struct, frozen=True, kw_only=True):
@@ -77,15 +77,17 @@
         *(async_measure_point(size=size, seconds=options.seconds) for size in smaller)
     )
     points.append(await async_measure_point(size=largest, seconds=options.seconds))
-    for rate in options.rates:
+    for load_factor in options.rates:
         size = smaller[-1] if smaller else largest
-        points.append(await async_measure_point(size=size, seconds=options.seconds, rate=rate))
+        points.append(
+            await async_measure_point(size=size, seconds=options.seconds, load_factor=load_factor)
+        )
     full = await FullSizeFleet(seconds=options.seconds).async_run(with_costs=False)
     async with AsyncExitStack() as stack:
-        holders = await async_start_fleet(
-            stack, routers=HOLDING_ROUTERS, sides=HOLDING_SIDES, probes=False
+        fleet = await async_start_fleet(
+            stack, routers=CONFIG_FLEET_ROUTERS, sides=CONFIG_FLEET_SIDES, probes=False
         )
-        change = await holders.async_measure_changes(changes=CHANGES, pause_s=CHANGE_PAUSE_S)
+        change = await fleet.async_measure_changes(changes=CHANGES, interval_s=CHANGE_INTERVAL_S)
     report(points, full, change)
     return 0
 
@@ -94,41 +96,45 @@
     points: Sequence[GridPoint], full: FullSize, change: ChangeCost
 ) -> tuple[RoleControl, RoleControl]:
     """Return the control traffic of a router and of a side."""
-    same_rate = [point for point in points if point.rate == 1.0]
-    router_lines = fit_kinds([(point.size, _list_steady(point.router)) for point in same_rate])
-    side_lines = fit_kinds([(point.size, _list_steady(point.side)) for point in same_rate])
-    router = _complete(full.router[STAGE_LOAD], full, change, links=SIDES)
-    side = _complete(full.side[STAGE_LOAD], full, change, links=ROUTERS)
+    target_load = [point for point in points if point.load_factor == 1.0]
+    router_lines = fit_kinds(
+        [(point.size, _get_steady_rates(point.router)) for point in target_load]
+    )
+    side_lines = fit_kinds([(point.size, _get_steady_rates(point.side)) for point in target_load])
+    router = _add_extrapolated_rates(full.router[STAGE_LOAD], full, change, links=SIDES)
+    side = _add_extrapolated_rates(full.side[STAGE_LOAD], full, change, links=ROUTERS)
     # Every side tells each router as often as the measured one did.
     router[KIND_STATUS] = full.side_status_bytes_s * SIDES / ROUTERS
     side[KIND_STATUS] = full.side_status_bytes_s
     return RoleControl(rates=router, lines=router_lines), RoleControl(rates=side, lines=side_lines)
 
 
-def count_reopened(links: int) -> float:
+def estimate_reopened_links_s(links: int) -> float:
     """Return how many links a second are opened again because they had been idle for long.
 
     Requests of one pair come independently of each other; a link is closed after a gap.
     """
     gap_s = Link().idle_close_ms / MS_PER_S
     open_s = ANSWER_MS / MS_PER_S
-    idle_share = math.exp(-REQUESTS_S_A_PAIR * (gap_s + open_s))
-    return links * REQUESTS_S_A_PAIR * idle_share
+    idle_share = math.exp(-REQUESTS_S_PER_PAIR * (gap_s + open_s))
+    return links * REQUESTS_S_PER_PAIR * idle_share
 
 
-def _complete(spent: Spent, full: FullSize, change: ChangeCost, *, links: int) -> Rates:
+def _add_extrapolated_rates(
+    spent: Spent, full: FullSize, change: ChangeCost, *, links: int
+) -> Rates:
     """Return the rates of a stage with what a short one cannot show."""
-    rates = _list_steady(spent)
-    rates[KIND_HANDSHAKES] = count_reopened(links) * full.handshake_bytes
-    rates[KIND_LIST_CHANGES] = spread_over_day(full.list_change_bytes, times=LIST_CHANGES_A_DAY)
-    rates[KIND_CHANGES] = spread_over_day(change.other_bytes, times=CHANGES_A_DAY)
+    rates = _get_steady_rates(spent)
+    rates[KIND_HANDSHAKES] = estimate_reopened_links_s(links) * full.handshake_bytes
+    rates[KIND_LIST_CHANGES] = get_mean_rate(full.list_change_bytes, times=LIST_CHANGES_PER_DAY)
+    rates[KIND_CHANGES] = get_mean_rate(change.other_bytes, times=CHANGES_PER_DAY)
     # One process in each data centre reads the whole document, and all take turns.
     documents = DATA_CENTRES * full.document_bytes / PROCESSES
-    rates[KIND_DOCUMENTS] = spread_over_day(documents, times=CHANGES_A_DAY)
+    rates[KIND_DOCUMENTS] = get_mean_rate(documents, times=CHANGES_PER_DAY)
     return rates
 
 
-def _list_steady(spent: Spent) -> Rates:
+def _get_steady_rates(spent: Spent) -> Rates:
     rates = spent.list_control()
     return {kind: rate for kind, rate in rates.items() if kind not in HANDSHAKE_KINDS}
 
@@ -146,13 +152,13 @@
             "router_bytes_s_by_slopes": round(sum_at(router.lines, SIDES)),
             "side_bytes_s_by_slopes": round(sum_at(side.lines, ROUTERS)),
             "watcher_adds_bytes_s": round(
-                spread_over_day(change.watcher_bytes, times=CHANGES_A_DAY)
+                get_mean_rate(change.watcher_bytes, times=CHANGES_PER_DAY)
             ),
             "aim_bytes_s": CONTROL_BYTES_S_MAX,
             "router_links": round(full.router[STAGE_LOAD].links),
             "side_links": round(full.side[STAGE_LOAD].links),
             "whole": full.whole,
-            "broken": full.broken + sum(point.broken for point in points),
+            "broken": full.broken + sum(point.failed for point in points),
         }
     )
 
@@ -164,11 +170,11 @@
         rows=[
             (
                 f"{point.size}x{point.size}",
-                point.rate,
+                point.load_factor,
                 point.requests_s,
-                sum(_list_steady(point.router).values()),
-                sum(_list_steady(point.side).values()),
-                point.broken,
+                sum(_get_steady_rates(point.router).values()),
+                sum(_get_steady_rates(point.side).values()),
+                point.failed,
             )
             for point in points
         ],
@@ -177,7 +183,7 @@
 
 def _print_role(name: str, control: RoleControl, links: int) -> None:
     kinds = sorted(control.rates, key=lambda kind: -control.rates[kind])
-    nothing = Line(base=0.0, slope=0.0)
+    zero = Line(base=0.0, slope=0.0)
     print_table(
         title=f"{name}: bytes a second by kind, with {links} links",
         columns=("kind", "measured", "by slope", "slope a link"),
@@ -185,8 +191,8 @@
             (
                 kind,
                 control.rates[kind],
-                control.lines.get(kind, nothing).at(links),
-                control.lines.get(kind, nothing).slope,
+                control.lines.get(kind, zero).at(links),
+                control.lines.get(kind, zero).slope,
             )
             for kind in kinds
             if control.rates[kind] > 0
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -14,7 +14,7 @@
 from bench.metered_platform import MeteredPlatform
 from bench.relay import Phase, async_run_phase
 from bench.rig import Rig
-from bench.target_scale import GAP_MS, KEY_WORKSPACES
+from bench.target_scale import FEW_WORKSPACES, GAP_MS
 from gypsumrouter.idempotency.records import Record, RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.placement.lru import LruMap
@@ -27,7 +27,7 @@
 FEW_STREAMS: Final = 3
 WARM_S: Final = 3.0
 MEASURE_S: Final = 6.0
-THINGS: Final = 10_000
+ITEMS: Final = 10_000
 ANSWER_BYTES: Final = 200
 DIGEST_BYTES: Final = 16
 
@@ -39,7 +39,7 @@
     token_us: float
 
 
-class Load(Struct, frozen=True, kw_only=True):
+class MeasuredLoad(Struct, frozen=True, kw_only=True):
     """Rates of a measured phase and the share of a core that they took."""
 
     requests_s: float
@@ -47,7 +47,7 @@
     core_share: float
 
 
-def solve_costs(first: Load, second: Load) -> RequestCost:
+def solve_costs(first: MeasuredLoad, second: MeasuredLoad) -> RequestCost:
     """Return what a request and a token cost, from two loads of different mixture.
 
     Raises ValueError when the mixtures are the same.
@@ -64,7 +64,7 @@
 
 async def async_measure_requests() -> tuple[RequestCost, RequestCost]:
     """Return the costs of a router and of a side, measured with real processes."""
-    platform = MeteredPlatform(workspaces=KEY_WORKSPACES)
+    platform = MeteredPlatform(workspaces=FEW_WORKSPACES)
     settings = EngineSettings(
         slots=ENGINE_SLOTS,
         step_ms=float(GAP_MS),
@@ -85,25 +85,25 @@
     return router, side
 
 
-def measure_call_bytes() -> float:
+def measure_record_bytes() -> float:
     """Return the memory of one remembered call with a short answer."""
-    memory = RecordStore(max_calls=THINGS, max_bytes=1 << 30)
+    store = RecordStore(max_calls=ITEMS, max_bytes=1 << 30)
 
     def add(number: int) -> None:
         digest = number.to_bytes(DIGEST_BYTES)
         record = Record(
             digest=digest, fingerprint=digest[::-1], created_ms=number, expires_ms=number
         )
-        memory.add(record)
+        store.add(record)
         headers = (("Content-Type", f"application/json;{number}"),)
-        memory.finish(record, Head(status=200, headers=headers), bytes(ANSWER_BYTES))
+        store.finish(record, Head(status=200, headers=headers), bytes(ANSWER_BYTES))
 
     return _measure_memory(add)
 
 
 def measure_sticky_chat_bytes() -> float:
     """Return the memory of one chat in a router that remembers chats, which ours does not."""
-    chats: LruMap[str, str] = LruMap(size=THINGS)
+    chats: LruMap[str, str] = LruMap(size=ITEMS)
     return _measure_memory(lambda number: chats.put(f"chat-of-a-caller-{number:024}", "side"))
 
 
@@ -122,8 +122,8 @@
     )
 
 
-def _make_load(phase: Phase, cpu_s: float) -> Load:
-    return Load(
+def _make_load(phase: Phase, cpu_s: float) -> MeasuredLoad:
+    return MeasuredLoad(
         requests_s=len(phase.result.first_ms) / phase.seconds,
         tokens_s=phase.tokens_s,
         core_share=cpu_s / phase.seconds,
@@ -135,9 +135,9 @@
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        for number in range(THINGS):
+        for number in range(ITEMS):
             add(number)
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    return (after - before) / THINGS
+    return (after - before) / ITEMS
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -21,13 +21,13 @@
 ROUNDS: Final = 5
 CALLS: Final = 2_000
 CALLS_LARGE: Final = 300
-WAITING: Final = 512
+QUEUED: Final = 512
 WORKSPACES: Final = 20
 NS_PER_US: Final = 1_000
 MEAN_LOAD: Final = 16
 
 POOL: Final = Pool(
-    name="models", kind=UpstreamKind.ENGINE, cap=1.25, floor=4, slots=16, queue=WAITING
+    name="models", kind=UpstreamKind.ENGINE, cap=1.25, floor=4, slots=16, queue=QUEUED
 )
 CLASSES: Final = (
     CallerClass(name="inspectors", first_token_ms=330, penalty=50.0),
@@ -36,7 +36,7 @@
 )
 
 
-class KnownFleet(Struct, kw_only=True):
+class StaticFleet(Struct, kw_only=True):
     """A pool with every member known and every status fresh."""
 
     instances: tuple[Instance, ...]
@@ -67,16 +67,16 @@
 async def async_measure() -> dict[str, float]:
     """Return each figure in microseconds, the best of some rounds."""
     return {
-        "order_us_9": measure_order(9, CALLS),
-        "order_us_930": measure_order(930, CALLS_LARGE),
+        "order_us_9": measure_placement(9, CALLS),
+        "order_us_930": measure_placement(930, CALLS_LARGE),
         "pool_load_us_930": measure_pool_load(930),
         "admit_us": await async_measure_admit(),
         "queue_pick_us_512": await async_measure_pick(workspaces=WORKSPACES),
-        "queue_pick_us_512_each_alone": await async_measure_pick(workspaces=WAITING),
+        "queue_pick_us_512_each_alone": await async_measure_pick(workspaces=QUEUED),
     }
 
 
-def measure_order(members: int, calls: int) -> float:
+def measure_placement(members: int, calls: int) -> float:
     """Return the cost of placing one returning chat."""
     placement = _make_placement(members)
     queries = [
@@ -88,18 +88,18 @@
         for query in queries:
             placement.order(query)
 
-    return _measure(place_all, calls)
+    return _measure_us(place_all, calls)
 
 
 def measure_pool_load(members: int) -> float:
     """Return the cost of the pool's load for a request, refreshes included."""
     placement = _make_placement(members)
 
-    def ask_all() -> None:
+    def read_all() -> None:
         for _ in range(CALLS):
             placement.pool_load(POOL)
 
-    return _measure(ask_all, CALLS)
+    return _measure_us(read_all, CALLS)
 
 
 async def async_measure_admit() -> float:
@@ -109,12 +109,12 @@
     requests = [_make_open(number, WORKSPACES) for number in range(CALLS)]
     best = float("inf")
     for _ in range(ROUNDS):
-        begun = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         for request in requests:
             slot = await admission.async_admit(request, cancelled)
             assert isinstance(slot, Slot)
             slot.release()
-        best = min(best, (time.perf_counter_ns() - begun) / NS_PER_US / CALLS)
+        best = min(best, (time.perf_counter_ns() - started_ns) / NS_PER_US / CALLS)
     return best
 
 
@@ -130,13 +130,13 @@
     tasks: list[asyncio.Task[object]] = []
     spent_ns = 0
     for number in range(CALLS):
-        while admission.load < POOL.slots + WAITING:
+        while admission.load < POOL.slots + QUEUED:
             request = _make_open(number + len(tasks), workspaces)
             tasks.append(asyncio.create_task(admission.async_admit(request, cancelled)))
             await asyncio.sleep(0)
-        begun = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         running.pop(0).release()
-        spent_ns += time.perf_counter_ns() - begun
+        spent_ns += time.perf_counter_ns() - started_ns
         await asyncio.sleep(0)
         running += [slot for slot in _pop_done(tasks) if isinstance(slot, Slot)]
     for task in tasks:
@@ -152,12 +152,12 @@
     return [task.result() for task in done]
 
 
-def _measure(work: Callable[[], None], calls: int) -> float:
+def _measure_us(work: Callable[[], None], calls: int) -> float:
     best = float("inf")
     for _ in range(ROUNDS):
-        begun = time.perf_counter_ns()
+        started_ns = time.perf_counter_ns()
         work()
-        best = min(best, (time.perf_counter_ns() - begun) / NS_PER_US / calls)
+        best = min(best, (time.perf_counter_ns() - started_ns) / NS_PER_US / calls)
     return best
 
 
@@ -177,7 +177,7 @@
         )
         for number in range(members)
     )
-    fleet = KnownFleet(instances=instances)
+    fleet = StaticFleet(instances=instances)
     for number, instance in enumerate(instances):
         load = MEAN_LOAD + number % 4
         status = Status(load=load, running=load, weight=1.0, leaving=False, ready=True)
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -43,14 +43,14 @@
 )
 from bench.target_scale import (
     ANSWER_MS,
-    KEY_WORKSPACES,
+    FEW_WORKSPACES,
     REQUESTS_S,
     ROUTERS,
     SIDES,
     WORKSPACES,
-    Place,
+    Location,
     get_class,
-    list_places,
+    list_locations,
 )
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.standins import InstanceListService
@@ -60,16 +60,16 @@
 ROUTER_HOSTS: Final = 2
 TOKENS: Final = 24
 SETTLE_S: Final = 2.0
-LOAD_WARM_S: Final = 9.0
-HOLD_WARM_S: Final = 4.0
-PREPARE_S: Final = 5.0
-PREPARE_ROUNDS: Final = 4
-LINKS_ENOUGH: Final = 0.95
-PREPARE_STREAMS: Final = 48
+LOAD_WARM_UP_S: Final = 9.0
+HOLD_WARM_UP_S: Final = 4.0
+OPEN_LINKS_S: Final = 5.0
+OPEN_LINKS_ROUNDS: Final = 4
+MIN_OPEN_LINKS_SHARE: Final = 0.95
+OPEN_LINKS_STREAMS: Final = 48
 LIST_CHANGES: Final = 6
-TRICKLE_S: Final = 1.0
-FIRST_INTERVAL_MS: Final = 8_000
-FAST_INTERVAL_MS: Final = 1_500
+BACKGROUND_REQUESTS_S: Final = 1.0
+INITIAL_STATUS_INTERVAL_MS: Final = 8_000
+FAST_STATUS_INTERVAL_MS: Final = 1_500
 
 ROUTER_STREAMS: Final = round(REQUESTS_S / ROUTERS * ANSWER_MS / MS_PER_S)
 SIDE_STREAMS: Final = round(REQUESTS_S / SIDES * ANSWER_MS / MS_PER_S)
@@ -80,9 +80,9 @@
 
     def __init__(self, *, seconds: float, tokens: int = TOKENS) -> None:
         self.result = FullSize()
-        self._seconds = seconds
+        self._measure_s = seconds
         self._tokens = tokens
-        self._platform = MeteredPlatform(workspaces=KEY_WORKSPACES)
+        self._platform = MeteredPlatform(workspaces=FEW_WORKSPACES)
         self._list = InstanceListService(clock=SystemClock())
         self._engine = PacedEngine(model=self._platform.deployment.model)
         self._rig = Rig(platform=self._platform)
@@ -90,7 +90,7 @@
         self._side: DaemonProcess
         self._side_hosts: list[PeerHost] = []
         self._router_hosts: list[PeerHost] = []
-        self._loaded_from: Moment
+        self._links_opened: Moment
 
     async def async_run(self, *, with_costs: bool) -> FullSize:
         """Go through all stages, or only through those that show the traffic."""
@@ -102,13 +102,13 @@
             await self._async_enlarge_configuration()
             await self._async_open_links()
             if with_costs:
-                await self._async_tell_statuses()
-            await self._async_match_statuses()
+                await self._async_raise_status_rate()
+            await self._async_match_status_rate()
             if with_costs:
-                await self._async_hold()
-            await self._async_load()
+                await self._async_measure_held_streams()
+            await self._async_measure_load()
             # Statuses go out in bursts some seconds apart, so that one stage is too short.
-            since = await async_end(self._rig, [self._side], self._loaded_from)
+            since = await async_end(self._rig, [self._side], self._links_opened)
             self.result.side_status_bytes_s = since.rates[KIND_STATUS]
         return self.result
 
@@ -125,12 +125,12 @@
         (self._side,) = self._rig.sides.values()
         key = (self._rig.folder / "link.key").read_text()
         self._side_hosts = [
-            PeerHost(plan=self._plan_peers(Role.SIDE, key, places))
-            for places in _deal(Role.SIDE, SIDES - 1, SIDE_HOSTS)
+            PeerHost(plan=self._plan_peers(Role.SIDE, key, locations))
+            for locations in _split_locations(Role.SIDE, SIDES - 1, SIDE_HOSTS)
         ]
         self._router_hosts = [
-            PeerHost(plan=self._plan_peers(Role.ROUTER, key, places))
-            for places in _deal(Role.ROUTER, ROUTERS - 1, ROUTER_HOSTS)
+            PeerHost(plan=self._plan_peers(Role.ROUTER, key, locations))
+            for locations in _split_locations(Role.ROUTER, ROUTERS - 1, ROUTER_HOSTS)
         ]
         for host in (*self._side_hosts, *self._router_hosts):
             await host.async_start()
@@ -139,12 +139,12 @@
     async def _async_enlarge_list(self) -> None:
         own = [self._platform.instances.get(p.name) for p in (self._router, self._side)]
         hosts = (*self._side_hosts, *self._router_hosts)
-        light = [instance for host in hosts for instance in host.instances]
+        lightweight = [instance for host in hosts for instance in host.instances]
         # Its revisions go on from those of the small list, so that it is a newer state of it.
         for _ in range(self._platform.instances.revision):
             self._list.remove()
-        self._list.set(*(item for item in own if item is not None), *light)
-        self._platform.use_list(self._list)
+        self._list.set(*(item for item in own if item is not None), *lightweight)
+        self._platform.switch_instance_list(self._list)
         await self._async_stage(STAGE_LIST, SETTLE_S)
         before = self._count_list_bytes()
         await self._async_stage(STAGE_LIST_CHANGES, 0, work=self._async_change_list)
@@ -164,7 +164,7 @@
     async def _async_open_links(self) -> None:
         """Open every link of both, also those that the few requests of a bench would not need."""
         for host in self._side_hosts:
-            await host.async_command(interval_ms=FIRST_INTERVAL_MS)
+            await host.async_command(interval_ms=INITIAL_STATUS_INTERVAL_MS)
         address = self._side.addresses[ADDRESS_LINK]
         target = {"name": self._side.name, "host": address.host, "port": address.port}
         before = await async_begin(self._rig, [self._side])
@@ -172,67 +172,69 @@
             await host.async_command(target=target, link=True)
         opened = await async_end(self._rig, [self._side], before)
         handshakes = sum(opened.rates[kind] for kind in HANDSHAKE_KINDS) * opened.seconds
-        more = opened.links - before.links
-        self.result.handshake_bytes = handshakes / more
+        added_links = opened.links - before.links
+        self.result.handshake_bytes = handshakes / added_links
         # A new link is told the status once.
-        self.result.status_frame_bytes = opened.rates[KIND_STATUS] * opened.seconds / more
-        self._loaded_from = await async_begin(self._rig, [self._side])
+        self.result.status_frame_bytes = opened.rates[KIND_STATUS] * opened.seconds / added_links
+        self._links_opened = await async_begin(self._rig, [self._side])
         for host in self._router_hosts:
             # Few and short requests, so that there is always a changed load to tell of.
-            await host.async_command(rate_s=TRICKLE_S, tokens=QUICK_TOKENS)
-        for _ in range(PREPARE_ROUNDS):
-            prepare = self._plan_clients(QUICK_TOKENS, streams=PREPARE_STREAMS, seconds=PREPARE_S)
-            await async_run_clients(prepare)
+            await host.async_command(rate_s=BACKGROUND_REQUESTS_S, tokens=QUICK_TOKENS)
+        for _ in range(OPEN_LINKS_ROUNDS):
+            requests = self._plan_clients(
+                QUICK_TOKENS, streams=OPEN_LINKS_STREAMS, seconds=OPEN_LINKS_S
+            )
+            await async_run_clients(requests)
             sections = await self._rig.async_dump(self._router)
-            if sections["link"]["open"] >= LINKS_ENOUGH * SIDES:
+            if sections["link"]["open"] >= MIN_OPEN_LINKS_SHARE * SIDES:
                 break
         await self._async_stage(STAGE_LINKS, 2 * SETTLE_S)
 
-    async def _async_tell_statuses(self) -> None:
+    async def _async_raise_status_rate(self) -> None:
         """Have every side tell its load far more often, which shows what one status costs."""
         for host in self._side_hosts:
-            await host.async_command(interval_ms=FAST_INTERVAL_MS)
+            await host.async_command(interval_ms=FAST_STATUS_INTERVAL_MS)
         await self._async_stage(STAGE_STATUSES, 2 * SETTLE_S)
 
-    async def _async_match_statuses(self) -> None:
+    async def _async_match_status_rate(self) -> None:
         """Have the light sides tell their load as often as the real one has done so far."""
-        so_far = await async_end(self._rig, [self._side], self._loaded_from)
-        interval_ms = float(FIRST_INTERVAL_MS)
+        so_far = await async_end(self._rig, [self._side], self._links_opened)
+        interval_ms = float(INITIAL_STATUS_INTERVAL_MS)
         if so_far.rates[KIND_STATUS] > 0:
-            bytes_s_a_link = so_far.rates[KIND_STATUS] / so_far.links
-            interval_ms = self.result.status_frame_bytes / bytes_s_a_link * MS_PER_S
+            bytes_s_per_link = so_far.rates[KIND_STATUS] / so_far.links
+            interval_ms = self.result.status_frame_bytes / bytes_s_per_link * MS_PER_S
         for host in self._side_hosts:
             await host.async_command(interval_ms=interval_ms)
 
-    async def _async_hold(self) -> None:
+    async def _async_measure_held_streams(self) -> None:
         """Measure with all exchanges of the two-year load open and next to no tokens."""
-        streams = self._plan_clients(HOLD_TOKENS, streams=ROUTER_STREAMS, seconds=self._seconds)
-        clients = asyncio.create_task(async_run_clients(replace(streams, warm_s=HOLD_WARM_S)))
+        streams = self._plan_clients(HOLD_TOKENS, streams=ROUTER_STREAMS, seconds=self._measure_s)
+        clients = asyncio.create_task(async_run_clients(replace(streams, warm_s=HOLD_WARM_UP_S)))
         for host in self._router_hosts:
             await host.async_command(burst=SIDE_STREAMS // ROUTER_HOSTS, tokens=HOLD_TOKENS)
-        await asyncio.sleep(HOLD_WARM_S)
-        await self._async_stage(STAGE_HOLD, self._seconds)
-        await self._async_note_clients(clients)
+        await asyncio.sleep(HOLD_WARM_UP_S)
+        await self._async_stage(STAGE_HOLD, self._measure_s)
+        await self._async_add_clients(clients)
 
-    async def _async_load(self) -> None:
+    async def _async_measure_load(self) -> None:
         """Measure at the two-year rate of requests, with the set number of tokens in each."""
         plan = replace(
             self._plan_clients(
-                self._tokens, streams=ROUTER_STREAMS, seconds=SETTLE_S + self._seconds + 1.0
+                self._tokens, streams=ROUTER_STREAMS, seconds=SETTLE_S + self._measure_s + 1.0
             ),
-            warm_s=LOAD_WARM_S,
+            warm_s=LOAD_WARM_UP_S,
         )
         clients = asyncio.create_task(async_run_clients(plan))
         for host in self._router_hosts:
             rate_s = REQUESTS_S / SIDES / ROUTER_HOSTS
             await host.async_command(rate_s=rate_s, tokens=self._tokens)
-        await asyncio.sleep(LOAD_WARM_S)
-        await self._async_stage(STAGE_LOAD, self._seconds)
+        await asyncio.sleep(LOAD_WARM_UP_S)
+        await self._async_stage(STAGE_LOAD, self._measure_s)
         for host in self._router_hosts:
             counts = await host.async_command(rate_s=0.0, tokens=self._tokens)
             self.result.whole += counts["whole"]
             self.result.broken += counts["broken"]
-        result = await self._async_note_clients(clients)
+        result = await self._async_add_clients(clients)
         self.result.load_tokens_s = result.tokens / plan.measure_s
         self.result.load_requests_s = len(result.first_ms) / plan.measure_s
 
@@ -242,26 +244,30 @@
         if work is None:
             await asyncio.sleep(SETTLE_S)
         begins = {p.name: await async_begin(self._rig, [p]) for p in (self._router, self._side)}
-        passed = {role: self._platform.count_bytes(role) for role in Role}
+        exchanged_before = {role: self._platform.count_bytes(role) for role in Role}
         await (work() if work is not None else asyncio.sleep(seconds))
-        self.result.router[name] = await self._async_read(self._router, begins, passed)
-        self.result.side[name] = await self._async_read(self._side, begins, passed)
+        self.result.router[name] = await self._async_measure_spent(
+            self._router, begins, exchanged_before
+        )
+        self.result.side[name] = await self._async_measure_spent(
+            self._side, begins, exchanged_before
+        )
 
-    async def _async_read(
+    async def _async_measure_spent(
         self,
         process: DaemonProcess,
         begins: dict[str, Moment],
-        passed: dict[Role, PlatformBytes],
+        exchanged_before: dict[Role, PlatformBytes],
     ) -> Spent:
         spent = await async_end(self._rig, [process], begins[process.name])
-        platform = self._platform.count_bytes(process.role) - passed[process.role]
+        platform = self._platform.count_bytes(process.role) - exchanged_before[process.role]
         rates = spent.rates | {
             KIND_CONFIGURATION: platform.configuration / spent.seconds,
             KIND_INSTANCES: platform.instances / spent.seconds,
         }
         return replace(spent, rates=rates)
 
-    async def _async_note_clients(self, clients: asyncio.Task[ClientResult]) -> ClientResult:
+    async def _async_add_clients(self, clients: asyncio.Task[ClientResult]) -> ClientResult:
         result = await clients
         self.result.whole += result.whole
         self.result.broken += result.broken
@@ -280,11 +286,11 @@
             seed=secrets.randbits(16),
         )
 
-    def _plan_peers(self, role: Role, key: str, places: list[Place]) -> PeerPlan:
+    def _plan_peers(self, role: Role, key: str, locations: list[Location]) -> PeerPlan:
         deployment = self._platform.deployment
         return PeerPlan(
             role=role,
-            places=tuple(places),
+            places=tuple(locations),
             key=key,
             model=deployment.model,
             pool=deployment.engine_pool,
@@ -296,6 +302,6 @@
         return sum(self._platform.count_bytes(role).instances for role in Role)
 
 
-def _deal(role: Role, count: int, hosts: int) -> list[list[Place]]:
-    places = list_places(role, count, regions=1)
-    return [places[start::hosts] for start in range(hosts)]
+def _split_locations(role: Role, count: int, hosts: int) -> list[list[Location]]:
+    locations = list_locations(role, count, regions=1)
+    return [locations[start::hosts] for start in range(hosts)]
--- a/bench/grid.py
+++ b/bench/grid.py
@@ -21,28 +21,28 @@
 from bench.metered_platform import MeteredPlatform
 from bench.paced_engine import PacedEngine
 from bench.rig import Rig
-from bench.target_scale import KEY_WORKSPACES, STREAMS_A_PAIR
+from bench.target_scale import FEW_WORKSPACES, STREAMS_PER_PAIR
 from gypsumrouter.const import Role
 
 TOKENS: Final = 24
-WARM_S: Final = 7.5
+WARM_UP_S: Final = 7.5
 
 
 class GridPoint(Struct, frozen=True, kw_only=True):
     """What a router and a side spent in a fleet of `size` of each."""
 
     size: int
-    rate: float
+    load_factor: float
     router: Spent
     side: Spent
     requests_s: float
-    broken: int
+    failed: int
 
 
-async def async_measure_point(*, size: int, seconds: float, rate: float = 1.0) -> GridPoint:
+async def async_measure_point(*, size: int, seconds: float, load_factor: float = 1.0) -> GridPoint:
     """Run a fleet and measure it; `rate` is a multiple of the two-year load of each pair."""
     async with AsyncExitStack() as stack:
-        platform = MeteredPlatform(workspaces=KEY_WORKSPACES)
+        platform = MeteredPlatform(workspaces=FEW_WORKSPACES)
         await platform.async_start()
         rig = Rig(platform=platform)
         stack.push_async_callback(rig.async_stop)
@@ -55,40 +55,43 @@
             origins=tuple(f"http://{address}" for address in rig.list_callers()),
             key=platform.deployment.workspaces[0].key,
             model=platform.deployment.model,
-            streams=round(size * size * STREAMS_A_PAIR * rate),
+            streams=round(size * size * STREAMS_PER_PAIR * load_factor),
             tokens=TOKENS,
-            warm_s=WARM_S,
+            warm_s=WARM_UP_S,
             measure_s=seconds,
             seed=secrets.randbits(16),
         )
-        return await _async_measure(rig, platform, plan, size=size, rate=rate)
+        return await _async_measure(rig, platform, plan, size=size, load_factor=load_factor)
 
 
 async def _async_measure(
-    rig: Rig, platform: MeteredPlatform, plan: ClientPlan, *, size: int, rate: float
+    rig: Rig, platform: MeteredPlatform, plan: ClientPlan, *, size: int, load_factor: float
 ) -> GridPoint:
     clients = asyncio.create_task(async_run_clients(plan))
     await asyncio.sleep(plan.warm_s)
-    groups = {Role.ROUTER: list(rig.routers.values()), Role.SIDE: list(rig.sides.values())}
-    begins = {role: await async_begin(rig, group) for role, group in groups.items()}
-    bytes_before = {role: platform.count_bytes(role) for role in groups}
+    processes_by_role = {
+        Role.ROUTER: list(rig.routers.values()),
+        Role.SIDE: list(rig.sides.values()),
+    }
+    begins = {role: await async_begin(rig, group) for role, group in processes_by_role.items()}
+    bytes_before = {role: platform.count_bytes(role) for role in processes_by_role}
     await asyncio.sleep(plan.measure_s)
     spent: dict[Role, Spent] = {}
-    for role, group in groups.items():
+    for role, group in processes_by_role.items():
         measured = await async_end(rig, group, begins[role])
-        passed = platform.count_bytes(role) - bytes_before[role]
+        exchanged = platform.count_bytes(role) - bytes_before[role]
         share = 1 / measured.seconds / len(group)
         rates = measured.rates | {
-            KIND_CONFIGURATION: passed.configuration * share,
-            KIND_INSTANCES: passed.instances * share,
+            KIND_CONFIGURATION: exchanged.configuration * share,
+            KIND_INSTANCES: exchanged.instances * share,
         }
         spent[role] = replace(measured, rates=rates)
     result = await clients
     return GridPoint(
         size=size,
-        rate=rate,
+        load_factor=load_factor,
         router=spent[Role.ROUTER],
         side=spent[Role.SIDE],
         requests_s=len(result.first_ms) / plan.measure_s,
-        broken=result.broken,
+        failed=result.broken,
     )
--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -46,18 +46,18 @@
     One value for each version and process; a process that never had it counts as infinite.
     """
     return [
-        (find_in_force(in_force, version) - accepted_ms[version]) / MS_PER_S
+        (get_in_force_ms(in_force, version) - accepted_ms[version]) / MS_PER_S
         for version in versions
         for in_force in events.values()
     ]
 
 
-def find_in_force(in_force: Sequence[tuple[int, int]], version: int) -> float:
+def get_in_force_ms(in_force: Sequence[tuple[int, int]], version: int) -> float:
     """Return the wall time at which a version or a higher one came into force."""
-    return min((at_ms for held, at_ms in in_force if held >= version), default=float("inf"))
+    return min((at_ms for logged, at_ms in in_force if logged >= version), default=float("inf"))
 
 
-def count_reverted(events: Events) -> int:
+def count_rollbacks(events: Events) -> int:
     """Return how often a lower version came into force after a higher one."""
     return sum(
         1
--- a/bench/journal_cost.py
+++ b/bench/journal_cost.py
@@ -64,8 +64,8 @@
 
 def measure(*, lines: int) -> dict[str, float]:
     """Return the processor time of a line with and without the log, and what follows from it."""
-    written_us = measure_lines(level=LogLevel.INFO, lines=lines)
-    silent_us = measure_lines(level=LogLevel.ERROR, lines=lines)
+    written_us = measure_line_us(level=LogLevel.INFO, lines=lines)
+    silent_us = measure_line_us(level=LogLevel.ERROR, lines=lines)
     cost_us = written_us - silent_us
     return {
         "line_us": round(written_us, 2),
@@ -76,49 +76,51 @@
     }
 
 
-def measure_lines(*, level: LogLevel, lines: int) -> float:
-    """Return the processor time of a line in microseconds, that of the writing thread included."""
+def measure_line_us(*, level: LogLevel, lines: int) -> float:
+    """Return the processor time of a line in microseconds, that of the write_end thread included."""
     with open(os.devnull, "w") as stream:
-        clock, journal, remove = _start(level, stream)
+        clock, journal, stop_logging = _start_journal(level, stream)
         began_s = time.process_time()
-        _write(clock, journal, lines)
-        remove()
+        _record_lines(clock, journal, lines)
+        stop_logging()
         spent_s = time.process_time() - began_s
     return US_PER_S * spent_s / lines
 
 
 def measure_stalled_mb() -> float:
     """Return the memory that lines take while nobody reads them, at its most."""
-    reading, writing = os.pipe()
-    stream = os.fdopen(writing, "w")
-    clock, journal, remove = _start(LogLevel.INFO, stream)
+    read_end, write_end = os.pipe()
+    stream = os.fdopen(write_end, "w")
+    clock, journal, stop_logging = _start_journal(LogLevel.INFO, stream)
     tracemalloc.start()
-    _write(clock, journal, 2 * MAX_WAITING_LINES)
+    _record_lines(clock, journal, 2 * MAX_WAITING_LINES)
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    threading.Thread(target=_drain, args=(reading,), daemon=True).start()
-    remove()
+    threading.Thread(target=_discard_output, args=(read_end,), daemon=True).start()
+    stop_logging()
     return peak / BYTES_PER_MB
 
 
-def _start(level: LogLevel, stream: TextIO) -> tuple[ManualClock, Journal, Callable[[], None]]:
+def _start_journal(
+    level: LogLevel, stream: TextIO
+) -> tuple[ManualClock, Journal, Callable[[], None]]:
     clock = ManualClock()
     app = Application(
         name="entry-1", role=Role.FORWARDER, data_centre="dc-a", region="r", clock=clock
     )
     settings = Log(level=level, format=LogFormat.JSON)
-    remove = configure_logging(settings=settings, instance="entry-1", stream=stream)
-    return clock, Journal(app=app), remove
+    stop_logging = configure_logging(settings=settings, instance="entry-1", stream=stream)
+    return clock, Journal(app=app), stop_logging
 
 
-def _write(clock: ManualClock, journal: Journal, lines: int) -> None:
+def _record_lines(clock: ManualClock, journal: Journal, lines: int) -> None:
     """Write lines as fast as the bound allows by the clock, so that none is left out."""
     for _ in range(lines):
         clock.advance(MS_PER_S // LINES_PER_S)
         journal.record(EVENT)
 
 
-def _drain(descriptor: int) -> None:
+def _discard_output(descriptor: int) -> None:
     with os.fdopen(descriptor, "rb") as pipe:
         while pipe.read(READ_BYTES):
             pass
--- a/bench/light_peers.py
+++ b/bench/light_peers.py
@@ -48,24 +48,24 @@
             settings=Link(),
             key=key,
             notices=self.notices,
-            handler=self._async_answer if role is Role.SIDE else None,
+            handler=self._async_handle_request if role is Role.SIDE else None,
             answer_memory_bytes=ANSWER_MEMORY_BYTES,
         )
         self.load = 0
-        self._news = ConfigurationNews(version=0, digest=0)
-        self.notices.subscribe(ConfigurationNews, self._take_news)
-        self.notices.subscribe(PartsRequest, self._answer_request)
+        self._configuration = ConfigurationNews(version=0, digest=0)
+        self.notices.subscribe(ConfigurationNews, self._handle_announcement)
+        self.notices.subscribe(PartsRequest, self._handle_parts_request)
 
     async def async_start(self) -> Address:
         """Listen and return the address."""
         self.app.async_start()
         return await self.server.async_start()
 
-    def publish(self, *, model: str, turn: int) -> None:
+    def publish_status(self, *, model: str, number: int) -> None:
         """Tell a load that is another one than before."""
         self.server.publish_status(
             Status(
-                load=self.load + turn % 2,
+                load=self.load + number % 2,
                 running=self.load,
                 weight=1.0,
                 leaving=False,
@@ -74,7 +74,7 @@
             )
         )
 
-    async def _async_answer(self, _hello: Hello, request: Open, answer: Answer) -> None:
+    async def _async_handle_request(self, _hello: Hello, request: Open, answer: Answer) -> None:
         gap_s = get_gap_ms(request.max_output_tokens) / MS_PER_S
         self.load += 1
         try:
@@ -89,39 +89,45 @@
             self.load -= 1
         answer.end()
 
-    def _take_news(self, _peer: Peer, news: ConfigurationNews) -> None:
-        if news.version > self._news.version:
-            self._news = news
+    def _handle_announcement(self, _peer: Peer, announcement: ConfigurationNews) -> None:
+        if announcement.version > self._configuration.version:
+            self._configuration = announcement
 
-    def _answer_request(self, peer: Peer, _request: PartsRequest) -> None:
-        peer.send(self._news)
+    def _handle_parts_request(self, peer: Peer, _request: PartsRequest) -> None:
+        peer.send(self._configuration)
 
 
 class LightRouters:
     """Requests of many light routers to one side, at a rate of all of them together."""
 
     def __init__(
-        self, *, peers: list[LightPeer], target: Instance, model: str, workspace: str, name: str
+        self,
+        *,
+        peers: list[LightPeer],
+        target: Instance,
+        model: str,
+        workspace: str,
+        caller_class: str,
     ) -> None:
         self._peers = peers
         self._target = target
         self._model = model
         self._workspace = workspace
-        self._class = name
+        self._caller_class = caller_class
         self._random = random.Random(len(peers))
         self._tasks: set[asyncio.Task[None]] = set()
         self._sent = 0
         self.rate_s = 0.0
         self.tokens = 1
-        self.whole = 0
-        self.broken = 0
+        self.completed = 0
+        self.failed = 0
 
-    async def async_link(self) -> None:
+    async def async_open_links(self) -> None:
         """Open the link of each router."""
         for peer in self._peers:
             await peer.pool.async_send(instance=self._target, notice=PartsRequest(version=0))
 
-    def send(self, *, count: int, tokens: int) -> None:
+    def start_requests(self, *, count: int, tokens: int) -> None:
         """Begin a number of requests now, each from another router."""
         for _ in range(count):
             peer = self._peers[self._sent % len(self._peers)]
@@ -130,29 +136,29 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def async_keep_sending(self) -> None:
+    async def async_send_continuously(self) -> None:
         """Send at the set rate, with the gaps of independent callers."""
         while True:
             if self.rate_s <= 0:
                 await asyncio.sleep(0.1)
                 continue
             await asyncio.sleep(self._random.expovariate(self.rate_s))
-            self.send(count=1, tokens=self.tokens)
+            self.start_requests(count=1, tokens=self.tokens)
 
     async def _async_request(self, peer: LightPeer, tokens: int) -> None:
         opened = await peer.pool.async_open(instance=self._target, request=self._make_open(tokens))
         if isinstance(opened, Refused):
-            self.broken += 1
+            self.failed += 1
             return
         while True:
             match await opened.async_next():
                 case Data(offset=offset, body=body):
                     opened.confirm(offset + len(body))
                 case End():
-                    self.whole += 1
+                    self.completed += 1
                     return
                 case Refused() | Failed():
-                    self.broken += 1
+                    self.failed += 1
                     return
 
     def _make_open(self, tokens: int) -> Open:
@@ -169,7 +175,7 @@
             kind=UpstreamKind.ENGINE,
             pool=self._target.pool,
             workspace=self._workspace,
-            caller_class=self._class,
+            caller_class=self._caller_class,
             method="POST",
             path="/v1/chat/completions",
             headers=(("Content-Type", "application/json"),),
--- a/bench/member_host.py
+++ b/bench/member_host.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from bench.child import Child, Command, async_serve
-from bench.target_scale import Place
+from bench.target_scale import Location
 from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.configuration.models import Configuration
 from gypsumrouter.const import MS_PER_S, Role
@@ -27,8 +27,8 @@
 class LightMember:
     """One instance of the fleet that only keeps its configuration in step."""
 
-    def __init__(self, *, place: Place, role: Role, key: bytes) -> None:
-        name, data_centre, region = place
+    def __init__(self, *, location: Location, role: Role, key: bytes) -> None:
+        name, data_centre, region = location
         self.app = Application(name=name, role=role, data_centre=data_centre, region=region)
         self.in_force: list[tuple[int, int]] = []
         self._notices = NoticeHub(app=self.app)
@@ -53,7 +53,7 @@
         fleet = Fleet(app=self.app, settings=platform, source=source)
         self._pool.on_contact(fleet.record_contact)
         store = ConfigurationStore(app=self.app)
-        store.on_change(self._note)
+        store.on_change(self._record_version)
         replicator = ConfigurationReplicator(
             app=self.app,
             settings=platform,
@@ -66,17 +66,17 @@
         await replicator.async_start()
         self.app.async_started()
 
-    def _note(self, configuration: Configuration) -> None:
+    def _record_version(self, configuration: Configuration) -> None:
         self.in_force.append((configuration.version, self.app.clock.wall_ms()))
 
 
 class MemberHost:
     """The parent's end of one process of light members."""
 
-    def __init__(self, *, role: Role, places: list[Place], key: str) -> None:
+    def __init__(self, *, role: Role, locations: list[Location], key: str) -> None:
         self._role = role
-        self._places = places
-        plan = {"role": role, "places": places, "key": key}
+        self._locations = locations
+        plan = {"role": role, "places": locations, "key": key}
         self._child = Child(module="bench.member_host", plan=plan)
 
     @property
@@ -95,14 +95,14 @@
                 data_centre=data_centre,
                 region=region,
             )
-            for (name, data_centre, region), port in zip(self._places, ports, strict=True)
+            for (name, data_centre, region), port in zip(self._locations, ports, strict=True)
         ]
 
     async def async_join(self, *, platform: dict[str, list[str]], spacing_ms: float) -> None:
         """Have all members join, one after the other."""
         await self._child.async_command(platform=platform, join_ms=spacing_ms)
 
-    async def async_read(self) -> Events:
+    async def async_get_events(self) -> Events:
         """Return which versions came into force when, by member."""
         events: Events = await self._child.async_command()
         return events
@@ -116,15 +116,15 @@
     """Run the members until the standard input ends."""
     members = [
         LightMember(
-            place=tuple(place),
+            location=tuple(location),
             role=Role(plan["role"]),
             key=plan["key"].encode(),
         )
-        for place in plan["places"]
+        for location in plan["places"]
     ]
     addresses = [await member.async_listen() for member in members]
 
-    async def async_follow(command: Command) -> object:
+    async def async_handle_command(command: Command) -> object:
         if "join_ms" in command:
             platform = Platform(
                 configuration=tuple(command["platform"]["configuration"]),
@@ -136,7 +136,7 @@
             return {}
         return {member.app.name: member.in_force for member in members}
 
-    await async_serve([address.port for address in addresses], async_follow)
+    await async_serve([address.port for address in addresses], async_handle_command)
     # Everything here is in memory, so there is nothing to release member by member.
     os._exit(0)
 
--- a/bench/metered_platform.py
+++ b/bench/metered_platform.py
@@ -82,7 +82,7 @@
         self.configuration.publish(document)
         return len(document)
 
-    def use_list(self, service: InstanceListService) -> None:
+    def switch_instance_list(self, service: InstanceListService) -> None:
         """Let every process read another list service from now on."""
         for proxy in self._instances.values():
             proxy.target = service.address
@@ -91,8 +91,8 @@
     def count_bytes(self, role: Role) -> PlatformBytes:
         """Return what the processes of a role have exchanged so far."""
         return PlatformBytes(
-            configuration=_count(self._configuration[role]),
-            instances=_count(self._instances[role]),
+            configuration=_count_exchanged_bytes(self._configuration[role]),
+            instances=_count_exchanged_bytes(self._instances[role]),
         )
 
     def make_side_settings(self, name: str, *, link: dict[str, Any]) -> dict[str, Any]:
@@ -122,5 +122,5 @@
     return proxy
 
 
-def _count(proxy: FaultProxy) -> int:
+def _count_exchanged_bytes(proxy: FaultProxy) -> int:
     return sum(proxy.get_passed_bytes(way) for way in Way)
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -15,7 +15,7 @@
 import uvloop
 from msgspec import Struct
 
-from bench.orders_load import Load, open_load
+from bench.orders_load import Traffic, open_traffic
 from bench.orders_stage import (
     LEASE_MS,
     MIN_ENGINES,
@@ -30,13 +30,13 @@
 from gypsumrouter.standins.orders import OrderState
 from gypsumrouter.util.clock import SystemClock
 
-QUIET_RATE: Final = 2.0
+STEADY_RATE: Final = 2.0
 SURGE_RATE: Final = 9.0
 RATE_WINDOW_MS: Final = 5_000
 LATE_ROUNDS: Final = 1
 LATE_RATE: Final = 6.0
 FIRST_LATE_VERSION: Final = 11
-LOST_SHARE: Final = 3
+LOST_DIVISOR: Final = 3
 COLUMNS: Final = (
     "event",
     "holders before",
@@ -56,26 +56,26 @@
     """What one event took: loads, the least that would have done, and what callers saw."""
 
     name: str
-    moves: int
-    moves_least: int
+    loads: int
+    min_loads: int
     took_s: float
     before: dict[str, int]
     after: dict[str, int]
-    load: Load
+    traffic: Traffic
 
 
-class Unchecked(Struct, kw_only=True):
+class UncheckedResult(Struct, kw_only=True):
     """Late orders by what the engines check, and stores by where their loads come from."""
 
     late: dict[str, int]
     stores: dict[str, WeightStore]
 
 
-class Run(Unchecked, kw_only=True):
+class RunResult(UncheckedResult, kw_only=True):
     """All that a run has measured."""
 
-    quiet: Load
-    idle_moves: int
+    steady: Traffic
+    steady_loads: int
     phases: list[Phase]
 
 
@@ -103,102 +103,104 @@
     return 0
 
 
-async def async_run_events(options: argparse.Namespace) -> Run:
+async def async_run_events(options: argparse.Namespace) -> RunResult:
     """Go through all events with engines that check the fencing number."""
     async with open_orders_stage(checks_fence=True, gives_weights=True) as stage:
         await stage.async_wait_settled()
-        began = stage.count_loads()
-        quiet = await async_stay_quiet(stage, options)
-        idle_moves = stage.count_loads() - began
+        loads_before = stage.count_loads()
+        steady = await async_run_steady(stage, options)
+        steady_loads = stage.count_loads() - loads_before
         phases = [
             await async_surge(stage, options.seed),
             await async_change_version(stage, options.seed),
         ]
         late = {"checking": await async_provoke_late_orders(stage, seed=options.seed)}
-        phases.append(await async_lose_third(stage, options.seed))
-        return Run(
-            quiet=quiet,
-            idle_moves=idle_moves,
+        phases.append(await async_stop_third(stage, options.seed))
+        return RunResult(
+            steady=steady,
+            steady_loads=steady_loads,
             phases=phases,
             late=late,
             stores={"neighbours": stage.platform.weight_store},
         )
 
 
-async def async_run_unchecked(seed: int) -> Unchecked:
+async def async_run_unchecked(seed: int) -> UncheckedResult:
     """Provoke late orders with engines that check nothing; all their loads come from the store."""
     async with open_orders_stage(checks_fence=False, gives_weights=False) as stage:
         await stage.async_wait_settled()
         late = {"not_checking": await async_provoke_late_orders(stage, seed=seed)}
-        return Unchecked(late=late, stores={"store_alone": stage.platform.weight_store})
+        return UncheckedResult(late=late, stores={"store_alone": stage.platform.weight_store})
 
 
-async def async_stay_quiet(stage: OrdersStage, options: argparse.Namespace) -> Load:
+async def async_run_steady(stage: OrdersStage, options: argparse.Namespace) -> Traffic:
     """Serve a steady load while nothing is to change."""
-    async with open_load(stage, rates=make_rates(stage), seed=options.seed) as load:
+    async with open_traffic(stage, rates=make_rates(stage), seed=options.seed) as traffic:
         await asyncio.sleep(options.quiet_s)
-    return load
+    return traffic
 
 
 async def async_surge(stage: OrdersStage, seed: int) -> Phase:
     """Let one model's requests grow until engines have moved to it."""
     model = stage.models[1]
-    before, began = stage.count_holders(), stage.count_loads()
+    before, loads_before = stage.count_holders(), stage.count_loads()
 
     async def async_has_moved() -> bool:
         return stage.count_holders()[model] > before[model] and await stage.async_is_settled()
 
     began_s = get_now_s()
-    async with open_load(stage, rates={**make_rates(stage), model: SURGE_RATE}, seed=seed) as load:
+    async with open_traffic(
+        stage, rates={**make_rates(stage), model: SURGE_RATE}, seed=seed
+    ) as traffic:
         await stage.async_wait_until(async_has_moved, "engines move to the surging model")
         took_s = get_now_s() - began_s
     after = stage.count_holders()
     return Phase(
         name="surge",
-        moves=stage.count_loads() - began,
-        moves_least=count_least(before, after),
+        loads=stage.count_loads() - loads_before,
+        min_loads=count_min_loads(before, after),
         took_s=took_s,
         before=before,
         after=after,
-        load=load,
+        traffic=traffic,
     )
 
 
 async def async_change_version(stage: OrdersStage, seed: int) -> Phase:
     """Publish a new version of a model and wait until every engine that holds it has it."""
     model, version = stage.models[0], "2"
-    before, began = stage.count_holders(), stage.count_loads()
+    before, loads_before = stage.count_holders(), stage.count_loads()
 
     def has_changed() -> bool:
-        held = [models[model] for models in stage.read_holders().values() if model in models]
+        held = [models[model] for models in stage.get_holders().values() if model in models]
         return bool(held) and all(found == version for found in held)
 
     began_s = get_now_s()
-    async with open_load(stage, rates=make_rates(stage), seed=seed + 1) as load:
+    async with open_traffic(stage, rates=make_rates(stage), seed=seed + 1) as traffic:
         stage.publish({model: version})
         await stage.async_wait_until(has_changed, "the new version is held")
         took_s = get_now_s() - began_s
         await stage.async_wait_settled()
     return Phase(
         name="version",
-        moves=stage.count_loads() - began,
-        moves_least=before[model],
+        loads=stage.count_loads() - loads_before,
+        min_loads=before[model],
         took_s=took_s,
         before=before,
         after=stage.count_holders(),
-        load=load,
+        traffic=traffic,
     )
 
 
-async def async_lose_third(stage: OrdersStage, seed: int) -> Phase:
+async def async_stop_third(stage: OrdersStage, seed: int) -> Phase:
     """End a third of the engines with their sides, all of one model's first."""
-    holders = stage.read_holders()
+    holders = stage.get_holders()
     model = stage.models[2]
     ordered = sorted(holders, key=lambda name: (model not in holders[name], name))
-    lost = ordered[: len(ordered) // LOST_SHARE]
-    began = stage.count_loads()
+    lost = ordered[: len(ordered) // LOST_DIVISOR]
+    loads_before = stage.count_loads()
     began_s = get_now_s()
-    async with open_load(stage, rates=make_rates(stage), seed=seed + 2) as load:
+    async with open_traffic(stage, rates=make_rates(stage), seed=seed + 2) as traffic:
         for name in lost:
             process = stage.rig.sides.pop(name)
             await process.async_kill()
@@ -216,12 +218,12 @@
     least = sum(max(0, MIN_ENGINES - count) for count in before.values())
     return Phase(
         name="loss",
-        moves=stage.count_loads() - began,
-        moves_least=least,
+        loads=stage.count_loads() - loads_before,
+        min_loads=least,
         took_s=took_s,
         before=before,
         after=after,
-        load=load,
+        traffic=traffic,
     )
 
 
@@ -231,23 +233,23 @@
     late = 0
     version = FIRST_LATE_VERSION
     for _ in range(LATE_ROUNDS):
-        async with open_load(stage, rates={model: LATE_RATE}, seed=seed):
+        async with open_traffic(stage, rates={model: LATE_RATE}, seed=seed):
             stage.publish({model: str(version)})
-            name = await async_pause_one_that_drains(stage)
-        paused = stage.rig.sides[name]
+            name = await async_suspend_draining_side(stage)
+        suspended = stage.rig.sides[name]
         await stage.rig.async_start_side(name)
         stage.publish({model: str(version + 1)})
         await asyncio.sleep(2 * LEASE_MS / MS_PER_S)
-        woken_ms = SystemClock().wall_ms()
-        paused.send_signal(signal.SIGCONT)
+        resumed_ms = SystemClock().wall_ms()
+        suspended.send_signal(signal.SIGCONT)
         await stage.async_wait_settled()
-        late += await async_count_followed(stage, paused, since_ms=woken_ms)
-        await paused.async_stop()
+        late += await async_count_applied(stage, suspended, since_ms=resumed_ms)
+        await suspended.async_stop()
         version += 2
-    return late + stage.count_late()
+    return late + stage.count_late_orders()
 
 
-async def async_count_followed(stage: OrdersStage, process: DaemonProcess, *, since_ms: int) -> int:
+async def async_count_applied(stage: OrdersStage, process: DaemonProcess, *, since_ms: int) -> int:
     """Return how many orders of a process its engine has followed since a time."""
     dump = await stage.async_dump(process)
     fences = {entry["fence"] for entry in dump["journal"]}
@@ -259,7 +261,7 @@
     )
 
 
-async def async_pause_one_that_drains(stage: OrdersStage) -> str:
+async def async_suspend_draining_side(stage: OrdersStage) -> str:
     """Pause the first side that turns requests away and has not ordered yet; return its name."""
     found: list[str] = []
 
@@ -285,15 +287,15 @@
 
 def make_rates(stage: OrdersStage) -> dict[str, float]:
     """Return the quiet rate of requests for each model."""
-    return dict.fromkeys(stage.models, QUIET_RATE)
+    return dict.fromkeys(stage.models, STEADY_RATE)
 
 
-def count_least(before: Mapping[str, int], after: Mapping[str, int]) -> int:
+def count_min_loads(before: Mapping[str, int], after: Mapping[str, int]) -> int:
     """Return how many loads it takes at least from some counts of holders to others."""
     return sum(max(0, count - before[model]) for model, count in after.items())
 
 
-def get_rate_max(store: WeightStore) -> float:
+def get_max_rate(store: WeightStore) -> float:
     """Return the highest rate of fetches in any window."""
     fetched_ms = list(store.fetched_ms)
     most = max(
@@ -311,11 +313,11 @@
     return asyncio.get_running_loop().time()
 
 
-def report(run: Run) -> None:
+def report(run: RunResult) -> None:
     """Print the table and the last line."""
-    loads = (run.quiet, *(phase.load for phase in run.phases))
+    all_traffic = (run.steady, *(phase.traffic for phase in run.phases))
     rows: list[list[object]] = [
-        ["quiet", "", "", run.idle_moves, 0, "", *list_outcomes(run.quiet)],
+        ["quiet", "", "", run.steady_loads, 0, "", *list_outcomes(run.steady)],
     ]
     rows += [make_row(phase) for phase in run.phases]
     print_table(
@@ -323,23 +325,23 @@
         columns=COLUMNS,
         rows=rows,
     )
-    moves: dict[str, Value] = {phase.name: phase.moves for phase in run.phases}
-    least: dict[str, Value] = {phase.name: phase.moves_least for phase in run.phases}
+    loads: dict[str, Value] = {phase.name: phase.loads for phase in run.phases}
+    least: dict[str, Value] = {phase.name: phase.min_loads for phase in run.phases}
     print_result(
         {
             "late_orders_applied": dict(run.late),
-            "moves": {"quiet": run.idle_moves, **moves},
+            "moves": {"quiet": run.steady_loads, **loads},
             "moves_least": {"quiet": 0, **least},
             "took_s": {phase.name: round(phase.took_s, 1) for phase in run.phases},
-            "weight_store_rate_max": max(get_rate_max(store) for store in run.stores.values()),
+            "weight_store_rate_max": max(get_max_rate(store) for store in run.stores.values()),
             "weight_store_limit": STORE_PER_S,
             "weight_store_fetches": {
                 name: len(store.fetched_ms) for name, store in run.stores.items()
             },
             "weight_store_refused": sum(store.refused for store in run.stores.values()),
-            "target_met": {phase.name: round(phase.load.target_met, 4) for phase in run.phases},
-            "target_met_quiet": round(run.quiet.target_met, 4),
-            "lost_or_wrong": sum(count_wrong(load) for load in loads),
+            "target_met": {phase.name: round(phase.traffic.target_met, 4) for phase in run.phases},
+            "target_met_quiet": round(run.steady.target_met, 4),
+            "lost_or_wrong": sum(count_lost_or_wrong(traffic) for traffic in all_traffic),
         }
     )
 
@@ -350,24 +352,30 @@
         phase.name,
         format_counts(phase.before),
         format_counts(phase.after),
-        phase.moves,
-        phase.moves_least,
+        phase.loads,
+        phase.min_loads,
         round(phase.took_s, 1),
-        *list_outcomes(phase.load),
+        *list_outcomes(phase.traffic),
     ]
 
 
-def count_wrong(load: Load) -> int:
+def count_lost_or_wrong(traffic: Traffic) -> int:
     """Return how many requests had no known end, or a wrong answer."""
-    tally = load.tally
+    tally = traffic.tally
     return tally.lost + tally.doubled + tally.crossed + tally.truncated
 
 
-def list_outcomes(load: Load) -> list[object]:
+def list_outcomes(traffic: Traffic) -> list[object]:
     """Return the cells that say how requests ended, and why tries were refused."""
-    refused = " ".join(f"{code} {count}" for code, count in load.tally.refused.most_common())
-    met = round(load.target_met, 4)
-    return [met, load.tally.requests, load.tally.not_run, count_wrong(load), refused]
+    refused = " ".join(f"{code} {count}" for code, count in traffic.tally.refused.most_common())
+    met = round(traffic.target_met, 4)
+    return [
+        met,
+        traffic.tally.requests,
+        traffic.tally.not_run,
+        count_lost_or_wrong(traffic),
+        refused,
+    ]
 
 
 def format_counts(counts: Mapping[str, int]) -> str:
--- a/bench/orders_load.py
+++ b/bench/orders_load.py
@@ -25,7 +25,7 @@
 )
 
 
-class Load(Struct, kw_only=True):
+class Traffic(Struct, kw_only=True):
     """Requests that are running, and what has become of those that began in this phase."""
 
     caller_class: CallerClass
@@ -41,36 +41,38 @@
 
 
 @asynccontextmanager
-async def open_load(
+async def open_traffic(
     stage: OrdersStage, *, rates: Mapping[str, float], seed: int
-) -> AsyncIterator[Load]:
+) -> AsyncIterator[Traffic]:
     """Send requests at `rates` for each model a second while the context is open, then wait."""
-    load = Load(caller_class=stage.deployment.interactive[0])
+    traffic = Traffic(caller_class=stage.deployment.interactive[0])
     senders = [
-        asyncio.create_task(_async_send(stage, load, model, rate, random.Random(f"{seed}/{model}")))
+        asyncio.create_task(
+            _async_send(stage, traffic, model, rate, random.Random(f"{seed}/{model}"))
+        )
         for model, rate in rates.items()
     ]
     try:
-        yield load
+        yield traffic
     finally:
         for sender in senders:
             sender.cancel()
         await asyncio.gather(*senders, return_exceptions=True)
-        await asyncio.gather(*load.tasks)
+        await asyncio.gather(*traffic.tasks)
 
 
 async def _async_send(
-    stage: OrdersStage, load: Load, model: str, rate: float, randomness: random.Random
+    stage: OrdersStage, traffic: Traffic, model: str, rate: float, randomness: random.Random
 ) -> None:
     plan = stage.deployment.workspaces[0]
-    account = Account(workspace=plan.name, key=plan.key, caller_class=load.caller_class.name)
+    account = Account(workspace=plan.name, key=plan.key, caller_class=traffic.caller_class.name)
     while True:
         await asyncio.sleep(randomness.expovariate(rate))
         caller = ChatCaller(
             context=CallerContext(
                 session=stage.session,
                 routers=stage.rig.list_callers(),
-                tally=load.tally,
+                tally=traffic.tally,
                 clock=SystemClock(),
                 timeout_s=TIMEOUT_S,
             ),
@@ -80,4 +82,4 @@
             model=model,
             shape=SHAPE,
         )
-        load.tasks.add(asyncio.create_task(caller.async_turn()))
+        traffic.tasks.add(asyncio.create_task(caller.async_turn()))
--- a/bench/orders_stage.py
+++ b/bench/orders_stage.py
@@ -39,7 +39,7 @@
 MIN_ENGINES: Final = 2
 ROUTERS: Final = 2
 POLL_MS: Final = 100
-WAIT_MS: Final = 40_000
+WAIT_TIMEOUT_MS: Final = 40_000
 FIRST_VERSION: Final = "1"
 
 PLATFORM: Final[Sections] = {
@@ -73,14 +73,14 @@
         )
         self.platform.publish(self.configuration)
 
-    def read_holders(self) -> Holders:
+    def get_holders(self) -> Holders:
         """Return the models with their versions that each running side's engine holds."""
         return {name: dict(self.engines[name].orders.models) for name in self.rig.sides}
 
     def count_holders(self) -> dict[str, int]:
         """Return how many engines hold each model."""
-        held = list(self.read_holders().values())
-        return {model: sum(model in models for models in held) for model in self.models}
+        models_by_engine = list(self.get_holders().values())
+        return {model: sum(model in models for models in models_by_engine) for model in self.models}
 
     def count_loads(self) -> int:
         """Return how many loads all engines have carried out so far."""
@@ -90,7 +90,7 @@
             for record in engine.orders.records
         )
 
-    def count_late(self) -> int:
+    def count_late_orders(self) -> int:
         """Return how many orders were followed after one with a higher fencing number."""
         return sum(
             record.order.fence < record.highest_fence and record.state is not OrderState.REFUSED
@@ -118,7 +118,7 @@
 
     async def async_wait_until(self, condition: Callable[[], Any], what: str) -> None:
         """Wait for a condition, a coroutine function or a plain one; raises TimeoutError."""
-        for _ in range(WAIT_MS // POLL_MS):
+        for _ in range(WAIT_TIMEOUT_MS // POLL_MS):
             met = condition()
             if await met if asyncio.iscoroutine(met) else met:
                 return
@@ -186,8 +186,8 @@
     )
     base = make_configuration(deployment, version=2)
     pools = tuple(pool if item.name == pool.name else item for item in base.pools)
-    kept = tuple(item for item in pools if item.kind is UpstreamKind.ENGINE)
-    return replace(base, pools=kept, rules=())
+    engine_pools = tuple(item for item in pools if item.kind is UpstreamKind.ENGINE)
+    return replace(base, pools=engine_pools, rules=())
 
 
 def _set_versions(pool: Pool, versions: Mapping[str, str]) -> Pool:
--- a/bench/peer_host.py
+++ b/bench/peer_host.py
@@ -13,7 +13,7 @@
 
 from bench.child import Child, Command, async_serve
 from bench.light_peers import LightPeer, LightRouters
-from bench.target_scale import Place
+from bench.target_scale import Location
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.instances import Address, Instance
 
@@ -22,7 +22,7 @@
     """Which peers one process plays; `places` are names with data centre and region."""
 
     role: Role
-    places: tuple[Place, ...]
+    places: tuple[Location, ...]
     key: str
     model: str
     pool: str
@@ -63,7 +63,7 @@
         await self._child.async_stop()
 
 
-class PeerCommands:
+class PeerCommandHandler:
     """The child's end: peers, and what the parent asks of them."""
 
     def __init__(self, *, plan: PeerPlan) -> None:
@@ -87,28 +87,28 @@
         addresses = [await peer.async_start() for peer in self._peers]
         if self._plan.role is Role.SIDE:
             for peer in self._peers:
-                peer.publish(model=self._plan.model, turn=0)
+                peer.publish_status(model=self._plan.model, number=0)
             self._tasks.append(asyncio.create_task(self._async_publish()))
         return [address.port for address in addresses]
 
-    async def async_do(self, command: Command) -> dict[str, int]:
+    async def async_handle_command(self, command: Command) -> dict[str, int]:
         """Follow one command."""
         if "target" in command:
-            self._aim(command["target"])
+            self._set_target(command["target"])
         if "interval_ms" in command:
             self._interval_ms = command["interval_ms"]
         if self._routers is None:
             return {}
         if command.get("link"):
-            await self._routers.async_link()
+            await self._routers.async_open_links()
         if "burst" in command:
-            self._routers.send(count=command["burst"], tokens=command["tokens"])
+            self._routers.start_requests(count=command["burst"], tokens=command["tokens"])
         if "rate_s" in command:
             self._routers.rate_s = command["rate_s"]
             self._routers.tokens = command["tokens"]
-        return {"whole": self._routers.whole, "broken": self._routers.broken}
+        return {"whole": self._routers.completed, "broken": self._routers.failed}
 
-    def _aim(self, target: Command) -> None:
+    def _set_target(self, target: Command) -> None:
         self._routers = LightRouters(
             peers=self._peers,
             target=Instance(
@@ -121,28 +121,28 @@
             ),
             model=self._plan.model,
             workspace=self._plan.workspace,
-            name=self._plan.caller_class,
+            caller_class=self._plan.caller_class,
         )
-        self._tasks.append(asyncio.create_task(self._routers.async_keep_sending()))
+        self._tasks.append(asyncio.create_task(self._routers.async_send_continuously()))
 
     async def _async_publish(self) -> None:
         """Have each side tell a changed load once in each interval, spread over it."""
-        turn = 0
+        number = 0
         order = random.Random(0).sample(self._peers, len(self._peers))
         while True:
             if self._interval_ms <= 0:
                 await asyncio.sleep(0.1)
                 continue
-            turn += 1
+            number += 1
             for peer in order:
                 await asyncio.sleep(self._interval_ms / MS_PER_S / len(order))
-                peer.publish(model=self._plan.model, turn=turn)
+                peer.publish_status(model=self._plan.model, number=number)
 
 
 async def async_host(plan: PeerPlan) -> None:
     """Play the peers until the standard input ends."""
-    commands = PeerCommands(plan=plan)
-    await async_serve(await commands.async_start(), commands.async_do)
+    handler = PeerCommandHandler(plan=plan)
+    await async_serve(await handler.async_start(), handler.async_handle_command)
 
 
 def parse_plan(text: str) -> PeerPlan:
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -30,7 +30,7 @@
 SERVICE: Final = "models"
 # Upstreams, and routers or data centres that tell their loads.
 SIZES: Final = ((24, 10), (39, 18), (930, 45))
-HELD, UNKNOWN, PLAIN = "held prompt", "unknown prompt", "no prompt"
+CACHED_PROMPT, UNCACHED_PROMPT, NO_PROMPT = "held prompt", "unknown prompt", "no prompt"
 
 
 def make_placer(*, upstreams: int, peers: int) -> Placer:
@@ -79,8 +79,8 @@
     """Return the processor time of one placement, in microseconds."""
     spent_s = 0.0
     for number in range(rounds):
-        prompt = None if case == PLAIN else make_prompt(number)
-        if case == HELD:
+        prompt = None if case == NO_PROMPT else make_prompt(number)
+        if case == CACHED_PROMPT:
             for part in (1, 1_000 + number):
                 placer.note_cached(part=part, upstream="i-7")
         begin_s = time.process_time()
@@ -100,14 +100,14 @@
     for upstreams, peers in SIZES:
         costs = {
             case: measure(make_placer(upstreams=upstreams, peers=peers), case, rounds)
-            for case in (HELD, UNKNOWN, PLAIN)
+            for case in (CACHED_PROMPT, UNCACHED_PROMPT, NO_PROMPT)
         }
         rows.append((upstreams, peers, *(round(cost) for cost in costs.values())))
         result |= {f"{case} at {upstreams}": round(cost) for case, cost in costs.items()}
     print_machine()
     print_table(
         title="processor time of a placement, microseconds",
-        columns=("upstreams", "peers", HELD, UNKNOWN, PLAIN),
+        columns=("upstreams", "peers", CACHED_PROMPT, UNCACHED_PROMPT, NO_PROMPT),
         rows=rows,
     )
     print_result(result)
--- a/bench/placement_engine.py
+++ b/bench/placement_engine.py
@@ -11,79 +11,87 @@
 
 # Published traits of the engines: prompt tokens read in a millisecond, a step and what each running
 # request adds to it, tokens copied from another engine in a millisecond.
-READ_TOKENS_PER_MS: Final = 81.9
+PREFILL_TOKENS_PER_MS: Final = 81.9
 STEP_MS: Final = 3.74
 STEP_MS_PER_REQUEST: Final = 0.08
 COPY_SETUP_MS: Final = 5.3
 COPY_TOKENS_PER_MS: Final = 1_900
 # From the end of reading to the first event.
-FIRST_MS: Final = 41.0
+FIRST_EVENT_MS: Final = 41.0
 
 
-class Run(Struct, frozen=True, kw_only=True):
+class RequestTiming(Struct, frozen=True, kw_only=True):
     """When a request begins to answer and ends, and which of its shared parts were read."""
 
     first_ms: float
     end_ms: float
-    read: tuple[PromptPart, ...]
-    copied: int
+    prefilled: tuple[PromptPart, ...]
+    copied_tokens: int
 
     @property
-    def read_tokens(self) -> int:
+    def prefilled_tokens(self) -> int:
         """Return the tokens of the shared parts that were read."""
-        return sum(part.tokens for part in self.read)
+        return sum(part.tokens for part in self.prefilled)
 
 
 class Engine:
     """One engine; the least recently used parts yield, but not those of running requests."""
 
-    __slots__ = ("_cached", "_capacity", "_factor", "_free_ms", "_used", "_users", "running")
-
-    def __init__(self, *, capacity: int, factor: float = 1.0) -> None:
-        self._factor = factor
+    __slots__ = (
+        "_cached",
+        "_capacity",
+        "_prefill_free_ms",
+        "_running_requests",
+        "_slowdown",
+        "_used",
+        "running",
+    )
+
+    def __init__(self, *, capacity: int, slowdown: float = 1.0) -> None:
+        self._slowdown = slowdown
         self._capacity = capacity
         self._cached: OrderedDict[int, int] = OrderedDict()
-        self._users: dict[int, int] = {}
+        self._running_requests: dict[int, int] = {}
         self._used = 0
-        self._free_ms = 0.0
+        self._prefill_free_ms = 0.0
         self.running = 0
 
-    def begin(self, prompt: Prompt, *, now_ms: float, source: Engine | None) -> Run:
+    def begin(self, prompt: Prompt, *, now_ms: float, source: Engine | None) -> RequestTiming:
         """Start a request, copying what `source` holds of its prompt."""
         missing = self._list_missing(prompt)
-        read = missing
+        prefilled = missing
         if source is not None and missing:
             missing_there = source._list_missing(prompt)
-            read = missing[len(missing) - min(len(missing), len(missing_there)) :]
-        copied = sum(part.tokens for part in missing) - sum(part.tokens for part in read)
-        to_read = sum(part.tokens for part in read) + prompt.parts[-1].tokens
+            prefilled = missing[len(missing) - min(len(missing), len(missing_there)) :]
+        copied = sum(part.tokens for part in missing) - sum(part.tokens for part in prefilled)
+        prefill_tokens = sum(part.tokens for part in prefilled) + prompt.parts[-1].tokens
         copy_ms = COPY_SETUP_MS + copied / COPY_TOKENS_PER_MS if copied else 0.0
-        read_ms = self._factor * to_read / READ_TOKENS_PER_MS
-        begin_ms = max(now_ms + copy_ms, self._free_ms)
-        self._free_ms = begin_ms + read_ms
+        prefill_ms = self._slowdown * prefill_tokens / PREFILL_TOKENS_PER_MS
+        begin_ms = max(now_ms + copy_ms, self._prefill_free_ms)
+        self._prefill_free_ms = begin_ms + prefill_ms
         self.running += 1
-        step_ms = self._factor * (STEP_MS + STEP_MS_PER_REQUEST * self.running)
-        first_ms = self._free_ms + FIRST_MS + step_ms
+        step_ms = self._slowdown * (STEP_MS + STEP_MS_PER_REQUEST * self.running)
+        first_ms = self._prefill_free_ms + FIRST_EVENT_MS + step_ms
         for part in prompt.parts:
-            self._keep(part.part, part.tokens)
+            self._cache_part(part.part, part.tokens)
         self._evict()
-        return Run(
+        return RequestTiming(
             first_ms=first_ms,
             end_ms=first_ms + prompt.max_output_tokens * step_ms,
-            read=read,
-            copied=copied,
+            prefilled=prefilled,
+            copied_tokens=copied,
         )
 
     def end(self, prompt: Prompt) -> None:
         """Finish a request; its parts stay until they have to yield."""
         self.running -= 1
         for part in prompt.parts:
-            self._users[part.part] -= 1
-            if not self._users[part.part]:
-                del self._users[part.part]
+            self._running_requests[part.part] -= 1
+            if not self._running_requests[part.part]:
+                del self._running_requests[part.part]
         self._evict()
 
-    def holds(self, part: int) -> bool:
+    def has_cached(self, part: int) -> bool:
         """Return whether a part is in the cache."""
         return part in self._cached
 
@@ -95,17 +103,17 @@
                 return shared[index:]
         return ()
 
-    def _keep(self, part: int, tokens: int) -> None:
+    def _cache_part(self, part: int, tokens: int) -> None:
         if part not in self._cached:
             self._used += tokens
         self._cached[part] = tokens
         self._cached.move_to_end(part)
-        self._users[part] = self._users.get(part, 0) + 1
+        self._running_requests[part] = self._running_requests.get(part, 0) + 1
 
     def _evict(self) -> None:
         if self._used <= self._capacity:
             return
-        for part in [part for part in self._cached if part not in self._users]:
+        for part in [part for part in self._cached if part not in self._running_requests]:
             self._used -= self._cached.pop(part)
             if self._used <= self._capacity:
                 return
--- a/bench/placement_load.py
+++ b/bench/placement_load.py
@@ -14,7 +14,7 @@
 MS_PER_S: Final = 1_000
 MODEL: Final = "m"
 # The longest of a kind's prompts, as a multiple of their mean.
-LONGEST: Final = 3.0
+MAX_SIZE_FACTOR: Final = 3.0
 
 
 class Tokens(Struct, frozen=True, kw_only=True):
@@ -26,10 +26,12 @@
     def draw(self, rng: random.Random) -> int:
         """Return one size."""
         centre = math.log(self.mean) - self.spread**2 / 2
-        return max(1, int(min(LONGEST * self.mean, rng.lognormvariate(centre, self.spread))))
+        return max(
+            1, int(min(MAX_SIZE_FACTOR * self.mean, rng.lognormvariate(centre, self.spread)))
+        )
 
 
-class Kind(Struct, frozen=True, kw_only=True):
+class RequestKind(Struct, frozen=True, kw_only=True):
     """One kind of request.
 
     Its prompts begin with one of `roots` parts, go on with one of `prompts` parts, asked for by
@@ -60,7 +62,7 @@
     engines: int
     engine_tokens: int
     slots: int
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     duration_ms: int
     hot_from_ms: int
     hot_to_ms: int
@@ -79,42 +81,44 @@
     prompt: Prompt
 
 
-def make_kinds(*, share: float, prompts: tuple[int, int, int], stride: float) -> tuple[Kind, ...]:
-    """Return the three recorded kinds at a share of the full rate; `stride` scales their output."""
+def make_kinds(
+    *, rate_share: float, prompts: tuple[int, int, int], output_scale: float
+) -> tuple[RequestKind, ...]:
+    """Return the three recorded kinds at a share of the full rate; `output_scale` scales their output."""
     long, chat, short = prompts
     return (
-        Kind(
+        RequestKind(
             name="long",
-            per_s=72 * share,
+            per_s=72 * rate_share,
             roots=1,
             root=Tokens(mean=512, spread=0.4),
             prompts=long,
             prompt=Tokens(mean=10_000, spread=0.7),
             skew=0.3,
             own=Tokens(mean=1_300, spread=1.4),
-            output=Tokens(mean=54.6 * stride, spread=0.44),
+            output=Tokens(mean=54.6 * output_scale, spread=0.44),
         ),
-        Kind(
+        RequestKind(
             name="chat",
-            per_s=107 * share,
+            per_s=107 * rate_share,
             roots=80,
             root=Tokens(mean=119, spread=0.4),
             prompts=chat,
             prompt=Tokens(mean=580, spread=0.7),
             skew=0.3,
             own=Tokens(mean=130, spread=1.0),
-            output=Tokens(mean=41.6 * stride, spread=0.69),
+            output=Tokens(mean=41.6 * output_scale, spread=0.69),
         ),
-        Kind(
+        RequestKind(
             name="short",
-            per_s=117 * share,
+            per_s=117 * rate_share,
             roots=16,
             root=Tokens(mean=341, spread=0.4),
             prompts=short,
             prompt=Tokens(mean=1_700, spread=0.7),
             skew=0.3,
             own=Tokens(mean=360, spread=1.3),
-            output=Tokens(mean=3.2 * stride, spread=1.4),
+            output=Tokens(mean=3.2 * output_scale, spread=1.4),
         ),
     )
 
@@ -125,7 +129,7 @@
     engines=6,
     engine_tokens=655_000,
     slots=64,
-    kinds=make_kinds(share=0.2, prompts=(76, 60, 60), stride=9.8),
+    kinds=make_kinds(rate_share=0.2, prompts=(76, 60, 60), output_scale=9.8),
     duration_ms=34_000,
     hot_from_ms=7_000,
     hot_to_ms=13_000,
@@ -139,7 +143,7 @@
     engines=28,
     engine_tokens=360_594,
     slots=64,
-    kinds=make_kinds(share=1.0, prompts=(348, 223, 248), stride=7.0),
+    kinds=make_kinds(rate_share=1.0, prompts=(348, 223, 248), output_scale=7.0),
     duration_ms=34_000,
     hot_from_ms=7_000,
     hot_to_ms=13_000,
@@ -152,12 +156,12 @@
 def make_arrivals(load: Load, *, seed: int) -> Iterator[Arrival]:
     """Return the requests of a load in order of time; the same ones for the same seed."""
     rng = random.Random(seed)
-    streams = [_make_kind(load, number, rng) for number in range(len(load.kinds))]
+    streams = [_generate_arrivals(load, number, rng) for number in range(len(load.kinds))]
     arrivals = [arrival for stream in streams for arrival in stream]
     return iter(sorted(arrivals, key=lambda arrival: arrival.at_ms))
 
 
-def _make_kind(load: Load, number: int, rng: random.Random) -> Iterator[Arrival]:
+def _generate_arrivals(load: Load, number: int, rng: random.Random) -> Iterator[Arrival]:
     kind = load.kinds[number]
     roots = [_make_part(number, 1, at, kind.root.draw(rng)) for at in range(kind.roots)]
     prompts = [_make_part(number, 2, at, kind.prompt.draw(rng)) for at in range(kind.prompts)]
--- a/bench/placement_strategies.py
+++ b/bench/placement_strategies.py
@@ -42,16 +42,16 @@
     def choose(self, arrival: Arrival, number: int) -> Choice:
         """Return where a request goes; `number` is its own."""
 
-    def first(self, arrival: Arrival, number: int) -> None:
+    def record_first_event(self, arrival: Arrival, number: int) -> None:
         """Note the first event of a request."""
 
-    def end(self, arrival: Arrival, number: int) -> None:
+    def record_end(self, arrival: Arrival, number: int) -> None:
         """Note the end of a request."""
 
-    def tick(self, now_ms: int) -> None:
+    def advance(self, now_ms: int) -> None:
         """Move time on."""
 
-    def replace(self, lost: str, new: str) -> None:
+    def replace_engine(self, lost: str, new: str) -> None:
         """Note that an engine is lost and an empty one is there."""
 
 
@@ -68,16 +68,16 @@
         self._next[arrival.router] = (at + 1) % len(self._names)
         return Choice(engine=self._names[at])
 
-    def first(self, arrival: Arrival, number: int) -> None:
+    def record_first_event(self, arrival: Arrival, number: int) -> None:
         """Take no note."""
 
-    def end(self, arrival: Arrival, number: int) -> None:
+    def record_end(self, arrival: Arrival, number: int) -> None:
         """Take no note."""
 
-    def tick(self, now_ms: int) -> None:
+    def advance(self, now_ms: int) -> None:
         """Take no note."""
 
-    def replace(self, lost: str, new: str) -> None:
+    def replace_engine(self, lost: str, new: str) -> None:
         """Go to the new engine instead."""
         self._names[self._names.index(lost)] = new
 
@@ -100,15 +100,15 @@
         self._engines[number] = engine
         return Choice(engine=engine)
 
-    def end(self, arrival: Arrival, number: int) -> None:
+    def record_end(self, arrival: Arrival, number: int) -> None:
         """Count a request out."""
         engine = self._engines.pop(number)
         if engine in self._running[arrival.router]:
             self._running[arrival.router][engine] -= 1
 
-    def replace(self, lost: str, new: str) -> None:
+    def replace_engine(self, lost: str, new: str) -> None:
         """Begin to count for the new engine."""
-        super().replace(lost, new)
+        super().replace_engine(lost, new)
         for running in self._running:
             del running[lost]
             running[new] = 0
@@ -124,8 +124,8 @@
         return Choice(engine=order_by_affinity(self._names, affinity=affinity)[0])
 
 
-class Product:
-    """The product's placement: one placer a router, and their news after its usual pause."""
+class ProductPlacement:
+    """The product's placement: one placer a router, and their update after its usual pause."""
 
     def __init__(self, load: Load) -> None:
         self._clock = ManualClock()
@@ -134,8 +134,10 @@
         self._directories: list[Directory] = []
         self._placers = [self._make_placer(load, number) for number in range(load.routers)]
         self._period_ms = UPDATE_INTERVAL_MS + UPDATE_INTERVAL_MS_PER_PEER * (load.routers - 1)
-        self._news: list[list[tuple[int, str]]] = [[] for _ in self._placers]
-        self._told_ms = [number * self._period_ms // load.routers for number in range(load.routers)]
+        self._pending_updates: list[list[tuple[int, str]]] = [[] for _ in self._placers]
+        self._last_update_ms = [
+            number * self._period_ms // load.routers for number in range(load.routers)
+        ]
         self._sent: dict[int, SentRequest] = {}
         for number, placer in enumerate(self._placers):
             placer.on_placed(self._make_listener(number))
@@ -151,47 +153,47 @@
             engine=placed.entry.upstream, source=None if source is None else source.upstream
         )
 
-    def first(self, arrival: Arrival, number: int) -> None:
+    def record_first_event(self, arrival: Arrival, number: int) -> None:
         """Tell the placer that the prompt was read."""
         sent = self._sent[number]
         self._placers[arrival.router].note_prefilled(sent)
         self._placers[arrival.router].note_first_event(sent)
 
-    def end(self, arrival: Arrival, number: int) -> None:
+    def record_end(self, arrival: Arrival, number: int) -> None:
         """Tell the placer that a request is over."""
         self._placers[arrival.router].loads.end(self._sent.pop(number).upstream)
 
-    def tick(self, now_ms: int) -> None:
-        """Move the clock on and pass on the news that are due."""
+    def advance(self, now_ms: int) -> None:
+        """Move the clock on and pass on the update that are due."""
         self._clock.advance(now_ms - self._clock.now_ms())
-        for number, told_ms in enumerate(self._told_ms):
-            if now_ms - told_ms >= self._period_ms:
-                self._told_ms[number] = now_ms
-                self._tell(number, now_ms)
+        for number, last_update_ms in enumerate(self._last_update_ms):
+            if now_ms - last_update_ms >= self._period_ms:
+                self._last_update_ms[number] = now_ms
+                self._send_update(number, now_ms)
 
-    def replace(self, lost: str, new: str) -> None:
+    def replace_engine(self, lost: str, new: str) -> None:
         """Tell every router at once, as the published list does."""
         self._revision += 1
         for directory in self._directories:
-            gone = Entry(upstream=lost, state=EntryState.GONE)
-            directory.merge(Record(revision=self._revision, entry=gone), source="replay")
-            self._list(directory, new)
+            removed = Entry(upstream=lost, state=EntryState.GONE)
+            directory.merge(Record(revision=self._revision, entry=removed), source="replay")
+            self._add_entry(directory, new)
 
-    def _tell(self, number: int, now_ms: int) -> None:
-        news, self._news[number] = self._news[number], []
+    def _send_update(self, number: int, now_ms: int) -> None:
+        update, self._pending_updates[number] = self._pending_updates[number], []
         loads = PeerLoads(received_ms=now_ms, loads=self._placers[number].loads.get_own_loads())
         for other, placer in enumerate(self._placers):
             if other == number:
                 continue
             placer.loads.set_peer_loads(f"router-{number}", loads)
-            for part, upstream in news:
+            for part, upstream in update:
                 placer.cache_index.note(part=part, upstream=upstream, now_ms=now_ms)
 
     def _make_listener(self, number: int) -> Callable[[int, str], None]:
-        def note(part: int, upstream: str) -> None:
-            self._news[number].append((part, upstream))
+        def add_to_update(part: int, upstream: str) -> None:
+            self._pending_updates[number].append((part, upstream))
 
-        return note
+        return add_to_update
 
     def _make_placer(self, load: Load, number: int) -> Placer:
         app = Application(
@@ -215,10 +217,10 @@
         )
         self._directories.append(directory)
         for name in list_engines(load):
-            self._list(directory, name)
+            self._add_entry(directory, name)
         return placer
 
-    def _list(self, directory: Directory, engine: str) -> None:
+    def _add_entry(self, directory: Directory, engine: str) -> None:
         number = int(engine.rpartition("-")[2])
         entry = Entry(
             upstream=engine,
@@ -235,7 +237,7 @@
     "round robin": RoundRobin,
     "least loaded": LeastLoaded,
     "hashing": Hashing,
-    "gypsumrouter": Product,
+    "gypsumrouter": ProductPlacement,
 }
 
 
--- a/bench/placements.py
+++ b/bench/placements.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-from bench.placement_engine import Engine, Run
+from bench.placement_engine import Engine, RequestTiming
 from bench.placement_load import LARGE, SMALL, Arrival, Load, make_arrivals
 from bench.placement_strategies import STRATEGIES, Strategy, list_engines
 from bench.report import print_machine, print_result, print_table
@@ -31,31 +31,31 @@
 
     first_ms: list[float] = field(default_factory=list)
     shared: int = 0
-    read_first: int = 0
-    read_again: int = 0
+    prefilled_first: int = 0
+    prefilled_again: int = 0
     copied: int = 0
     skewed: int = 0
-    seen: set[int] = field(default_factory=set)
+    prefilled_parts: set[int] = field(default_factory=set)
 
-    def note(self, run: Run, arrival: Arrival, *, skewed: bool) -> None:
+    def add(self, run: RequestTiming, arrival: Arrival, *, skewed: bool) -> None:
         """Add one request; a part that no engine has read so far has to be read in any case."""
         self.first_ms.append(run.first_ms - arrival.at_ms)
         self.shared += sum(part.tokens for part in arrival.prompt.shared)
-        for part in run.read:
-            if part.part in self.seen:
-                self.read_again += part.tokens
+        for part in run.prefilled:
+            if part.part in self.prefilled_parts:
+                self.prefilled_again += part.tokens
             else:
-                self.seen.add(part.part)
-                self.read_first += part.tokens
-        self.copied += run.copied
+                self.prefilled_parts.add(part.part)
+                self.prefilled_first += part.tokens
+        self.copied += run.copied_tokens
         self.skewed += skewed
 
-    def forget(self, lost: Engine, kept: Iterable[Engine]) -> None:
+    def remove_lost(self, lost: Engine, kept: Iterable[Engine]) -> None:
         """Take the parts that only a lost engine had read as never read."""
-        self.seen = {
+        self.prefilled_parts = {
             part
-            for part in self.seen
-            if not lost.holds(part) or any(engine.holds(part) for engine in kept)
+            for part in self.prefilled_parts
+            if not lost.has_cached(part) or any(engine.has_cached(part) for engine in kept)
         }
 
     def summarize(self) -> dict[str, float]:
@@ -63,8 +63,8 @@
         ordered = sorted(self.first_ms)
         count = len(ordered)
         return {
-            "read_first_percent": round(PERCENT * self.read_first / self.shared, 2),
-            "read_again_percent": round(PERCENT * self.read_again / self.shared, 2),
+            "read_first_percent": round(PERCENT * self.prefilled_first / self.shared, 2),
+            "read_again_percent": round(PERCENT * self.prefilled_again / self.shared, 2),
             "copied_percent": round(PERCENT * self.copied / self.shared, 2),
             "skewed_percent": round(PERCENT * self.skewed / count, 2),
             "first_p50_ms": round(ordered[count // 2], 1),
@@ -75,63 +75,75 @@
 class Replay:
     """One load under one strategy, played to its last request."""
 
-    __slots__ = ("_due", "_engines", "_load", "_made", "_outcome", "_strategy", "_to_lose")
+    __slots__ = (
+        "_created",
+        "_engines",
+        "_load",
+        "_outcome",
+        "_pending_events",
+        "_strategy",
+        "_to_replace",
+    )
 
     def __init__(self, load: Load, strategy: Strategy) -> None:
         self._load = load
         self._strategy = strategy
-        self._made = 0
+        self._created = 0
         self._engines = {name: self._make_engine() for name in list_engines(load)}
-        self._to_lose = list_engines(load)[: round(load.engines * load.lost_share)]
+        self._to_replace = list_engines(load)[: round(load.engines * load.lost_share)]
         self._outcome = Outcome()
         # When a running request has its first event or its end, in order.
-        self._due: list[tuple[float, int, bool, Arrival, str]] = []
+        self._pending_events: list[tuple[float, int, bool, Arrival, str]] = []
 
     def run(self, *, seed: int) -> Outcome:
         """Play the requests of a seed."""
         for number, arrival in enumerate(make_arrivals(self._load, seed=seed)):
-            self._finish(arrival.at_ms)
-            self._strategy.tick(arrival.at_ms)
+            self._process_events(arrival.at_ms)
+            self._strategy.advance(arrival.at_ms)
             if arrival.at_ms >= self._load.lost_at_ms:
-                self._lose_engines()
-            self._begin(number, arrival)
+                self._replace_engines()
+            self._place(number, arrival)
         return self._outcome
 
-    def _begin(self, number: int, arrival: Arrival) -> None:
+    def _place(self, number: int, arrival: Arrival) -> None:
         choice = self._strategy.choose(arrival, number)
         engine = self._engines[choice.engine]
         source = None if choice.source is None else self._engines[choice.source]
         mean = sum(other.running for other in self._engines.values()) / len(self._engines)
         skewed = engine.running > SKEW_FACTOR * mean + SKEW_SLACK
         run = engine.begin(arrival.prompt, now_ms=arrival.at_ms, source=source)
-        self._outcome.note(run, arrival, skewed=skewed)
-        heapq.heappush(self._due, (run.first_ms, 2 * number, False, arrival, choice.engine))
-        heapq.heappush(self._due, (run.end_ms, 2 * number + 1, True, arrival, choice.engine))
-
-    def _finish(self, now_ms: float) -> None:
-        while self._due and self._due[0][0] <= now_ms:
-            _, order, ends, arrival, engine = heapq.heappop(self._due)
-            if not ends:
-                self._strategy.first(arrival, order // 2)
+        self._outcome.add(run, arrival, skewed=skewed)
+        heapq.heappush(
+            self._pending_events, (run.first_ms, 2 * number, False, arrival, choice.engine)
+        )
+        heapq.heappush(
+            self._pending_events, (run.end_ms, 2 * number + 1, True, arrival, choice.engine)
+        )
+
+    def _process_events(self, now_ms: float) -> None:
+        while self._pending_events and self._pending_events[0][0] <= now_ms:
+            _, order, is_end, arrival, engine = heapq.heappop(self._pending_events)
+            if not is_end:
+                self._strategy.record_first_event(arrival, order // 2)
                 continue
             if engine in self._engines:
                 self._engines[engine].end(arrival.prompt)
-            self._strategy.end(arrival, order // 2)
+            self._strategy.record_end(arrival, order // 2)
 
-    def _lose_engines(self) -> None:
-        while self._to_lose:
-            name = self._to_lose.pop()
+    def _replace_engines(self) -> None:
+        while self._to_replace:
+            name = self._to_replace.pop()
             lost = self._engines.pop(name)
-            self._outcome.forget(lost, self._engines.values())
-            new = f"engine-{self._made}"
+            self._outcome.remove_lost(lost, self._engines.values())
+            new = f"engine-{self._created}"
             self._engines[new] = self._make_engine()
-            self._strategy.replace(name, new)
+            self._strategy.replace_engine(name, new)
 
     def _make_engine(self) -> Engine:
-        slow = self._made % 3 == 2
-        self._made += 1
-        factor = self._load.slow_factor if slow else 1.0
-        return Engine(capacity=self._load.engine_tokens, factor=factor)
+        slow = self._created % 3 == 2
+        self._created += 1
+        slowdown = self._load.slow_factor if slow else 1.0
+        return Engine(capacity=self._load.engine_tokens, slowdown=slowdown)
 
 
 def replay(load: Load, strategy: Strategy, *, seed: int) -> Outcome:
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -17,13 +17,13 @@
 
     name: str
     value: float
-    aim: float
+    limit: float
 
 
 def save_plot(path: Path, bars: Sequence[Bar]) -> None:
     """Write a bar for each figure, as a multiple of its aim."""
     figure, axes = plt.subplots(figsize=(1.6 * len(bars), 4))
-    drawn = axes.bar([bar.name for bar in bars], [bar.value / bar.aim for bar in bars])
+    drawn = axes.bar([bar.name for bar in bars], [bar.value / bar.limit for bar in bars])
     axes.bar_label(drawn, labels=[f"{bar.value:.3g}" for bar in bars])
     axes.axhline(1.0, color="black", linewidth=1)
     axes.set_ylabel("multiple of the aim")
--- a/bench/probe_host.py
+++ b/bench/probe_host.py
@@ -37,11 +37,11 @@
             self.wall_ms = max(self.wall_ms, (time.perf_counter() - wall_s) * MS_PER_S - TICK_MS)
             self.cpu_ms = max(self.cpu_ms, (time.thread_time() - cpu_s) * MS_PER_S)
 
-    def take(self) -> dict[str, float]:
+    def pop_longest(self) -> dict[str, float]:
         """Return the longest times since the last call."""
-        taken = {"wall_ms": self.wall_ms, "cpu_ms": self.cpu_ms}
+        longest = {"wall_ms": self.wall_ms, "cpu_ms": self.cpu_ms}
         self.wall_ms = self.cpu_ms = 0.0
-        return taken
+        return longest
 
 
 class ProbedProcess:
@@ -57,10 +57,10 @@
         """Start the process."""
         self.link = parse_address(await self._child.async_start())
 
-    async def async_take(self) -> dict[str, float]:
+    async def async_pop_longest(self) -> dict[str, float]:
         """Return the longest pauses since the last call."""
-        taken: dict[str, float] = await self._child.async_command()
-        return taken
+        longest: dict[str, float] = await self._child.async_command()
+        return longest
 
     async def async_stop(self) -> None:
         """End the process."""
@@ -77,10 +77,10 @@
     probe = LoopProbe()
     task = asyncio.create_task(probe.async_run())
 
-    async def async_take(_command: Command) -> dict[str, float]:
-        return probe.take()
+    async def async_handle_command(_command: Command) -> dict[str, float]:
+        return probe.pop_longest()
 
-    await async_serve(str(product.addresses[ADDRESS_LINK]), async_take)
+    await async_serve(str(product.addresses[ADDRESS_LINK]), async_handle_command)
     task.cancel()
     await product.app.async_stop()
 
--- a/bench/role_slopes.py
+++ b/bench/role_slopes.py
@@ -12,7 +12,7 @@
 from bench.full_size import LIST_CHANGES
 from bench.ledger import KIND_STATUS, Spent
 from bench.paced_engine import HOLD_GAP_MS
-from bench.slope_math import spread_over_day
+from bench.slope_math import get_mean_rate
 from bench.stages import (
     STAGE_BASE,
     STAGE_CONFIGURATION,
@@ -24,7 +24,7 @@
     STAGE_STATUSES,
     FullSize,
 )
-from bench.target_scale import CHANGES_A_DAY, LIST_CHANGES_A_DAY, PROCESSES, WORKSPACES
+from bench.target_scale import CHANGES_PER_DAY, LIST_CHANGES_PER_DAY, PROCESSES, WORKSPACES
 from gypsumrouter.const import MS_PER_S
 
 MB: Final = 1_000_000
@@ -64,8 +64,8 @@
     # A held stream still gives a token now and then, which is no control.
     token_share = streams * MS_PER_S / HOLD_GAP_MS * request.token_us / US_PER_S
     steady = held.core_share - token_share
-    changes = spread_over_day(change.other_cpu_s, times=CHANGES_A_DAY)
-    lists = spread_over_day(list_read_s, times=LIST_CHANGES_A_DAY)
+    changes = get_mean_rate(change.other_cpu_s, times=CHANGES_PER_DAY)
+    lists = get_mean_rate(list_read_s, times=LIST_CHANGES_PER_DAY)
     return RoleSlopes(
         base_rss=base.rss_bytes,
         rss_per_list_entry=(changed.rss_bytes - base.rss_bytes) / PROCESSES,
--- a/bench/slope_math.py
+++ b/bench/slope_math.py
@@ -48,6 +48,6 @@
     return sum(line.at(size) for line in lines.values())
 
 
-def spread_over_day(amount: float, *, times: float, seconds: float = 86_400) -> float:
+def get_mean_rate(amount: float, *, times: float, seconds: float = 86_400) -> float:
     """Return what something that comes a number of times in a period costs in each second."""
     return amount * times / seconds
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -11,16 +11,16 @@
 
 from bench.config_fleet import ChangeCost, async_start_fleet
 from bench.control import (
-    CHANGE_PAUSE_S,
+    CHANGE_INTERVAL_S,
     CHANGES,
-    HOLDING_ROUTERS,
-    HOLDING_SIDES,
+    CONFIG_FLEET_ROUTERS,
+    CONFIG_FLEET_SIDES,
     RoleControl,
     summarize,
 )
 from bench.costs import (
     async_measure_requests,
-    measure_call_bytes,
+    measure_record_bytes,
     measure_sticky_chat_bytes,
 )
 from bench.full_size import ROUTER_STREAMS, SIDE_STREAMS, TOKENS, FullSizeFleet
@@ -65,9 +65,9 @@
     )
     async with AsyncExitStack() as stack:
         fleet = await async_start_fleet(
-            stack, routers=HOLDING_ROUTERS, sides=HOLDING_SIDES, probes=False
+            stack, routers=CONFIG_FLEET_ROUTERS, sides=CONFIG_FLEET_SIDES, probes=False
         )
-        change = await fleet.async_measure_changes(changes=CHANGES, pause_s=CHANGE_PAUSE_S)
+        change = await fleet.async_measure_changes(changes=CHANGES, interval_s=CHANGE_INTERVAL_S)
     costs = await async_measure_requests()
     controls = summarize([], full, change)
     router = derive_slopes(full.router, change, costs[0], streams=ROUTER_STREAMS)
@@ -126,7 +126,7 @@
             ("change, bytes, others", change.other_bytes),
             ("change, ms, few that watch", change.watcher_cpu_s * MS_PER_S),
             ("change, ms, others", change.other_cpu_s * MS_PER_S),
-            ("remembered call, bytes", measure_call_bytes()),
+            ("remembered call, bytes", measure_record_bytes()),
             ("chat of the sticky baseline, bytes", measure_sticky_chat_bytes()),
         ],
     )
@@ -146,9 +146,9 @@
         bar
         for (name, role), control in zip(roles.items(), controls, strict=True)
         for bar in (
-            Bar(name=f"{name}\ncore share", value=role.control_core_share, aim=CORE_SHARE_MAX),
-            Bar(name=f"{name}\nresident MB", value=role.control_rss / MB, aim=CONTROL_RSS_MB_MAX),
-            Bar(name=f"{name}\nbytes/s", value=control.total, aim=CONTROL_BYTES_S_MAX),
+            Bar(name=f"{name}\ncore share", value=role.control_core_share, limit=CORE_SHARE_MAX),
+            Bar(name=f"{name}\nresident MB", value=role.control_rss / MB, limit=CONTROL_RSS_MB_MAX),
+            Bar(name=f"{name}\nbytes/s", value=control.total, limit=CONTROL_BYTES_S_MAX),
         )
     ]
 
--- a/bench/static_list.py
+++ b/bench/static_list.py
@@ -17,7 +17,7 @@
 REVISION: Final = 1
 
 
-class StillList:
+class StaticList:
     """Serves one state of the list, of which it says at each read that it still holds."""
 
     def __init__(self, *, instances: Iterable[Instance]) -> None:
--- a/bench/target_scale.py
+++ b/bench/target_scale.py
@@ -28,32 +28,32 @@
 CHATS: Final = 6_700_000
 REGIONS: Final = 3
 DATA_CENTRES: Final = 9
-CHANGES_A_DAY: Final = 3_500
-FAILURES_A_DAY: Final = 11
-REPLACED_A_DAY: Final = 82
-S_A_DAY: Final = 86_400
+CHANGES_PER_DAY: Final = 3_500
+FAILURES_PER_DAY: Final = 11
+REPLACED_PER_DAY: Final = 82
+S_PER_DAY: Final = 86_400
 
 CORE_SHARE_MAX: Final = 0.043
 CONTROL_RSS_MB_MAX: Final = 64
 CONTROL_BYTES_S_MAX: Final = 6_144
 
-TOKENS_A_REQUEST: Final = TOKENS_S // REQUESTS_S
-ANSWER_MS: Final = TOKENS_A_REQUEST * GAP_MS
+TOKENS_PER_REQUEST: Final = TOKENS_S // REQUESTS_S
+ANSWER_MS: Final = TOKENS_PER_REQUEST * GAP_MS
 STREAMS: Final = REQUESTS_S * ANSWER_MS / 1_000
-STREAMS_A_PAIR: Final = STREAMS / ROUTERS / SIDES
-REQUESTS_S_A_PAIR: Final = REQUESTS_S / ROUTERS / SIDES
+STREAMS_PER_PAIR: Final = STREAMS / ROUTERS / SIDES
+REQUESTS_S_PER_PAIR: Final = REQUESTS_S / ROUTERS / SIDES
 
 # A replaced instance leaves, goes and comes back under another name; a failed one only goes and
 # comes back.
-LIST_CHANGES_A_DAY: Final = 3 * REPLACED_A_DAY + 2 * FAILURES_A_DAY
+LIST_CHANGES_PER_DAY: Final = 3 * REPLACED_PER_DAY + 2 * FAILURES_PER_DAY
 
-Place = tuple[str, str, str]
+Location = tuple[str, str, str]
 
-WIDE: Final = 4_096
-KEY_WORKSPACES: Final = 10
+UNLIMITED_SLOTS: Final = 4_096
+FEW_WORKSPACES: Final = 10
 
 
-def list_places(role: Role, count: int, *, regions: int) -> list[Place]:
+def list_locations(role: Role, count: int, *, regions: int) -> list[Location]:
     """Return names with their data centre and region, spread over all of them in turn."""
     own = kotlovnica().region
     names = [own, *(f"region-{number}" for number in range(2, regions + 1))]
@@ -84,8 +84,8 @@
     plans += [WorkspacePlan(name=f"office-{n:05}") for n in range(workspaces - len(plans))]
     entries = [_make_workspace(plan) for plan in plans]
     if changed:
-        place = changed * 7919 % len(entries)
-        entries[place] = replace(entries[place], share=1.0 + changed / 100)
+        index = changed * 7919 % len(entries)
+        entries[index] = replace(entries[index], share=1.0 + changed / 100)
     return Configuration(
         version=version,
         workspaces=tuple(entries),
@@ -108,8 +108,8 @@
         name=deployment.engine_pool,
         kind=UpstreamKind.ENGINE,
         models=(deployment.model,),
-        slots=WIDE,
-        floor=WIDE,
+        slots=UNLIMITED_SLOTS,
+        floor=UNLIMITED_SLOTS,
     )
 
 
--- a/tests/bench/test_bench_journal.py
+++ b/tests/bench/test_bench_journal.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.journal_cost import EVENT, main, measure_lines
+from bench.journal_cost import EVENT, main, measure_line_us
 from gypsumrouter.settings import LogLevel
 
 
@@ -22,8 +22,8 @@
 
 
 def test_a_line_costs_more_where_it_is_written() -> None:
-    written_us = measure_lines(level=LogLevel.INFO, lines=2_000)
-    assert written_us > measure_lines(level=LogLevel.ERROR, lines=2_000) > 0
+    written_us = measure_line_us(level=LogLevel.INFO, lines=2_000)
+    assert written_us > measure_line_us(level=LogLevel.ERROR, lines=2_000) > 0
 
 
 def test_the_command_tells_what_a_request_costs(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/bench/test_bench_slopes.py
+++ b/tests/bench/test_bench_slopes.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from bench.costs import Load, solve_costs
-from bench.in_force import count_reverted, measure_delays, parse_log
-from bench.slope_math import fit_kinds, fit_line, spread_over_day, sum_at
+from bench.costs import MeasuredLoad, solve_costs
+from bench.in_force import count_rollbacks, measure_delays, parse_log
+from bench.slope_math import fit_kinds, fit_line, get_mean_rate, sum_at
 
 
 def test_a_line_through_exact_points_says_what_holds_at_any_size() -> None:
@@ -36,8 +36,8 @@
 
 
 def test_costs_of_requests_and_tokens_are_told_apart_by_two_mixtures() -> None:
-    many = Load(requests_s=5.0, tokens_s=1_000.0, core_share=5 * 0.002 + 1_000 * 0.00005)
-    few = Load(requests_s=50.0, tokens_s=100.0, core_share=50 * 0.002 + 100 * 0.00005)
+    many = MeasuredLoad(requests_s=5.0, tokens_s=1_000.0, core_share=5 * 0.002 + 1_000 * 0.00005)
+    few = MeasuredLoad(requests_s=50.0, tokens_s=100.0, core_share=50 * 0.002 + 100 * 0.00005)
 
     costs = solve_costs(many, few)
 
@@ -48,15 +48,15 @@
 
 
 def test_an_amount_is_spread_over_a_day() -> None:
-    assert spread_over_day(86_400.0, times=2) == pytest.approx(2.0)
+    assert get_mean_rate(86_400.0, times=2) == pytest.approx(2.0)
 
 
 def test_a_version_is_in_force_with_it_or_a_higher_one_and_never_without() -> None:
     events = {"a": [(1, 1_000), (2, 2_500)], "b": [(1, 1_000), (3, 4_000)], "c": [(1, 1_000)]}
 
     assert measure_delays(events, {2: 2_000}, [2]) == [0.5, 2.0, float("inf")]
-    assert count_reverted(events) == 0
-    assert count_reverted({"d": [(3, 1_000), (2, 2_000), (2, 3_000)]}) == 2
+    assert count_rollbacks(events) == 0
+    assert count_rollbacks({"d": [(3, 1_000), (2, 2_000), (2, 3_000)]}) == 2
 
 
 def test_the_time_at_which_a_version_came_into_force_is_read_from_the_log() -> None:
