--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches of the product: real processes before stand-ins, on loopback only."""
+"""Benchmarks: real router processes in front of stand-in upstreams, on loopback only."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run one bench by its name: `python -m bench NAME [OPTIONS]`."""
+"""Command line of the benchmarks: `python -m bench NAME [OPTIONS]`."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the named bench and return its exit code."""
+    """Run the benchmark named by the first argument and return its exit code."""
     if not argv or argv[0] not in BENCHES:
         print(f"usage: python -m bench NAME [OPTIONS], NAME one of: {', '.join(BENCHES)}")
         return EXIT_USAGE
--- a/bench/ablate.py
+++ b/bench/ablate.py
@@ -1,7 +1,7 @@
-"""What each mechanism of the forwarder is worth: a play with it, and one without it.
+"""Ablation benchmark: measures the effect of disabling each mechanism of the forwarder.
 
-Each play runs in a copy of the repository whose deploy template switches one mechanism off. The
-program that runs, and the days, are given on the command line.
+Each command is run in a copy of the repository whose deploy template disables one mechanism. The
+commands are options; each writes a JSON report that contains the compared figure.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 TEMPLATE: Final = Path("deploy/forwarder.json.tmpl")
 ALL_ENABLED: Final = "(all on)"
 REPORT_PLACEHOLDER: Final = "{report}"
-# What a copy needs to be built and run.
+# Files and folders that a command needs in the copy.
 COPIED_PATHS: Final = ("deploy", "gypsumrouter", "target", "pyproject.toml", "requirements.txt")
 COMMAND_TIMEOUT_S: Final = 1_800
 
 
 class AblationRun(Struct, frozen=True, kw_only=True):
-    """One run: without which mechanism, and which command of the list."""
+    """One run: the disabled mechanism, and the index of the command."""
 
     disabled: str
     command: int
 
 
 def disable_mechanism(template: str, mechanism: str) -> str:
-    """Return a deploy template that switches one mechanism off."""
+    """Return the deploy template with one mechanism disabled."""
     if mechanism == ALL_ENABLED:
         return template
     head, brace, tail = template.partition("{")
@@ -45,7 +45,7 @@
 
 
 def copy_repository(*, source: Path, target: Path, mechanism: str) -> None:
-    """Make a copy of the repository without one mechanism."""
+    """Copy the repository, with one mechanism disabled in its deploy template."""
     target.mkdir(parents=True)
     for name in COPIED_PATHS:
         path = source / name
@@ -60,7 +60,7 @@
 
 
 def run_command(*, folder: Path, command: str, report: Path, field: str) -> float | None:
-    """Return the figure of one run; None where it gave none."""
+    """Run a command and return the figure from its report; None if there is none."""
     arguments = [part.replace(REPORT_PLACEHOLDER, str(report)) for part in command.split()]
     with report.with_suffix(".txt").open("w") as log:
         subprocess.run(
@@ -73,11 +73,11 @@
 
 
 def format_table(figures: dict[AblationRun, float | None], commands: int) -> str:
-    """Return one row a mechanism: the mean, what it loses without it, and each play."""
+    """Return a Markdown table: per mechanism the mean, the gain from it, and each run."""
     base = _mean(
         [figures.get(AblationRun(disabled=ALL_ENABLED, command=n)) for n in range(commands)]
     )
-    rows = ["| without | mean | worth of it | each play |", "| --- | --- | --- | --- |"]
+    rows = ["| without | mean | gain | runs |", "| --- | --- | --- | --- |"]
     for name in dict.fromkeys(run.disabled for run in figures):
         values = [figures.get(AblationRun(disabled=name, command=n)) for n in range(commands)]
         mean = _mean(values)
@@ -94,16 +94,27 @@
 
 @click.command()
 @click.option(
-    "--play", "commands", multiple=True, required=True, help=f"A command; {REPORT_PLACEHOLDER}."
+    "--play",
+    "commands",
+    multiple=True,
+    required=True,
+    help=f"A command to run; {REPORT_PLACEHOLDER} becomes the path of its report. Repeatable.",
+)
+@click.option(
+    "--scratch",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="Folder for copies, logs and reports.",
+)
+@click.option("--only", multiple=True, help="Mechanism to disable; repeatable. Default: all.")
+@click.option(
+    "--field", default="G", show_default=True, help="Name of the compared figure in a report."
 )
-@click.option("--scratch", type=click.Path(path_type=Path), required=True, help="A new folder.")
-@click.option("--only", multiple=True, help="Mechanisms; all by default.")
-@click.option("--field", default="G", show_default=True, help="The figure's name in a report.")
 @click.option("--jobs", default=4, show_default=True)
 def run(
     commands: tuple[str, ...], scratch: Path, only: tuple[str, ...], field: str, jobs: int
 ) -> None:
-    """AblationRun each command with all mechanisms, and without each of them."""
+    """Run each command with all mechanisms enabled, and with each one disabled."""
     names = (ALL_ENABLED, *(only or tuple(mechanism.value for mechanism in Mechanism)))
     scratch = scratch.resolve()
     for name in names:
@@ -124,7 +135,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     os.environ.setdefault("PYTHONDONTWRITEBYTECODE", "1")
     run.main(args=argv, prog_name="python -m bench ablate", standalone_mode=False)
     sys.stdout.flush()
--- a/bench/both_deployments.py
+++ b/bench/both_deployments.py
@@ -1,4 +1,4 @@
-"""Both deployments side by side, each in a process of its own, with one last line for both."""
+"""Runs a benchmark for both deployments concurrently, each in a process, and merges the results."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def add_common_options(parser: argparse.ArgumentParser) -> None:
-    """Add the options that both benches of policies have."""
-    parser.add_argument("--deployment", choices=tuple(DEPLOYMENTS), help="one alone")
-    parser.add_argument("--policies", nargs="+", help="some policies alone, by name")
+    """Add the options shared by the benchmarks that compare policies."""
+    parser.add_argument("--deployment", choices=tuple(DEPLOYMENTS), help="run only this deployment")
+    parser.add_argument("--policies", nargs="+", help="run only these policies")
     parser.add_argument("--seed", type=int, default=DEFAULT_SEED)
 
 
 async def async_run_deployments(bench: str, argv: list[str]) -> int:
-    """Run a bench for each deployment at the same time and print all figures together."""
+    """Run a benchmark for each deployment concurrently and print the merged JSON result."""
     outputs = await asyncio.gather(*(_async_run(bench, argv, name) for name in DEPLOYMENTS))
     figures: dict[str, Value] = {}
     for name, (code, output) in zip(DEPLOYMENTS, outputs, strict=True):
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,8 +1,8 @@
-"""Compares variants of deciding over the same loads, paired by seed.
+"""Compares variants of an algorithm over the same loads, paired by seed.
 
-`python -m bench compare [DECISION] [--seeds N]`: each variant plays each load with each seed; a table
-for each load has the mean and the spread of what callers got, and the share of seeds that a variant
-won.
+`python -m bench compare [DECISION] [--seeds N]`: replays each load with each variant and each seed.
+A table for each load shows the mean and standard deviation of the credit, and the share of seeds in
+which a variant scored best.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 
 SEEDS: Final = 5
 SERVICE_TIME_MS: Final = 90.0
-# How long each play lasts, in units of a request's work.
+# Duration of a replay, in multiples of the service time of a request.
 DURATION_SERVICE_TIMES: Final = 120
-# How much arrives, and how many upstreams serve it.
+# Offered load as a multiple of the capacity, and number of upstreams.
 PLAIN_LOADS: Final = ((0.6, 3), (0.85, 3), (0.85, 2), (1.0, 3), (1.15, 1), (1.4, 2))
 
 
 class PlainLoad(Struct, frozen=True, kw_only=True):
-    """How much arrives against what the upstreams of a plain service serve."""
+    """Offered load of a plain service, as a multiple of the capacity of its upstreams."""
 
     offered_load: float
     upstreams: int
 
     @property
     def name(self) -> str:
-        """Return a name for tables."""
+        """Return the name of the load in tables and results."""
         return f"{self.offered_load:g} of what {self.upstreams} serve"
 
 
 class Variant(Struct, frozen=True, kw_only=True):
-    """One variant of deciding, by the mechanisms that it does without."""
+    """One variant of an algorithm: the mechanisms that it disables."""
 
     name: str
     without: frozenset[Mechanism] = frozenset()
 
 
 class Decision(Struct, frozen=True, kw_only=True):
-    """A decision with its variants, the kept one first, and the loads that it answers."""
+    """A compared algorithm: its variants, the one in use first, and the loads to replay."""
 
     variants: tuple[Variant, ...]
     loads: tuple[PlainLoad, ...]
@@ -75,7 +75,7 @@
 
 
 def run_replay(variant: Variant, load: PlainLoad, seed: int) -> Tally:
-    """Return how the requests of one play ended."""
+    """Replay a load and return the outcomes of its requests."""
     replay = PlainReplay(
         work_ms=SERVICE_TIME_MS, upstreams=load.upstreams, without=variant.without, seed=seed
     )
@@ -85,7 +85,7 @@
 
 
 def compare(decision: Decision, load: PlainLoad, seeds: int) -> dict[str, list[Tally]]:
-    """Return the plays of each variant, in the order of the seeds."""
+    """Return the outcomes of each variant, in the order of the seeds."""
     return {
         variant.name: [run_replay(variant, load, seed) for seed in range(1, seeds + 1)]
         for variant in decision.variants
@@ -93,7 +93,7 @@
 
 
 def get_win_share(results: dict[str, list[Tally]], name: str) -> float:
-    """Return the share of seeds in which no other variant had more credit."""
+    """Return the share of seeds in which no other variant had a higher credit."""
     per_seed = list(zip(*results.values(), strict=True))
     best = [max(tally.credit for tally in tallies) for tallies in per_seed]
     own = [tally.credit for tally in results[name]]
@@ -127,7 +127,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="python -m bench compare")
     parser.add_argument("decision", nargs="?", choices=sorted(DECISIONS), default="plain")
     parser.add_argument("--seeds", type=int, default=SEEDS)
--- a/bench/config.py
+++ b/bench/config.py
@@ -1,4 +1,4 @@
-"""How fast a configuration of the two-year size is in force everywhere, and what that costs."""
+"""Benchmark of configuration changes: time until in force in every process, and their cost."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class RunResult(Struct, kw_only=True):
-    """What one run of the real processes showed; versions by the part of the run."""
+    """Results of a run with real processes.
+
+    `normal`, `outage` and `stale` list the versions published in each phase.
+    """
 
     normal: list[int] = field(default_factory=list)
     outage: list[int] = field(default_factory=list)
@@ -44,19 +47,21 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench config")
     parser.add_argument("--routers", type=int, default=3)
     parser.add_argument("--sides", type=int, default=21)
     parser.add_argument("--changes", type=int, default=8)
-    parser.add_argument("--no-members", action="store_true", help="without the 1,260 light ones")
+    parser.add_argument(
+        "--no-members", action="store_true", help="skip the run with 1,260 lightweight processes"
+    )
     options = parser.parse_args(argv)
     print_machine()
     return asyncio.run(async_run(options))
 
 
 async def async_run(options: argparse.Namespace) -> int:
-    """Measure and print."""
+    """Run all measurements and print the results."""
     async with AsyncExitStack() as stack:
         fleet = await async_start_fleet(
             stack, routers=options.routers, sides=options.sides, spare_sides=2
@@ -74,7 +79,7 @@
 
 
 async def async_run_phases(fleet: ConfigFleet, *, changes: int) -> RunResult:
-    """Go through all parts of the run."""
+    """Run all phases."""
     result = RunResult()
     await fleet.async_pop_lags()
     await asyncio.sleep(2.0)
@@ -94,7 +99,7 @@
 
 
 async def async_run_outage(fleet: ConfigFleet, result: RunResult) -> None:
-    """Have the service fail in the middle of a change, and publish another one meanwhile."""
+    """Make the configuration service fail during a change, and publish another one meanwhile."""
     service = fleet.platform.configuration
     result.outage.append(fleet.publish())
     await asyncio.sleep(OUTAGE_DELAY_S)
@@ -106,13 +111,13 @@
     result.outage.append(version)
     await asyncio.sleep(1.0)
     await service.async_set_outage(OutageKind.NONE)
-    # Nobody could read it before.
+    # No process could read the version during the outage.
     fleet.accepted_ms[version] = time.time_ns() // 1_000_000
     await fleet.async_wait_in_force(version)
 
 
 async def async_run_stale_reads(fleet: ConfigFleet, result: RunResult) -> None:
-    """Have half of the answers come from a replica that has stood still."""
+    """Publish changes while half of the reads are answered by a stale replica."""
     service = fleet.platform.configuration
     service.serve_stale(service.version, share=STALE_SHARE)
     for _ in range(3):
@@ -123,7 +128,7 @@
 
 
 async def async_run_suspension(fleet: ConfigFleet) -> float:
-    """Stop a process, publish a change, and return how long it takes once it goes on."""
+    """Suspend a process during a change; return the seconds from resuming it until in force."""
     process = next(iter(fleet.rig.sides.values()))
     process.send_signal(signal.SIGSTOP)
     version = fleet.publish()
@@ -137,7 +142,7 @@
 def report(
     result: RunResult, events: Events, accepted_ms: dict[int, int], propagation: Propagation | None
 ) -> None:
-    """Print the tables and the last line."""
+    """Print the tables and the JSON result."""
     versions_by_phase = {
         "normal": result.normal,
         "outage": result.outage,
@@ -166,7 +171,7 @@
 def _select_started_before(
     events: Events, accepted_ms: dict[int, int], versions: list[int]
 ) -> Events:
-    """Return the processes that were there when the first of some versions was accepted."""
+    """Return the processes that were running when the first of the versions was accepted."""
     began_ms = accepted_ms[versions[0]]
     return {
         name: in_force
@@ -186,7 +191,7 @@
         ],
     )
     print_table(
-        title="longest pause of the loop, ms",
+        title="longest delay of the event loop, ms",
         columns=("role", "idle, clock", "idle, processor", "changes, clock", "changes, processor"),
         rows=[
             (
--- a/bench/config_fleet.py
+++ b/bench/config_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes that hold a configuration of the two-year size, and what its changes cost them."""
+"""A fleet of real processes with a configuration of the target size, and the cost of changes."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 class ChangeCost(Struct, kw_only=True):
-    """What one change costs a process: one of the few that watch the platform, or another.
+    """Cost of one change for a process that watches the platform, and for any other.
 
-    `documents` is how many whole documents the fleet reads for it.
+    `documents` is the number of whole documents that the fleet reads per change.
     """
 
     watchers: int = 0
@@ -42,7 +42,7 @@
 
 
 class ConfigFleet(Struct, kw_only=True):
-    """A fleet of real processes, with a router and a side that measure their loops' pauses."""
+    """A fleet of real processes; those in `probed` also measure their event loop delays."""
 
     platform: MeteredPlatform
     rig: Rig
@@ -54,7 +54,7 @@
     start_times_s: list[float] = field(default_factory=list)
 
     def publish(self) -> int:
-        """Publish the next version, with one workspace changed, and return it."""
+        """Publish the next version, with one workspace changed, and return its number."""
         number = self.platform.configuration.version + 1
         self.document_bytes = self.platform.publish_workspaces(WORKSPACES, changed=number)
         version = self.platform.configuration.version
@@ -62,16 +62,16 @@
         return version
 
     def list_processes(self) -> list[DaemonProcess]:
-        """Return the ordinary processes."""
+        """Return the processes without a probe."""
         return [*self.rig.routers.values(), *self.rig.sides.values()]
 
     def read_events(self) -> dict[str, list[tuple[int, int]]]:
-        """Return which versions came into force when."""
+        """Return the versions and the times at which they came into force, by process."""
         names = [process.name for process in self.list_processes()]
         return read_logs(self.rig.folder, names)
 
     async def async_wait_in_force(self, version: int) -> bool:
-        """Wait until every process has a version in force; False after half a minute."""
+        """Wait until a version is in force in every process; return False after a timeout."""
         for _ in range(round(IN_FORCE_TIMEOUT_S / POLL_S)):
             events = self.read_events().values()
             if all(get_in_force_ms(in_force, version) < float("inf") for in_force in events):
@@ -80,7 +80,7 @@
         return False
 
     async def async_start_spare_side(self) -> None:
-        """Start one more side and note how long it took until it served."""
+        """Start one of the spare sides and record the time until it is ready."""
         began_s = time.monotonic()
         process = await self.rig.async_start_side(self.spare_sides.pop())
         while not await self.rig.async_is_ready(process):
@@ -90,11 +90,11 @@
         self.start_times_s.append(time.monotonic() - began_s)
 
     async def async_pop_lags(self) -> dict[Role, dict[str, float]]:
-        """Return the longest pauses of the probed loops since the last call."""
+        """Return the longest event loop delays since the last call, by role."""
         return {probed.role: await probed.async_pop_longest() for probed in self.probed}
 
     async def async_measure_changes(self, *, changes: int, interval_s: float) -> ChangeCost:
-        """Publish changes one after the other and return what one costs each kind of process."""
+        """Publish changes one after another and return the cost of one change."""
         processes = self.list_processes()
         watching_before = await self._async_list_watchers(processes)
         read_before = self._count_platform_bytes()
@@ -109,7 +109,7 @@
         }
         read = self._count_platform_bytes() - read_before
         watching_after = await self._async_list_watchers(processes)
-        # Who began or ended to watch meanwhile is neither.
+        # Processes that started or stopped watching in between are excluded.
         watchers = [spent[name] for name in watching_before & watching_after]
         others = [spent[name] for name in spent.keys() - watching_before - watching_after]
         documents = max(1, round(read / self.document_bytes))
@@ -123,7 +123,7 @@
         )
 
     async def _async_list_watchers(self, processes: list[DaemonProcess]) -> set[str]:
-        """Return the names of the processes that watch the platform now."""
+        """Return the names of the processes that currently watch the platform."""
         dumps = [await self.rig.async_dump(process) for process in processes]
         return {
             process.name
@@ -138,7 +138,7 @@
 async def async_start_fleet(
     stack: AsyncExitStack, *, routers: int, sides: int, spare_sides: int = 0, probes: bool = True
 ) -> ConfigFleet:
-    """Start a fleet that ends with the stack, and wait until it holds the whole document."""
+    """Start a fleet and wait until the configuration is in force; the stack stops it."""
     platform = MeteredPlatform(workspaces=WORKSPACES)
     await platform.async_start()
     rig = Rig(platform=platform)
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,8 @@
-"""Control traffic by kind: slopes from small fleets, and one router and side at full size."""
+"""Benchmark of control traffic by message kind, in small fleets and at the target size.
+
+Small fleets of real processes give a linear fit of each kind; a router and a side are measured in a
+fleet of the target size.
+"""
 
 from __future__ import annotations
 
@@ -45,24 +49,28 @@
 
 
 class RoleControl(Struct, frozen=True, kw_only=True):
-    """The control traffic of one role by kind, bytes a second at full size, and its slopes."""
+    """Control traffic of one role by kind: bytes per second at the target size, and linear fits."""
 
     rates: Rates
     lines: dict[str, Line]
 
     @property
     def total(self) -> float:
-        """Return the bytes a second of all kinds."""
+        """Return the bytes per second of all kinds."""
         return sum(self.rates.values())
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench control")
     parser.add_argument("--sizes", type=int, nargs="+", default=list(SIZES))
     parser.add_argument("--seconds", type=float, default=SECONDS)
     parser.add_argument(
-        "--rates", type=float, nargs="*", default=[], help="more loads at the second largest size"
+        "--rates",
+        type=float,
+        nargs="*",
+        default=[],
+        help="additional load factors, measured at the second largest size",
     )
     options = parser.parse_args(argv)
     print_machine()
@@ -70,9 +78,9 @@
 
 
 async def async_run(options: argparse.Namespace) -> int:
-    """Measure and print."""
+    """Run all measurements and print the results."""
     *smaller, largest = sorted(options.sizes)
-    # Bytes do not depend on how busy the machine is, so small fleets may run side by side.
+    # Byte counts do not depend on the load of the machine, so small fleets run concurrently.
     points = await asyncio.gather(
         *(async_measure_point(size=size, seconds=options.seconds) for size in smaller)
     )
@@ -103,16 +111,16 @@
     side_lines = fit_kinds([(point.size, _get_steady_rates(point.side)) for point in target_load])
     router = _add_extrapolated_rates(full.router[STAGE_LOAD], full, change, links=SIDES)
     side = _add_extrapolated_rates(full.side[STAGE_LOAD], full, change, links=ROUTERS)
-    # Every side tells each router as often as the measured one did.
+    # Every side is assumed to send statuses as often as the measured one.
     router[KIND_STATUS] = full.side_status_bytes_s * SIDES / ROUTERS
     side[KIND_STATUS] = full.side_status_bytes_s
     return RoleControl(rates=router, lines=router_lines), RoleControl(rates=side, lines=side_lines)
 
 
 def estimate_reopened_links_s(links: int) -> float:
-    """Return how many links a second are opened again because they had been idle for long.
+    """Return how many links per second are reopened after they were closed as idle.
 
-    Requests of one pair come independently of each other; a link is closed after a gap.
+    Assumes that requests of a pair of router and side arrive as a Poisson process.
     """
     gap_s = Link().idle_close_ms / MS_PER_S
     open_s = ANSWER_MS / MS_PER_S
@@ -123,12 +131,12 @@
 def _add_extrapolated_rates(
     spent: Spent, full: FullSize, change: ChangeCost, *, links: int
 ) -> Rates:
-    """Return the rates of a stage with what a short one cannot show."""
+    """Return the rates of a stage plus those of events that are too rare to be measured in it."""
     rates = _get_steady_rates(spent)
     rates[KIND_HANDSHAKES] = estimate_reopened_links_s(links) * full.handshake_bytes
     rates[KIND_LIST_CHANGES] = get_mean_rate(full.list_change_bytes, times=LIST_CHANGES_PER_DAY)
     rates[KIND_CHANGES] = get_mean_rate(change.other_bytes, times=CHANGES_PER_DAY)
-    # One process in each data centre reads the whole document, and all take turns.
+    # One process in each data centre reads the whole document, a different one each time.
     documents = DATA_CENTRES * full.document_bytes / PROCESSES
     rates[KIND_DOCUMENTS] = get_mean_rate(documents, times=CHANGES_PER_DAY)
     return rates
@@ -140,7 +148,7 @@
 
 
 def report(points: Sequence[GridPoint], full: FullSize, change: ChangeCost) -> None:
-    """Print the tables and the last line."""
+    """Print the tables and the JSON result."""
     router, side = summarize(points, full, change)
     _print_points(points)
     for name, control, links in (("router", router, SIDES), ("side", side, ROUTERS)):
@@ -165,7 +173,7 @@
 
 def _print_points(points: Sequence[GridPoint]) -> None:
     print_table(
-        title="control bytes a second of one process, real processes, load of each pair as planned",
+        title="control bytes per second of one process, real processes, target load of each pair",
         columns=("fleet", "load", "requests/s", "router", "side", "broken"),
         rows=[
             (
@@ -185,7 +193,7 @@
     kinds = sorted(control.rates, key=lambda kind: -control.rates[kind])
     zero = Line(base=0.0, slope=0.0)
     print_table(
-        title=f"{name}: bytes a second by kind, with {links} links",
+        title=f"{name}: bytes per second by kind, with {links} links",
         columns=("kind", "measured", "by slope", "slope a link"),
         rows=[
             (
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,4 +1,4 @@
-"""What one request and one token cost a router and a side, and the memory of small things."""
+"""Processor time of a request and of a token in a router and a side, and memory per record."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 class RequestCost(Struct, frozen=True, kw_only=True):
-    """Processor time in microseconds."""
+    """Processor time of a request and of a token, in microseconds."""
 
     request_us: float
     token_us: float
 
 
 class MeasuredLoad(Struct, frozen=True, kw_only=True):
-    """Rates of a measured phase and the share of a core that they took."""
+    """Rates of a measured phase and the share of a core that it used."""
 
     requests_s: float
     tokens_s: float
@@ -48,13 +48,15 @@
 
 
 def solve_costs(first: MeasuredLoad, second: MeasuredLoad) -> RequestCost:
-    """Return what a request and a token cost, from two loads of different mixture.
+    """Return the cost of a request and of a token, solved from two measured loads.
 
-    Raises ValueError when the mixtures are the same.
+    Raises ValueError if both loads have the same ratio of tokens to requests.
     """
     determinant = first.requests_s * second.tokens_s - second.requests_s * first.tokens_s
     if determinant == 0:
-        raise ValueError("two loads of the same mixture tell nothing apart")
+        raise ValueError(
+            "cannot separate both costs: the loads have the same mixture of requests and tokens"
+        )
     request_s = first.core_share * second.tokens_s - second.core_share * first.tokens_s
     token_s = first.requests_s * second.core_share - second.requests_s * first.core_share
     return RequestCost(
@@ -63,7 +65,7 @@
 
 
 async def async_measure_requests() -> tuple[RequestCost, RequestCost]:
-    """Return the costs of a router and of a side, measured with real processes."""
+    """Return the request costs of a router and of a side, measured with real processes."""
     platform = MeteredPlatform(workspaces=FEW_WORKSPACES)
     settings = EngineSettings(
         slots=ENGINE_SLOTS,
@@ -86,7 +88,7 @@
 
 
 def measure_record_bytes() -> float:
-    """Return the memory of one remembered call with a short answer."""
+    """Return the memory of one idempotency record with a short response, in bytes."""
     store = RecordStore(max_calls=ITEMS, max_bytes=1 << 30)
 
     def add(number: int) -> None:
@@ -102,7 +104,7 @@
 
 
 def measure_sticky_chat_bytes() -> float:
-    """Return the memory of one chat in a router that remembers chats, which ours does not."""
+    """Return the memory of one chat in a router with sticky sessions (a baseline), in bytes."""
     chats: LruMap[str, str] = LruMap(size=ITEMS)
     return _measure_memory(lambda number: chats.put(f"chat-of-a-caller-{number:024}", "side"))
 
@@ -131,7 +133,7 @@
 
 
 def _measure_memory(add: Callable[[int], None]) -> float:
-    """Return the bytes that each of many things takes."""
+    """Return the mean number of bytes allocated by a call of `add`."""
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,4 +1,4 @@
-"""What one decision costs: placing a request, admitting it, picking the next from a queue."""
+"""Benchmark of single decisions: placing a request, admitting it, dequeuing the next one."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 
 
 class StaticFleet(Struct, kw_only=True):
-    """A pool with every member known and every status fresh."""
+    """A fleet whose members and statuses never change."""
 
     instances: tuple[Instance, ...]
     views: dict[str, StatusView] = field(default_factory=dict)
 
     def members(self, pool: str) -> tuple[Instance, ...]:
-        """Return all instances."""
+        """Return all instances, whatever the pool."""
         return self.instances
 
     def status(self, name: str) -> StatusView | None:
-        """Return the status of an instance."""
+        """Return the latest status of an instance."""
         return self.views.get(name)
 
 
 def main(argv: list[str]) -> int:
-    """Measure, print a table and, as the last line, one JSON object in microseconds."""
+    """Print a table and a JSON result of costs in microseconds."""
     print_machine()
     figures = asyncio.run(async_measure())
     print_table(
@@ -65,7 +65,7 @@
 
 
 async def async_measure() -> dict[str, float]:
-    """Return each figure in microseconds, the best of some rounds."""
+    """Return the costs in microseconds by name; the minimum of several rounds."""
     return {
         "order_us_9": measure_placement(9, CALLS),
         "order_us_930": measure_placement(930, CALLS_LARGE),
@@ -77,7 +77,7 @@
 
 
 def measure_placement(members: int, calls: int) -> float:
-    """Return the cost of placing one returning chat."""
+    """Return the cost of placing a request of a returning chat."""
     placement = _make_placement(members)
     queries = [
         PlacementQuery(pool=POOL, workspace="chapin", chat=f"chat-{number}", returning=True)
@@ -92,7 +92,7 @@
 
 
 def measure_pool_load(members: int) -> float:
-    """Return the cost of the pool's load for a request, refreshes included."""
+    """Return the cost of reading a pool's load, including refreshes of the cached value."""
     placement = _make_placement(members)
 
     def read_all() -> None:
@@ -103,7 +103,7 @@
 
 
 async def async_measure_admit() -> float:
-    """Return the cost of a request that is admitted at once and released."""
+    """Return the cost of admitting a request without queueing and releasing its slot."""
     admission = _make_admission(workspaces=WORKSPACES)
     cancelled = asyncio.Event()
     requests = [_make_open(number, WORKSPACES) for number in range(CALLS)]
@@ -119,7 +119,7 @@
 
 
 async def async_measure_pick(*, workspaces: int) -> float:
-    """Return the cost of a release that picks the next of 512 that wait."""
+    """Return the cost of releasing a slot while 512 requests are queued."""
     admission = _make_admission(workspaces=workspaces)
     cancelled = asyncio.Event()
     running: list[Slot] = []
--- a/bench/engine_host.py
+++ b/bench/engine_host.py
@@ -1,4 +1,4 @@
-"""A process of its own for one stand-in engine: prints its address, ends with its input."""
+"""A process with one stand-in engine: prints its address, stops at the end of standard input."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @asynccontextmanager
 async def start_engine(settings: EngineSettings) -> AsyncIterator[Address]:
-    """Run an engine in a process of its own while the context is open."""
+    """Run an engine in a separate process while the context is open."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -40,7 +40,7 @@
 
 
 async def async_host(settings: EngineSettings) -> None:
-    """Run one engine until the standard input ends."""
+    """Run one engine until the end of standard input."""
     engine = Engine(clock=SystemClock(), settings=settings)
     address = await engine.async_start()
     print(json.dumps([address.host, address.port]), flush=True)
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -1,7 +1,7 @@
-"""One real router and one real side in a fleet of the two-year size whose rest is light peers.
+"""Measures a real router and a real side in a fleet of the target size.
 
-All stand in one region, so that a router uses the sides of the whole fleet: the worst case. Where
-there are more regions it uses those of its own, and the others only when they are lost.
+All other members are lightweight peers. The fleet has a single region, which is the worst case: a
+router has links to the sides of its own region only, unless those are lost.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
 
 
 class FullSizeFleet:
-    """The processes of the measurement, and the stages that they go through."""
+    """Runs the processes of the measurement through its stages."""
 
     def __init__(self, *, seconds: float, tokens: int = TOKENS) -> None:
         self.result = FullSize()
@@ -93,7 +93,7 @@
         self._links_opened: Moment
 
     async def async_run(self, *, with_costs: bool) -> FullSize:
-        """Go through all stages, or only through those that show the traffic."""
+        """Run all stages, or only those that measure traffic."""
         async with AsyncExitStack() as stack:
             await self._async_start(stack)
             if with_costs:
@@ -107,7 +107,7 @@
             if with_costs:
                 await self._async_measure_held_streams()
             await self._async_measure_load()
-            # Statuses go out in bursts some seconds apart, so that one stage is too short.
+            # Statuses are sent in bursts seconds apart, so the rate is measured over all stages.
             since = await async_end(self._rig, [self._side], self._links_opened)
             self.result.side_status_bytes_s = since.rates[KIND_STATUS]
         return self.result
@@ -140,7 +140,7 @@
         own = [self._platform.instances.get(p.name) for p in (self._router, self._side)]
         hosts = (*self._side_hosts, *self._router_hosts)
         lightweight = [instance for host in hosts for instance in host.instances]
-        # Its revisions go on from those of the small list, so that it is a newer state of it.
+        # Advance the revision beyond that of the small list, so the new list replaces it.
         for _ in range(self._platform.instances.revision):
             self._list.remove()
         self._list.set(*(item for item in own if item is not None), *lightweight)
@@ -162,7 +162,7 @@
         await self._async_stage(STAGE_CONFIGURATION, 2 * SETTLE_S)
 
     async def _async_open_links(self) -> None:
-        """Open every link of both, also those that the few requests of a bench would not need."""
+        """Open every link of the real router and side, including those without requests."""
         for host in self._side_hosts:
             await host.async_command(interval_ms=INITIAL_STATUS_INTERVAL_MS)
         address = self._side.addresses[ADDRESS_LINK]
@@ -174,11 +174,11 @@
         handshakes = sum(opened.rates[kind] for kind in HANDSHAKE_KINDS) * opened.seconds
         added_links = opened.links - before.links
         self.result.handshake_bytes = handshakes / added_links
-        # A new link is told the status once.
+        # A status is sent once on a new link.
         self.result.status_frame_bytes = opened.rates[KIND_STATUS] * opened.seconds / added_links
         self._links_opened = await async_begin(self._rig, [self._side])
         for host in self._router_hosts:
-            # Few and short requests, so that there is always a changed load to tell of.
+            # A few short requests, so that the load changes between statuses.
             await host.async_command(rate_s=BACKGROUND_REQUESTS_S, tokens=QUICK_TOKENS)
         for _ in range(OPEN_LINKS_ROUNDS):
             requests = self._plan_clients(
@@ -191,13 +191,13 @@
         await self._async_stage(STAGE_LINKS, 2 * SETTLE_S)
 
     async def _async_raise_status_rate(self) -> None:
-        """Have every side tell its load far more often, which shows what one status costs."""
+        """Raise the status rate of all lightweight sides to measure the cost of one status."""
         for host in self._side_hosts:
             await host.async_command(interval_ms=FAST_STATUS_INTERVAL_MS)
         await self._async_stage(STAGE_STATUSES, 2 * SETTLE_S)
 
     async def _async_match_status_rate(self) -> None:
-        """Have the light sides tell their load as often as the real one has done so far."""
+        """Set the status rate of the lightweight sides to the measured rate of the real one."""
         so_far = await async_end(self._rig, [self._side], self._links_opened)
         interval_ms = float(INITIAL_STATUS_INTERVAL_MS)
         if so_far.rates[KIND_STATUS] > 0:
@@ -207,7 +207,7 @@
             await host.async_command(interval_ms=interval_ms)
 
     async def _async_measure_held_streams(self) -> None:
-        """Measure with all exchanges of the two-year load open and next to no tokens."""
+        """Measure with all streams of the target load open, and almost no tokens."""
         streams = self._plan_clients(HOLD_TOKENS, streams=ROUTER_STREAMS, seconds=self._measure_s)
         clients = asyncio.create_task(async_run_clients(replace(streams, warm_s=HOLD_WARM_UP_S)))
         for host in self._router_hosts:
@@ -217,7 +217,7 @@
         await self._async_add_clients(clients)
 
     async def _async_measure_load(self) -> None:
-        """Measure at the two-year rate of requests, with the set number of tokens in each."""
+        """Measure at the target request rate, with the configured number of tokens each."""
         plan = replace(
             self._plan_clients(
                 self._tokens, streams=ROUTER_STREAMS, seconds=SETTLE_S + self._measure_s + 1.0
--- a/bench/grid.py
+++ b/bench/grid.py
@@ -1,4 +1,4 @@
-"""Control traffic of small fleets of real processes, at the two-year load of each pair."""
+"""Control traffic of small fleets of real processes, at the target load per pair of processes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class GridPoint(Struct, frozen=True, kw_only=True):
-    """What a router and a side spent in a fleet of `size` of each."""
+    """Resource use of a router and a side in a fleet with `size` of each."""
 
     size: int
     load_factor: float
@@ -40,7 +40,7 @@
 
 
 async def async_measure_point(*, size: int, seconds: float, load_factor: float = 1.0) -> GridPoint:
-    """Run a fleet and measure it; `rate` is a multiple of the two-year load of each pair."""
+    """Run a fleet and measure it; `load_factor` is a multiple of the target load per pair."""
     async with AsyncExitStack() as stack:
         platform = MeteredPlatform(workspaces=FEW_WORKSPACES)
         await platform.async_start()
--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -1,4 +1,4 @@
-"""When each version came into force in each process, and whether one ever went back."""
+"""Times at which configuration versions came into force, read from the logs of processes."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 def read_logs(folder: Path, names: Iterable[str]) -> dict[str, list[tuple[int, int]]]:
-    """Return versions with the wall time at which they came into force, by process.
+    """Return the versions and wall times at which they came into force, by process.
 
-    The processes' own log lines say it, so that nothing has to ask them meanwhile.
+    The logs are read afterwards, so that the measurement does not disturb the processes.
     """
     return {name: parse_log((folder / f"{name}.log").read_text(errors="replace")) for name in names}
 
 
 def parse_log(text: str) -> list[tuple[int, int]]:
-    """Return versions with the wall time in milliseconds at which they came into force."""
+    """Return the versions in a log and the wall times in ms at which they came into force."""
     found = [LOG_LINE.match(line) for line in text.splitlines()]
     return [
         (int(match[3]), _parse_seconds(match[1]) * MS_PER_S + int(match[2]))
@@ -41,9 +41,10 @@
 def measure_delays(
     events: Events, accepted_ms: Mapping[int, int], versions: Iterable[int]
 ) -> list[float]:
-    """Return the seconds from acceptance until a version, or a higher one, was in force.
+    """Return the seconds from the acceptance of a version until it was in force in a process.
 
-    One value for each version and process; a process that never had it counts as infinite.
+    There is one value for each pair of version and process; infinity if it never was. A higher
+    version counts as well.
     """
     return [
         (get_in_force_ms(in_force, version) - accepted_ms[version]) / MS_PER_S
@@ -53,12 +54,12 @@
 
 
 def get_in_force_ms(in_force: Sequence[tuple[int, int]], version: int) -> float:
-    """Return the wall time at which a version or a higher one came into force."""
+    """Return the wall time at which a version or a higher one came into force, else infinity."""
     return min((at_ms for logged, at_ms in in_force if logged >= version), default=float("inf"))
 
 
 def count_rollbacks(events: Events) -> int:
-    """Return how often a lower version came into force after a higher one."""
+    """Return how often a version came into force after the same or a higher one."""
     return sum(
         1
         for in_force in events.values()
@@ -68,7 +69,7 @@
 
 
 def get_median(values: Sequence[float]) -> float:
-    """Return the median, 0 without any value."""
+    """Return the median, or 0 if there are no values."""
     return statistics.median(values) if values else 0.0
 
 
--- a/bench/journal_cost.py
+++ b/bench/journal_cost.py
@@ -1,4 +1,4 @@
-"""What the journal costs: processor time of a line, and memory while nobody reads the log.
+"""Benchmark of the journal: processor time per line, and memory while the log is not read.
 
 `python -m bench journal [--lines N]`.
 """
@@ -26,7 +26,7 @@
 MS_PER_S: Final = 1_000
 US_PER_S: Final = 1_000_000
 BYTES_PER_MB: Final = 1_000_000
-# Where nothing goes wrong a request is placed, sent, answered and over.
+# A successful request is placed, sent, answered and completed.
 LINES_PER_REQUEST: Final = 4
 READ_BYTES: Final = 1 << 16
 
@@ -49,7 +49,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Measure, print a table and, as the last line, one JSON object."""
+    """Run the benchmark and print a table and the JSON result."""
     parser = argparse.ArgumentParser(prog="python -m bench journal")
     parser.add_argument("--lines", type=int, default=LINES)
     options = parser.parse_args(argv)
@@ -63,7 +63,7 @@
 
 
 def measure(*, lines: int) -> dict[str, float]:
-    """Return the processor time of a line with and without the log, and what follows from it."""
+    """Return the cost of a line with logging on and off, and figures derived from it."""
     written_us = measure_line_us(level=LogLevel.INFO, lines=lines)
     silent_us = measure_line_us(level=LogLevel.ERROR, lines=lines)
     cost_us = written_us - silent_us
@@ -77,7 +77,7 @@
 
 
 def measure_line_us(*, level: LogLevel, lines: int) -> float:
-    """Return the processor time of a line in microseconds, that of the write_end thread included."""
+    """Return the processor time per line in microseconds, including the writer thread."""
     with open(os.devnull, "w") as stream:
         clock, journal, stop_logging = _start_journal(level, stream)
         began_s = time.process_time()
@@ -88,7 +88,7 @@
 
 
 def measure_stalled_mb() -> float:
-    """Return the memory that lines take while nobody reads them, at its most."""
+    """Return the peak memory in MB while the reader of the log is stalled."""
     read_end, write_end = os.pipe()
     stream = os.fdopen(write_end, "w")
     clock, journal, stop_logging = _start_journal(LogLevel.INFO, stream)
@@ -114,7 +114,7 @@
 
 
 def _record_lines(clock: ManualClock, journal: Journal, lines: int) -> None:
-    """Write lines as fast as the bound allows by the clock, so that none is left out."""
+    """Record lines at the rate limit of the journal, so that none is dropped."""
     for _ in range(lines):
         clock.advance(MS_PER_S // LINES_PER_S)
         journal.record(EVENT)
--- a/bench/light_peers.py
+++ b/bench/light_peers.py
@@ -1,4 +1,4 @@
-"""Light routers and sides that share a process: links as in the product, and nothing else."""
+"""Lightweight routers and sides, many in a process: real links, but no routing or admission."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class LightPeer:
-    """One instance: its listener and its pool, and the version that its peers told of last."""
+    """One instance: a link listener, a link pool, and the latest announced configuration."""
 
     def __init__(self, *, name: str, role: Role, data_centre: str, region: str, key: bytes) -> None:
         self.app = Application(name=name, role=role, data_centre=data_centre, region=region)
@@ -57,12 +57,12 @@
         self.notices.subscribe(PartsRequest, self._handle_parts_request)
 
     async def async_start(self) -> Address:
-        """Listen and return the address."""
+        """Start the link listener and return its address."""
         self.app.async_start()
         return await self.server.async_start()
 
     def publish_status(self, *, model: str, number: int) -> None:
-        """Tell a load that is another one than before."""
+        """Send a status; its load differs from that of the previous `number`."""
         self.server.publish_status(
             Status(
                 load=self.load + number % 2,
@@ -98,7 +98,7 @@
 
 
 class LightRouters:
-    """Requests of many light routers to one side, at a rate of all of them together."""
+    """Sends requests from many lightweight routers to one side; `rate_s` is the total rate."""
 
     def __init__(
         self,
@@ -123,12 +123,12 @@
         self.failed = 0
 
     async def async_open_links(self) -> None:
-        """Open the link of each router."""
+        """Open the link of each router to the side."""
         for peer in self._peers:
             await peer.pool.async_send(instance=self._target, notice=PartsRequest(version=0))
 
     def start_requests(self, *, count: int, tokens: int) -> None:
-        """Begin a number of requests now, each from another router."""
+        """Start `count` requests at once, distributed round robin over the routers."""
         for _ in range(count):
             peer = self._peers[self._sent % len(self._peers)]
             self._sent += 1
@@ -137,7 +137,7 @@
             task.add_done_callback(self._tasks.discard)
 
     async def async_send_continuously(self) -> None:
-        """Send at the set rate, with the gaps of independent callers."""
+        """Send requests at `rate_s` with exponentially distributed gaps, until cancelled."""
         while True:
             if self.rate_s <= 0:
                 await asyncio.sleep(0.1)
--- a/bench/member_host.py
+++ b/bench/member_host.py
@@ -1,4 +1,4 @@
-"""Many light processes in one: the list, the links and the configuration, without any requests."""
+"""A process with many lightweight members: instance list, links and configuration only."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class LightMember:
-    """One instance of the fleet that only keeps its configuration in step."""
+    """An instance that only replicates the configuration."""
 
     def __init__(self, *, location: Location, role: Role, key: bytes) -> None:
         name, data_centre, region = location
@@ -43,12 +43,12 @@
         )
 
     async def async_listen(self) -> Address:
-        """Listen for links and return the address."""
+        """Start the link listener and return its address."""
         self.app.async_start()
         return await self._server.async_start()
 
     async def async_join(self, platform: Platform) -> None:
-        """Begin to read the platform and to talk to neighbours."""
+        """Start reading the platform and replicating the configuration."""
         source = HttpInstanceListSource(app=self.app, settings=platform)
         fleet = Fleet(app=self.app, settings=platform, source=source)
         self._pool.on_contact(fleet.record_contact)
@@ -71,7 +71,7 @@
 
 
 class MemberHost:
-    """The parent's end of one process of light members."""
+    """Parent side: controls one process of lightweight members."""
 
     def __init__(self, *, role: Role, locations: list[Location], key: str) -> None:
         self._role = role
@@ -81,11 +81,11 @@
 
     @property
     def pid(self) -> int:
-        """Return the id of the process."""
+        """Return the process id."""
         return self._child.pid
 
     async def async_start(self) -> list[Instance]:
-        """Start the process and return its members as the list should name them."""
+        """Start the process and return the instance list entries of its members."""
         ports: list[int] = await self._child.async_start()
         return [
             Instance(
@@ -99,21 +99,21 @@
         ]
 
     async def async_join(self, *, platform: dict[str, list[str]], spacing_ms: float) -> None:
-        """Have all members join, one after the other."""
+        """Make all members join one after another."""
         await self._child.async_command(platform=platform, join_ms=spacing_ms)
 
     async def async_get_events(self) -> Events:
-        """Return which versions came into force when, by member."""
+        """Return the versions and the times at which they came into force, by member."""
         events: Events = await self._child.async_command()
         return events
 
     async def async_stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         await self._child.async_stop()
 
 
 async def async_host(plan: Command) -> None:
-    """Run the members until the standard input ends."""
+    """Run the members until the end of standard input."""
     members = [
         LightMember(
             location=tuple(location),
@@ -137,11 +137,11 @@
         return {member.app.name: member.in_force for member in members}
 
     await async_serve([address.port for address in addresses], async_handle_command)
-    # Everything here is in memory, so there is nothing to release member by member.
+    # Exit without stopping each member: nothing outside the process has to be released.
     os._exit(0)
 
 
 if __name__ == "__main__":
     logging.disable(logging.CRITICAL)
-    # Not uvloop: with this many connections timing out at once it has aborted the process.
+    # Not uvloop: it aborts the process when this many connections time out at once.
     asyncio.run(async_host(json.loads(sys.argv[1])))
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,4 +1,4 @@
-"""The spread of the configuration through 1,260 light processes that share a few real ones."""
+"""Measures the propagation of configurations to 1,260 lightweight members in a few processes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Propagation(Struct, frozen=True, kw_only=True):
-    """What the light fleet showed; `reads_s` counts a waiting_watches watch as one read a second."""
+    """Results of the lightweight fleet; a waiting watch counts as one read/s in `reads_s`."""
 
     members: int
     delays_s: list[float]
@@ -42,7 +42,7 @@
 
 
 async def async_measure_propagation(*, changes: int, interval_s: float) -> Propagation:
-    """Start the fleet, publish changes, and return how they spread."""
+    """Start the fleet, publish changes and return how fast they propagated."""
     async with AsyncExitStack() as stack:
         platform = MeteredPlatform(workspaces=WORKSPACES)
         await platform.async_start()
@@ -95,7 +95,7 @@
 
 
 async def _async_publish_before_outage(platform: MeteredPlatform, changes: int) -> dict[int, int]:
-    """Publish a change, have the service fail a moment later, and return when that was."""
+    """Publish a change, start an outage shortly after it, and return its time by version."""
     service = platform.configuration
     platform.publish_workspaces(WORKSPACES, changed=changes + 1)
     accepted_ms = {service.version: time.time_ns() // 1_000_000}
--- a/bench/metered_platform.py
+++ b/bench/metered_platform.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the platform, with the bytes counted that each role exchanges with them."""
+"""Stand-ins of the platform that count the bytes exchanged with each role."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PlatformBytes(Struct, frozen=True, kw_only=True):
-    """HTTP heads and bodies of both ways, of all processes of one role."""
+    """Bytes of HTTP headers and bodies in both directions, of all processes of one role."""
 
     configuration: int
     instances: int
@@ -30,7 +30,7 @@
 
 
 class MeteredPlatform(StandinPlatform):
-    """Every process reaches the platform through a proxy of its role, which counts."""
+    """A platform that processes reach through one counting proxy per role and service."""
 
     def __init__(self, *, workspaces: int) -> None:
         self.deployment = make_deployment()
@@ -40,7 +40,7 @@
         self._instances: dict[Role, FaultProxy] = {}
 
     async def async_start(self) -> None:
-        """Start everything, and publish a configuration of the set size."""
+        """Start all services and proxies, and publish a configuration of the configured size."""
         await super().async_start()
         for role in Role:
             self._configuration[role] = await _async_start_proxy(self.configuration.address)
@@ -48,15 +48,15 @@
         self.publish_workspaces(self.workspaces)
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop all proxies and services."""
         for proxy in (*self._configuration.values(), *self._instances.values()):
             await proxy.async_stop()
         await super().async_stop()
 
     def plan_sides(self, *, count: int, upstream: Address) -> None:
-        """Plan sides that share one engine, the first in the second data centre.
+        """Plan sides that share one engine, the first one in the second data centre.
 
-        So one router and one side stand in two of them, and each watches the platform for its own.
+        With one router and one side, each then watches the platform for its own data centre.
         """
         deployment = self.deployment
         self.plans = tuple(
@@ -72,24 +72,24 @@
         )
 
     def publish_workspaces(self, workspaces: int, *, changed: int = 0) -> int:
-        """Publish the next version, with the entry of one workspace changed; return its size."""
+        """Publish the next version, with one workspace changed, and return its size in bytes."""
         version = max(FIRST_CONFIGURATION, self.configuration.version + 1)
         configuration = make_configuration(
             self.deployment, version=version, workspaces=workspaces, changed=changed
         )
-        # With every default written out, the two-year size does not fit into a megabyte.
+        # Defaults are omitted: with them, a document of the target size exceeds 1 MB.
         document = msgspec.json.encode(configuration)
         self.configuration.publish(document)
         return len(document)
 
     def switch_instance_list(self, service: InstanceListService) -> None:
-        """Let every process read another list service from now on."""
+        """Switch all processes to another instance list service."""
         for proxy in self._instances.values():
             proxy.target = service.address
             proxy.cut()
 
     def count_bytes(self, role: Role) -> PlatformBytes:
-        """Return what the processes of a role have exchanged so far."""
+        """Return the bytes that the processes of a role have exchanged so far."""
         return PlatformBytes(
             configuration=_count_exchanged_bytes(self._configuration[role]),
             instances=_count_exchanged_bytes(self._instances[role]),
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,7 +1,8 @@
-"""Orders to engines: a surge of one model, a change of version, the loss of a third, late orders.
+"""Benchmark of model orders to engines: a surge, a version change, lost engines, late orders.
 
-Real routers and sides before stand-in engines that share three models, and a weight store with a
-rate. Times are short, so that a run takes less than two minutes.
+Real routers and sides run in front of stand-in engines that share three models, with a rate-limited
+weight store. A late order is one that an engine receives after one with a higher fencing number.
+Intervals are shortened, so that a run takes less than two minutes.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
 
 
 class Phase(Struct, kw_only=True):
-    """What one event took: loads, the least that would have done, and what callers saw."""
+    """Results of one event: model loads, their minimum, duration, and request outcomes."""
 
     name: str
     loads: int
@@ -65,14 +66,14 @@
 
 
 class UncheckedResult(Struct, kw_only=True):
-    """Late orders by what the engines check, and stores by where their loads come from."""
+    """Applied late orders by fencing check, and weight stores by source of the loads."""
 
     late: dict[str, int]
     stores: dict[str, WeightStore]
 
 
 class RunResult(UncheckedResult, kw_only=True):
-    """All that a run has measured."""
+    """All results of a run."""
 
     steady: Traffic
     steady_loads: int
@@ -80,7 +81,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench orders")
     parser.add_argument("--quiet-s", type=float, default=8.0)
     parser.add_argument("--seed", type=int, default=5)
@@ -90,9 +91,10 @@
 
 
 async def async_measure(options: argparse.Namespace) -> int:
-    """Run all events and print the figures.
+    """Run all events and print the results.
 
-    Engines that check no number and give no weights run beside the others.
+    A second fleet, whose engines neither check fencing numbers nor serve weights to other engines,
+    runs concurrently.
     """
     run, unchecked = await asyncio.gather(
         async_run_events(options), async_run_unchecked(options.seed)
@@ -104,7 +106,7 @@
 
 
 async def async_run_events(options: argparse.Namespace) -> RunResult:
-    """Go through all events with engines that check the fencing number."""
+    """Run all events with engines that check fencing numbers."""
     async with open_orders_stage(checks_fence=True, gives_weights=True) as stage:
         await stage.async_wait_settled()
         loads_before = stage.count_loads()
@@ -126,7 +128,7 @@
 
 
 async def async_run_unchecked(seed: int) -> UncheckedResult:
-    """Provoke late orders with engines that check nothing; all their loads come from the store."""
+    """Provoke late orders with engines that load from the store and check no fencing number."""
     async with open_orders_stage(checks_fence=False, gives_weights=False) as stage:
         await stage.async_wait_settled()
         late = {"not_checking": await async_provoke_late_orders(stage, seed=seed)}
@@ -134,14 +136,14 @@
 
 
 async def async_run_steady(stage: OrdersStage, options: argparse.Namespace) -> Traffic:
-    """Serve a steady load while nothing is to change."""
+    """Send requests at a steady rate, under which no model has to be moved."""
     async with open_traffic(stage, rates=make_rates(stage), seed=options.seed) as traffic:
         await asyncio.sleep(options.quiet_s)
     return traffic
 
 
 async def async_surge(stage: OrdersStage, seed: int) -> Phase:
-    """Let one model's requests grow until engines have moved to it."""
+    """Raise the request rate of one model until more engines have loaded it."""
     model = stage.models[1]
     before, loads_before = stage.count_holders(), stage.count_loads()
 
@@ -167,7 +169,7 @@
 
 
 async def async_change_version(stage: OrdersStage, seed: int) -> Phase:
-    """Publish a new version of a model and wait until every engine that holds it has it."""
+    """Publish a new version of a model and wait until all engines with the model have it."""
     model, version = stage.models[0], "2"
     before, loads_before = stage.count_holders(), stage.count_loads()
 
@@ -193,7 +195,7 @@
 
 
 async def async_stop_third(stage: OrdersStage, seed: int) -> Phase:
-    """End a third of the engines with their sides, all of one model's first."""
+    """Stop a third of the engines and their sides, those with a certain model first."""
     holders = stage.get_holders()
     model = stage.models[2]
     ordered = sorted(holders, key=lambda name: (model not in holders[name], name))
@@ -228,7 +230,7 @@
 
 
 async def async_provoke_late_orders(stage: OrdersStage, *, seed: int) -> int:
-    """Pause sides right before they order, replace them, and wake them; count late orders."""
+    """Suspend sides before they send an order, replace and resume them; count late orders."""
     model = stage.models[0]
     late = 0
     version = FIRST_LATE_VERSION
@@ -250,7 +252,7 @@
 
 
 async def async_count_applied(stage: OrdersStage, process: DaemonProcess, *, since_ms: int) -> int:
-    """Return how many orders of a process its engine has followed since a time."""
+    """Return how many orders of a side its engine has applied since a wall time."""
     dump = await stage.async_dump(process)
     fences = {entry["fence"] for entry in dump["journal"]}
     return sum(
@@ -262,7 +264,7 @@
 
 
 async def async_suspend_draining_side(stage: OrdersStage) -> str:
-    """Pause the first side that turns requests away and has not ordered yet; return its name."""
+    """Suspend the first side that drains its engine for an order; return its name."""
     found: list[str] = []
 
     async def async_find() -> bool:
@@ -278,7 +280,7 @@
 
 
 def is_draining(dump: Mapping[str, Any]) -> bool:
-    """Return whether a side is about to give an order."""
+    """Return whether a side is draining its engine and has not sent the order yet."""
     change = dump.get("pending")
     if change is None or not change["confirmed"]:
         return False
@@ -286,17 +288,17 @@
 
 
 def make_rates(stage: OrdersStage) -> dict[str, float]:
-    """Return the quiet rate of requests for each model."""
+    """Return the steady request rate of each model."""
     return dict.fromkeys(stage.models, STEADY_RATE)
 
 
 def count_min_loads(before: Mapping[str, int], after: Mapping[str, int]) -> int:
-    """Return how many loads it takes at least from some counts of holders to others."""
+    """Return the minimum number of loads that turns one set of engine counts into another."""
     return sum(max(0, count - before[model]) for model, count in after.items())
 
 
 def get_max_rate(store: WeightStore) -> float:
-    """Return the highest rate of fetches in any window."""
+    """Return the highest rate of fetches per second in any window."""
     fetched_ms = list(store.fetched_ms)
     most = max(
         (
@@ -314,7 +316,7 @@
 
 
 def report(run: RunResult) -> None:
-    """Print the table and the last line."""
+    """Print the table and the JSON result."""
     all_traffic = (run.steady, *(phase.traffic for phase in run.phases))
     rows: list[list[object]] = [
         ["quiet", "", "", run.steady_loads, 0, "", *list_outcomes(run.steady)],
@@ -347,7 +349,7 @@
 
 
 def make_row(phase: Phase) -> list[object]:
-    """Return one event's row of the table."""
+    """Return the table row of an event."""
     return [
         phase.name,
         format_counts(phase.before),
@@ -360,13 +362,13 @@
 
 
 def count_lost_or_wrong(traffic: Traffic) -> int:
-    """Return how many requests had no known end, or a wrong answer."""
+    """Return how many requests had no known outcome or a wrong answer."""
     tally = traffic.tally
     return tally.lost + tally.doubled + tally.crossed + tally.truncated
 
 
 def list_outcomes(traffic: Traffic) -> list[object]:
-    """Return the cells that say how requests ended, and why tries were refused."""
+    """Return the table cells with request outcomes and refusals by error code."""
     refused = " ".join(f"{code} {count}" for code, count in traffic.tally.refused.most_common())
     met = round(traffic.target_met, 4)
     return [
@@ -379,5 +381,5 @@
 
 
 def format_counts(counts: Mapping[str, int]) -> str:
-    """Return the holders of each model in one cell."""
+    """Return the number of engines with each model as one table cell."""
     return " ".join(str(count) for count in counts.values())
--- a/bench/orders_load.py
+++ b/bench/orders_load.py
@@ -1,4 +1,4 @@
-"""Requests for several models at fixed rates, whatever becomes of them."""
+"""Open-loop requests for several models at fixed rates."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Traffic(Struct, kw_only=True):
-    """Requests that are running, and what has become of those that began in this phase."""
+    """Running requests, and the outcomes of those started in this phase."""
 
     caller_class: CallerClass
     tally: Tally = field(default_factory=Tally)
@@ -34,7 +34,7 @@
 
     @property
     def target_met(self) -> float:
-        """Return the share of all requests that got their first token in time, and the answer."""
+        """Return the share of requests that were answered and had their first token in time."""
         times = self.tally.list_first_token_ms()
         met = sum(time_ms <= self.caller_class.first_token_ms for time_ms in times)
         return met / max(1, self.tally.requests)
@@ -44,7 +44,10 @@
 async def open_traffic(
     stage: OrdersStage, *, rates: Mapping[str, float], seed: int
 ) -> AsyncIterator[Traffic]:
-    """Send requests at `rates` for each model a second while the context is open, then wait."""
+    """Send requests while the context is open, then wait for them.
+
+    `rates` is requests per second by model.
+    """
     traffic = Traffic(caller_class=stage.deployment.interactive[0])
     senders = [
         asyncio.create_task(
--- a/bench/orders_stage.py
+++ b/bench/orders_stage.py
@@ -1,4 +1,4 @@
-"""A pool of engines that several models share, with real sides that give the engines orders."""
+"""A pool of engines shared by several models, with real sides that send them orders."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class OrdersStage(Struct, kw_only=True):
-    """The running fleet, its platform, and the configuration in force."""
+    """The running fleet, its platform, and the latest published configuration."""
 
     deployment: Deployment
     models: tuple[str, ...]
@@ -61,11 +61,11 @@
 
     @property
     def engines(self) -> Mapping[str, Engine]:
-        """Return every engine by the name of its side."""
+        """Return the engines by the names of their sides."""
         return self.platform.engines
 
     def publish(self, versions: Mapping[str, str]) -> None:
-        """Publish the versions of the models as the next configuration."""
+        """Publish a configuration with new versions of models."""
         self.configuration = replace(
             self.configuration,
             version=self.configuration.version + 1,
@@ -74,16 +74,16 @@
         self.platform.publish(self.configuration)
 
     def get_holders(self) -> Holders:
-        """Return the models with their versions that each running side's engine holds."""
+        """Return the loaded models and their versions, by running side."""
         return {name: dict(self.engines[name].orders.models) for name in self.rig.sides}
 
     def count_holders(self) -> dict[str, int]:
-        """Return how many engines hold each model."""
+        """Return how many engines have loaded each model."""
         models_by_engine = list(self.get_holders().values())
         return {model: sum(model in models for models in models_by_engine) for model in self.models}
 
     def count_loads(self) -> int:
-        """Return how many loads all engines have carried out so far."""
+        """Return how many load orders the engines have applied so far."""
         return sum(
             record.order.kind is OrderKind.LOAD and record.state is OrderState.APPLIED
             for engine in self.engines.values()
@@ -91,7 +91,7 @@
         )
 
     def count_late_orders(self) -> int:
-        """Return how many orders were followed after one with a higher fencing number."""
+        """Return how many orders were applied after one with a higher fencing number."""
         return sum(
             record.order.fence < record.highest_fence and record.state is not OrderState.REFUSED
             for engine in self.engines.values()
@@ -99,7 +99,7 @@
         )
 
     async def async_dump(self, process: DaemonProcess) -> dict[str, Any]:
-        """Return the orders section of a side's dump, empty where it does not answer."""
+        """Return the orders section of a side's state dump, or an empty one if unreachable."""
         try:
             dump = await self.rig.async_dump(process)
         except (aiohttp.ClientError, TimeoutError):
@@ -108,29 +108,34 @@
         return section
 
     async def async_wait_settled(self) -> None:
-        """Wait until every engine holds what its side wishes; raises TimeoutError."""
-        await self.async_wait_until(self.async_is_settled, "the engines hold what is wished")
+        """Wait until every engine has the models assigned by its side.
+
+        Raises TimeoutError.
+        """
+        await self.async_wait_until(
+            self.async_is_settled, "all engines have loaded their assigned models"
+        )
 
     async def async_is_settled(self) -> bool:
-        """Return whether each side says that its engine holds what it is to hold."""
+        """Return whether, by the dump of each side, its engine has its assigned models."""
         dumps = await asyncio.gather(*(self.async_dump(item) for item in self.rig.sides.values()))
         return all(_is_settled(dump) for dump in dumps)
 
     async def async_wait_until(self, condition: Callable[[], Any], what: str) -> None:
-        """Wait for a condition, a coroutine function or a plain one; raises TimeoutError."""
+        """Wait for a condition, a plain or a coroutine function; raises TimeoutError."""
         for _ in range(WAIT_TIMEOUT_MS // POLL_MS):
             met = condition()
             if await met if asyncio.iscoroutine(met) else met:
                 return
             await asyncio.sleep(POLL_MS / MS_PER_S)
-        raise TimeoutError(f"not in time: {what}")
+        raise TimeoutError(f"condition not met within {WAIT_TIMEOUT_MS} ms: {what}")
 
 
 @asynccontextmanager
 async def open_orders_stage(
     *, checks_fence: bool, gives_weights: bool
 ) -> AsyncIterator[OrdersStage]:
-    """Run nine engines, their sides and two routers while the context is open."""
+    """Run engines, their sides and the routers while the context is open."""
     deployment = replace(kotlovnica(), services=0)
     models = (deployment.model, "report-chat", "summary-chat")
     clock = SystemClock()
--- a/bench/paced_engine.py
+++ b/bench/paced_engine.py
@@ -1,4 +1,4 @@
-"""A light engine whose answers take as long as at the two-year size, with few or many tokens."""
+"""A lightweight engine with the response times of the target scale."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 def get_gap_ms(tokens: int) -> float:
-    """Return the time before each token: one alone comes soon, a few are held back for long."""
+    """Return the time before each token: short for a single one, long for a few."""
     if tokens <= QUICK_TOKENS:
         return QUICK_GAP_MS
     return HOLD_GAP_MS if tokens <= HOLD_TOKENS else ANSWER_MS / tokens
 
 
 def make_event(number: int) -> bytes:
-    """Return one token as an event of about the usual size."""
+    """Return one token as a server-sent event of typical size."""
     choice = {"index": 0, "delta": {"content": f" word-{number}"}, "finish_reason": None}
     event = {"id": "chatcmpl-paced", "object": "chat.completion.chunk", "choices": [choice]}
     return f"data: {json.dumps(event)}\n\n".encode()
 
 
 class PacedEngine:
-    """Serves the part of an engine's protocol that a side uses, for any number of sides."""
+    """Serves the subset of the engine API that sides use, to any number of sides."""
 
     def __init__(self, *, model: str) -> None:
         self.running = 0
@@ -49,11 +49,11 @@
         self._listener = StandinListener(app=routes, host="127.0.0.1", port=0)
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         return await self._listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop listening."""
         await self._listener.async_stop()
 
     async def _async_complete(self, request: web.Request) -> web.StreamResponse:
--- a/bench/peer_host.py
+++ b/bench/peer_host.py
@@ -1,4 +1,4 @@
-"""A process of its own for many light peers, driven by lines of JSON on its standard input."""
+"""A process with many lightweight peers, controlled by lines of JSON on standard input."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PeerPlan(Struct, frozen=True, kw_only=True):
-    """Which peers one process plays; `places` are names with data centre and region."""
+    """The peers to run in one process; `places` are names with data centre and region."""
 
     role: Role
     places: tuple[Location, ...]
@@ -31,7 +31,7 @@
 
 
 class PeerHost:
-    """The parent's end of one process of light peers."""
+    """Parent side: controls one process of lightweight peers."""
 
     def __init__(self, *, plan: PeerPlan) -> None:
         self.plan = plan
@@ -39,7 +39,7 @@
         self._child = Child(module="bench.peer_host", plan=to_builtins(plan))
 
     async def async_start(self) -> None:
-        """Start the process and read where its peers listen."""
+        """Start the process and read the ports of its peers."""
         ports: list[int] = await self._child.async_start()
         self.instances = tuple(
             Instance(
@@ -54,17 +54,17 @@
         )
 
     async def async_command(self, **command: Any) -> dict[str, int]:
-        """Have the process do something and return what it has counted so far."""
+        """Send a command and return the request counts so far."""
         counts: dict[str, int] = await self._child.async_command(**command)
         return counts
 
     async def async_stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         await self._child.async_stop()
 
 
 class PeerCommandHandler:
-    """The child's end: peers, and what the parent asks of them."""
+    """Child side: runs the peers and handles commands of the parent."""
 
     def __init__(self, *, plan: PeerPlan) -> None:
         self._plan = plan
@@ -83,7 +83,7 @@
         self._interval_ms = 0.0
 
     async def async_start(self) -> list[int]:
-        """Start every peer and return their ports."""
+        """Start all peers and return their ports."""
         addresses = [await peer.async_start() for peer in self._peers]
         if self._plan.role is Role.SIDE:
             for peer in self._peers:
@@ -92,7 +92,7 @@
         return [address.port for address in addresses]
 
     async def async_handle_command(self, command: Command) -> dict[str, int]:
-        """Follow one command."""
+        """Handle one command and return the request counts so far."""
         if "target" in command:
             self._set_target(command["target"])
         if "interval_ms" in command:
@@ -126,7 +126,7 @@
         self._tasks.append(asyncio.create_task(self._routers.async_send_continuously()))
 
     async def _async_publish(self) -> None:
-        """Have each side tell a changed load once in each interval, spread over it."""
+        """Send a changed status from each side once per interval, spread over the interval."""
         number = 0
         order = random.Random(0).sample(self._peers, len(self._peers))
         while True:
@@ -140,13 +140,13 @@
 
 
 async def async_host(plan: PeerPlan) -> None:
-    """Play the peers until the standard input ends."""
+    """Run the peers until the end of standard input."""
     handler = PeerCommandHandler(plan=plan)
     await async_serve(await handler.async_start(), handler.async_handle_command)
 
 
 def parse_plan(text: str) -> PeerPlan:
-    """Return a plan from the form in which the parent gives it."""
+    """Parse the JSON plan passed by the parent."""
     fields = json.loads(text)
     fields["role"] = Role(fields["role"])
     fields["places"] = tuple(tuple(place) for place in fields["places"])
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -1,6 +1,6 @@
-"""What a placement costs: processor time by number of upstreams and by what is known of a prompt.
+"""Benchmark of placement: processor time by number of upstreams and cache state of the prompt.
 
-`python -m bench placement-cost [--rounds N]`. Each round places one request and takes it back.
+`python -m bench placement-cost [--rounds N]`. Each round places one request without sending it.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 ROUNDS: Final = 400
 US_PER_S: Final = 1_000_000
 SERVICE: Final = "models"
-# Upstreams, and routers or data centres that tell their loads.
+# Numbers of upstreams and of peers that report their loads.
 SIZES: Final = ((24, 10), (39, 18), (930, 45))
 CACHED_PROMPT, UNCACHED_PROMPT, NO_PROMPT = "held prompt", "unknown prompt", "no prompt"
 
 
 def make_placer(*, upstreams: int, peers: int) -> Placer:
-    """Return a placer that knows its upstreams and what its peers have there."""
+    """Return a placer with ready upstreams and the reported loads of its peers."""
     clock = ManualClock(now_ms=100_000)
     app = Application(name="r", role=Role.FORWARDER, data_centre="dc-0", region="r", clock=clock)
     journal = Journal(app=app)
@@ -66,7 +66,7 @@
 
 
 def make_prompt(number: int) -> Prompt:
-    """Return a prompt of two shared parts and a part of its own."""
+    """Return a prompt of two shared parts and a unique part."""
     parts = (
         PromptPart(part=1, tokens=500),
         PromptPart(part=1_000 + number, tokens=10_000),
@@ -76,7 +76,7 @@
 
 
 def measure(placer: Placer, case: str, rounds: int) -> float:
-    """Return the processor time of one placement, in microseconds."""
+    """Return the mean processor time of a placement in microseconds."""
     spent_s = 0.0
     for number in range(rounds):
         prompt = None if case == NO_PROMPT else make_prompt(number)
@@ -91,7 +91,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="python -m bench placement-cost")
     parser.add_argument("--rounds", type=int, default=ROUNDS)
     rounds = parser.parse_args(argv).rounds
--- a/bench/placement_engine.py
+++ b/bench/placement_engine.py
@@ -1,4 +1,4 @@
-"""A model engine for the replay of placement: a cache, a batch, prompts read one after another."""
+"""Model engine of the placement replay: prefix cache, batched decoding, sequential prefill."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from gypsumrouter.forwarding.models import Prompt, PromptPart
 
-# Published traits of the engines: prompt tokens read in a millisecond, a step and what each running
-# request adds to it, tokens copied from another engine in a millisecond.
+# Published performance of the engines: prefill rate, duration of a decoding step and the share of
+# each running request in it, and set-up time and rate of a cache transfer between engines.
 PREFILL_TOKENS_PER_MS: Final = 81.9
 STEP_MS: Final = 3.74
 STEP_MS_PER_REQUEST: Final = 0.08
 COPY_SETUP_MS: Final = 5.3
 COPY_TOKENS_PER_MS: Final = 1_900
-# From the end of reading to the first event.
+# From the end of prefill to the first event.
 FIRST_EVENT_MS: Final = 41.0
 
 
 class RequestTiming(Struct, frozen=True, kw_only=True):
-    """When a request begins to answer and ends, and which of its shared parts were read."""
+    """Times of the first event and the end of a request, and its prefilled and copied parts."""
 
     first_ms: float
     end_ms: float
@@ -30,12 +30,12 @@
 
     @property
     def prefilled_tokens(self) -> int:
-        """Return the tokens of the shared parts that were read."""
+        """Return the tokens of the shared parts that were prefilled."""
         return sum(part.tokens for part in self.prefilled)
 
 
 class Engine:
-    """One engine; the least recently used parts yield, but not those of running requests."""
+    """One engine; evicts the least recently used parts that no running request uses."""
 
     __slots__ = (
         "_cached",
@@ -57,7 +57,7 @@
         self.running = 0
 
     def begin(self, prompt: Prompt, *, now_ms: float, source: Engine | None) -> RequestTiming:
-        """Start a request, copying what `source` holds of its prompt."""
+        """Start a request; parts that `source` has cached are copied from it."""
         missing = self._list_missing(prompt)
         prefilled = missing
         if source is not None and missing:
@@ -83,7 +83,7 @@
         )
 
     def end(self, prompt: Prompt) -> None:
-        """Finish a request; its parts stay until they have to yield."""
+        """Finish a request; its parts stay cached until they are evicted."""
         self.running -= 1
         for part in prompt.parts:
             self._running_requests[part.part] -= 1
@@ -92,11 +92,11 @@
         self._evict()
 
     def has_cached(self, part: int) -> bool:
-        """Return whether a part is in the cache."""
+        """Return whether a part is cached."""
         return part in self._cached
 
     def _list_missing(self, prompt: Prompt) -> tuple[PromptPart, ...]:
-        """Return the shared parts from the first one on that is not cached."""
+        """Return the shared parts starting with the first one that is not cached."""
         shared = prompt.shared
         for index, part in enumerate(shared):
             if part.part not in self._cached:
--- a/bench/placement_load.py
+++ b/bench/placement_load.py
@@ -1,4 +1,4 @@
-"""Loads for the replay of placement: kinds of requests with shared prompts, as recorded."""
+"""Request loads of the placement replay, modelled on a recorded load with shared prompts."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 MS_PER_S: Final = 1_000
 MODEL: Final = "m"
-# The longest of a kind's prompts, as a multiple of their mean.
+# Upper bound of a size, as a multiple of the mean.
 MAX_SIZE_FACTOR: Final = 3.0
 
 
 class Tokens(Struct, frozen=True, kw_only=True):
-    """Sizes with a mean and the spread of their logarithm."""
+    """Log-normal distribution of sizes; `spread` is the standard deviation of the logarithm."""
 
     mean: float
     spread: float
 
     def draw(self, rng: random.Random) -> int:
-        """Return one size."""
+        """Return a random size."""
         centre = math.log(self.mean) - self.spread**2 / 2
         return max(
             1, int(min(MAX_SIZE_FACTOR * self.mean, rng.lognormvariate(centre, self.spread)))
@@ -34,8 +34,8 @@
 class RequestKind(Struct, frozen=True, kw_only=True):
     """One kind of request.
 
-    Its prompts begin with one of `roots` parts, go on with one of `prompts` parts, asked for by
-    Zipf's law with the exponent `skew`, and end with a part of the request's own.
+    A prompt consists of one of `roots` root parts, one of `prompts` prompt parts, chosen by Zipf's
+    law with the exponent `skew`, and a part that is unique to the request.
     """
 
     name: str
@@ -50,11 +50,11 @@
 
 
 class Load(Struct, frozen=True, kw_only=True):
-    """What the routers meet.
+    """A load of the routers, and the engines that serve it.
 
-    From `hot_from_ms` to `hot_to_ms` a share of `hot_share` of the requests asks for the most
-    popular prompt of its kind. At `lost_at_ms` a share of `lost_share` of the engines is replaced
-    by empty ones. A third of the engines is slower, by `slow_factor`.
+    From `hot_from_ms` to `hot_to_ms`, the fraction `hot_share` of the requests uses the most
+    popular prompt of its kind. At `lost_at_ms`, the fraction `lost_share` of the engines is
+    replaced by engines with empty caches. Every third engine is slower by `slow_factor`.
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 
 class Arrival(Struct, frozen=True, kw_only=True):
-    """One request at one router."""
+    """Arrival of one request at a router."""
 
     at_ms: int
     router: int
@@ -84,7 +84,10 @@
 def make_kinds(
     *, rate_share: float, prompts: tuple[int, int, int], output_scale: float
 ) -> tuple[RequestKind, ...]:
-    """Return the three recorded kinds at a share of the full rate; `output_scale` scales their output."""
+    """Return the three recorded kinds.
+
+    `rate_share` scales their rates and `output_scale` their output tokens.
+    """
     long, chat, short = prompts
     return (
         RequestKind(
@@ -154,7 +157,7 @@
 
 
 def make_arrivals(load: Load, *, seed: int) -> Iterator[Arrival]:
-    """Return the requests of a load in order of time; the same ones for the same seed."""
+    """Return the requests of a load in order of time; deterministic for a seed."""
     rng = random.Random(seed)
     streams = [_generate_arrivals(load, number, rng) for number in range(len(load.kinds))]
     arrivals = [arrival for stream in streams for arrival in stream]
--- a/bench/placement_strategies.py
+++ b/bench/placement_strategies.py
@@ -1,4 +1,4 @@
-"""Ways to choose an engine for the replay of placement: the product's own and its baselines."""
+"""Placement strategies of the replay: that of the router and its baselines."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 
 
 class Choice(Struct, frozen=True, kw_only=True):
-    """The engine for a request, and one to copy its prompt from."""
+    """The engine for a request, and the engine to copy its cached prompt from, if any."""
 
     engine: str
     source: str | None = None
 
 
 class Strategy(Protocol):
-    """Chooses engines for all routers; `first` and `end` tell how a request went on."""
+    """Chooses engines for all routers; is notified of the progress of requests."""
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return where a request goes; `number` is its own."""
+        """Return the engine for a request; `number` identifies the request."""
 
     def record_first_event(self, arrival: Arrival, number: int) -> None:
-        """Note the first event of a request."""
+        """Record the first event of a request."""
 
     def record_end(self, arrival: Arrival, number: int) -> None:
-        """Note the end of a request."""
+        """Record the end of a request."""
 
     def advance(self, now_ms: int) -> None:
-        """Move time on."""
+        """Advance the time."""
 
     def replace_engine(self, lost: str, new: str) -> None:
-        """Note that an engine is lost and an empty one is there."""
+        """Replace a lost engine by one with an empty cache."""
 
 
 class RoundRobin:
-    """Each router goes through the engines in turn."""
+    """Each router uses the engines in turn."""
 
     def __init__(self, load: Load) -> None:
         self._names = list_engines(load)
@@ -69,21 +69,21 @@
         return Choice(engine=self._names[at])
 
     def record_first_event(self, arrival: Arrival, number: int) -> None:
-        """Take no note."""
+        """Do nothing."""
 
     def record_end(self, arrival: Arrival, number: int) -> None:
-        """Take no note."""
+        """Do nothing."""
 
     def advance(self, now_ms: int) -> None:
-        """Take no note."""
+        """Do nothing."""
 
     def replace_engine(self, lost: str, new: str) -> None:
-        """Go to the new engine instead."""
+        """Use the new engine instead."""
         self._names[self._names.index(lost)] = new
 
 
 class LeastLoaded(RoundRobin):
-    """Each router goes to the engine where it has the fewest requests itself."""
+    """Each router chooses the engine with the fewest of its own running requests."""
 
     def __init__(self, load: Load) -> None:
         super().__init__(load)
@@ -91,23 +91,23 @@
         self._engines: dict[int, str] = {}
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return the engine with the fewest."""
+        """Return the engine with the fewest running requests."""
         running = self._running[arrival.router]
         at = number % len(self._names)
-        # Equals are taken in turn, so that routers do not all begin with the same engine.
+        # Break ties in turn, so that routers do not all start with the same engine.
         engine = min(self._names[at:] + self._names[:at], key=running.__getitem__)
         running[engine] += 1
         self._engines[number] = engine
         return Choice(engine=engine)
 
     def record_end(self, arrival: Arrival, number: int) -> None:
-        """Count a request out."""
+        """Decrement the count of running requests."""
         engine = self._engines.pop(number)
         if engine in self._running[arrival.router]:
             self._running[arrival.router][engine] -= 1
 
     def replace_engine(self, lost: str, new: str) -> None:
-        """Begin to count for the new engine."""
+        """Start counting for the new engine at 0."""
         super().replace_engine(lost, new)
         for running in self._running:
             del running[lost]
@@ -115,17 +115,17 @@
 
 
 class Hashing(RoundRobin):
-    """Each prompt goes to the first engine of its stable order, whatever the load."""
+    """Chooses the first engine in the affinity order of the prompt, regardless of load."""
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return the first of the order."""
+        """Return the first engine in the affinity order."""
         shared = arrival.prompt.shared[-1].part
         affinity = xxhash.xxh3_64_intdigest(shared.to_bytes(8, "little"))
         return Choice(engine=order_by_affinity(self._names, affinity=affinity)[0])
 
 
 class ProductPlacement:
-    """The product's placement: one placer a router, and their update after its usual pause."""
+    """The placement of the router: one placer per router, and periodic updates between them."""
 
     def __init__(self, load: Load) -> None:
         self._clock = ManualClock()
@@ -143,7 +143,7 @@
             placer.on_placed(self._make_listener(number))
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return what the router's placer says."""
+        """Return the choice of the router's placer."""
         placer = self._placers[arrival.router]
         placed = placer.place(service=SERVICE, prompt=arrival.prompt, excluded=())
         assert isinstance(placed, Placement)
@@ -154,17 +154,17 @@
         )
 
     def record_first_event(self, arrival: Arrival, number: int) -> None:
-        """Tell the placer that the prompt was read."""
+        """Record in the placer that the prompt was prefilled."""
         sent = self._sent[number]
         self._placers[arrival.router].note_prefilled(sent)
         self._placers[arrival.router].note_first_event(sent)
 
     def record_end(self, arrival: Arrival, number: int) -> None:
-        """Tell the placer that a request is over."""
+        """Record in the placer that the request ended."""
         self._placers[arrival.router].loads.end(self._sent.pop(number).upstream)
 
     def advance(self, now_ms: int) -> None:
-        """Move the clock on and pass on the update that are due."""
+        """Advance the clock and send the updates that are due."""
         self._clock.advance(now_ms - self._clock.now_ms())
         for number, last_update_ms in enumerate(self._last_update_ms):
             if now_ms - last_update_ms >= self._period_ms:
@@ -172,7 +172,7 @@
                 self._send_update(number, now_ms)
 
     def replace_engine(self, lost: str, new: str) -> None:
-        """Tell every router at once, as the published list does."""
+        """Replace the engine in the directories of all routers at once."""
         self._revision += 1
         for directory in self._directories:
             removed = Entry(upstream=lost, state=EntryState.GONE)
@@ -242,5 +242,5 @@
 
 
 def list_engines(load: Load) -> list[str]:
-    """Return the names of a load's first engines."""
+    """Return the names of the initial engines of a load."""
     return [f"engine-{number}" for number in range(load.engines)]
--- a/bench/placements.py
+++ b/bench/placements.py
@@ -1,7 +1,7 @@
-"""Replays a load against placement and against simple baselines, without sockets or processes.
+"""Replays loads against the placement of the router and simple baselines, in a single process.
 
-`python -m bench placements [--load small|large] [--seed N]`: round robin, least loaded, hashing
-without load, and the product's own placement with its news between routers.
+`python -m bench placements [--load small|large] [--seed N]`: the baselines are round robin, least
+loaded, and hashing without load. Updates between routers are simulated.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from bench.report import print_machine, print_result, print_table
 from gypsumrouter.const import EXIT_OK
 
-# A load above this multiple of the mean and this many more is skew that upstreams suffer from.
+# A load above `SKEW_FACTOR` times the mean plus `SKEW_SLACK` requests counts as skewed.
 SKEW_FACTOR: Final = 2.0
 SKEW_SLACK: Final = 3
 LOADS: Final = {"small": SMALL, "large": LARGE}
@@ -27,7 +27,7 @@
 
 
 class Outcome(Struct, kw_only=True):
-    """What a load cost under one strategy."""
+    """Results of replaying a load with one strategy; tokens unless stated otherwise."""
 
     first_ms: list[float] = field(default_factory=list)
     shared: int = 0
@@ -38,7 +38,7 @@
     prefilled_parts: set[int] = field(default_factory=set)
 
     def add(self, run: RequestTiming, arrival: Arrival, *, skewed: bool) -> None:
-        """Add one request; a part that no engine has read so far has to be read in any case."""
+        """Add a request; the first prefill of a part is counted separately from repeated ones."""
         self.first_ms.append(run.first_ms - arrival.at_ms)
         self.shared += sum(part.tokens for part in arrival.prompt.shared)
         for part in run.prefilled:
@@ -51,7 +51,7 @@
         self.skewed += skewed
 
     def remove_lost(self, lost: Engine, kept: Iterable[Engine]) -> None:
-        """Take the parts that only a lost engine had read as never read."""
+        """Forget the parts that were cached by a lost engine only."""
         self.prefilled_parts = {
             part
             for part in self.prefilled_parts
@@ -73,7 +73,7 @@
 
 
 class Replay:
-    """One load under one strategy, played to its last request."""
+    """Replay of a load with one strategy."""
 
     __slots__ = (
         "_created",
@@ -92,11 +92,11 @@
         self._engines = {name: self._make_engine() for name in list_engines(load)}
         self._to_replace = list_engines(load)[: round(load.engines * load.lost_share)]
         self._outcome = Outcome()
-        # When a running request has its first event or its end, in order.
+        # Heap of the first events and ends of running requests, ordered by time.
         self._pending_events: list[tuple[float, int, bool, Arrival, str]] = []
 
     def run(self, *, seed: int) -> Outcome:
-        """Play the requests of a seed."""
+        """Replay the requests generated with a seed."""
         for number, arrival in enumerate(make_arrivals(self._load, seed=seed)):
             self._process_events(arrival.at_ms)
             self._strategy.advance(arrival.at_ms)
@@ -147,14 +147,14 @@
 
 
 def replay(load: Load, strategy: Strategy, *, seed: int) -> Outcome:
-    """Play a load to its last request."""
+    """Replay a load and return the results."""
     return Replay(load, strategy).run(seed=seed)
 
 
 def main(argv: list[str]) -> int:
-    """Replay each load with each strategy and print a table and one JSON object."""
+    """Replay each load with each strategy and print tables and the JSON result."""
     parser = argparse.ArgumentParser(prog="python -m bench placements")
-    parser.add_argument("--load", choices=sorted(LOADS), help="one load; both without it")
+    parser.add_argument("--load", choices=sorted(LOADS), help="replay only this load")
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args(argv)
     print_machine()
--- a/bench/planned_chats.py
+++ b/bench/planned_chats.py
@@ -1,4 +1,4 @@
-"""Chats whose turns come at planned times, so that every policy meets the same arrivals."""
+"""Chats whose turns start at planned times, so that every policy gets the same arrivals."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PlannedTurn(Struct, frozen=True, kw_only=True):
-    """One turn: when it comes (ms from the begin), what the user says, tokens of the answer."""
+    """One turn: start in ms from the start of the run, user message, output tokens."""
 
     at_ms: int
     content: str
@@ -32,7 +32,7 @@
 
 
 class PlannedChat(Struct, frozen=True, kw_only=True):
-    """One chat of one account, with all of its turns."""
+    """One chat of an account with all its turns."""
 
     name: str
     account: Account
@@ -40,7 +40,7 @@
 
 
 class TurnResult(Struct, kw_only=True):
-    """What became of one turn; times in milliseconds from its arrival."""
+    """Outcome of one turn; times in milliseconds from its planned start."""
 
     account: Account
     at_ms: int
@@ -54,7 +54,7 @@
 
 
 class ChatRun(Struct, kw_only=True):
-    """What the callers of one run share: when it began, and the results so far."""
+    """State shared by the callers of a run: start time, options, and the results so far."""
 
     began_ms: int
     sends_hint: bool
@@ -62,10 +62,10 @@
 
 
 class PlannedCaller(ChatCaller):
-    """Plays one planned chat: a turn begins at its time, or as soon as the one before has ended.
+    """Runs one planned chat; a turn starts at its time, or when the one before has ended.
 
-    The answers are functions of the requests, so the transcript goes on as planned even where a
-    turn got no answer.
+    Answers are deterministic functions of requests, so the transcript stays as planned even if a
+    turn failed.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self.plan = chat
 
     async def async_run_chat(self) -> None:
-        """Play all turns."""
+        """Run all turns."""
         for turn in self.plan.turns:
             due_ms = self.run.began_ms + turn.at_ms
             await self.clock.async_sleep(max(0, due_ms - self.clock.now_ms()))
@@ -125,25 +125,25 @@
 async def async_run_chats(
     chats: tuple[PlannedChat, ...], *, make_caller: Callable[[int, PlannedChat], PlannedCaller]
 ) -> None:
-    """Play all chats to their end."""
+    """Run all chats until they end."""
     callers = [make_caller(number, chat) for number, chat in enumerate(chats)]
     await asyncio.gather(*(caller.async_run_chat() for caller in callers))
 
 
 def make_answer(messages: list[Message], *, model: str, tokens: int) -> Message:
-    """Return the answer that a chat gets, whoever gives it."""
+    """Return the answer to a transcript; every engine returns the same one."""
     digest = digest_prompt(render_prompt(messages), model=model)
     return Message(role="assistant", content=make_text(digest, tokens))
 
 
 def make_prompt_text(randomness: random.Random, *, tokens: int) -> str:
-    """Return text that costs about a number of tokens."""
+    """Return random text of about `tokens` tokens."""
     words = tokens * BYTES_PER_TOKEN // BYTES_PER_WORD
     return " ".join(f"{randomness.getrandbits(28):07x}" for _ in range(max(1, words)))
 
 
 def count_violations(tally: Tally) -> dict[str, int]:
-    """Return what must be nothing: answers lost or wrong, whatever the policy is."""
+    """Return counts of lost or wrong answers, which must be 0 under every policy."""
     return {
         "lost": tally.lost,
         "doubled": tally.doubled,
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""A picture of measured figures against their aims."""
+"""Bar chart of measured figures relative to their limits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Bar(Struct, frozen=True, kw_only=True):
-    """One figure and what it should stay below."""
+    """One figure and its upper limit."""
 
     name: str
     value: float
@@ -21,12 +21,12 @@
 
 
 def save_plot(path: Path, bars: Sequence[Bar]) -> None:
-    """Write a bar for each figure, as a multiple of its aim."""
+    """Write a bar chart of the figures as multiples of their limits."""
     figure, axes = plt.subplots(figsize=(1.6 * len(bars), 4))
     drawn = axes.bar([bar.name for bar in bars], [bar.value / bar.limit for bar in bars])
     axes.bar_label(drawn, labels=[f"{bar.value:.3g}" for bar in bars])
     axes.axhline(1.0, color="black", linewidth=1)
-    axes.set_ylabel("multiple of the aim")
+    axes.set_ylabel("multiple of the limit")
     axes.set_title("control at 330 routers and 930 sides")
     figure.tight_layout()
     figure.savefig(path)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""The policies that a bench compares: ours and the baselines."""
+"""Placement policies compared by benchmarks: that of the product and the baselines."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 class BenchPolicy(Struct, frozen=True, kw_only=True):
     """How requests are placed and admitted in one run.
 
-    `sends_hint` is whether callers send the placement hint of the last answer back. With
-    `fifo` the sides know neither a cap nor classes.
+    `sends_hint`: callers return the placement hint of the last answer. `fifo`: sides serve requests
+    in order of arrival, without a cap on their load.
     """
 
     name: str
@@ -28,7 +28,7 @@
     fifo: bool = False
 
     def adapt(self, configuration: Configuration) -> Configuration:
-        """Return the configuration under which this policy runs."""
+        """Return the configuration with which this policy runs."""
         return make_fifo(configuration) if self.fifo else configuration
 
 
@@ -42,20 +42,19 @@
 
 
 def list_baselines(*, fifo: bool) -> list[BenchPolicy]:
-    """Return every baseline, with our admission or with plain first-come order."""
+    """Return every baseline, with the admission of the product or in FIFO order."""
     return [BenchPolicy(name=kind.value, placement=kind, fifo=fifo) for kind in BASELINE_KINDS]
 
 
 def select_policies(policies: list[BenchPolicy], names: list[str] | None) -> list[BenchPolicy]:
-    """Return the policies of these names, all without names."""
+    """Return the policies with these names, or all if `names` is None."""
     return [policy for policy in policies if names is None or policy.name in names]
 
 
 def make_fifo(configuration: Configuration) -> Configuration:
-    """Return a configuration under which sides serve in the order of arrival, without a cap.
+    """Return a configuration with which sides serve in FIFO order, without a cap.
 
-    Classes that are all alike, far targets and equal shares leave only the time of arrival to
-    order by.
+    Identical classes, distant targets and equal shares leave only the arrival time to order by.
     """
     classes = tuple(
         replace(item, first_token_ms=NO_TARGET_MS, answer_ms=NO_TARGET_MS, penalty=1.0, batch=False)
--- a/bench/probe_host.py
+++ b/bench/probe_host.py
@@ -1,4 +1,4 @@
-"""A process of the product that also measures how long its event loop stands still."""
+"""A router or side process that also measures the delays of its event loop."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class LoopProbe:
-    """The longest time between two turns of the loop, by the clock and in processor time.
+    """Longest delay of the event loop, in wall time and in processor time.
 
-    Processor time is that of the loop's thread, so that a busy machine does not count.
+    Processor time is that of the thread of the loop, so it is independent of other processes.
     """
 
     def __init__(self) -> None:
@@ -38,14 +38,14 @@
             self.cpu_ms = max(self.cpu_ms, (time.thread_time() - cpu_s) * MS_PER_S)
 
     def pop_longest(self) -> dict[str, float]:
-        """Return the longest times since the last call."""
+        """Return the longest delays since the last call."""
         longest = {"wall_ms": self.wall_ms, "cpu_ms": self.cpu_ms}
         self.wall_ms = self.cpu_ms = 0.0
         return longest
 
 
 class ProbedProcess:
-    """The parent's end."""
+    """Parent side: controls the process."""
 
     def __init__(self, *, role: Role, settings: dict[str, Any]) -> None:
         self.role = role
@@ -58,17 +58,17 @@
         self.link = parse_address(await self._child.async_start())
 
     async def async_pop_longest(self) -> dict[str, float]:
-        """Return the longest pauses since the last call."""
+        """Return the longest delays of the event loop since the last call."""
         longest: dict[str, float] = await self._child.async_command()
         return longest
 
     async def async_stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         await self._child.async_stop()
 
 
 async def async_host(plan: Command) -> None:
-    """Run the product and the probe until the standard input ends."""
+    """Run the instance and the probe until the end of standard input."""
     document = plan["settings"].encode()
     product = await async_setup(
         settings=check_linked_settings(role=Role(plan["role"]), document=document)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,7 +1,7 @@
-"""Cost of relaying tokens: processor time of a router and a side, and the added first-token time.
+"""Benchmark of token relaying: processor time of a router and a side, added first-token latency.
 
-The same callers run twice in one run, first straight to the engines, then through a router. Every
-engine, side, router and group of callers is a process of its own.
+The same callers send requests directly to the engines first, then through a router. Every engine,
+side, router and group of callers is a separate process.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class Phase(Struct, frozen=True, kw_only=True):
-    """What one run of the callers gave; times in milliseconds."""
+    """Results of one run of the callers."""
 
     result: ClientResult
     seconds: float
@@ -45,37 +45,37 @@
 
     @property
     def tokens_s(self) -> float:
-        """Return tokens a second that the callers received."""
+        """Return the tokens per second that the callers received."""
         return self.result.tokens / self.seconds
 
     def first_ms(self, quantile: int) -> float:
-        """Return a percentile of the first-token time."""
+        """Return a percentile of the first-token latency in ms."""
         return get_percentile(self.result.first_ms, quantile)
 
     def gap_ms(self, quantile: int) -> float:
-        """Return a percentile of the time between chunks."""
+        """Return a percentile of the time between chunks in ms."""
         return get_percentile(self.result.gap_ms, quantile)
 
 
 def get_percentile(values: list[float], percent: int) -> float:
-    """Return a percentile of the values, 0 without any."""
+    """Return a percentile of the values, or 0 if there are none."""
     if len(values) < 2:
         return values[0] if values else 0.0
     return statistics.quantiles(values, n=100, method="inclusive")[percent - 1]
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench relay")
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--share", type=float, default=0.5, help="of the two-year load")
+    parser.add_argument("--share", type=float, default=0.5, help="fraction of the target load")
     options = parser.parse_args(argv)
     print_machine()
     return asyncio.run(async_measure(seconds=options.seconds, share=options.share))
 
 
 async def async_measure(*, seconds: float, share: float) -> int:
-    """Measure both ways and print the figures."""
+    """Measure direct and routed requests and print the results."""
     deployment = replace(kotlovnica(), engines=0, services=0)
     settings = EngineSettings(
         slots=SLOTS,
@@ -115,7 +115,7 @@
 
 
 def make_side_plan(index: int, address: Address) -> SidePlan:
-    """Return the plan of the side beside one engine."""
+    """Return the plan of the side of an engine."""
     deployment = kotlovnica()
     return SidePlan(
         name=f"{deployment.engine_pool}-{index + 1}",
@@ -128,7 +128,7 @@
 
 
 def raise_pool_limits(configuration: Configuration) -> Configuration:
-    """Return the configuration with pools that never refuse at this load."""
+    """Return the configuration with pool limits that this load does not reach."""
     pools = tuple(replace(pool, slots=SLOTS, floor=SLOTS) for pool in configuration.pools)
     return replace(configuration, pools=pools)
 
@@ -139,7 +139,7 @@
     routers: list[DaemonProcess] | None = None,
     sides: list[DaemonProcess] | None = None,
 ) -> Phase:
-    """Run the callers, and read the processor time of the processes over the measured part."""
+    """Run the callers and measure the processor time of the processes after the warm-up."""
     clients = [
         asyncio.create_task(async_run_clients(replace(plan, seed=number)))
         for number in range(CLIENTS)
@@ -165,14 +165,14 @@
 
 
 def sum_cpu_s(processes: list[DaemonProcess] | None) -> float:
-    """Return the processor seconds that some processes have used so far."""
+    """Return the processor seconds used by processes so far."""
     return sum(process.read_usage().cpu_s for process in processes or ())
 
 
 def report(direct: Phase, routed: Phase) -> None:
-    """Print the table and the last line."""
+    """Print the tables and the JSON result."""
     print_table(
-        title=f"relay, {ENGINES} engines, one router; callers' view",
+        title=f"relay, {ENGINES} engines, one router; measured by callers",
         columns=("way", "tokens/s", "whole", "broken", "first p50", "first p95", "gap p95 ms"),
         rows=[
             [
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""What a bench prints: a readable table, and one JSON object as its last line."""
+"""Output of benchmarks: readable tables, and a JSON object as the last line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def print_table(*, title: str, columns: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows under their columns, padded to the widest cell."""
+    """Print a table with columns padded to their widest cells."""
     cells = [[_format_cell(cell) for cell in row] for row in rows]
     widths = [
         max([len(name), *(len(row[index]) for row in cells)]) for index, name in enumerate(columns)
@@ -24,7 +24,7 @@
 
 
 def print_machine() -> None:
-    """Print what the figures were measured on."""
+    """Print the machine, the Python version and the current load average."""
     load = os.getloadavg()[0]
     print(
         f"machine: {os.cpu_count()} cores, {platform.machine()}, Python "
@@ -33,7 +33,7 @@
 
 
 def print_result(figures: Mapping[str, Value]) -> None:
-    """Print the figures as the last line."""
+    """Print the JSON result; call it last."""
     print(json.dumps(figures, sort_keys=True), flush=True)
 
 
--- a/bench/role_slopes.py
+++ b/bench/role_slopes.py
@@ -1,4 +1,4 @@
-"""What one role spends on each thing, from the stages that it went through."""
+"""Marginal cost of each resource for a role, derived from the stages of a measurement."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
 
 
 class RoleSlopes(Struct, frozen=True, kw_only=True):
-    """What one role spends on each thing; memory in bytes, processor time in microseconds."""
+    """Marginal costs of a role.
+
+    Memory is in bytes, processor time in microseconds, and a core share is a fraction of a core.
+    """
 
     base_rss: float
     rss_per_list_entry: float
@@ -53,7 +56,7 @@
 def derive_slopes(
     stages: Mapping[str, Spent], change: ChangeCost, request: RequestCost, *, streams: int
 ) -> RoleSlopes:
-    """Return the slopes that the stages of one role show."""
+    """Return the marginal costs derived from the stages of a role."""
     base, listed, changed = stages[STAGE_BASE], stages[STAGE_LIST], stages[STAGE_LIST_CHANGES]
     configured, linked, held = (
         stages[STAGE_CONFIGURATION],
@@ -61,7 +64,7 @@
         stages[STAGE_HOLD],
     )
     list_read_s = (changed.core_share - listed.core_share) * changed.seconds / LIST_CHANGES
-    # A held stream still gives a token now and then, which is no control.
+    # Held streams still send a few tokens, whose cost is not control overhead.
     token_share = streams * MS_PER_S / HOLD_GAP_MS * request.token_us / US_PER_S
     steady = held.core_share - token_share
     changes = get_mean_rate(change.other_cpu_s, times=CHANGES_PER_DAY)
@@ -84,16 +87,16 @@
 
 
 def measure_status_us(stages: Mapping[str, Spent], *, frame_bytes: float) -> float:
-    """Return the processor time of one status that comes in, from two rates of them."""
+    """Return the processor time of a received status, derived from two status rates."""
     slow, fast = stages[STAGE_LINKS], stages[STAGE_STATUSES]
     more = (fast.rates[KIND_STATUS] - slow.rates[KIND_STATUS]) / frame_bytes
     return (fast.core_share - slow.core_share) / more * US_PER_S
 
 
 def measure_spread_token_us(full: FullSize, router: RoleSlopes) -> float:
-    """Return what a token costs a router where its streams are spread over all of its links.
+    """Return the cost of a token for a router whose streams are spread over all its links.
 
-    It costs more there than over a few links, since fewer tokens share a turn of the loop.
+    It is higher than with a few links, as fewer tokens share an iteration of the event loop.
     """
     requests = full.load_requests_s * router.request.request_us / US_PER_S
     share = full.router[STAGE_LOAD].core_share - router.control_core_share - requests
--- a/bench/skew.py
+++ b/bench/skew.py
@@ -1,4 +1,4 @@
-"""How evenly engines are loaded, sampled at the same instants."""
+"""Samples the load imbalance between engines."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 class SkewSampler:
     """Samples the running and waiting requests of the engines of one pool.
 
-    `ratios` has the largest load over the mean, for instants at which it was above the floor: up
-    to the floor the cap does not bind. `late_ms` has how late each sample was: with it the bench's
-    own process is known to have kept up. After `end_arrivals` the ratios go to `drain_ratios`:
-    nothing is placed any more, and what runs is neither cut nor moved.
+    `ratios` has the ratio of the largest load to the mean, for samples whose largest load is above
+    the floor; below it, no cap applies. `late_ms` has the delay of each sample and shows whether
+    the benchmark process was overloaded. After `end_arrivals`, ratios are added to `drain_ratios`,
+    as running requests are not moved.
     """
 
     __slots__ = ("_draining", "_engines", "_floor", "drain_ratios", "late_ms", "ratios")
@@ -47,9 +47,9 @@
         ratios.append(max(loads) / statistics.fmean(loads))
 
     def end_arrivals(self) -> None:
-        """Note that no further request comes."""
+        """Record that no further request is placed."""
         self._draining = True
 
     def get_share_above(self, cap: float) -> float:
-        """Return the share of the instants above the floor at which a multiple was exceeded."""
+        """Return the share of the samples above the floor whose ratio exceeds `cap`."""
         return sum(ratio > cap for ratio in self.ratios) / max(1, len(self.ratios))
--- a/bench/slope_math.py
+++ b/bench/slope_math.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, and what they say about another size."""
+"""Linear fits of measured points, for extrapolation to other fleet sizes."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Line(Struct, frozen=True, kw_only=True):
-    """A quantity that grows by `slope` with each unit from `base` on."""
+    """A linear function of the size."""
 
     base: float
     slope: float
 
     def at(self, size: float) -> float:
-        """Return the quantity at a size; it is never below 0."""
+        """Return the value at a size, at least 0."""
         return max(0.0, self.base + self.slope * size)
 
 
 def fit_line(points: Iterable[tuple[float, float]]) -> Line:
-    """Return the line of least squares through points of size and quantity.
+    """Return the least-squares fit of pairs of size and value.
 
-    A single size gives a flat line. Raises ValueError without any point.
+    Points of a single size give a constant. Raises ValueError if there are no points.
     """
     pairs = list(points)
     if not pairs:
-        raise ValueError("a line needs at least one point")
+        raise ValueError("cannot fit a line: expected at least one point, got none")
     mean_x = sum(x for x, _ in pairs) / len(pairs)
     mean_y = sum(y for _, y in pairs) / len(pairs)
     spread = sum((x - mean_x) ** 2 for x, _ in pairs)
@@ -36,7 +36,7 @@
 
 
 def fit_kinds(points: Sequence[tuple[float, Mapping[str, float]]]) -> dict[str, Line]:
-    """Return a line for each kind; a kind that is missing at a size counts 0 there."""
+    """Return a fit for each kind; a kind that is missing at a size counts as 0."""
     kinds = sorted({kind for _, rates in points for kind in rates})
     return {
         kind: fit_line((size, rates.get(kind, 0.0)) for size, rates in points) for kind in kinds
@@ -44,10 +44,10 @@
 
 
 def sum_at(lines: Mapping[str, Line], size: float) -> float:
-    """Return the sum of all kinds at a size."""
+    """Return the sum of all lines at a size."""
     return sum(line.at(size) for line in lines.values())
 
 
 def get_mean_rate(amount: float, *, times: float, seconds: float = 86_400) -> float:
-    """Return what something that comes a number of times in a period costs in each second."""
+    """Return the mean per second of an amount spent `times` times in a period, by default a day."""
     return amount * times / seconds
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""What each thing costs a process, and what a router and a side need at the two-year size."""
+"""Benchmark of marginal costs, and of the control overhead at the target size."""
 
 from __future__ import annotations
 
@@ -46,20 +46,23 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench slopes")
     parser.add_argument("--seconds", type=float, default=SECONDS)
     parser.add_argument(
-        "--tokens", type=int, default=TOKENS, help="in each answer under load; 220 in two years"
+        "--tokens",
+        type=int,
+        default=TOKENS,
+        help="tokens per answer under load; 220 at the target scale",
     )
-    parser.add_argument("--plot", type=Path, help="where to write a picture of the figures")
+    parser.add_argument("--plot", type=Path, help="file for a bar chart of the results")
     options = parser.parse_args(argv)
     print_machine()
     return asyncio.run(async_run(options))
 
 
 async def async_run(options: argparse.Namespace) -> int:
-    """Measure and print."""
+    """Run all measurements and print the results."""
     full = await FullSizeFleet(seconds=options.seconds, tokens=options.tokens).async_run(
         with_costs=True
     )
@@ -86,10 +89,10 @@
     roles: Mapping[str, RoleSlopes],
     controls: tuple[RoleControl, RoleControl],
 ) -> None:
-    """Print every slope."""
+    """Print the tables of stages, marginal costs and control traffic."""
     for name, stages in (("router", full.router), ("side", full.side)):
         print_table(
-            title=f"{name}, stage by stage: each adds to the one before",
+            title=f"{name} by stage; each stage adds to the one before",
             columns=("stage", "core share", "resident MB", "links", "control bytes/s"),
             rows=[
                 (
@@ -133,7 +136,7 @@
     for name, control in zip(roles, controls, strict=True):
         rows = sorted(control.rates.items(), key=lambda item: -item[1])
         print_table(
-            title=f"{name}: control bytes a second at 330 x 930",
+            title=f"{name}: control bytes per second at 330 x 930",
             columns=("kind", "bytes/s"),
             rows=[row for row in rows if row[1] > 0],
         )
--- a/bench/static_list.py
+++ b/bench/static_list.py
@@ -1,4 +1,4 @@
-"""An instance list that does not change and is encoded once, for very many readers."""
+"""Instance list service with a constant list that is encoded once, for many readers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StaticList:
-    """Serves one state of the list, of which it says at each read that it still holds."""
+    """Serves a constant list; a watch ends at its timeout with 204 and a current timestamp."""
 
     def __init__(self, *, instances: Iterable[Instance]) -> None:
         self.reads = 0
@@ -28,11 +28,11 @@
         self._listener = StandinListener(app=routes, host="127.0.0.1", port=0)
 
     async def async_start(self) -> Address:
-        """Start to listen and return the address."""
+        """Start listening and return the address."""
         return await self._listener.async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop listening."""
         await self._listener.async_stop()
 
     async def _async_get(self, request: web.Request) -> web.Response:
--- a/bench/target_scale.py
+++ b/bench/target_scale.py
@@ -1,4 +1,4 @@
-"""The size that the fleet is designed for, and figures that follow from it alone."""
+"""Target scale of a fleet ("two-year" in result keys), and figures derived from it."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 STREAMS_PER_PAIR: Final = STREAMS / ROUTERS / SIDES
 REQUESTS_S_PER_PAIR: Final = REQUESTS_S / ROUTERS / SIDES
 
-# A replaced instance leaves, goes and comes back under another name; a failed one only goes and
-# comes back.
+# A replaced instance drains, is removed and is added under another name; a failed one is removed
+# and added again.
 LIST_CHANGES_PER_DAY: Final = 3 * REPLACED_PER_DAY + 2 * FAILURES_PER_DAY
 
 Location = tuple[str, str, str]
@@ -54,7 +54,7 @@
 
 
 def list_locations(role: Role, count: int, *, regions: int) -> list[Location]:
-    """Return names with their data centre and region, spread over all of them in turn."""
+    """Return instance names with data centre and region, distributed round robin."""
     own = kotlovnica().region
     names = [own, *(f"region-{number}" for number in range(2, regions + 1))]
     centres = DATA_CENTRES // regions
@@ -69,16 +69,16 @@
 
 
 def make_deployment() -> Deployment:
-    """Return a deployment whose engines are started by the bench itself."""
+    """Return a deployment without engines; benchmarks start their own."""
     return replace(kotlovnica(), engines=0, services=0)
 
 
 def make_configuration(
     deployment: Deployment, *, version: int, workspaces: int, changed: int = 0
 ) -> Configuration:
-    """Return a document whose pool never refuses at the load of a bench.
+    """Return a configuration with a pool limit that benchmarks do not reach.
 
-    The share of one workspace follows from `changed`, as a day's ordinary change.
+    `changed` selects a workspace and its new share; 0 changes none.
     """
     plans = list(deployment.workspaces)
     plans += [WorkspacePlan(name=f"office-{n:05}") for n in range(workspaces - len(plans))]
@@ -103,7 +103,7 @@
 
 
 def make_pool(deployment: Deployment) -> Pool:
-    """Return a pool that never refuses."""
+    """Return a pool with a limit that benchmarks do not reach."""
     return Pool(
         name=deployment.engine_pool,
         kind=UpstreamKind.ENGINE,
@@ -114,7 +114,7 @@
 
 
 def get_class(deployment: Deployment) -> CallerClass:
-    """Return the class of most callers."""
+    """Return the class used for callers."""
     return deployment.interactive[0]
 
 
