--- a/bench/compare.py
+++ b/bench/compare.py
@@ -121,7 +121,7 @@
                 get_win_share(results, name),
             )
         )
-    columns = ("way", "credit", "spread", "in time", "late", "refused", "seeds won")
+    columns = ("variant", "credit", "spread", "in time", "late", "refused", "seeds won")
     print_table(title=load.name, columns=columns, rows=rows)
     return means
 
--- a/bench/config.py
+++ b/bench/config.py
@@ -155,8 +155,8 @@
         for name, versions in versions_by_phase.items()
     }
     if propagation is not None:
-        delays[f"{propagation.members} light processes"] = propagation.delays_s
-        delays[f"{propagation.members} light, outage"] = propagation.outage_delays_s
+        delays[f"{propagation.members} lightweight processes"] = propagation.delays_s
+        delays[f"{propagation.members} lightweight, outage"] = propagation.outage_delays_s
     print_table(
         title=f"seconds from acceptance until in force; {len(events)} real processes",
         columns=("part", "values", "p50", "max"),
@@ -186,7 +186,7 @@
         title="one change of one workspace out of 9,500",
         columns=("process", "bytes", "processor ms"),
         rows=[
-            (f"watches ({cost.watchers})", cost.watcher_bytes, cost.watcher_cpu_s * MS_PER_S),
+            (f"watchers ({cost.watchers})", cost.watcher_bytes, cost.watcher_cpu_s * MS_PER_S),
             ("others", cost.other_bytes, cost.other_cpu_s * MS_PER_S),
         ],
     )
@@ -198,10 +198,10 @@
                 role,
                 result.idle_lags[role]["wall_ms"],
                 result.idle_lags[role]["cpu_ms"],
-                taken["wall_ms"],
-                taken["cpu_ms"],
+                lags["wall_ms"],
+                lags["cpu_ms"],
             )
-            for role, taken in result.lags.items()
+            for role, lags in result.lags.items()
         ],
     )
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -194,7 +194,7 @@
     zero = Line(base=0.0, slope=0.0)
     print_table(
         title=f"{name}: bytes per second by kind, with {links} links",
-        columns=("kind", "measured", "by slope", "slope a link"),
+        columns=("kind", "measured", "by slope", "slope per link"),
         rows=[
             (
                 kind,
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -154,7 +154,7 @@
     async with open_traffic(
         stage, rates={**make_rates(stage), model: SURGE_RATE}, seed=seed
     ) as traffic:
-        await stage.async_wait_until(async_has_moved, "engines move to the surging model")
+        await stage.async_wait_until(async_has_moved, "more engines have loaded the surging model")
         took_s = get_now_s() - began_s
     after = stage.count_holders()
     return Phase(
@@ -174,13 +174,13 @@
     before, loads_before = stage.count_holders(), stage.count_loads()
 
     def has_changed() -> bool:
-        held = [models[model] for models in stage.get_holders().values() if model in models]
-        return bool(held) and all(found == version for found in held)
+        versions = [models[model] for models in stage.get_holders().values() if model in models]
+        return bool(versions) and all(found == version for found in versions)
 
     began_s = get_now_s()
     async with open_traffic(stage, rates=make_rates(stage), seed=seed + 1) as traffic:
         stage.publish({model: version})
-        await stage.async_wait_until(has_changed, "the new version is held")
+        await stage.async_wait_until(has_changed, "all engines with the model have the new version")
         took_s = get_now_s() - began_s
         await stage.async_wait_settled()
     return Phase(
@@ -214,14 +214,16 @@
             counts = stage.count_holders()
             return min(counts.values()) >= MIN_ENGINES and await stage.async_is_settled()
 
-        await stage.async_wait_until(async_has_recovered, "every model has its minimum again")
+        await stage.async_wait_until(
+            async_has_recovered, "every model is loaded on the minimum number of engines"
+        )
         took_s = get_now_s() - began_s
     after = stage.count_holders()
-    least = sum(max(0, MIN_ENGINES - count) for count in before.values())
+    min_loads = sum(max(0, MIN_ENGINES - count) for count in before.values())
     return Phase(
         name="loss",
         loads=stage.count_loads() - loads_before,
-        min_loads=least,
+        min_loads=min_loads,
         took_s=took_s,
         before=before,
         after=after,
@@ -275,7 +277,7 @@
                 return True
         return False
 
-    await stage.async_wait_until(async_find, "a side drains its engine")
+    await stage.async_wait_until(async_find, "a side drains its engine for an order")
     return found[0]
 
 
--- a/bench/placement_engine.py
+++ b/bench/placement_engine.py
@@ -41,7 +41,7 @@
         "_cached",
         "_capacity",
         "_prefill_free_ms",
-        "_running_requests",
+        "_requests_by_part",
         "_slowdown",
         "_used",
         "running",
@@ -51,7 +51,7 @@
         self._slowdown = slowdown
         self._capacity = capacity
         self._cached: OrderedDict[int, int] = OrderedDict()
-        self._running_requests: dict[int, int] = {}
+        self._requests_by_part: dict[int, int] = {}
         self._used = 0
         self._prefill_free_ms = 0.0
         self.running = 0
@@ -86,9 +86,9 @@
         """Finish a request; its parts stay cached until they are evicted."""
         self.running -= 1
         for part in prompt.parts:
-            self._running_requests[part.part] -= 1
-            if not self._running_requests[part.part]:
-                del self._running_requests[part.part]
+            self._requests_by_part[part.part] -= 1
+            if not self._requests_by_part[part.part]:
+                del self._requests_by_part[part.part]
         self._evict()
 
     def has_cached(self, part: int) -> bool:
@@ -108,12 +108,12 @@
             self._used += tokens
         self._cached[part] = tokens
         self._cached.move_to_end(part)
-        self._running_requests[part] = self._running_requests.get(part, 0) + 1
+        self._requests_by_part[part] = self._requests_by_part.get(part, 0) + 1
 
     def _evict(self) -> None:
         if self._used <= self._capacity:
             return
-        for part in [part for part in self._cached if part not in self._running_requests]:
+        for part in [part for part in self._cached if part not in self._requests_by_part]:
             self._used -= self._cached.pop(part)
             if self._used <= self._capacity:
                 return
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -173,7 +173,7 @@
     """Print the tables and the JSON result."""
     print_table(
         title=f"relay, {ENGINES} engines, one router; measured by callers",
-        columns=("way", "tokens/s", "whole", "broken", "first p50", "first p95", "gap p95 ms"),
+        columns=("path", "tokens/s", "whole", "broken", "first p50", "first p95", "gap p95 ms"),
         rows=[
             [
                 name,
--- a/bench/role_slopes.py
+++ b/bench/role_slopes.py
@@ -105,15 +105,15 @@
 
 SLOPES: Final[tuple[tuple[str, Callable[[RoleSlopes], float]], ...]] = (
     ("resident at the start, MB", lambda role: role.base_rss / MB),
-    ("resident a list entry, bytes", lambda role: role.rss_per_list_entry),
-    ("resident 1,000 workspaces, KB", lambda role: role.rss_per_1000_workspaces / KB),
-    ("resident a link, bytes", lambda role: role.rss_per_link),
-    ("resident an open stream, bytes", lambda role: role.rss_per_stream),
-    ("list read, us an entry", lambda role: role.list_read_us_per_entry),
+    ("resident per list entry, bytes", lambda role: role.rss_per_list_entry),
+    ("resident per 1,000 workspaces, KB", lambda role: role.rss_per_1000_workspaces / KB),
+    ("resident per link, bytes", lambda role: role.rss_per_link),
+    ("resident per open stream, bytes", lambda role: role.rss_per_stream),
+    ("list read, us per entry", lambda role: role.list_read_us_per_entry),
     ("configuration change, us", lambda role: role.change_us),
     ("request, us", lambda role: role.request.request_us),
     ("token, us", lambda role: role.request.token_us),
-    ("core share at rest", lambda role: role.idle_core_share),
-    ("core share with links at rest", lambda role: role.links_core_share),
-    ("core share with streams held", lambda role: role.held_core_share),
+    ("core share when idle", lambda role: role.idle_core_share),
+    ("core share with idle links", lambda role: role.links_core_share),
+    ("core share with open streams", lambda role: role.held_core_share),
 )
--- a/tests/bench/test_bench_ablate.py
+++ b/tests/bench/test_bench_ablate.py
@@ -1,4 +1,4 @@
-"""The ablation: templates without one mechanism, plays and their table."""
+"""Tests of the ablation benchmark: settings without a mechanism, runs, and the result table."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 @pytest.mark.parametrize("mechanism", list(Mechanism))
-def test_settings_switch_each_mechanism_off(mechanism: Mechanism) -> None:
+def test_settings_disable_each_mechanism(mechanism: Mechanism) -> None:
     document = disable_mechanism(json.dumps(SETTINGS), mechanism.value)
     assert check_forwarder_settings(document).without == {mechanism}
 
 
-def test_an_unknown_mechanism_is_named() -> None:
+def test_unknown_mechanism_is_rejected() -> None:
     with pytest.raises(SettingsInvalid, match="without"):
         check_forwarder_settings(disable_mechanism(json.dumps(SETTINGS), "wishes"))
 
 
-def test_the_deploy_template_stays_as_it_is_with_all_on() -> None:
+def test_deploy_template_is_unchanged_with_all_mechanisms() -> None:
     template = (ROOT / TEMPLATE).read_text()
     assert disable_mechanism(template, ALL_ENABLED) == template
     assert disable_mechanism(template, "copies").count('"without": ["copies"]') == 1
 
 
-def test_a_play_gives_the_figure_of_its_report(tmp_path: Path) -> None:
+def test_run_returns_figure_of_its_report(tmp_path: Path) -> None:
     (tmp_path / "made.json").write_text('{"G": 0.75}')
     report = tmp_path / "report.json"
     copy = f"cp {tmp_path}/made.json {{report}}"
@@ -53,7 +53,7 @@
     assert run_command(folder=tmp_path, command="true", report=report, field="G") is None
 
 
-def test_the_table_shows_what_is_lost_without_a_mechanism() -> None:
+def test_table_shows_gain_of_each_mechanism() -> None:
     figures: dict[AblationRun, float | None] = {
         AblationRun(disabled=ALL_ENABLED, command=0): 0.8,
         AblationRun(disabled="copies", command=0): 0.7,
--- a/tests/bench/test_bench_journal.py
+++ b/tests/bench/test_bench_journal.py
@@ -1,4 +1,4 @@
-"""The cost of the journal is measured with lines that are really written."""
+"""Tests of the journal benchmark: its lines must actually be written."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture(autouse=True)
-def keep_handlers() -> object:
-    """Put the root logger back as it was."""
+def restore_root_logger() -> object:
+    """Restore handlers and level of the root logger after each test."""
     root = logging.getLogger()
     handlers, level = list(root.handlers), root.level
     yield
@@ -21,12 +21,12 @@
     root.setLevel(level)
 
 
-def test_a_line_costs_more_where_it_is_written() -> None:
+def test_line_costs_more_with_logging_on() -> None:
     written_us = measure_line_us(level=LogLevel.INFO, lines=2_000)
     assert written_us > measure_line_us(level=LogLevel.ERROR, lines=2_000) > 0
 
 
-def test_the_command_tells_what_a_request_costs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_command_prints_costs_as_json(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["--lines", "2000"]) == 0
     figures = json.loads(capsys.readouterr().out.splitlines()[-1])
     assert figures["line_us"] > figures["line_without_log_us"]
