--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -36,7 +36,7 @@
 from gypsumrouter.journal import RequestEnded, RequestRefused
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
-from gypsumrouter.routing import NoRoute, Route, Routed, RoutingStore, WrongKey
+from gypsumrouter.routing import InvalidKey, NoRoute, Route, RouteMatch, RoutingStore
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -155,9 +155,9 @@
         match table.find(host=read.host, path=read.bare_path, key=read.key):
             case NoRoute():
                 return self._reject(read, Reason.NOT_FOUND, "No route fits the host and the path")
-            case WrongKey():
+            case InvalidKey():
                 return self._reject(read, Reason.UNAUTHENTICATED, "The key is not known")
-            case Routed() as routed:
+            case RouteMatch() as routed:
                 duration_ms = estimate_duration_ms(read, routed.route)
                 if not self._admits(duration_ms):
                     return self._refuse(read, Reason.LEAVING, "This router is stopping")
@@ -187,7 +187,7 @@
         return read.prompt is None or self._parts.placer.knows(read.prompt)
 
     async def _async_run(
-        self, request: web.BaseRequest, read: CallerRequest, routed: Routed, arrived_ms: int
+        self, request: web.BaseRequest, read: CallerRequest, routed: RouteMatch, arrived_ms: int
     ) -> web.StreamResponse:
         route = routed.route
         progress = Progress(
@@ -271,7 +271,7 @@
         )
 
     def _note_end(
-        self, read: CallerRequest, routed: Routed, progress: Progress, status: int
+        self, read: CallerRequest, routed: RouteMatch, progress: Progress, status: int
     ) -> None:
         total_ms = self._parts.app.clock.now_ms() - progress.arrived_ms
         self._metrics.count_end(
--- a/gypsumrouter/forwarding/relay.py
+++ b/gypsumrouter/forwarding/relay.py
@@ -108,8 +108,8 @@
         if not self._route.resumable:
             return None
         if self.response is None:
-            return max(MIN_SILENCE_MS, int(self._route.target_ms * SILENCE_FACTOR))
-        return max(MIN_SILENCE_MS, int(self._route.max_pause_ms * PAUSE_FACTOR))
+            return max(MIN_SILENCE_MS, int(self._route.target_latency_ms * SILENCE_FACTOR))
+        return max(MIN_SILENCE_MS, int(self._route.max_event_gap_ms * PAUSE_FACTOR))
 
     async def _async_write(self, begun: Begun, data: bytes) -> None:
         if not data:
--- a/gypsumrouter/forwarding/run.py
+++ b/gypsumrouter/forwarding/run.py
@@ -49,7 +49,7 @@
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
-from gypsumrouter.routing import Routed
+from gypsumrouter.routing import RouteMatch
 
 
 class RunParts(Struct, frozen=True, kw_only=True):
@@ -85,7 +85,7 @@
         *,
         parts: RunParts,
         request: CallerRequest,
-        routed: Routed,
+        routed: RouteMatch,
         service: str,
         web_request: web.BaseRequest,
         progress: Progress,
@@ -284,7 +284,7 @@
 
     def _get_limit_ms(self) -> int:
         """Return within what time an answer has its worth: the target, or the caller's time."""
-        target_ms = self._routed.route.target_ms
+        target_ms = self._routed.route.target_latency_ms
         waited_ms = self._now_ms() - self.progress.arrived_ms
         left_ms = self._left_ms()
         return min(left_ms, target_ms - waited_ms) if waited_ms < target_ms else left_ms
@@ -366,7 +366,7 @@
             return None
         if Mechanism.SILENCE in self._parts.without:
             return None
-        patience = max(MIN_SILENCE_MS, int(route.target_ms * SILENCE_FACTOR))
+        patience = max(MIN_SILENCE_MS, int(route.target_latency_ms * SILENCE_FACTOR))
         return max(1, min(patience, self._left_ms() // 2))
 
     def _make_sending(self, placed: Placed) -> Sending:
--- a/gypsumrouter/forwarding/story.py
+++ b/gypsumrouter/forwarding/story.py
@@ -22,7 +22,7 @@
     RequestRefused,
     StreamResumed,
 )
-from gypsumrouter.routing import Routed
+from gypsumrouter.routing import RouteMatch
 
 
 class RequestStory:
@@ -35,7 +35,7 @@
         *,
         journal: Journal,
         request: CallerRequest,
-        routed: Routed,
+        routed: RouteMatch,
         service: str,
         configuration: int,
         list_revision: int,
--- a/gypsumrouter/platform/configuration.py
+++ b/gypsumrouter/platform/configuration.py
@@ -10,7 +10,7 @@
 from gypsumrouter.exceptions import ConfigurationInvalid, DocumentInvalid
 from gypsumrouter.routing import (
     CallerLimits,
-    EngineTraits,
+    EngineCapacity,
     Route,
     RouteKind,
     RoutingConfiguration,
@@ -122,8 +122,8 @@
         prefix=route.prefix,
         kind=route.kind,
         timeout_ms=int(route.timeout_ms),
-        target_ms=int(route.target_latency_ms),
-        max_pause_ms=int(route.target_gap_ms),
+        target_latency_ms=int(route.target_latency_ms),
+        max_event_gap_ms=int(route.target_gap_ms),
         priority=route.priority,
         max_attempts=route.max_attempts,
         public=route.public,
@@ -135,7 +135,7 @@
 def _make_service(service: WireService) -> Service:
     engine = None
     if service.engine is not None:
-        engine = EngineTraits(slots=service.engine.slots, cache_tokens=service.engine.kv_tokens)
+        engine = EngineCapacity(slots=service.engine.slots, cache_tokens=service.engine.kv_tokens)
     return Service(
         name=service.name,
         max_connections=service.max_connections,
--- a/gypsumrouter/routing/__init__.py
+++ b/gypsumrouter/routing/__init__.py
@@ -4,7 +4,7 @@
 
 from gypsumrouter.routing.models import (
     CallerLimits,
-    EngineTraits,
+    EngineCapacity,
     Route,
     RouteKind,
     RoutingConfiguration,
@@ -14,15 +14,16 @@
     WorkspaceKeys,
 )
 from gypsumrouter.routing.store import RoutingStore
-from gypsumrouter.routing.table import NoRoute, Routed, RoutingTable, WrongKey
+from gypsumrouter.routing.table import InvalidKey, NoRoute, RouteMatch, RoutingTable
 
 __all__ = [
     "CallerLimits",
-    "EngineTraits",
+    "EngineCapacity",
+    "InvalidKey",
     "NoRoute",
     "Route",
     "RouteKind",
-    "Routed",
+    "RouteMatch",
     "RoutingConfiguration",
     "RoutingStore",
     "RoutingTable",
@@ -30,5 +31,4 @@
     "SlowStart",
     "Target",
     "WorkspaceKeys",
-    "WrongKey",
 ]
--- a/gypsumrouter/routing/models.py
+++ b/gypsumrouter/routing/models.py
@@ -25,8 +25,8 @@
 class Route(Struct, frozen=True, kw_only=True):
     """One route: requests to `host` whose path begins with `prefix`.
 
-    `timeout_ms` bounds the whole answer and `target_ms` is the latency objective; for streams it
-    is met by the first event, with no later pause above `max_pause_ms`. `max_attempts` counts the
+    `timeout_ms` bounds the whole answer and `target_latency_ms` is the latency objective; for streams it
+    is met by the first event, with no later pause above `max_event_gap_ms`. `max_attempts` counts the
     upstreams that may run one request. Rank 0 is the most urgent `priority`.
     """
 
@@ -35,8 +35,8 @@
     prefix: str
     kind: RouteKind
     timeout_ms: int
-    target_ms: int
-    max_pause_ms: int
+    target_latency_ms: int
+    max_event_gap_ms: int
     priority: int
     max_attempts: int
     public: bool
@@ -54,7 +54,7 @@
         return self.kind is RouteKind.STREAMING
 
 
-class EngineTraits(Struct, frozen=True, kw_only=True):
+class EngineCapacity(Struct, frozen=True, kw_only=True):
     """What is published of a service's model engines: its batch and its cache, in tokens."""
 
     slots: int
@@ -77,7 +77,7 @@
 
     name: str
     max_connections: int
-    engine: EngineTraits | None = None
+    engine: EngineCapacity | None = None
     slow_start: SlowStart | None = None
 
 
--- a/gypsumrouter/routing/table.py
+++ b/gypsumrouter/routing/table.py
@@ -7,7 +7,7 @@
 from gypsumrouter.routing.models import Route, RoutingConfiguration, Service, WorkspaceKeys
 
 
-class Routed(Struct, frozen=True, kw_only=True):
+class RouteMatch(Struct, frozen=True, kw_only=True):
     """A request that the configuration allows; public routes have no workspace."""
 
     route: Route
@@ -19,7 +19,7 @@
     """No route of the configuration fits the host and the path."""
 
 
-class WrongKey(Struct, frozen=True, kw_only=True):
+class InvalidKey(Struct, frozen=True, kw_only=True):
     """The route needs a key that the configuration knows."""
 
     route: Route
@@ -41,7 +41,7 @@
         self._has_workspaces = bool(configuration.workspaces)
         self._services = {service.name: service for service in configuration.services}
 
-    def find(self, *, host: str, path: str, key: str | None) -> Routed | NoRoute | WrongKey:
+    def find(self, *, host: str, path: str, key: str | None) -> RouteMatch | NoRoute | InvalidKey:
         """Return where a request belongs; `path` is without its query."""
         route = self._match(host, path)
         if route is None:
@@ -49,10 +49,10 @@
         workspace = None if key is None else self._keys.get(key)
         if workspace is None:
             if self._has_workspaces and not route.public:
-                return WrongKey(route=route)
-            return Routed(route=route, workspace="", priority=route.priority)
+                return InvalidKey(route=route)
+            return RouteMatch(route=route, workspace="", priority=route.priority)
         priority = route.priority if workspace.priority is None else workspace.priority
-        return Routed(route=route, workspace=workspace.name, priority=priority)
+        return RouteMatch(route=route, workspace=workspace.name, priority=priority)
 
     def get_service(self, name: str) -> Service | None:
         """Return a service by its name."""
--- a/tests/routing/test_routing_table.py
+++ b/tests/routing/test_routing_table.py
@@ -7,16 +7,16 @@
 from gypsumrouter.journal import Journal
 from gypsumrouter.routing import (
     CallerLimits,
+    InvalidKey,
     NoRoute,
     Route,
-    Routed,
     RouteKind,
+    RouteMatch,
     RoutingConfiguration,
     RoutingStore,
     RoutingTable,
     Target,
     WorkspaceKeys,
-    WrongKey,
 )
 from gypsumrouter.util.clock import ManualClock
 
@@ -28,8 +28,8 @@
         "prefix": prefix,
         "kind": RouteKind.IDEMPOTENT,
         "timeout_ms": 1_000,
-        "target_ms": 100,
-        "max_pause_ms": 0,
+        "target_latency_ms": 100,
+        "max_event_gap_ms": 0,
         "priority": 3,
         "max_attempts": 2,
         "public": False,
@@ -61,9 +61,9 @@
 def test_the_longest_prefix_counts_and_only_whole_segments_match() -> None:
     short, long = make_route("/a/"), make_route("/a/b/")
     table = RoutingTable(configuration=make_configuration(1, short, long))
-    assert find(table, "/a/b/c") == Routed(route=long, workspace="plant", priority=1)
-    assert find(table, "/a/bc") == Routed(route=short, workspace="plant", priority=1)
-    assert find(table, "/a/") == Routed(route=short, workspace="plant", priority=1)
+    assert find(table, "/a/b/c") == RouteMatch(route=long, workspace="plant", priority=1)
+    assert find(table, "/a/bc") == RouteMatch(route=short, workspace="plant", priority=1)
+    assert find(table, "/a/") == RouteMatch(route=short, workspace="plant", priority=1)
     assert find(table, "/a") == NoRoute()
     assert find(table, "/") == NoRoute()
 
@@ -76,15 +76,15 @@
 def test_a_key_names_its_workspace_and_a_wrong_one_is_told_apart_from_no_route() -> None:
     route = make_route("/a/")
     table = RoutingTable(configuration=make_configuration(1, route))
-    assert find(table, "/a/", "k3") == Routed(route=route, workspace="school", priority=3)
-    assert find(table, "/a/", "k9") == WrongKey(route=route)
-    assert find(table, "/a/", None) == WrongKey(route=route)
+    assert find(table, "/a/", "k3") == RouteMatch(route=route, workspace="school", priority=3)
+    assert find(table, "/a/", "k9") == InvalidKey(route=route)
+    assert find(table, "/a/", None) == InvalidKey(route=route)
 
 
 def test_a_public_route_needs_no_key() -> None:
     route = make_route("/a/", public=True)
     table = RoutingTable(configuration=make_configuration(1, route))
-    assert find(table, "/a/", None) == Routed(route=route, workspace="", priority=3)
+    assert find(table, "/a/", None) == RouteMatch(route=route, workspace="", priority=3)
 
 
 def test_versions_only_go_up() -> None:
