--- a/gypsumrouter/bootstrap_followers.py
+++ b/gypsumrouter/bootstrap_followers.py
@@ -73,7 +73,7 @@
         take_all=partial(_take_all_entries, directory),
         take_changes=partial(_take_changed_entries, directory),
         on_lost=directory.note_outage,
-        on_regained=directory.note_return,
+        on_regained=directory.note_recovered,
         count_peers=count_peers,
         count_watchers=count_watchers,
         is_watcher=is_watcher,
@@ -130,7 +130,7 @@
 def _take_changed_entries(directory: Directory, listed: Listed) -> None:
     for record in read_records(listed.items):
         directory.merge(record, source=SOURCE_PLATFORM)
-    directory.note_revision(listed.as_of)
+    directory.note_read_revision(listed.as_of)
 
 
 def read_records(items: tuple[Item, ...]) -> Iterator[Record]:
--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -145,8 +145,8 @@
 async def _async_settle(app: Application, directory: Directory, evacuations: Evacuations) -> None:
     while True:
         await app.clock.async_sleep(SETTLE_MS)
-        directory.settle()
-        evacuations.settle()
+        directory.apply_deferred()
+        evacuations.apply_deferred()
 
 
 def _watch_settings(
--- a/gypsumrouter/directory/evacuations.py
+++ b/gypsumrouter/directory/evacuations.py
@@ -12,7 +12,7 @@
 from gypsumrouter.util.revisions import get_epoch
 
 # A process that has just started does not know how old the evacuations are that it hears of.
-YOUNG_MS: Final = 2_000
+STARTUP_MS: Final = 2_000
 # A store that came back from a copy has its last writes again within about two seconds. Well below
 # the bounds within which an evacuation has to be in force.
 RESTORED_GRACE_MS: Final = 2_300
@@ -41,11 +41,11 @@
     """
 
     __slots__ = (
-        "_begun_ms",
+        "_began_ms",
         "_clock",
-        "_doubt_until_ms",
-        "_doubtful",
+        "_deferred",
         "_evacuations",
+        "_grace_until_ms",
         "_journal",
         "_listeners",
         "_started_ms",
@@ -56,11 +56,11 @@
         self._started_ms = app.clock.now_ms()
         self._journal = journal
         # When this process heard of evacuations that began while it ran.
-        self._begun_ms: dict[str, int] = {}
+        self._began_ms: dict[str, int] = {}
         self._evacuations: dict[str, Evacuation] = {}
         # What a copy says otherwise, by data centre, and until when it is in doubt.
-        self._doubtful: dict[str, Evacuation] = {}
-        self._doubt_until_ms = 0
+        self._deferred: dict[str, Evacuation] = {}
+        self._grace_until_ms = 0
         self._listeners: list[EvacuationListener] = []
         app.add_dump_section("evacuations", self._dump)
 
@@ -71,8 +71,8 @@
 
     def get_age_ms(self, data_centre: str) -> int | None:
         """Return how long ago an evacuation was heard of; None where it may be older than that."""
-        begun_ms = self._begun_ms.get(data_centre)
-        return None if begun_ms is None else self._clock.now_ms() - begun_ms
+        began_ms = self._began_ms.get(data_centre)
+        return None if began_ms is None else self._clock.now_ms() - began_ms
 
     def list_all(self) -> tuple[Evacuation, ...]:
         """Return all that is known, ended evacuations too, for peers that know less."""
@@ -83,28 +83,28 @@
         names = set()
         for evacuation in listed:
             names.add(evacuation.data_centre)
-            self._take_listed(evacuation, source)
+            self._merge_listed(evacuation, source)
         for known in self.list_all():
             if known.data_centre not in names and known.active:
                 ended = Evacuation(data_centre=known.data_centre, revision=revision, active=False)
-                self._take_listed(ended, source)
+                self._merge_listed(ended, source)
 
-    def settle(self) -> None:
+    def apply_deferred(self) -> None:
         """Act on what a copy said and still holds; call it a few times a second."""
-        if not self._doubtful or self._clock.now_ms() < self._doubt_until_ms:
+        if not self._deferred or self._clock.now_ms() < self._grace_until_ms:
             return
-        doubtful, self._doubtful = self._doubtful, {}
-        for evacuation in doubtful.values():
+        deferred, self._deferred = self._deferred, {}
+        for evacuation in deferred.values():
             self.merge(evacuation, source="restored")
 
-    def _take_listed(self, evacuation: Evacuation, source: str) -> None:
+    def _merge_listed(self, evacuation: Evacuation, source: str) -> None:
         known = self._evacuations.get(evacuation.data_centre)
-        if known is None or not _may_be_copied(evacuation, known):
+        if known is None or not _may_be_stale(evacuation, known):
             self.merge(evacuation, source=source)
             return
-        if not self._doubtful:
-            self._doubt_until_ms = self._clock.now_ms() + RESTORED_GRACE_MS
-        self._doubtful[evacuation.data_centre] = evacuation
+        if not self._deferred:
+            self._grace_until_ms = self._clock.now_ms() + RESTORED_GRACE_MS
+        self._deferred[evacuation.data_centre] = evacuation
 
     def merge(self, evacuation: Evacuation, *, source: str) -> bool:
         """Take one evacuation if it is newer than what is known; return whether it was."""
@@ -114,10 +114,10 @@
         if known is None and len(self._evacuations) >= MAX_DATA_CENTRES:
             return False
         self._evacuations[evacuation.data_centre] = evacuation
-        self._doubtful.pop(evacuation.data_centre, None)
+        self._deferred.pop(evacuation.data_centre, None)
         if evacuation.active == (known is not None and known.active):
             return True
-        self._note_begun(evacuation)
+        self._note_change_time(evacuation)
         self._journal.record(
             DataCentreEvacuated(
                 data_centre=evacuation.data_centre,
@@ -135,25 +135,25 @@
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
-    def _note_begun(self, evacuation: Evacuation) -> None:
+    def _note_change_time(self, evacuation: Evacuation) -> None:
         now_ms = self._clock.now_ms()
-        if evacuation.active and now_ms - self._started_ms >= YOUNG_MS:
-            self._begun_ms[evacuation.data_centre] = now_ms
+        if evacuation.active and now_ms - self._started_ms >= STARTUP_MS:
+            self._began_ms[evacuation.data_centre] = now_ms
         else:
-            self._begun_ms.pop(evacuation.data_centre, None)
+            self._began_ms.pop(evacuation.data_centre, None)
 
     def _dump(self) -> object:
         return {
             known.data_centre: {
                 "active": known.active,
                 "revision": known.revision,
-                "in_doubt": known.data_centre in self._doubtful,
+                "in_doubt": known.data_centre in self._deferred,
             }
             for known in self.list_all()
         }
 
 
-def _may_be_copied(evacuation: Evacuation, known: Evacuation) -> bool:
+def _may_be_stale(evacuation: Evacuation, known: Evacuation) -> bool:
     """Return whether what a list says may be older than what is known, though it was read later."""
     later = get_epoch(evacuation.revision) > get_epoch(known.revision)
     return later and evacuation.active != known.active
--- a/gypsumrouter/directory/models.py
+++ b/gypsumrouter/directory/models.py
@@ -12,7 +12,7 @@
 
 # The last five digits of a start's time in base 36 repeat after 16 hours; an upstream does not
 # start twice at such a distance to the millisecond.
-TAG_DIGITS: Final = 5
+SUFFIX_LENGTH: Final = 5
 _DIGITS: Final = "0123456789abcdefghijklmnopqrstuvwxyz"
 
 
@@ -66,7 +66,7 @@
     if born_ms <= 0:
         return upstream
     digits = []
-    for _ in range(TAG_DIGITS):
+    for _ in range(SUFFIX_LENGTH):
         born_ms, digit = divmod(born_ms, len(_DIGITS))
         digits.append(_DIGITS[digit])
     return f"{upstream}~{''.join(reversed(digits))}"
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -200,7 +200,7 @@
             routed=routed,
             service=service,
             configuration=self._routing.version,
-            list_revision=self._directory.newest,
+            list_revision=self._directory.applied_revision,
         )
         run = RequestRun(
             parts=self._parts,
@@ -266,7 +266,7 @@
                 retry_after_ms=retry_after_ms,
                 waited_ms=0,
                 configuration=self._routing.version,
-                list_revision=self._directory.newest,
+                list_revision=self._directory.applied_revision,
             )
         )
 
--- a/gypsumrouter/peers/catch_up.py
+++ b/gypsumrouter/peers/catch_up.py
@@ -85,7 +85,7 @@
         """Ask a peer that has been ahead for longer than the platform's own news take."""
         now_ms = self._app.clock.now_ms()
         routing = routing_version > self._routing.version
-        upstreams = list_revision > self._directory.newest
+        upstreams = list_revision > self._directory.applied_revision
         self._behind_routing_ms = _since(self._behind_routing_ms, routing, now_ms)
         self._behind_list_ms = _since(self._behind_list_ms, upstreams, now_ms)
         if now_ms - self._asked_ms < CATCH_UP_MS:
@@ -128,7 +128,7 @@
         return True
 
     def _get_list_as_of(self) -> int:
-        return self._directory.limit_to_acted_on(self._list.as_of or 0)
+        return self._directory.limit_to_applied(self._list.as_of or 0)
 
     def _is_due(self, since_ms: int | None, now_ms: int) -> bool:
         """Return whether to ask now; a process that knows nothing yet asks at once."""
@@ -182,9 +182,9 @@
             except ValueError as error:
                 _LOGGER.error("%s sent an unreadable entry: %s", peer.hello.name, error)
                 continue
-            taken += self._directory.merge(record, source=peer.hello.name, settled=True)
+            taken += self._directory.merge(record, source=peer.hello.name, confirmed=True)
         self._list.advance(told.as_of)
-        self._directory.note_told()
+        self._directory.note_peer_synced()
         if told.entries:
             self._journal.record(
                 PeerNews(
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -230,7 +230,7 @@
             address=self._routers.own,
             routers=self._list_routers(known),
             routing_version=self._routing.version,
-            list_revision=self._directory.newest,
+            list_revision=self._directory.applied_revision,
             evacuations=write_evacuations(self._evacuations),
             data_centre=self._app.data_centre,
         )
--- a/gypsumrouter/peers/relays.py
+++ b/gypsumrouter/peers/relays.py
@@ -196,7 +196,7 @@
                 loads=write_sums(self._loads, peers=_list_names(neighbours)),
             ),
             routing_version=self._routing.version,
-            list_revision=self._directory.newest,
+            list_revision=self._directory.applied_revision,
             placed=placed,
             strikes=self._far.strikes(now_ms=self._app.clock.now_ms()),
             evacuations=write_evacuations(self._evacuations),
--- a/gypsumrouter/peers/watchers.py
+++ b/gypsumrouter/peers/watchers.py
@@ -127,8 +127,8 @@
         return StoreWatched(
             routing_version=self._routing_store.version,
             routing_as_of=_tell_as_of(self._routing),
-            list_newest=self._directory.newest,
-            list_as_of=self._directory.limit_to_acted_on(_tell_as_of(self._list)),
+            list_newest=self._directory.applied_revision,
+            list_as_of=self._directory.limit_to_applied(_tell_as_of(self._list)),
             evacuations=write_evacuations(self._evacuations),
         )
 
--- a/tests/directory/test_directory_births.py
+++ b/tests/directory/test_directory_births.py
@@ -152,14 +152,14 @@
     watcher = Watcher()
     watcher.merge(3)
     watcher.directory.note_outage()
-    watcher.directory.note_return()
+    watcher.directory.note_recovered()
     watcher.directory.replace_all([], revision=20, source="p")
     assert watcher.get_state() is EntryState.READY
-    assert watcher.directory.newest == 3
+    assert watcher.directory.applied_revision == 3
     gone = make_record("i-1", 15, EntryState.GONE, 0)
-    assert watcher.directory.merge(gone, source="entry-2", settled=True)
+    assert watcher.directory.merge(gone, source="entry-2", confirmed=True)
     assert watcher.get_state() is EntryState.GONE
-    assert watcher.directory.newest == 20
+    assert watcher.directory.applied_revision == 20
 
 
 class BirthsMachine(RuleBasedStateMachine):
--- a/tests/directory/test_directory_evacuations.py
+++ b/tests/directory/test_directory_evacuations.py
@@ -9,7 +9,7 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Evacuation, Evacuations
-from gypsumrouter.directory.evacuations import YOUNG_MS
+from gypsumrouter.directory.evacuations import STARTUP_MS
 from gypsumrouter.journal import Journal
 from gypsumrouter.published import Item
 from gypsumrouter.util.clock import ManualClock
@@ -102,7 +102,7 @@
     clock = ManualClock()
     evacuations = make_evacuations(clock)
     evacuations.merge(make("dc-a", 1), source="p")
-    clock.advance(YOUNG_MS)
+    clock.advance(STARTUP_MS)
     evacuations.merge(make("dc-b", 2), source="p")
     clock.advance(500)
     assert evacuations.get_age_ms("dc-a") is None
--- a/tests/directory/test_directory_machine.py
+++ b/tests/directory/test_directory_machine.py
@@ -10,7 +10,7 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Record
-from gypsumrouter.directory.directory import LAPSE_GRACE_MS
+from gypsumrouter.directory.directory import RECOVERY_GRACE_MS
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
@@ -53,14 +53,14 @@
     directory.note_outage()
     directory.merge(make_record("i-1", 2, EntryState.GONE), source="p")
     clock.advance(60_000)
-    directory.settle()
+    directory.apply_deferred()
     assert _state(directory, "i-1") is EntryState.READY
-    directory.note_return()
-    clock.advance(LAPSE_GRACE_MS - 1)
-    directory.settle()
+    directory.note_recovered()
+    clock.advance(RECOVERY_GRACE_MS - 1)
+    directory.apply_deferred()
     assert _state(directory, "i-1") is EntryState.READY
     clock.advance(1)
-    directory.settle()
+    directory.apply_deferred()
     assert _state(directory, "i-1") is EntryState.GONE
 
 
@@ -70,10 +70,10 @@
     directory.merge(make_record("i-1", 1), source="p")
     directory.note_outage()
     directory.merge(make_record("i-1", 2, EntryState.GONE), source="p")
-    directory.note_return()
+    directory.note_recovered()
     directory.merge(make_record("i-1", 3), source="p")
-    clock.advance(LAPSE_GRACE_MS)
-    directory.settle()
+    clock.advance(RECOVERY_GRACE_MS)
+    directory.apply_deferred()
     assert _state(directory, "i-1") is EntryState.READY
 
 
@@ -89,7 +89,7 @@
     directory = make_directory(ManualClock())
     directory.merge(make_record("i-1", 1), source="p")
     directory.note_outage()
-    directory.merge(make_record("i-1", 2, EntryState.GONE), source="entry-2", settled=True)
+    directory.merge(make_record("i-1", 2, EntryState.GONE), source="entry-2", confirmed=True)
     assert _state(directory, "i-1") is EntryState.GONE
 
 
@@ -113,7 +113,7 @@
     for _ in range(3):
         directory.note_leaving("i-1", source="answer")
     assert heard == [EntryState.LEAVING]
-    assert directory.newest == 1
+    assert directory.applied_revision == 1
 
 
 def test_a_word_that_comes_before_the_entry_counts_for_it() -> None:
@@ -166,12 +166,12 @@
         """Lose the store."""
         self.directory.note_outage()
 
-    @rule(pause_ms=st.integers(min_value=0, max_value=2 * LAPSE_GRACE_MS))
+    @rule(pause_ms=st.integers(min_value=0, max_value=2 * RECOVERY_GRACE_MS))
     def regain(self, pause_ms: int) -> None:
         """Regain the store and let time pass."""
-        self.directory.note_return()
+        self.directory.note_recovered()
         self.clock.advance(pause_ms)
-        self.directory.settle()
+        self.directory.apply_deferred()
 
     @invariant()
     def leaving_is_final(self) -> None:
--- a/tests/directory/test_directory_restored.py
+++ b/tests/directory/test_directory_restored.py
@@ -19,7 +19,7 @@
     Evacuations,
     Record,
 )
-from gypsumrouter.directory.directory import LAPSE_GRACE_MS
+from gypsumrouter.directory.directory import RECOVERY_GRACE_MS
 from gypsumrouter.directory.evacuations import RESTORED_GRACE_MS
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
@@ -50,8 +50,8 @@
     def pass_time(self, duration_ms: int) -> None:
         """Let time pass."""
         self.clock.advance(duration_ms)
-        self.directory.settle()
-        self.evacuations.settle()
+        self.directory.apply_deferred()
+        self.evacuations.apply_deferred()
 
 
 @pytest.fixture
@@ -92,7 +92,7 @@
         world.directory.merge(record(1, number, state), source="p")
     world.directory.replace_all([record(2, 10)], revision=name(2, 15), source="p")
     assert world.state() is LEAVING
-    world.pass_time(10 * LAPSE_GRACE_MS)
+    world.pass_time(10 * RECOVERY_GRACE_MS)
     assert world.state() is LEAVING
     world.directory.merge(record(2, 16, GONE), source="p")
     world.directory.merge(record(2, 17), source="p")
@@ -103,7 +103,7 @@
     world.directory.merge(record(1, 10), source="p")
     world.directory.merge(record(1, 30, GONE), source="p")
     world.directory.replace_all([record(2, 10)], revision=name(2, 15), source="p")
-    world.pass_time(LAPSE_GRACE_MS - 1)
+    world.pass_time(RECOVERY_GRACE_MS - 1)
     assert world.state() is GONE
     world.pass_time(1)
     assert world.state() is READY
@@ -114,7 +114,7 @@
     world.directory.merge(record(1, 30, GONE), source="p")
     world.directory.replace_all([record(2, 10)], revision=name(2, 15), source="p")
     world.directory.merge(record(2, 16, GONE), source="p")
-    world.pass_time(2 * LAPSE_GRACE_MS)
+    world.pass_time(2 * RECOVERY_GRACE_MS)
     assert world.state() is GONE
 
 
@@ -122,7 +122,7 @@
     """One that has just started has read the copy and nothing else."""
     world.directory.merge(record(1, 10), source="p")
     world.directory.merge(record(1, 30, GONE), source="p")
-    world.directory.merge(record(2, 10), source="entry-2", settled=True)
+    world.directory.merge(record(2, 10), source="entry-2", confirmed=True)
     assert world.state() is GONE
 
 
@@ -145,14 +145,14 @@
     world.directory.replace_all([record(2, 5, upstream="i-2")], revision=name(2, 20), source="p")
     assert world.state() is READY
     world.directory.merge(record(2, 21), source="p")
-    world.pass_time(LAPSE_GRACE_MS)
+    world.pass_time(RECOVERY_GRACE_MS)
     assert world.state() is READY
 
 
 def test_an_upstream_that_does_not_come_back_is_gone_after_the_grace(world: World) -> None:
     world.directory.replace_all([record(1, 30)], revision=name(1, 30), source="p")
     world.directory.replace_all([], revision=name(2, 20), source="p")
-    world.pass_time(LAPSE_GRACE_MS - 1)
+    world.pass_time(RECOVERY_GRACE_MS - 1)
     assert world.state() is READY
     world.pass_time(1)
     assert world.state() is GONE
@@ -162,12 +162,12 @@
     world.directory.merge(record(1, 100), source="p")
     world.directory.merge(record(2, 37, LEAVING), source="p")
     assert world.state() is LEAVING
-    assert world.directory.newest == name(2, 37)
+    assert world.directory.applied_revision == name(2, 37)
 
 
 def test_late_words_of_an_earlier_epoch_change_nothing(world: World) -> None:
     world.directory.merge(record(2, 10), source="p")
-    assert not world.directory.merge(record(1, 100, GONE), source="entry-2", settled=True)
+    assert not world.directory.merge(record(1, 100, GONE), source="entry-2", confirmed=True)
     assert world.state() is READY
 
 
--- a/tests/forwarding/test_forwarding_changes.py
+++ b/tests/forwarding/test_forwarding_changes.py
@@ -92,7 +92,7 @@
     world: ForwardingWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its peers had the store all the while: it need not wait for the entry to come back."""
-    monkeypatch.setattr(directory, "LAPSE_GRACE_MS", 600_000)
+    monkeypatch.setattr(directory, "RECOVERY_GRACE_MS", 600_000)
     own_store = PublishedStoreStandin()
     own_address = await own_store.async_start()
     await world.async_fill(own_store)
--- a/tests/forwarding/test_forwarding_placer.py
+++ b/tests/forwarding/test_forwarding_placer.py
@@ -8,7 +8,7 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations, Record
-from gypsumrouter.directory.evacuations import YOUNG_MS
+from gypsumrouter.directory.evacuations import STARTUP_MS
 from gypsumrouter.forwarding.eligibility import NoPlace
 from gypsumrouter.forwarding.health import HealthBook
 from gypsumrouter.forwarding.models import Prompt, PromptPart
@@ -110,7 +110,7 @@
 def test_prompts_of_an_evacuated_data_centre_are_copied_at_its_beginning_and_never_later() -> None:
     clock = ManualClock(now_ms=100_000)
     router = Router(clock, random.Random(3))
-    clock.advance(YOUNG_MS)
+    clock.advance(STARTUP_MS)
     prompt = make_prompt(1)
     holder = router.place(1)
     router.placer.note_held(part=1, upstream=holder)
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -163,7 +163,7 @@
             take_all=self._take_all,
             take_changes=self._take_changes,
             on_lost=self.directory.note_outage,
-            on_regained=self.directory.note_return,
+            on_regained=self.directory.note_recovered,
             count_peers=self.routers.count_alive,
             count_watchers=self.desk.count_watchers,
             is_watcher=self.desk.is_watcher,
@@ -221,7 +221,7 @@
     def _take_changes(self, listed: Listed) -> None:
         for record in read(listed):
             self.directory.merge(record, source="platform")
-        self.directory.note_revision(listed.as_of)
+        self.directory.note_read_revision(listed.as_of)
 
 
 class PeerFleet:
@@ -268,8 +268,8 @@
             self.clock.advance(STEP_MS)
             await async_turn()
             for router in self.running():
-                router.directory.settle()
-                router.evacuations.settle()
+                router.directory.apply_deferred()
+                router.evacuations.apply_deferred()
 
     def running(self) -> Iterator[FleetRouter]:
         """Return the routers that run."""
@@ -302,7 +302,9 @@
         router.relays.note_placed(placed)
         told = write_evacuations(other.evacuations)
         router.catch_up.take_evacuations(peer, told)
-        router.catch_up.compare(peer, routing_version=0, list_revision=other.directory.newest)
+        router.catch_up.compare(
+            peer, routing_version=0, list_revision=other.directory.applied_revision
+        )
 
 
 async def async_turn() -> None:
--- a/tests/peers/test_peers_watchers_machine.py
+++ b/tests/peers/test_peers_watchers_machine.py
@@ -97,8 +97,8 @@
         if not hasattr(self, "_fleet"):
             return
         for router in self._fleet.routers:
-            assert router.directory.newest >= router.seen
-            router.seen = router.directory.newest
+            assert router.directory.applied_revision >= router.seen
+            router.seen = router.directory.applied_revision
 
     def _note_unwell(self, router: FleetRouter) -> None:
         self._unwell_ms[router.name] = self._fleet.clock.now_ms()
@@ -108,7 +108,7 @@
         for router in self._fleet.routers:
             if self._is_well(router, now_ms):
                 due = self._get_due(now_ms)
-                assert router.directory.newest >= due, router.name
+                assert router.directory.applied_revision >= due, router.name
                 self._check_last(router, now_ms)
 
     def _check_last(self, router: FleetRouter, now_ms: int) -> None:
