--- a/gypsumrouter/directory/directory.py
+++ b/gypsumrouter/directory/directory.py
@@ -215,7 +215,7 @@
             self._grace_until_ms is not None
             and known.entry.state is EntryState.GONE
             and record.entry.state is EntryState.READY
-            and record.entry.born_ms <= known.entry.born_ms
+            and record.entry.started_ms <= known.entry.started_ms
             and known.entry.incarnation not in self._listed_leaving
             and get_epoch(known.revision) < get_epoch(record.revision)
         )
@@ -269,7 +269,9 @@
         self._incarnations.pop(earlier.incarnation, None)
         if earlier.state is EntryState.GONE:
             return
-        gone = Entry(upstream=earlier.upstream, state=EntryState.GONE, born_ms=earlier.born_ms)
+        gone = Entry(
+            upstream=earlier.upstream, state=EntryState.GONE, started_ms=earlier.started_ms
+        )
         known = Record(revision=revision, entry=earlier)
         self._announce(known, gone, revision, source)
 
@@ -299,7 +301,7 @@
             "upstreams": [
                 {
                     "id": record.entry.upstream,
-                    "born_ms": record.entry.born_ms,
+                    "born_ms": record.entry.started_ms,
                     "service": record.entry.service,
                     "state": record.entry.state.value,
                     "revision": record.revision,
@@ -315,17 +317,17 @@
     The word of an earlier start may come late. What cannot be read says only that a ready upstream
     gets no new work for now.
     """
-    if entry.born_ms and entry.born_ms < known.born_ms:
+    if entry.started_ms and entry.started_ms < known.started_ms:
         return False
     return entry.state is not EntryState.UNUSABLE or known.state is EntryState.READY
 
 
 def _combine(entry: Entry, known: Entry) -> Entry:
     """Return what holds after an entry that follows a known one."""
-    if entry.born_ms > known.born_ms:
+    if entry.started_ms > known.started_ms:
         return entry
     # An entry that does not tell its start is of the start that is known.
-    entry = replace(entry, born_ms=known.born_ms)
+    entry = replace(entry, started_ms=known.started_ms)
     if entry.state is EntryState.UNUSABLE:
         return replace(known, state=EntryState.UNUSABLE)
     if known.state is EntryState.LEAVING and entry.state is EntryState.READY:
--- a/gypsumrouter/directory/models.py
+++ b/gypsumrouter/directory/models.py
@@ -33,9 +33,9 @@
     """One incarnation of an upstream.
 
     `upstream` is the id under which it is listed; a later start may have the same id, with a later
-    `born_ms` (Unix time; 0 where it is not told). `incarnation` names this start alone: whatever is
+    `started_ms` (Unix time; 0 where it is not told). `incarnation` names this start alone: whatever is
     believed of an upstream is kept under that name, so that a new start begins with nothing.
-    `slots` is how many requests it runs at once, `cold_ms` how much longer it is slow after its
+    `slots` is how many requests it runs at once, `warm_up_ms` how much longer it is slow after its
     start. An entry that is gone keeps only its id and its start.
     """
 
@@ -45,12 +45,12 @@
     address: Address | None = None
     data_centre: str = ""
     slots: int = 1
-    cold_ms: int = 0
-    born_ms: int = 0
+    warm_up_ms: int = 0
+    started_ms: int = 0
     incarnation: str = ""
 
     def __post_init__(self) -> None:
-        name = name_incarnation(upstream=self.upstream, born_ms=self.born_ms)
+        name = name_incarnation(upstream=self.upstream, started_ms=self.started_ms)
         force_setattr(self, "incarnation", name)
 
 
@@ -61,12 +61,12 @@
     entry: Entry
 
 
-def name_incarnation(*, upstream: str, born_ms: int) -> str:
+def name_incarnation(*, upstream: str, started_ms: int) -> str:
     """Return the name of one start of an upstream; without a time of the start it is the id."""
-    if born_ms <= 0:
+    if started_ms <= 0:
         return upstream
     digits = []
     for _ in range(SUFFIX_LENGTH):
-        born_ms, digit = divmod(born_ms, len(_DIGITS))
+        started_ms, digit = divmod(started_ms, len(_DIGITS))
         digits.append(_DIGITS[digit])
     return f"{upstream}~{''.join(reversed(digits))}"
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -219,8 +219,8 @@
             _LOGGER.warning("Upstream %s does not list what it holds: %r", entry.incarnation, error)
             return
         # A later start may answer before the list tells of it; what it holds is its own.
-        born_ms = held.born_ms or entry.born_ms
-        incarnation = name_incarnation(upstream=entry.upstream, born_ms=born_ms)
+        born_ms = held.born_ms or entry.started_ms
+        incarnation = name_incarnation(upstream=entry.upstream, started_ms=born_ms)
         parts = tuple(part.part for part in held.parts if part.tokens >= MIN_TOKENS)
         for part in parts:
             self._placer.note_held(part=part, upstream=incarnation)
--- a/gypsumrouter/forwarding/slow_start.py
+++ b/gypsumrouter/forwarding/slow_start.py
@@ -183,8 +183,8 @@
         if entry.state is EntryState.GONE:
             self._warming.pop(entry.incarnation, None)
             self._turns.pop(entry.incarnation, None)
-        elif entry.cold_ms > 0:
-            self._note(entry, entry.cold_ms, REASON_LISTED)
+        elif entry.warm_up_ms > 0:
+            self._note(entry, entry.warm_up_ms, REASON_LISTED)
 
     def note_refused(self, entry: Entry) -> None:
         """Note that an upstream refused a connection: when it is back it has started again."""
--- a/gypsumrouter/peers/catch_up.py
+++ b/gypsumrouter/peers/catch_up.py
@@ -215,8 +215,8 @@
         address="" if entry.address is None else str(entry.address),
         data_centre=entry.data_centre,
         slots=entry.slots,
-        born_ms=entry.born_ms,
-        cold_ms=entry.cold_ms,
+        born_ms=entry.started_ms,
+        cold_ms=entry.warm_up_ms,
     )
 
 
@@ -230,7 +230,7 @@
             address=parse_address(entry.address) if entry.address else None,
             data_centre=entry.data_centre,
             slots=entry.slots,
-            born_ms=entry.born_ms,
-            cold_ms=entry.cold_ms,
+            started_ms=entry.born_ms,
+            warm_up_ms=entry.cold_ms,
         ),
     )
--- a/gypsumrouter/platform/entries.py
+++ b/gypsumrouter/platform/entries.py
@@ -66,8 +66,8 @@
         address=_read_address(server.address),
         data_centre=server.zone,
         slots=server.slots,
-        cold_ms=int(server.cold_left_ms),
-        born_ms=server.born or 0,
+        warm_up_ms=int(server.cold_left_ms),
+        started_ms=server.born or 0,
     )
 
 
--- a/tests/directory/test_directory_births.py
+++ b/tests/directory/test_directory_births.py
@@ -35,10 +35,10 @@
         self.directory.on_change(self.told.append)
 
     def merge(
-        self, revision: int, state: EntryState = EntryState.READY, *, born_ms: int = 0
+        self, revision: int, state: EntryState = EntryState.READY, *, started_ms: int = 0
     ) -> None:
         """Merge an entry of the first upstream."""
-        self.directory.merge(make_record("i-1", revision, state, born_ms), source="p")
+        self.directory.merge(make_record("i-1", revision, state, started_ms), source="p")
 
     def get_state(self) -> EntryState:
         """Return the state of the first upstream."""
@@ -47,19 +47,19 @@
         return entry.state
 
 
-def make_record(upstream: str, revision: int, state: EntryState, born_ms: int) -> Record:
+def make_record(upstream: str, revision: int, state: EntryState, started_ms: int) -> Record:
     if state in (EntryState.GONE, EntryState.UNUSABLE):
         return Record(revision=revision, entry=Entry(upstream=upstream, state=state))
     entry = Entry(
-        upstream=upstream, state=state, service="records", address=ADDRESS, born_ms=born_ms
+        upstream=upstream, state=state, service="records", address=ADDRESS, started_ms=started_ms
     )
     return Record(revision=revision, entry=entry)
 
 
 def test_a_new_start_is_another_incarnation_and_the_one_before_it_is_gone() -> None:
     watcher = Watcher()
-    watcher.merge(1, born_ms=BORN_MS)
-    watcher.merge(2, born_ms=BORN_MS + 900)
+    watcher.merge(1, started_ms=BORN_MS)
+    watcher.merge(2, started_ms=BORN_MS + 900)
     first, gone, second = watcher.told
     assert (gone.incarnation, gone.state) == (first.incarnation, EntryState.GONE)
     assert second.incarnation != first.incarnation
@@ -69,38 +69,38 @@
 
 def test_a_new_start_of_an_upstream_that_was_leaving_takes_work() -> None:
     watcher = Watcher()
-    watcher.merge(1, EntryState.LEAVING, born_ms=BORN_MS)
-    watcher.merge(2, born_ms=BORN_MS)
+    watcher.merge(1, EntryState.LEAVING, started_ms=BORN_MS)
+    watcher.merge(2, started_ms=BORN_MS)
     assert watcher.get_state() is EntryState.LEAVING
-    watcher.merge(3, born_ms=BORN_MS + 1)
+    watcher.merge(3, started_ms=BORN_MS + 1)
     assert watcher.get_state() is EntryState.READY
 
 
 def test_late_words_of_an_earlier_start_change_nothing() -> None:
     watcher = Watcher()
-    watcher.merge(1, born_ms=BORN_MS)
-    watcher.merge(2, born_ms=BORN_MS + 900)
+    watcher.merge(1, started_ms=BORN_MS)
+    watcher.merge(2, started_ms=BORN_MS + 900)
     told = list(watcher.told)
-    watcher.merge(3, EntryState.LEAVING, born_ms=BORN_MS)
-    watcher.merge(4, born_ms=BORN_MS)
+    watcher.merge(3, EntryState.LEAVING, started_ms=BORN_MS)
+    watcher.merge(4, started_ms=BORN_MS)
     assert watcher.told == told
     assert watcher.get_state() is EntryState.READY
 
 
 def test_an_entry_that_does_not_tell_its_start_is_of_the_start_that_is_known() -> None:
     watcher = Watcher()
-    watcher.merge(1, born_ms=BORN_MS)
+    watcher.merge(1, started_ms=BORN_MS)
     watcher.merge(2, EntryState.LEAVING)
     entry = watcher.directory.get("i-1")
     assert entry is not None
-    assert (entry.state, entry.born_ms) == (EntryState.LEAVING, BORN_MS)
+    assert (entry.state, entry.started_ms) == (EntryState.LEAVING, BORN_MS)
 
 
 def test_a_start_that_comes_back_after_its_entry_lapsed_is_the_same_one() -> None:
     watcher = Watcher()
-    watcher.merge(1, born_ms=BORN_MS)
+    watcher.merge(1, started_ms=BORN_MS)
     watcher.merge(2, EntryState.GONE)
-    watcher.merge(3, born_ms=BORN_MS)
+    watcher.merge(3, started_ms=BORN_MS)
     assert len({entry.incarnation for entry in watcher.told}) == 1
     assert watcher.get_state() is EntryState.READY
 
@@ -141,8 +141,8 @@
 
 
 def test_an_incarnation_is_named_alike_by_all_routers() -> None:
-    assert name_incarnation(upstream="i-1", born_ms=0) == "i-1"
-    names = {name_incarnation(upstream="i-1", born_ms=BORN_MS + n) for n in range(5_000)}
+    assert name_incarnation(upstream="i-1", started_ms=0) == "i-1"
+    names = {name_incarnation(upstream="i-1", started_ms=BORN_MS + n) for n in range(5_000)}
     assert len(names) == 5_000
     assert all(len(name) == len("i-1~00000") for name in names)
 
@@ -180,10 +180,10 @@
     def merge(self, upstream: str, state: EntryState, born: int) -> None:
         """Take the next change of the store."""
         self.revision += 1
-        born_ms = 0 if born == 0 else BORN_MS + born
-        record = make_record(upstream, self.revision, state, born_ms)
+        started_ms = 0 if born == 0 else BORN_MS + born
+        record = make_record(upstream, self.revision, state, started_ms)
         self.watcher.directory.merge(record, source="p")
-        self._predict(upstream, state, record.entry.born_ms)
+        self._predict(upstream, state, record.entry.started_ms)
 
     @rule(upstream=st.sampled_from(UPSTREAMS), state=st.sampled_from(list(EntryState)))
     def repeat(self, upstream: str, state: EntryState) -> None:
@@ -195,10 +195,10 @@
     @invariant()
     def agrees_with_the_model(self) -> None:
         """Each upstream has the state and the start that the model expects."""
-        for upstream, (state, born_ms) in self.model.items():
+        for upstream, (state, started_ms) in self.model.items():
             entry = self.watcher.directory.get(upstream)
             assert entry is not None
-            assert (entry.state, entry.born_ms) == (state, born_ms)
+            assert (entry.state, entry.started_ms) == (state, started_ms)
 
     @invariant()
     def a_start_that_ended_for_a_later_one_never_comes_back(self) -> None:
@@ -206,24 +206,24 @@
         born: dict[str, int] = {}
         for entry in self.watcher.told:
             if entry.state is not EntryState.GONE:
-                assert entry.born_ms >= born.get(entry.upstream, 0)
-                born[entry.upstream] = entry.born_ms
+                assert entry.started_ms >= born.get(entry.upstream, 0)
+                born[entry.upstream] = entry.started_ms
 
     def _known_revision(self, upstream: str) -> int:
         return max(
             r.revision for r in self.watcher.directory.records() if r.entry.upstream == upstream
         )
 
-    def _predict(self, upstream: str, state: EntryState, born_ms: int) -> None:
+    def _predict(self, upstream: str, state: EntryState, started_ms: int) -> None:
         if upstream not in self.model:
             if state is not EntryState.UNUSABLE:
-                self.model[upstream] = (state, born_ms)
+                self.model[upstream] = (state, started_ms)
             return
         known, known_ms = self.model[upstream]
-        if 0 < born_ms < known_ms:
+        if 0 < started_ms < known_ms:
             return
-        if born_ms > known_ms:
-            self.model[upstream] = (state, born_ms)
+        if started_ms > known_ms:
+            self.model[upstream] = (state, started_ms)
             return
         if state is EntryState.UNUSABLE and known is not EntryState.READY:
             return
--- a/tests/directory/test_directory_machine.py
+++ b/tests/directory/test_directory_machine.py
@@ -129,7 +129,7 @@
     directory = make_directory(ManualClock())
     directory.merge(make_record("i-1", 1), source="p")
     directory.note_leaving("i-1", source="answer")
-    entry = replace(make_record("i-1", 2).entry, born_ms=5)
+    entry = replace(make_record("i-1", 2).entry, started_ms=5)
     directory.merge(Record(revision=2, entry=entry), source="p")
     assert _state(directory, "i-1") is EntryState.READY
 
--- a/tests/directory/test_directory_restored.py
+++ b/tests/directory/test_directory_restored.py
@@ -130,7 +130,7 @@
     world.directory.merge(record(1, 10), source="p")
     world.directory.merge(record(1, 30, GONE), source="p")
     address = Address(host="127.0.0.1", port=80)
-    entry = Entry(upstream="i-1", state=READY, service="records", address=address, born_ms=5)
+    entry = Entry(upstream="i-1", state=READY, service="records", address=address, started_ms=5)
     world.directory.merge(Record(revision=name(2, 16), entry=entry), source="p")
     assert world.state() is READY
 
--- a/tests/forwarding/test_forwarding_eligibility.py
+++ b/tests/forwarding/test_forwarding_eligibility.py
@@ -80,7 +80,7 @@
             address=Address(host="10.0.0.1", port=80),
             data_centre=f"dc-{int(name[2:]) % 2}",
             slots=64,
-            cold_ms=cold_ms,
+            warm_up_ms=cold_ms,
         )
         self.directory.merge(Record(revision=self._revision, entry=entry), source="test")
 
@@ -239,7 +239,7 @@
     )
     router.directory.merge(Record(revision=51, entry=entry), source="test")
     assert "i-0" not in router.send(60, prompt=None)
-    reborn = replace(entry, born_ms=5)
+    reborn = replace(entry, started_ms=5)
     router.directory.merge(Record(revision=52, entry=reborn), source="test")
     router.clock.advance(SETTLE_MS)
     assert "i-0" in router.send(60, prompt=None)
--- a/tests/forwarding/test_forwarding_slow_start.py
+++ b/tests/forwarding/test_forwarding_slow_start.py
@@ -89,7 +89,7 @@
         service="models",
         address=Address(host="127.0.0.1", port=80),
         data_centre="dc-a",
-        cold_ms=cold_ms,
+        warm_up_ms=cold_ms,
     )
 
 
--- a/tests/platform/test_platform_entries.py
+++ b/tests/platform/test_platform_entries.py
@@ -73,7 +73,7 @@
 
 def test_a_good_entry_is_read_with_its_start() -> None:
     entry = decode_entry(upstream="i-1", value=encode(unknown={"a": 1}))
-    assert (entry.state, entry.slots, entry.born_ms) == (EntryState.READY, 64, GOOD["born"])
+    assert (entry.state, entry.slots, entry.started_ms) == (EntryState.READY, 64, GOOD["born"])
 
 
 @pytest.mark.parametrize(("field", "value"), WRONG)
