--- a/gypsumrouter/bootstrap_followers.py
+++ b/gypsumrouter/bootstrap_followers.py
@@ -27,7 +27,7 @@
     read_upstream_id,
 )
 from gypsumrouter.platform.names import KEY_CONFIGURATION, PREFIX_OPERATOR, PREFIX_SERVERS
-from gypsumrouter.published import Follower, Item, Listed, WatchState
+from gypsumrouter.published import Follower, Item, ItemBatch, WatchState
 from gypsumrouter.routing import RoutingStore
 from gypsumrouter.settings import ForwarderSettings
 
@@ -58,8 +58,8 @@
         name="configuration",
         store=StoreClient(address=address, prefix=PREFIX_OPERATOR),
         state=routing_state,
-        take_all=partial(_take_all_operator_items, routing, evacuations),
-        take_changes=partial(_take_changed_operator_items, routing, evacuations),
+        handle_all=partial(_take_all_operator_items, routing, evacuations),
+        handle_changes=partial(_take_changed_operator_items, routing, evacuations),
         count_peers=count_peers,
         count_watchers=count_watchers,
         is_watcher=is_watcher,
@@ -70,8 +70,8 @@
         name="upstreams",
         store=StoreClient(address=address, prefix=PREFIX_SERVERS),
         state=upstreams_state,
-        take_all=partial(_take_all_entries, directory),
-        take_changes=partial(_take_changed_entries, directory),
+        handle_all=partial(_take_all_entries, directory),
+        handle_changes=partial(_take_changed_entries, directory),
         on_lost=directory.note_outage,
         on_regained=directory.note_recovered,
         count_peers=count_peers,
@@ -82,7 +82,7 @@
 
 
 def _take_all_operator_items(
-    routing: RoutingStore, evacuations: Evacuations, listed: Listed
+    routing: RoutingStore, evacuations: Evacuations, listed: ItemBatch
 ) -> None:
     """Take the evacuations first: with the configuration a router may begin to send."""
     evacuated = read_evacuations(listed.items)
@@ -91,7 +91,7 @@
 
 
 def _take_changed_operator_items(
-    routing: RoutingStore, evacuations: Evacuations, listed: Listed
+    routing: RoutingStore, evacuations: Evacuations, listed: ItemBatch
 ) -> None:
     for evacuation in read_evacuations(listed.items):
         evacuations.merge(evacuation, source=SOURCE_PLATFORM)
@@ -107,7 +107,7 @@
             yield Evacuation(data_centre=data_centre, revision=item.revision, active=active)
 
 
-def _take_configuration(routing: RoutingStore, listed: Listed) -> None:
+def _take_configuration(routing: RoutingStore, listed: ItemBatch) -> None:
     for item in listed.items:
         if item.key != KEY_CONFIGURATION or item.value is None:
             continue
@@ -122,12 +122,12 @@
         routing.offer(configuration, source=SOURCE_PLATFORM)
 
 
-def _take_all_entries(directory: Directory, listed: Listed) -> None:
+def _take_all_entries(directory: Directory, listed: ItemBatch) -> None:
     records = read_records(listed.items)
     directory.replace_all(records, revision=listed.as_of, source=SOURCE_PLATFORM)
 
 
-def _take_changed_entries(directory: Directory, listed: Listed) -> None:
+def _take_changed_entries(directory: Directory, listed: ItemBatch) -> None:
     for record in read_records(listed.items):
         directory.merge(record, source=SOURCE_PLATFORM)
     directory.note_read_revision(listed.as_of)
--- a/gypsumrouter/peers/watchers.py
+++ b/gypsumrouter/peers/watchers.py
@@ -86,8 +86,8 @@
     def async_start(self) -> None:
         """Begin to tell; where others are known, wait for their word before watching."""
         if len(self._routers):
-            self._routing.wait_for_peers()
-            self._list.wait_for_peers()
+            self._routing.defer_to_peers()
+            self._list.defer_to_peers()
         self._app.async_create_task(self._async_vouch(), "vouch for the store")
 
     def count_watchers(self) -> int:
@@ -140,9 +140,9 @@
         if self.is_watcher():
             return
         if watched.routing_as_of:
-            self._routing.note_vouched()
+            self._routing.note_peer_watching()
         if watched.list_as_of:
-            self._list.note_vouched()
+            self._list.note_peer_watching()
         self._catch_up.take_watched(peer, watched)
 
 
--- a/gypsumrouter/platform/store.py
+++ b/gypsumrouter/platform/store.py
@@ -20,7 +20,7 @@
 )
 from gypsumrouter.instances import Address
 from gypsumrouter.platform import names
-from gypsumrouter.published.models import HistoryLost, Item, Listed, StoreUnavailable
+from gypsumrouter.published.models import HistoryLost, Item, ItemBatch, StoreUnavailable
 from gypsumrouter.util.revisions import get_epoch, get_number, make_revision
 
 _LOGGER = logging.getLogger(__name__)
@@ -69,7 +69,7 @@
         self._prefix = prefix
         self._connection: HttpConnection | None = None
 
-    async def async_list(self) -> Listed:
+    async def async_list(self) -> ItemBatch:
         """Return all items; raises StoreUnavailable."""
         items: list[Item] = []
         as_of: int | None = None
@@ -88,14 +88,14 @@
             if document.epoch != get_epoch(as_of):
                 raise StoreUnavailable("restored from a copy while the list was read")
             if not page.more:
-                return Listed(items=tuple(items), as_of=as_of)
+                return ItemBatch(items=tuple(items), as_of=as_of)
             if not page.last_key:
                 break
             after = page.last_key
         # A list that breaks off would end all the upstreams that it did not come to.
         raise StoreUnavailable("a list without an end")
 
-    async def async_watch(self, *, after: int, wait_ms: int) -> Listed | HistoryLost:
+    async def async_watch(self, *, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
         """Return what changed after a revision; raises StoreUnavailable."""
         number = str(get_number(after))
         query = {"prefix": self._prefix, "after": number, "wait_ms": str(wait_ms)}
@@ -104,7 +104,7 @@
         if document is None or document.epoch != get_epoch(after):
             return HistoryLost()
         page = read_page(document.content, "events", epoch=document.epoch)
-        return Listed(items=page.items, as_of=page.as_of)
+        return ItemBatch(items=page.items, as_of=page.as_of)
 
     def close(self) -> None:
         """Close the connection; the next call opens a new one."""
--- a/gypsumrouter/published/__init__.py
+++ b/gypsumrouter/published/__init__.py
@@ -6,7 +6,7 @@
 from gypsumrouter.published.models import (
     HistoryLost,
     Item,
-    Listed,
+    ItemBatch,
     PublishedStore,
     StoreUnavailable,
 )
@@ -16,7 +16,7 @@
     "Follower",
     "HistoryLost",
     "Item",
-    "Listed",
+    "ItemBatch",
     "PublishedStore",
     "StoreUnavailable",
     "WatchState",
--- a/gypsumrouter/published/models.py
+++ b/gypsumrouter/published/models.py
@@ -19,7 +19,7 @@
     value: bytes | None
 
 
-class Listed(Struct, frozen=True, kw_only=True):
+class ItemBatch(Struct, frozen=True, kw_only=True):
     """Items with the store's revision: a whole list, or what changed since an earlier one."""
 
     items: tuple[Item, ...]
@@ -33,10 +33,10 @@
 class PublishedStore(Protocol):
     """Reads of the store below one prefix; raises StoreUnavailable."""
 
-    async def async_list(self) -> Listed:
+    async def async_list(self) -> ItemBatch:
         """Return all items."""
 
-    async def async_watch(self, *, after: int, wait_ms: int) -> Listed | HistoryLost:
+    async def async_watch(self, *, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
         """Return what changed after a revision, waiting for the first change."""
 
     def close(self) -> None:
--- a/gypsumrouter/published/watch_state.py
+++ b/gypsumrouter/published/watch_state.py
@@ -10,12 +10,12 @@
 # A peer's word that it watches counts for this long: three of its periods and some. A change is in
 # force within two seconds of its acknowledgement at the tightest, so that a router whose peers fell
 # silent has as long again to ask the store itself.
-VOUCHED_MS: Final = 1_000
+PEER_WATCH_VALID_MS: Final = 1_000
 # A router that starts hears of its neighbours within this time, and need not watch if one of them
 # does. Nothing is late by it: what it read of the list a moment ago is as new as its neighbours'.
-FIRST_MS: Final = 500
+STARTUP_DEFER_MS: Final = 500
 # Routers whose watchers are lost at the same moment turn to the store over this span.
-SPREAD_MS: Final = 300
+TAKEOVER_JITTER_MS: Final = 300
 
 
 class WatchState:
@@ -25,11 +25,11 @@
     `available` says that the store answered the last call.
     """
 
-    __slots__ = ("_clock", "_vouched_until_ms", "as_of", "available")
+    __slots__ = ("_clock", "_peer_watching_until_ms", "as_of", "available")
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._vouched_until_ms = 0
+        self._peer_watching_until_ms = 0
         self.as_of: int | None = None
         self.available = True
 
@@ -39,17 +39,17 @@
         return self.available and self.as_of is not None
 
     @property
-    def vouched(self) -> bool:
+    def peer_watching(self) -> bool:
         """Return whether a peer said a moment ago that it watches."""
-        return self._clock.now_ms() < self._vouched_until_ms
+        return self._clock.now_ms() < self._peer_watching_until_ms
 
-    def wait_for_peers(self) -> None:
+    def defer_to_peers(self) -> None:
         """Give peers time to vouch, where this router has just started and may have some."""
-        self._vouched_until_ms = self._clock.now_ms() + FIRST_MS
+        self._peer_watching_until_ms = self._clock.now_ms() + STARTUP_DEFER_MS
 
-    def note_vouched(self) -> None:
+    def note_peer_watching(self) -> None:
         """Note that a peer watches the list and tells what changes."""
-        self._vouched_until_ms = self._clock.now_ms() + VOUCHED_MS
+        self._peer_watching_until_ms = self._clock.now_ms() + PEER_WATCH_VALID_MS
 
     def advance(self, as_of: int) -> None:
         """Note that every change up to `as_of` is known; a list that was not read stays unread."""
@@ -58,5 +58,5 @@
 
     async def async_wait_until_needed(self) -> None:
         """Return once no peer vouches for the list."""
-        while (left_ms := self._vouched_until_ms - self._clock.now_ms()) > 0:
-            await self._clock.async_sleep(left_ms + random.randint(0, SPREAD_MS))
+        while (left_ms := self._peer_watching_until_ms - self._clock.now_ms()) > 0:
+            await self._clock.async_sleep(left_ms + random.randint(0, TAKEOVER_JITTER_MS))
--- a/tests/peers/memory_store.py
+++ b/tests/peers/memory_store.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from gypsumrouter.directory import EntryState
-from gypsumrouter.published import HistoryLost, Item, Listed
+from gypsumrouter.published import HistoryLost, Item, ItemBatch
 from gypsumrouter.util.clock import ManualClock
 from gypsumrouter.util.revisions import get_epoch, get_number, make_revision
 
@@ -49,21 +49,21 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def list(self) -> Listed:
+    def list(self) -> ItemBatch:
         """Return the newest items."""
         self.calls += 1
         newest = {item.key: item for item in self.items}
         return self._tell(tuple(newest.values()))
 
-    def _tell(self, items: tuple[Item, ...]) -> Listed:
+    def _tell(self, items: tuple[Item, ...]) -> ItemBatch:
         """Return items with revisions that name the era, as the client of the real store does."""
         told = tuple(replace(i, revision=self._name(i.revision)) for i in items)
-        return Listed(items=told, as_of=self.as_of)
+        return ItemBatch(items=told, as_of=self.as_of)
 
     def _name(self, number: int) -> int:
         return make_revision(epoch=self.era, number=number)
 
-    async def async_watch(self, after: int, wait_ms: int) -> Listed | HistoryLost:
+    async def async_watch(self, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
         """Return what changed, or nothing after a while."""
         self.calls += 1
         era = self.era
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -28,8 +28,8 @@
 from gypsumrouter.peers.relays import RelayDesk
 from gypsumrouter.peers.routers import RouterBook
 from gypsumrouter.peers.watchers import WatchDesk
-from gypsumrouter.published import Follower, HistoryLost, Listed, StoreUnavailable, WatchState
-from gypsumrouter.published.follower import WATCH_MS
+from gypsumrouter.published import Follower, HistoryLost, ItemBatch, StoreUnavailable, WatchState
+from gypsumrouter.published.follower import WATCH_TIMEOUT_MS
 from gypsumrouter.routing import RoutingConfiguration, RoutingStore
 from gypsumrouter.util.clock import ManualClock
 
@@ -47,14 +47,14 @@
         self._store = store
         self._router = router
 
-    async def async_list(self) -> Listed:
+    async def async_list(self) -> ItemBatch:
         """Return the list; raises StoreUnavailable while the way is cut."""
         if self._router.cut:
             self._store.calls += 1
             raise StoreUnavailable("cut")
         return self._store.list()
 
-    async def async_watch(self, *, after: int, wait_ms: int) -> Listed | HistoryLost:
+    async def async_watch(self, *, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
         """Return what changed; an answer that comes while the way is cut is never heard of."""
         if self._router.cut:
             self._store.calls += 1
@@ -160,8 +160,8 @@
             name="upstreams",
             store=View(store, self, clock),
             state=self.state,
-            take_all=self._take_all,
-            take_changes=self._take_changes,
+            handle_all=self._take_all,
+            handle_changes=self._take_changes,
             on_lost=self.directory.note_outage,
             on_regained=self.directory.note_recovered,
             count_peers=self.routers.count_alive,
@@ -215,10 +215,10 @@
         self.sent_far += target.app.data_centre != self.app.data_centre
         return MemoryPeer(sender=self, target=target).send(notice)
 
-    def _take_all(self, listed: Listed) -> None:
+    def _take_all(self, listed: ItemBatch) -> None:
         self.directory.replace_all(read(listed), revision=listed.as_of, source="platform")
 
-    def _take_changes(self, listed: Listed) -> None:
+    def _take_changes(self, listed: ItemBatch) -> None:
         for record in read(listed):
             self.directory.merge(record, source="platform")
         self.directory.note_read_revision(listed.as_of)
@@ -252,7 +252,7 @@
         """Start all routers at the same moment, and let the first watches of all of them end."""
         for router in self.routers:
             router.start()
-        await self.async_pass(2 * WATCH_MS)
+        await self.async_pass(2 * WATCH_TIMEOUT_MS)
 
     async def async_stop(self) -> None:
         """Stop all routers."""
@@ -313,7 +313,7 @@
         await asyncio.sleep(0)
 
 
-def read(listed: Listed) -> Iterator[Record]:
+def read(listed: ItemBatch) -> Iterator[Record]:
     """Return the records of items."""
     for item in listed.items:
         state = EntryState((item.value or b"gone").decode())
