--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -128,7 +128,7 @@
                     whole=True,
                     own=answer.headers.get("X-Request-Id") == request_id,
                     answered_s=time.monotonic(),
-                    leaving=names.says_leaving(answer.headers.get(names.SERVER_LEAVING)),
+                    leaving=names.is_leaving(answer.headers.get(names.SERVER_LEAVING)),
                 )
         except (aiohttp.ClientError, OSError, TimeoutError):
             return record
--- a/gypsumrouter/bootstrap_followers.py
+++ b/gypsumrouter/bootstrap_followers.py
@@ -23,7 +23,7 @@
     StoreClient,
     decode_configuration,
     decode_entry,
-    read_evacuated,
+    read_evacuated_data_centre,
     read_upstream_id,
 )
 from gypsumrouter.platform.names import KEY_CONFIGURATION, PREFIX_OPERATOR, PREFIX_SERVERS
@@ -101,7 +101,7 @@
 def read_evacuations(items: tuple[Item, ...]) -> Iterator[Evacuation]:
     """Return the evacuations among items; an item that was removed is one that ended."""
     for item in items:
-        data_centre = read_evacuated(item.key)
+        data_centre = read_evacuated_data_centre(item.key)
         if data_centre is not None:
             active = item.value is not None
             yield Evacuation(data_centre=data_centre, revision=item.revision, active=active)
--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -30,7 +30,7 @@
 from gypsumrouter.peers import Mesh
 from gypsumrouter.platform import (
     PlatformDialect,
-    async_list_held,
+    async_list_cached_parts,
     decode_configuration,
     read_request,
 )
@@ -84,7 +84,7 @@
         evacuations=evacuations,
         dialect=PlatformDialect(),
         read_request=read_request,
-        ask_held=async_list_held,
+        ask_held=async_list_cached_parts,
     )
     routing_state, upstreams_state = WatchState(clock=app.clock), WatchState(clock=app.clock)
     mesh = Mesh(
--- a/gypsumrouter/platform/answers.py
+++ b/gypsumrouter/platform/answers.py
@@ -12,10 +12,10 @@
 from gypsumrouter.platform.requests import write_request
 
 CONTENT_TYPE_EVENTS: Final = "text/event-stream"
-IDENTITY: Final = "identity"
+IDENTITY_ENCODING: Final = "identity"
 # More than a day is no time to come back but a mistake.
-MAX_REST_MS: Final = 24 * 3600 * MS_PER_S
-DROPPED: Final = names.HOP_BY_HOP | {"content-length"}
+MAX_RETRY_AFTER_MS: Final = 24 * 3600 * MS_PER_S
+DROPPED_HEADERS: Final = names.HOP_BY_HOP | {"content-length"}
 
 
 class PlatformDialect:
@@ -34,11 +34,11 @@
             request_id=answer.get(names.REQUEST_ID),
             signed=answer.get(names.STAMP) is not None,
             not_run=answer.get(names.NOT_RUN) is not None,
-            rest_ms=_read_rest_ms(answer),
-            leaving=names.says_leaving(answer.get(names.SERVER_LEAVING)),
-            encoded=encoding is not None and encoding.lower() != IDENTITY,
+            rest_ms=_read_retry_after_ms(answer),
+            leaving=names.is_leaving(answer.get(names.SERVER_LEAVING)),
+            encoded=encoding is not None and encoding.lower() != IDENTITY_ENCODING,
             events=(answer.get("Content-Type") or "").startswith(CONTENT_TYPE_EVENTS),
-            keep_ms=_read_keep_ms(answer.get("Keep-Alive")),
+            keep_ms=_read_keep_alive_ms(answer.get("Keep-Alive")),
         )
 
     def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
@@ -46,7 +46,7 @@
         return [
             (name, value)
             for name, value in answer.message.headers.items()
-            if name.lower() not in DROPPED
+            if name.lower() not in DROPPED_HEADERS
         ]
 
     def format_retry_after(self, retry_after_ms: int) -> str:
@@ -54,18 +54,18 @@
         return f"{retry_after_ms / MS_PER_S:.3f}"
 
 
-def _read_rest_ms(answer: Answer) -> int | None:
+def _read_retry_after_ms(answer: Answer) -> int | None:
     """Return for how long an upstream that turned a request away wants nothing."""
     if answer.status != names.STATUS_UNAVAILABLE:
         return None
     try:
-        rest_ms = float(answer.get(names.RETRY_AFTER) or "") * MS_PER_S
+        retry_after_ms = float(answer.get(names.RETRY_AFTER) or "") * MS_PER_S
     except ValueError:
         return None
-    return ceil(rest_ms) if 0 < rest_ms < MAX_REST_MS else None
+    return ceil(retry_after_ms) if 0 < retry_after_ms < MAX_RETRY_AFTER_MS else None
 
 
-def _read_keep_ms(value: str | None) -> int | None:
+def _read_keep_alive_ms(value: str | None) -> int | None:
     """Return how long the upstream keeps an idle connection."""
     if value is None:
         return None
--- a/gypsumrouter/platform/engines.py
+++ b/gypsumrouter/platform/engines.py
@@ -9,7 +9,7 @@
 from gypsumrouter.platform import names
 
 
-async def async_list_held(connection: HttpConnection) -> HeldList:
+async def async_list_cached_parts(connection: HttpConnection) -> HeldList:
     """Return what an engine's cache holds; raises ConnectionBroken for anything that is no list."""
     head = f"GET {names.CALL_HELD} HTTP/1.1\r\nHost: {connection.address}\r\n\r\n"
     connection.begin(method="GET", data=head.encode())
@@ -27,7 +27,7 @@
         return HeldList(
             parts=parts,
             born_ms=int(document.get("born", 0)),
-            leaving=names.says_leaving(answer.get(names.SERVER_LEAVING)),
+            leaving=names.is_leaving(answer.get(names.SERVER_LEAVING)),
         )
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
         raise ConnectionBroken(f"no list of parts: {error!r}") from None
--- a/gypsumrouter/platform/entries.py
+++ b/gypsumrouter/platform/entries.py
@@ -44,7 +44,7 @@
     return upstream if ID_PATTERN.fullmatch(upstream) else None
 
 
-def read_evacuated(key: str) -> str | None:
+def read_evacuated_data_centre(key: str) -> str | None:
     """Return the data centre whose evacuation a key names; None where it names none."""
     if not key.startswith(names.PREFIX_EVACUATIONS):
         return None
--- a/gypsumrouter/platform/names.py
+++ b/gypsumrouter/platform/names.py
@@ -77,6 +77,6 @@
 )
 
 
-def says_leaving(value: str | None) -> bool:
+def is_leaving(value: str | None) -> bool:
     """Return whether the value of the header SERVER_LEAVING says that its runner leaves."""
     return value is not None and value.strip() == "1"
--- a/gypsumrouter/platform/requests.py
+++ b/gypsumrouter/platform/requests.py
@@ -11,7 +11,7 @@
 from gypsumrouter.platform import names
 
 MAX_PRIORITY: Final = 9
-DROPPED: Final = (
+DROPPED_HEADERS: Final = (
     names.HOP_BY_HOP
     | names.SYSTEM_HEADERS
     | {
@@ -32,10 +32,10 @@
     request_id = headers.get(names.REQUEST_ID, "")
     if not request_id or not request.raw_path.startswith("/"):
         return None
-    deadline_ms = _read_number(headers.get(names.DEADLINE))
+    deadline_ms = _read_deadline_ms(headers.get(names.DEADLINE))
     if deadline_ms is None and names.DEADLINE in headers:
         return None
-    dropped = DROPPED | _list_connection_headers(headers.get("Connection", ""))
+    dropped = DROPPED_HEADERS | _list_connection_headers(headers.get("Connection", ""))
     return CallerRequest(
         request_id=request_id,
         method=request.method,
@@ -98,7 +98,7 @@
     return PromptPart(part=int(part, 16) & names.MASK_64, tokens=int(tokens))
 
 
-def _read_number(value: str | None) -> int | None:
+def _read_deadline_ms(value: str | None) -> int | None:
     if value is None:
         return None
     try:
--- a/gypsumrouter/platform/store.py
+++ b/gypsumrouter/platform/store.py
@@ -25,14 +25,14 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-CONNECT_MS: Final = 1_000
+CONNECT_TIMEOUT_MS: Final = 1_000
 # A call takes 4 ms as published; a slow store takes sixty times that, and lists come in pages.
-ANSWER_MS: Final = 1_500
+ANSWER_TIMEOUT_MS: Final = 1_500
 # Pages of one list; a list of 930 runners has two.
 MAX_PAGES: Final = 64
 MAX_ERA_DIGITS: Final = 18
 # Eras rise by one from any number on: their last six digits keep the order.
-EPOCHS: Final = 10**6
+EPOCH_MODULUS: Final = 10**6
 
 
 class StoreAnswer(Struct, frozen=True, kw_only=True):
@@ -117,7 +117,7 @@
     ) -> Document | None:
         """Return a document, or None where the history is lost; raises StoreUnavailable."""
         try:
-            async with asyncio.timeout((wait_ms + ANSWER_MS) / MS_PER_S):
+            async with asyncio.timeout((wait_ms + ANSWER_TIMEOUT_MS) / MS_PER_S):
                 answer = await self._async_exchange(f"{call}?{urlencode(query)}")
         except (ConnectFailed, ConnectionBroken) as error:
             self.close()
@@ -142,7 +142,7 @@
         connection = self._connection
         if connection is None or not connection.reusable:
             self.close()
-            connection = await async_connect(address=self._address, timeout_ms=CONNECT_MS)
+            connection = await async_connect(address=self._address, timeout_ms=CONNECT_TIMEOUT_MS)
             self._connection = connection
         head = f"GET {target} HTTP/1.1\r\nHost: {self._address}\r\n\r\n"
         connection.begin(method="GET", data=head.encode())
@@ -176,7 +176,7 @@
     if text is None:
         return 0
     if text.isascii() and text.isdigit() and len(text) <= MAX_ERA_DIGITS:
-        return int(text) % EPOCHS
+        return int(text) % EPOCH_MODULUS
     raise StoreUnavailable(f"the era {text!r:.40} is no number")
 
 
