--- a/gypsumrouter/configuration/__init__.py
+++ b/gypsumrouter/configuration/__init__.py
@@ -30,7 +30,7 @@
 from gypsumrouter.configuration.rule_checks import get_rule_kind
 from gypsumrouter.configuration.slices import Sliced, async_run_sliced, run_sliced
 from gypsumrouter.configuration.store import ConfigurationStore
-from gypsumrouter.util.checked import Name
+from gypsumrouter.util.validation import Name
 
 if TYPE_CHECKING:
     from gypsumrouter.configuration.source import ConfigurationSource, HttpConfigurationSource
--- a/gypsumrouter/configuration/check.py
+++ b/gypsumrouter/configuration/check.py
@@ -29,7 +29,7 @@
 from gypsumrouter.configuration.scanner import Member, scan_document
 from gypsumrouter.configuration.slices import Sliced, run_sliced
 from gypsumrouter.exceptions import ConfigurationInvalid, DocumentInvalid, FieldError
-from gypsumrouter.util.checked import ROOT
+from gypsumrouter.util.validation import ROOT
 
 
 class CheckedDocument(Struct, kw_only=True):
--- a/gypsumrouter/configuration/elements.py
+++ b/gypsumrouter/configuration/elements.py
@@ -20,9 +20,9 @@
 from gypsumrouter.configuration.scanner import Element, Member, scan_document
 from gypsumrouter.configuration.slices import Sliced
 from gypsumrouter.exceptions import DocumentInvalid, FieldError
-from gypsumrouter.util.checked import ROOT, Checked, check_value
+from gypsumrouter.util.validation import ROOT, DocumentStruct, validate_value
 
-_KINDS: Final[dict[str, type[Checked]]] = {
+_KINDS: Final[dict[str, type[DocumentStruct]]] = {
     SECTION_WORKSPACES: Workspace,
     SECTION_CLASSES: CallerClass,
     SECTION_POOLS: Pool,
@@ -67,7 +67,7 @@
     try:
         # Text that is no Unicode is found where it is written.
         _ENCODER.encode(reading.members).encode()
-        header = check_value(kind=Configuration, value=reading.members)
+        header = validate_value(kind=Configuration, value=reading.members)
     except UnicodeEncodeError:
         reading.errors.append(FieldError(path=ROOT, message="not valid Unicode"))
         return None
@@ -92,7 +92,7 @@
         reading.errors.append(FieldError(path=path, message="not valid Unicode"))
         return
     try:
-        value = check_value(kind=_KINDS[element.section], value=element.value)
+        value = validate_value(kind=_KINDS[element.section], value=element.value)
     except DocumentInvalid as error:
         reading.errors.extend(_place_errors(error, path))
         return
--- a/gypsumrouter/configuration/models.py
+++ b/gypsumrouter/configuration/models.py
@@ -8,11 +8,11 @@
 from msgspec import Meta
 
 from gypsumrouter.const import UpstreamKind
-from gypsumrouter.util.checked import (
+from gypsumrouter.util.validation import (
     MAX_FLOAT,
-    Checked,
+    DocumentStruct,
     Name,
-    NotNegativeInt,
+    NonNegativeInt,
     PositiveFloat,
     PositiveInt,
 )
@@ -50,7 +50,7 @@
     REFUSE = "refuse"
 
 
-class Workspace(Checked, frozen=True, kw_only=True):
+class Workspace(DocumentStruct, frozen=True, kw_only=True):
     """A customer: its callers' keys as SHA-256 digests, its guaranteed share and its limits.
 
     `share` is relative to the other workspaces' shares. Limits hold for the whole fleet.
@@ -64,7 +64,7 @@
     default_class: Name | None = None
 
 
-class CallerClass(Checked, frozen=True, kw_only=True):
+class CallerClass(DocumentStruct, frozen=True, kw_only=True):
     """A class of callers: targets in milliseconds and the penalty for a miss, in money."""
 
     name: Name
@@ -74,14 +74,14 @@
     batch: bool = False
 
 
-class CallPattern(Checked, frozen=True, kw_only=True):
+class CallPattern(DocumentStruct, frozen=True, kw_only=True):
     """Calls of a service: a method (or `*`) and the beginning of a path below the service."""
 
     method: Annotated[str, Meta(pattern=r"^(\*|[A-Z]{1,16})$")] = "*"
     path_prefix: Annotated[str, Meta(pattern=r"^/")] = "/"
 
 
-class AtMostOnce(Checked, frozen=True, kw_only=True):
+class AtMostOnce(DocumentStruct, frozen=True, kw_only=True):
     """Which calls must not be repeated, and how long and how many of them are remembered."""
 
     calls: tuple[CallPattern, ...]
@@ -91,23 +91,23 @@
     remembered_bytes: PositiveInt = DEFAULT_REMEMBERED_BYTES
 
 
-class OrderedAdapter(Checked, frozen=True, kw_only=True):
+class OrderedAdapter(DocumentStruct, frozen=True, kw_only=True):
     """An adapter that every engine with its model is ordered to hold."""
 
     name: Name
     version: Version = DEFAULT_MODEL_VERSION
 
 
-class OrderedModel(Checked, frozen=True, kw_only=True):
+class OrderedModel(DocumentStruct, frozen=True, kw_only=True):
     """A model that engines are ordered to hold: at least `min_engines`, more by demand."""
 
     name: Name
     version: Version = DEFAULT_MODEL_VERSION
-    min_engines: NotNegativeInt = 1
+    min_engines: NonNegativeInt = 1
     adapters: tuple[OrderedAdapter, ...] = ()
 
 
-class PoolOrders(Checked, frozen=True, kw_only=True):
+class PoolOrders(DocumentStruct, frozen=True, kw_only=True):
     """What the engines of a pool are ordered to hold, and how fast that may change.
 
     At most `change_share` of a model's engines change their version at once. A difference is
@@ -124,7 +124,7 @@
     load_ms: PositiveInt = DEFAULT_LOAD_MS
 
 
-class Pool(Checked, frozen=True, kw_only=True):
+class Pool(DocumentStruct, frozen=True, kw_only=True):
     """Upstreams that can stand in for one another.
 
     `cap` is the multiple of the pool's mean load that none may exceed; it binds above `floor`
@@ -138,13 +138,13 @@
     cap: Annotated[float, Meta(gt=1, le=MAX_FLOAT)] = DEFAULT_CAP
     floor: PositiveInt = DEFAULT_FLOOR
     slots: PositiveInt = DEFAULT_SLOTS
-    queue: NotNegativeInt = DEFAULT_QUEUE
+    queue: NonNegativeInt = DEFAULT_QUEUE
     at_most_once: AtMostOnce | None = None
     order_check: OrderCheck = OrderCheck.FENCING
     orders: PoolOrders | None = None
 
 
-class When(Checked, frozen=True, kw_only=True):
+class When(DocumentStruct, frozen=True, kw_only=True):
     """Conditions of a rule; all that are given must hold, and an empty one always does."""
 
     workspace: tuple[Name, ...] | None = None
@@ -155,14 +155,14 @@
     path_prefix: str | None = None
     data_centre: tuple[Name, ...] | None = None
     returning: bool | None = None
-    min_bytes: NotNegativeInt | None = None
-    max_bytes: NotNegativeInt | None = None
+    min_bytes: NonNegativeInt | None = None
+    max_bytes: NonNegativeInt | None = None
     from_minute: Annotated[int, Meta(ge=0, lt=1440)] | None = None
     to_minute: Annotated[int, Meta(ge=0, lt=1440)] | None = None
     weekdays: tuple[Annotated[int, Meta(ge=0, le=6)], ...] | None = None
 
 
-class Then(Checked, frozen=True, kw_only=True):
+class Then(DocumentStruct, frozen=True, kw_only=True):
     """What follows where a rule matches; what is not set stays as it would be without it."""
 
     caller_class: Name | None = None
@@ -176,7 +176,7 @@
     retry_after_ms: PositiveInt | None = None
 
 
-class Rule(Checked, frozen=True, kw_only=True):
+class Rule(DocumentStruct, frozen=True, kw_only=True):
     """One when-then rule; for each request only the first rule that matches counts."""
 
     name: Name
@@ -184,10 +184,10 @@
     then: Then = Then()
 
 
-class Configuration(Checked, frozen=True, kw_only=True):
+class Configuration(DocumentStruct, frozen=True, kw_only=True):
     """The whole document; a higher version always replaces a lower one, never the reverse."""
 
-    version: NotNegativeInt
+    version: NonNegativeInt
     workspaces: tuple[Workspace, ...] = ()
     classes: tuple[CallerClass, ...] = ()
     pools: tuple[Pool, ...] = ()
--- a/gypsumrouter/fleet/document.py
+++ b/gypsumrouter/fleet/document.py
@@ -10,7 +10,7 @@
 from gypsumrouter.const import InstanceState, Role
 from gypsumrouter.exceptions import DocumentInvalid, FieldError
 from gypsumrouter.instances import Address, Instance, InstanceList
-from gypsumrouter.util.checked import check_ip, check_json
+from gypsumrouter.util.validation import validate_ip, validate_json
 
 MAX_PORT = 65_535
 
@@ -29,7 +29,7 @@
     state: InstanceState = InstanceState.LIVE
 
     def __post_init__(self) -> None:
-        check_ip(host=self.host)
+        validate_ip(host=self.host)
 
 
 class _Document(Struct, frozen=True, kw_only=True):
@@ -42,7 +42,7 @@
 
 def check_instance_list(document: bytes) -> InstanceList:
     """Return the list, sorted by name; raises DocumentInvalid."""
-    checked = check_json(kind=_Document, document=document, strict=False)
+    checked = validate_json(kind=_Document, document=document, strict=False)
     instances = tuple(sorted(map(_to_instance, checked.instances), key=lambda item: item.name))
     _check_names(instances)
     return InstanceList(revision=checked.revision, as_of_ms=checked.as_of_ms, instances=instances)
--- a/gypsumrouter/helpers/settings_file.py
+++ b/gypsumrouter/helpers/settings_file.py
@@ -23,7 +23,7 @@
     check_side_settings,
     read_link_key,
 )
-from gypsumrouter.util.checked import check_json
+from gypsumrouter.util.validation import validate_json
 
 _T = TypeVar("_T")
 
@@ -87,7 +87,7 @@
 def _read_section(document: bytes, name: str, kind: type[_T]) -> _T | None:
     try:
         sections = json.loads(document)
-        return check_json(kind=kind, document=json.dumps(sections[name]))
+        return validate_json(kind=kind, document=json.dumps(sections[name]))
     except (ValueError, KeyError, TypeError, DocumentInvalid):
         return None
 
--- a/gypsumrouter/platform/configuration.py
+++ b/gypsumrouter/platform/configuration.py
@@ -19,7 +19,7 @@
     Target,
     WorkspaceKeys,
 )
-from gypsumrouter.util.checked import check_json
+from gypsumrouter.util.validation import validate_json
 
 Milliseconds = Annotated[float, Meta(ge=0, le=1e12)]
 Weight = Annotated[float, Meta(ge=0, le=1e12)]
@@ -99,7 +99,7 @@
 def decode_configuration(document: bytes) -> RoutingConfiguration:
     """Return the product's form of a document; raises ConfigurationInvalid."""
     try:
-        wire = check_json(kind=WireConfiguration, document=document, strict=False)
+        wire = validate_json(kind=WireConfiguration, document=document, strict=False)
     except DocumentInvalid as error:
         raise ConfigurationInvalid(error.errors) from None
     return RoutingConfiguration(
--- a/gypsumrouter/platform/entries.py
+++ b/gypsumrouter/platform/entries.py
@@ -12,7 +12,7 @@
 from gypsumrouter.exceptions import DocumentInvalid, FieldError
 from gypsumrouter.instances import Address
 from gypsumrouter.platform import names
-from gypsumrouter.util.checked import check_json
+from gypsumrouter.util.validation import validate_json
 
 MAX_PORT: Final = 65_535
 # Ids are sent on in a header, and keys are at most 200 bytes.
@@ -58,7 +58,7 @@
     """
     if value is None:
         return Entry(upstream=upstream, state=EntryState.GONE)
-    server = check_json(kind=WireServer, document=value)
+    server = validate_json(kind=WireServer, document=value)
     return Entry(
         upstream=upstream,
         state=EntryState.READY if server.state == "ready" else EntryState.LEAVING,
--- a/gypsumrouter/settings.py
+++ b/gypsumrouter/settings.py
@@ -12,14 +12,14 @@
 from gypsumrouter.const import MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, UpstreamKind
 from gypsumrouter.exceptions import DocumentInvalid, FieldError, SettingsInvalid
 from gypsumrouter.mechanisms import Mechanism
-from gypsumrouter.util.checked import (
-    Checked,
+from gypsumrouter.util.validation import (
+    DocumentStruct,
     Name,
-    NotNegativeInt,
+    NonNegativeInt,
     PositiveFloat,
     PositiveInt,
-    check_ip,
-    check_json,
+    validate_ip,
+    validate_json,
 )
 
 MIN_LINK_KEY_BYTES = 16
@@ -49,7 +49,7 @@
     ERROR = "error"
 
 
-class Tls(Checked, frozen=True, kw_only=True):
+class Tls(DocumentStruct, frozen=True, kw_only=True):
     """Key files of one listener or link; they are read again when they change.
 
     With `client_ca_file` a listener asks its peers for a certificate of that authority.
@@ -61,7 +61,7 @@
     client_ca_file: str | None = None
 
 
-class Listener(Checked, frozen=True, kw_only=True):
+class Listener(DocumentStruct, frozen=True, kw_only=True):
     """Where a listener is bound; port 0 takes any free one."""
 
     host: str = LOOPBACK
@@ -69,10 +69,10 @@
     tls: Tls | None = None
 
     def __post_init__(self) -> None:
-        check_ip(host=self.host)
+        validate_ip(host=self.host)
 
 
-class Operators(Checked, frozen=True, kw_only=True):
+class Operators(DocumentStruct, frozen=True, kw_only=True):
     """The operators' address; a token is needed unless it is bound to loopback."""
 
     host: str = LOOPBACK
@@ -81,10 +81,10 @@
     token_file: str | None = None
 
     def __post_init__(self) -> None:
-        check_ip(host=self.host)
+        validate_ip(host=self.host)
 
 
-class Identity(Checked, frozen=True, kw_only=True):
+class Identity(DocumentStruct, frozen=True, kw_only=True):
     """What this process is called and where it stands."""
 
     name: Name
@@ -92,7 +92,7 @@
     region: Name
 
 
-class Link(Checked, frozen=True, kw_only=True):
+class Link(DocumentStruct, frozen=True, kw_only=True):
     """The listener and the shared key of the links between processes.
 
     The key comes from `key_file` or from the environment variable named by `key_env`. `host` and
@@ -115,10 +115,10 @@
     window_bytes: PositiveInt = 256 * 1024
 
     def __post_init__(self) -> None:
-        check_ip(host=self.host, advertised_host=self.advertised_host)
+        validate_ip(host=self.host, advertised_host=self.advertised_host)
 
 
-class Platform(Checked, frozen=True, kw_only=True):
+class Platform(DocumentStruct, frozen=True, kw_only=True):
     """Where the platform publishes the configuration and the instance list, as HTTP origins.
 
     `list_lease_ms` is how old the list may be for a side to run calls that must not be repeated,
@@ -129,10 +129,10 @@
     instances: tuple[HttpOrigin, ...] = ()
     list_poll_ms: PositiveInt = 1_000
     list_lease_ms: PositiveInt = 15_000
-    clock_skew_ms: NotNegativeInt = 1_000
+    clock_skew_ms: NonNegativeInt = 1_000
 
 
-class Upstream(Checked, frozen=True, kw_only=True):
+class Upstream(DocumentStruct, frozen=True, kw_only=True):
     """The upstream beside a side; `silence_ms` bounds its pauses while an answer runs."""
 
     pool: Name
@@ -146,10 +146,10 @@
     load_poll_ms: PositiveInt = 500
 
     def __post_init__(self) -> None:
-        check_ip(host=self.host)
+        validate_ip(host=self.host)
 
 
-class Limits(Checked, frozen=True, kw_only=True):
+class Limits(DocumentStruct, frozen=True, kw_only=True):
     """Bounds of one process; times are in milliseconds, sizes in bytes."""
 
     max_head_bytes: PositiveInt = MAX_HEAD_BYTES
@@ -163,14 +163,14 @@
     answer_memory_bytes: PositiveInt = 16 * 1024 * 1024
 
 
-class Log(Checked, frozen=True, kw_only=True):
+class Log(DocumentStruct, frozen=True, kw_only=True):
     """What is logged, and how."""
 
     level: LogLevel = LogLevel.INFO
     format: LogFormat = LogFormat.TEXT
 
 
-class RouterSettings(Checked, frozen=True, kw_only=True):
+class RouterSettings(DocumentStruct, frozen=True, kw_only=True):
     """Settings of a router."""
 
     instance: Identity
@@ -182,7 +182,7 @@
     log: Log = field(default_factory=Log)
 
 
-class SideSettings(Checked, frozen=True, kw_only=True):
+class SideSettings(DocumentStruct, frozen=True, kw_only=True):
     """Settings of a side."""
 
     instance: Identity
@@ -194,7 +194,7 @@
     log: Log = field(default_factory=Log)
 
 
-class Probes(Checked, frozen=True, kw_only=True):
+class Probes(DocumentStruct, frozen=True, kw_only=True):
     """Where the balancer asks whether this process may get new connections, and for metrics.
 
     Everyone who reaches `metrics` may read it; it holds no secrets.
@@ -205,14 +205,14 @@
     metrics: Endpoint = "127.0.0.1:0"
 
 
-class Processor(Checked, frozen=True, kw_only=True):
+class Processor(DocumentStruct, frozen=True, kw_only=True):
     """The share of a core that a process has, and how fast that core is against a usual one."""
 
     share: PositiveFloat = 1.0
     speed: PositiveFloat = 1.0
 
 
-class Bounds(Checked, frozen=True, kw_only=True):
+class Bounds(DocumentStruct, frozen=True, kw_only=True):
     """What a forwarder must keep towards upstreams and callers; times in milliseconds.
 
     An upstream holds at most `cap_factor` times the mean of its service and `cap_slack` requests.
@@ -230,11 +230,11 @@
     retry_window_ms: PositiveInt = 10_000
     warm_up_factor: PositiveFloat = 1.0
     warm_up_slack: Annotated[float, Meta(ge=0)] = 0.0
-    evacuation_ms: NotNegativeInt = 0
+    evacuation_ms: NonNegativeInt = 0
     stop_ms: PositiveInt = 8_000
 
 
-class ForwarderSettings(Checked, frozen=True, kw_only=True):
+class ForwarderSettings(DocumentStruct, frozen=True, kw_only=True):
     """Settings of a forwarder; addresses are IP:PORT.
 
     `callers` and `link_address` are where it listens (the latter goes before what `link` says),
@@ -264,7 +264,7 @@
 def check_forwarder_settings(document: bytes | str) -> ForwarderSettings:
     """Return checked settings of a forwarder; raises SettingsInvalid."""
     try:
-        return check_json(kind=ForwarderSettings, document=document)
+        return validate_json(kind=ForwarderSettings, document=document)
     except DocumentInvalid as error:
         raise SettingsInvalid(error.errors) from None
 
@@ -272,7 +272,7 @@
 def check_router_settings(document: bytes | str) -> RouterSettings:
     """Return checked settings of a router; raises SettingsInvalid."""
     try:
-        return check_json(kind=RouterSettings, document=document)
+        return validate_json(kind=RouterSettings, document=document)
     except DocumentInvalid as error:
         raise SettingsInvalid(error.errors) from None
 
@@ -280,7 +280,7 @@
 def check_side_settings(document: bytes | str) -> SideSettings:
     """Return checked settings of a side; raises SettingsInvalid."""
     try:
-        return check_json(kind=SideSettings, document=document)
+        return validate_json(kind=SideSettings, document=document)
     except DocumentInvalid as error:
         raise SettingsInvalid(error.errors) from None
 
--- a/gypsumrouter/util/checked.py
+++ b/gypsumrouter/util/validation.py
@@ -21,7 +21,7 @@
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
 PositiveFloat = Annotated[float, Meta(gt=0, le=MAX_FLOAT)]
 PositiveInt = Annotated[int, Meta(gt=0)]
-NotNegativeInt = Annotated[int, Meta(ge=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
 
 ROOT: Final = "$"
 _NO_JSON: Final = (msgspec.DecodeError, UnicodeError, RecursionError)
@@ -29,14 +29,16 @@
 _LOCATION: Final = re.compile(r" - at `\$(.*)`$")
 
 
-class Checked(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True):
+class DocumentStruct(
+    Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True
+):
     """Base of the values that JSON documents are checked into; unknown fields are wrong.
 
     Written as JSON they leave out what has its default.
     """
 
 
-def check_json(*, kind: type[_T], document: bytes | str, strict: bool = True) -> _T:
+def validate_json(*, kind: type[_T], document: bytes | str, strict: bool = True) -> _T:
     """Return the document as a value of `kind`; without `strict` "3" and 3.0 are numbers too.
 
     Raises DocumentInvalid with the path of each wrong field.
@@ -51,11 +53,11 @@
         value = msgspec.json.decode(document)
     except _NO_JSON as error:
         raise DocumentInvalid((FieldError(path=ROOT, message=str(error)),)) from None
-    return check_value(kind=kind, value=value, strict=strict)
+    return validate_value(kind=kind, value=value, strict=strict)
 
 
-def check_value(*, kind: type[_T], value: object, strict: bool = True) -> _T:
-    """Return plain JSON data as a value of `kind`, as `check_json` does."""
+def validate_value(*, kind: type[_T], value: object, strict: bool = True) -> _T:
+    """Return plain JSON data as a value of `kind`, as `validate_json` does."""
     try:
         return msgspec.convert(value, kind, strict=strict)
     except msgspec.ValidationError:
@@ -64,7 +66,7 @@
     raise DocumentInvalid(errors)
 
 
-def check_ip(**fields: str | None) -> None:
+def validate_ip(**fields: str | None) -> None:
     """Raise ValueError, which names the field, for what is no IP address; None is not looked at."""
     for name, value in fields.items():
         try:
