--- a/gypsumrouter/util/__init__.py
+++ b/gypsumrouter/util/__init__.py
@@ -1,1 +1,1 @@
-"""Pure functions and small types that know nothing of the application."""
+"""General-purpose helpers without dependencies on the application."""
--- a/gypsumrouter/util/clock.py
+++ b/gypsumrouter/util/clock.py
@@ -1,4 +1,4 @@
-"""The product's clock: milliseconds, real in daemons and driven by hand in tests."""
+"""Clocks in milliseconds: the system clock, and a manually advanced one for tests."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Clock(Protocol):
-    """What the product knows of time; all values are whole milliseconds."""
+    """Source of time; all values are integer milliseconds."""
 
     def now_ms(self) -> int:
-        """Return monotonic time, for durations."""
+        """Return monotonic time, for measuring durations."""
 
     def wall_ms(self) -> int:
-        """Return the time since the Unix epoch, for what other processes compare with."""
+        """Return the time since the Unix epoch, for values shared with other processes."""
 
     async def async_sleep(self, delay_ms: int) -> None:
         """Sleep for `delay_ms`."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The clock of the operating system."""
 
     __slots__ = ()
 
@@ -42,7 +42,7 @@
 
 
 class ManualClock:
-    """A clock that stands still until a test moves it."""
+    """A clock for tests that moves only when it is advanced."""
 
     __slots__ = ("_now_ms", "_order", "_sleepers", "_wall_offset_ms")
 
@@ -71,7 +71,7 @@
         await future
 
     def advance(self, delay_ms: int) -> None:
-        """Move time on and wake every sleeper that is due."""
+        """Advance both clocks and wake every sleeper that is due."""
         self._now_ms += delay_ms
         while self._sleepers and self._sleepers[0][0] <= self._now_ms:
             _, _, future = heapq.heappop(self._sleepers)
@@ -79,5 +79,5 @@
                 future.set_result(None)
 
     def shift_wall(self, delay_ms: int) -> None:
-        """Move the wall clock alone, as a clock correction does."""
+        """Shift only the wall clock, as a clock adjustment does."""
         self._wall_offset_ms += delay_ms
--- a/gypsumrouter/util/validation.py
+++ b/gypsumrouter/util/validation.py
@@ -1,4 +1,4 @@
-"""JSON documents checked into values, with every wrong field named at once."""
+"""Validation of JSON documents into typed values, reporting all invalid fields at once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 _T = TypeVar("_T")
 
-# The largest number that is not infinite.
+# The largest finite float; as a bound it excludes infinity.
 MAX_FLOAT: Final = sys.float_info.max
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
@@ -24,50 +24,51 @@
 NonNegativeInt = Annotated[int, Meta(ge=0)]
 
 ROOT: Final = "$"
-_NO_JSON: Final = (msgspec.DecodeError, UnicodeError, RecursionError)
-# What the library adds to a message: where it stands within what was checked.
+_JSON_ERRORS: Final = (msgspec.DecodeError, UnicodeError, RecursionError)
+# The path that msgspec appends to its messages.
 _LOCATION: Final = re.compile(r" - at `\$(.*)`$")
 
 
 class DocumentStruct(
     Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """Base of the values that JSON documents are checked into; unknown fields are wrong.
+    """Base class for values validated from JSON documents; unknown fields are rejected.
 
-    Written as JSON they leave out what has its default.
+    Fields with default values are omitted when encoding.
     """
 
 
 def validate_json(*, kind: type[_T], document: bytes | str, strict: bool = True) -> _T:
-    """Return the document as a value of `kind`; without `strict` "3" and 3.0 are numbers too.
+    """Decode a JSON document into a value of `kind`.
 
-    Raises DocumentInvalid with the path of each wrong field.
+    Without `strict`, strings such as "3" are accepted as numbers, and 3.0 as an integer. Raises
+    DocumentInvalid with the path of each invalid field.
     """
     try:
         return msgspec.json.decode(document, type=kind, strict=strict)
     except msgspec.ValidationError:
         pass
-    except _NO_JSON as error:
+    except _JSON_ERRORS as error:
         raise DocumentInvalid((FieldError(path=ROOT, message=str(error)),)) from None
     try:
         value = msgspec.json.decode(document)
-    except _NO_JSON as error:
+    except _JSON_ERRORS as error:
         raise DocumentInvalid((FieldError(path=ROOT, message=str(error)),)) from None
     return validate_value(kind=kind, value=value, strict=strict)
 
 
 def validate_value(*, kind: type[_T], value: object, strict: bool = True) -> _T:
-    """Return plain JSON data as a value of `kind`, as `validate_json` does."""
+    """Convert decoded JSON data into a value of `kind`, like `validate_json`."""
     try:
         return msgspec.convert(value, kind, strict=strict)
     except msgspec.ValidationError:
-        # The library itself stops at the first error.
+        # msgspec stops at the first error; collect all of them.
         errors = tuple(_find_errors(kind, value, ROOT, strict))
     raise DocumentInvalid(errors)
 
 
 def validate_ip(**fields: str | None) -> None:
-    """Raise ValueError, which names the field, for what is no IP address; None is not looked at."""
+    """Raise ValueError naming the field if a value is not an IP address; None is skipped."""
     for name, value in fields.items():
         try:
             if value is not None:
@@ -77,7 +78,7 @@
 
 
 def _find_errors(kind: Any, value: Any, path: str, strict: bool) -> Iterator[FieldError]:
-    """Yield what is wrong with a part of a document, its inner parts first."""
+    """Yield the errors of a part of a document; those of nested parts take precedence."""
     inner = list(_find_inner_errors(kind, value, path, strict))
     if inner:
         yield from inner
@@ -92,7 +93,7 @@
 
 
 def _find_inner_errors(kind: Any, value: Any, path: str, strict: bool) -> Iterator[FieldError]:
-    kind = _strip(kind)
+    kind = _unwrap(kind)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct) and isinstance(value, dict):
         yield from _find_field_errors(kind, value, path, strict)
     elif get_origin(kind) is tuple and isinstance(value, list):
@@ -109,17 +110,17 @@
         if name in value:
             yield from _find_errors(field.type, value[name], f"{path}.{name}", strict)
         elif field.default is NODEFAULT and field.default_factory is NODEFAULT:
-            yield FieldError(path=f"{path}.{name}", message="The field is needed")
+            yield FieldError(path=f"{path}.{name}", message="Missing required field")
     if kind.__struct_config__.forbid_unknown_fields:
         for name in value.keys() - fields.keys():
-            yield FieldError(path=f"{path}.{name}", message="No such field is known")
+            yield FieldError(path=f"{path}.{name}", message="Unknown field")
 
 
-def _strip(kind: Any) -> Any:
-    """Return a type without its bounds and without None."""
+def _unwrap(kind: Any) -> Any:
+    """Return a type without its Annotated metadata and without None."""
     if get_origin(kind) is Annotated:
-        return _strip(get_args(kind)[0])
+        return _unwrap(get_args(kind)[0])
     inner = [member for member in get_args(kind) if member is not type(None)]
     if len(inner) == 1 and len(get_args(kind)) == 2 and get_origin(kind) is not tuple:
-        return _strip(inner[0])
+        return _unwrap(inner[0])
     return kind
