--- a/gypsumrouter/platform/__init__.py
+++ b/gypsumrouter/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Platform: the names, formats and calls of the users' platform; it decides nothing."""
+"""Adapter to the users' platform: its header names, document formats and API calls, no policy."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/platform/answers.py
+++ b/gypsumrouter/platform/answers.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams, and the port that the forwarder speaks through."""
+"""Decoding of upstream responses, and the dialect object that the forwarder uses."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 CONTENT_TYPE_EVENTS: Final = "text/event-stream"
 IDENTITY_ENCODING: Final = "identity"
-# More than a day is no time to come back but a mistake.
+# Longer values of Retry-After are taken for errors and ignored.
 MAX_RETRY_AFTER_MS: Final = 24 * 3600 * MS_PER_S
 DROPPED_HEADERS: Final = names.HOP_BY_HOP | {"content-length"}
 
 
 class PlatformDialect:
-    """How callers and upstreams of the platform spell requests and answers."""
+    """The platform's encoding of requests and responses."""
 
     __slots__ = ()
 
     def write_request(self, *, request: CallerRequest, sending: Sending) -> bytes:
-        """Return the bytes of a request for an upstream."""
+        """Encode a request for an upstream."""
         return write_request(request=request, sending=sending)
 
     def read_answer(self, answer: Answer) -> AnswerFacts:
-        """Return what an answer's head says."""
+        """Return the facts that a response's status and headers state."""
         encoding = answer.get("Content-Encoding")
         return AnswerFacts(
             request_id=answer.get(names.REQUEST_ID),
@@ -42,7 +42,7 @@
         )
 
     def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
-        """Return the headers of an answer that go on to the caller."""
+        """Return the response headers that are forwarded to the caller."""
         return [
             (name, value)
             for name, value in answer.message.headers.items()
@@ -50,12 +50,12 @@
         ]
 
     def format_retry_after(self, retry_after_ms: int) -> str:
-        """Return seconds; callers of the platform also read fractions of one."""
+        """Format a delay in seconds; the platform's callers accept fractions."""
         return f"{retry_after_ms / MS_PER_S:.3f}"
 
 
 def _read_retry_after_ms(answer: Answer) -> int | None:
-    """Return for how long an upstream that turned a request away wants nothing."""
+    """Return the delay that an upstream requests with a status 503; None without one."""
     if answer.status != names.STATUS_UNAVAILABLE:
         return None
     try:
@@ -66,7 +66,7 @@
 
 
 def _read_keep_alive_ms(value: str | None) -> int | None:
-    """Return how long the upstream keeps an idle connection."""
+    """Return the idle timeout that a Keep-Alive header announces."""
     if value is None:
         return None
     for part in value.split(","):
--- a/gypsumrouter/platform/configuration.py
+++ b/gypsumrouter/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration document, decoded into the product's routing configuration."""
+"""Decodes the operator's configuration document into the router's routing configuration."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class WireSplit(Struct, frozen=True, kw_only=True):
-    """One of several services of a route."""
+    """One service of a weighted traffic split."""
 
     service: str
     weight: Weight
 
 
 class WireRoute(Struct, frozen=True, kw_only=True):
-    """A route as published; it has either `service` or `split`."""
+    """A route as published, with either `service` or `split`."""
 
     name: str
     host: str
@@ -51,10 +51,10 @@
 
 
 class WireEngine(Struct, frozen=True, kw_only=True):
-    """What is published of a service's engines."""
+    """The capacity of a service's engines, as published."""
 
     slots: int = 1
-    # The whole cache of one engine, in tokens.
+    # Total cache size of one engine, in tokens.
     kv_tokens: int = 0
 
 
@@ -63,7 +63,7 @@
 
     name: str
     max_connections: int = 0
-    # How long an upstream is slow after its start, and how much it takes then.
+    # Duration of an upstream's slow start, and its request rate limit meanwhile.
     cold_start_s: Annotated[float, Meta(ge=0, le=1e6)] = 0.0
     cold_per_s: Annotated[float, Meta(ge=0, le=1e9)] = 0.0
     engine: WireEngine | None = None
@@ -78,7 +78,7 @@
 
 
 class WireLimits(Struct, frozen=True, kw_only=True):
-    """What callers may send; times in milliseconds."""
+    """Limits for callers, as published."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -87,7 +87,7 @@
 
 
 class WireConfiguration(Struct, frozen=True, kw_only=True):
-    """The whole document; fields that are not known here are passed over."""
+    """The complete document; unknown fields are ignored."""
 
     version: int
     routes: tuple[WireRoute, ...] = ()
@@ -97,7 +97,7 @@
 
 
 def decode_configuration(document: bytes) -> RoutingConfiguration:
-    """Return the product's form of a document; raises ConfigurationInvalid."""
+    """Decode a configuration document; raises ConfigurationInvalid."""
     try:
         wire = validate_json(kind=WireConfiguration, document=document, strict=False)
     except DocumentInvalid as error:
--- a/gypsumrouter/platform/engines.py
+++ b/gypsumrouter/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls of model engines."""
+"""API calls to model engines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def async_list_cached_parts(connection: HttpConnection) -> HeldList:
-    """Return what an engine's cache holds; raises ConnectionBroken for anything that is no list."""
+    """Return the prompt parts in an engine's cache; raises ConnectionBroken if invalid."""
     head = f"GET {names.CALL_HELD} HTTP/1.1\r\nHost: {connection.address}\r\n\r\n"
     connection.begin(method="GET", data=head.encode())
     answer = await connection.async_read_answer()
@@ -19,7 +19,7 @@
         raise ConnectionBroken(f"status {answer.status}")
     try:
         document = json.loads(body)
-        # Each entry is a list: an empty text, the part's id, its tokens, its model.
+        # Each entry is a list: an empty string, the part's id, its token count, its model.
         parts = tuple(
             HeldPart(part=int(part, 16) & names.MASK_64, tokens=int(tokens))
             for _, part, tokens, _ in document["held"]
--- a/gypsumrouter/platform/entries.py
+++ b/gypsumrouter/platform/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's list of runners, decoded."""
+"""Decodes the store's entries for runners (upstreams) and evacuations."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from gypsumrouter.util.validation import validate_json
 
 MAX_PORT: Final = 65_535
-# Ids are sent on in a header, and keys are at most 200 bytes.
+# Ids are forwarded in a header; the store limits keys to 200 bytes.
 ID_PATTERN: Final = re.compile(r"[A-Za-z0-9_.:-]{1,200}")
 
 
 class WireServer(Struct, frozen=True, kw_only=True):
-    """What a runner writes of itself; its id stands only in the key of the item."""
+    """A runner's own entry in the store; its id is only in the item's key."""
 
     service: Annotated[str, Meta(min_length=1)]
     # IP:PORT.
@@ -28,33 +28,33 @@
     zone: str
     slots: Annotated[int, Meta(gt=0)]
     state: Literal["ready", "draining"]
-    # How much longer it is slow after its start, in milliseconds.
+    # Remaining duration of its slow start, in milliseconds.
     cold_left_ms: Annotated[float, Meta(ge=0, le=1e9)] = 0.0
-    # Not the order of its writes but of the orders that it took.
+    # Orders the commands that it accepted, not its writes.
     sequence: int = 0
-    # The version of its software, not of its model.
+    # Software version; not the version of its model.
     version: str = ""
-    # When it was started, in Unix milliseconds; another start has the same id and another time.
+    # Start time in Unix milliseconds; it distinguishes restarts under the same id.
     born: Annotated[int, Meta(gt=0, lt=2**53)] | None = None
 
 
 def read_upstream_id(key: str) -> str | None:
-    """Return the id that a key of the list names; None where it names none."""
+    """Return the upstream id in an item's key; None if the key has no valid id."""
     upstream = key.removeprefix(names.PREFIX_SERVERS)
     return upstream if ID_PATTERN.fullmatch(upstream) else None
 
 
 def read_evacuated_data_centre(key: str) -> str | None:
-    """Return the data centre whose evacuation a key names; None where it names none."""
+    """Return the data centre in the key of an evacuation; None for any other key."""
     if not key.startswith(names.PREFIX_EVACUATIONS):
         return None
     return key.removeprefix(names.PREFIX_EVACUATIONS) or None
 
 
 def decode_entry(*, upstream: str, value: bytes | None) -> Entry:
-    """Return the product's form of one item; None is one that was removed.
+    """Decode the value of an upstream's item; None if the item was removed.
 
-    Raises DocumentInvalid for one that names no upstream to use.
+    Raises DocumentInvalid if the value is not a valid entry.
     """
     if value is None:
         return Entry(upstream=upstream, state=EntryState.GONE)
--- a/gypsumrouter/platform/names.py
+++ b/gypsumrouter/platform/names.py
@@ -1,4 +1,4 @@
-"""Names on the wire; no other package spells them."""
+"""Names of the platform's wire format; no other package contains them."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 # Headers of requests, as callers send them.
 REQUEST_ID: Final = "X-Request-Id"
-# How long the caller waits, in milliseconds from now.
+# The caller's remaining timeout in milliseconds.
 DEADLINE: Final = "X-Deadline-Ms"
 API_KEY: Final = "Api-Key"
 MODEL: Final = "X-Model"
-# Not usage but a promise: the prompt's tokens and the most that are to be generated.
+# Declared, not measured: the prompt's token count and the maximum to be generated.
 TOKEN_USAGE: Final = "X-Token-Usage"
-# Not one hash but all parts of the prompt in order, as ID:TOKENS.
+# All parts of the prompt in order, as ID:TOKENS.
 PREFIX_PARTS: Final = "X-Prefix-Hash"
 LAST_EVENT_ID: Final = "Last-Event-Id"
 
-# Headers that only the system sets towards upstreams.
+# Headers that only the router sets on requests to upstreams; callers' values are dropped.
 TENANT: Final = "X-Tenant"
 EXPECT_INSTANCE: Final = "X-Expect-Instance"
 PRIORITY: Final = "X-Request-Priority"
@@ -30,38 +30,38 @@
     for name in (TENANT, EXPECT_INSTANCE, PRIORITY, HOLD, PIN, BACKUP, CONTINUE_FROM, FETCH_FROM)
 )
 
-# Headers of answers.
+# Headers of responses.
 STAMP: Final = "X-Server-Stamp"
 NOT_RUN: Final = "X-Not-Executed"
-# In all answers of a runner that leaves.
+# Set on all responses of a runner that is leaving.
 SERVER_LEAVING: Final = "Server-Leaving"
-# Beside a status 503: for how many seconds a runner wants nothing from whom it answers.
+# With a status 503: for how many seconds this client is to send the runner no requests.
 RETRY_AFTER: Final = "Retry-After"
 
-# Ids of parts are hexadecimal; their low 64 bits name them inside the product.
+# Part ids are hexadecimal; the router identifies parts by the low 64 bits.
 MASK_64: Final = 2**64 - 1
 
-# A call of model engines.
+# API path of model engines.
 CALL_HELD: Final = "/api/kv-list"
 
 STATUS_OK: Final = 200
 STATUS_UNAVAILABLE: Final = 503
-# The store's history no longer reaches back to where a watch wants to go on.
+# The store's history does not reach back to the revision that a watch starts from.
 STATUS_HISTORY_LOST: Final = 410
 
-# Counts how often the store came back from a copy; in each of its answers.
+# Counts the store's restores from a backup; set on all of its responses.
 STORE_ERA: Final = "Store-Era"
-# Calls of the store.
+# API paths of the store.
 CALL_RANGE: Final = "/api/kv-range"
 CALL_WATCH: Final = "/api/kv-watch"
-# What the operator writes: one watch covers the configuration and evacuations.
+# Written by operators; one watch covers the configuration and the evacuations.
 PREFIX_OPERATOR: Final = "op/"
 KEY_CONFIGURATION: Final = "op/config"
-# Followed by the name of a data centre; the item exists while it is evacuated.
+# Followed by a data centre's name; the item exists while the data centre is evacuated.
 PREFIX_EVACUATIONS: Final = "op/evacuate/"
 PREFIX_SERVERS: Final = "servers/"
 
-# Headers that concern one connection only (RFC 9110).
+# Hop-by-hop headers (RFC 9110).
 HOP_BY_HOP: Final = frozenset(
     {
         "connection",
@@ -78,5 +78,5 @@
 
 
 def is_leaving(value: str | None) -> bool:
-    """Return whether the value of the header SERVER_LEAVING says that its runner leaves."""
+    """Return whether a value of the header SERVER_LEAVING marks its runner as leaving."""
     return value is not None and value.strip() == "1"
--- a/gypsumrouter/platform/requests.py
+++ b/gypsumrouter/platform/requests.py
@@ -1,4 +1,4 @@
-"""Requests: from the callers' spelling to typed values, and on to the upstreams' spelling."""
+"""Decodes callers' requests into typed values and encodes requests to upstreams."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def read_request(*, request: web.BaseRequest, body: bytes) -> CallerRequest | None:
-    """Return a caller's request, or None where its head is malformed."""
+    """Decode a caller's request; None if its request line or headers are invalid."""
     headers = request.headers
     request_id = headers.get(names.REQUEST_ID, "")
     if not request_id or not request.raw_path.startswith("/"):
@@ -51,7 +51,7 @@
 
 
 def write_request(*, request: CallerRequest, sending: Sending) -> bytes:
-    """Return the bytes of a request for an upstream."""
+    """Encode a request for an upstream."""
     lines = [
         f"{request.method} {request.path} HTTP/1.1",
         f"Host: {request.host}",
@@ -75,7 +75,7 @@
 
 
 def _read_prompt(headers: Mapping[str, str]) -> Prompt | None:
-    """Return the prompt of a request to a model engine; None where the head names none."""
+    """Return the prompt that the headers describe; None if they are missing or invalid."""
     usage = headers.get(names.TOKEN_USAGE)
     listed = headers.get(names.PREFIX_PARTS)
     if usage is None or listed is None:
@@ -108,5 +108,5 @@
 
 
 def _list_connection_headers(value: str) -> frozenset[str]:
-    """Return the headers that a request declares to concern its connection only."""
+    """Return the hop-by-hop headers that a Connection header lists."""
     return frozenset(name.strip().lower() for name in value.split(",") if name.strip())
--- a/gypsumrouter/platform/store.py
+++ b/gypsumrouter/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store: reads and watches below one prefix."""
+"""Client of the platform's store: reads and watches below one prefix."""
 
 from __future__ import annotations
 
@@ -26,17 +26,16 @@
 _LOGGER = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_MS: Final = 1_000
-# A call takes 4 ms as published; a slow store takes sixty times that, and lists come in pages.
 ANSWER_TIMEOUT_MS: Final = 1_500
-# Pages of one list; a list of 930 runners has two.
+# Limit on the pages of one list.
 MAX_PAGES: Final = 64
 MAX_ERA_DIGITS: Final = 18
-# Eras rise by one from any number on: their last six digits keep the order.
+# Eras increase by one from an arbitrary start; their last six digits are used as the epoch.
 EPOCH_MODULUS: Final = 10**6
 
 
 class StoreAnswer(Struct, frozen=True, kw_only=True):
-    """An answer of the store; `epoch` counts how often it came back from a copy."""
+    """A response of the store; `epoch` counts its restores from a backup."""
 
     status: int
     epoch: int
@@ -44,14 +43,14 @@
 
 
 class Document(Struct, frozen=True, kw_only=True):
-    """A document of the store, and the epoch that its revisions belong to."""
+    """A decoded response body and the epoch that its revisions belong to."""
 
     epoch: int
     content: Any
 
 
 class Page(Struct, frozen=True, kw_only=True):
-    """One answer of the store: its readable items, and where the next page begins."""
+    """One page of items; unreadable ones are left out. The next page starts after `last_key`."""
 
     items: tuple[Item, ...]
     as_of: int
@@ -60,7 +59,7 @@
 
 
 class StoreClient:
-    """Reads what lies below one prefix, over one connection that is opened when it is needed."""
+    """Reads items below one prefix, over one connection that is opened on demand."""
 
     __slots__ = ("_address", "_connection", "_prefix")
 
@@ -83,7 +82,8 @@
                 raise StoreUnavailable("a list without its history")
             page = read_page(document.content, "items", epoch=document.epoch)
             items.extend(page.items)
-            # Pages are no snapshot: what changed after the first one is told by the watch.
+            # Pages are not a consistent snapshot; the watch from the first page's revision returns
+            # what changed while the others were read.
             as_of = page.as_of if as_of is None else as_of
             if document.epoch != get_epoch(as_of):
                 raise StoreUnavailable("restored from a copy while the list was read")
@@ -92,15 +92,15 @@
             if not page.last_key:
                 break
             after = page.last_key
-        # A list that breaks off would end all the upstreams that it did not come to.
+        # Returning an incomplete list would remove the upstreams missing from it.
         raise StoreUnavailable("a list without an end")
 
     async def async_watch(self, *, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
-        """Return what changed after a revision; raises StoreUnavailable."""
+        """Return the changes after a revision; raises StoreUnavailable."""
         number = str(get_number(after))
         query = {"prefix": self._prefix, "after": number, "wait_ms": str(wait_ms)}
         document = await self._async_get(names.CALL_WATCH, query, wait_ms=wait_ms)
-        # After a restoration the store may know the number again, for another change.
+        # After a restore the same number may belong to a different change.
         if document is None or document.epoch != get_epoch(after):
             return HistoryLost()
         page = read_page(document.content, "events", epoch=document.epoch)
@@ -115,7 +115,7 @@
     async def _async_get(
         self, call: str, query: dict[str, str], *, wait_ms: int
     ) -> Document | None:
-        """Return a document, or None where the history is lost; raises StoreUnavailable."""
+        """Return a response document, None if the history is lost; raises StoreUnavailable."""
         try:
             async with asyncio.timeout((wait_ms + ANSWER_TIMEOUT_MS) / MS_PER_S):
                 answer = await self._async_exchange(f"{call}?{urlencode(query)}")
@@ -156,7 +156,7 @@
 
 
 def read_page(document: Any, field: str, *, epoch: int = 0) -> Page:
-    """Return a page of an epoch; raises StoreUnavailable for a document that is none."""
+    """Decode a page of items in an epoch; raises StoreUnavailable if it is invalid."""
     if not isinstance(document, dict) or not isinstance(document.get(field), list):
         raise StoreUnavailable(f"a page without {field}")
     as_of = _read_revision(document.get("as_of"), epoch)
@@ -172,7 +172,7 @@
 
 
 def _read_epoch(text: str | None) -> int:
-    """Return the epoch that an answer names, 0 where it names none; raises StoreUnavailable."""
+    """Return the epoch of a response, 0 if it has none; raises StoreUnavailable if invalid."""
     if text is None:
         return 0
     if text.isascii() and text.isdigit() and len(text) <= MAX_ERA_DIGITS:
@@ -181,7 +181,7 @@
 
 
 def _read_item(entry: Any, epoch: int) -> Item | None:
-    """Return an item or the removal of one; None where it has no key or revision."""
+    """Decode an item or its removal; None if it has no valid key or revision."""
     key = _read_key(entry)
     revision = _read_revision(entry.get("revision"), epoch) if key else None
     if revision is None:
@@ -197,7 +197,7 @@
 
 
 def _read_value(text: Any) -> bytes:
-    """Return the bytes of a value; of one that is no text in base64, none."""
+    """Decode a base64 value; empty bytes if it is invalid."""
     try:
         return base64.b64decode(text, validate=True)
     except (ValueError, TypeError):
@@ -205,7 +205,7 @@
 
 
 def _read_revision(value: Any, epoch: int) -> int | None:
-    """Return a revision; True and False are no numbers here, though Python counts with them."""
+    """Return a revision, None if invalid; booleans are rejected although they are ints."""
     if isinstance(value, bool) or not isinstance(value, int):
         return None
     try:
