--- a/tests/directory/test_directory_evacuations.py
+++ b/tests/directory/test_directory_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations of data centres: the newest word counts, and only a removal ends one."""
+"""Evacuations of data centres: the highest revision wins, and only a removal ends one."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
     return Evacuation(data_centre=name, revision=revision, active=active)
 
 
-def test_an_evacuation_holds_until_its_removal_is_read() -> None:
+def test_evacuation_is_active_until_its_removal() -> None:
     evacuations = make_evacuations()
     evacuations.merge(make("dc-a", 10), source="p")
     assert evacuations.is_active("dc-a")
     assert not evacuations.is_active("dc-b")
-    evacuations.merge(make("dc-a", 9, active=False), source="peer that knows less")
+    evacuations.merge(make("dc-a", 9, active=False), source="peer that is behind")
     assert evacuations.is_active("dc-a")
     evacuations.merge(make("dc-a", 11, active=False), source="p")
     assert not evacuations.is_active("dc-a")
-    evacuations.merge(make("dc-a", 10), source="peer that knows less")
+    evacuations.merge(make("dc-a", 10), source="peer that is behind")
     assert not evacuations.is_active("dc-a")
 
 
-def test_a_whole_list_ends_what_it_lacks_unless_that_is_newer() -> None:
+def test_full_list_ends_missing_evacuations_unless_newer() -> None:
     evacuations = make_evacuations()
     evacuations.merge(make("dc-a", 10), source="p")
     evacuations.merge(make("dc-b", 30), source="peer")
@@ -54,41 +54,41 @@
     assert evacuations.is_active("dc-b")
 
 
-def test_listeners_hear_of_beginnings_and_ends_only() -> None:
+def test_listeners_are_called_only_on_begin_and_end() -> None:
     evacuations = make_evacuations()
-    heard: list[bool] = []
-    evacuations.on_change(lambda evacuation: heard.append(evacuation.active))
+    calls: list[bool] = []
+    evacuations.on_change(lambda evacuation: calls.append(evacuation.active))
     for revision, active in ((1, False), (2, True), (3, True), (4, False), (5, False)):
         evacuations.merge(make("dc-a", revision, active=active), source="p")
-    assert heard == [True, False]
+    assert calls == [True, False]
 
 
 @settings(derandomize=True, deadline=None)
 @given(
     st.lists(
         st.tuples(st.sampled_from(NAMES), st.integers(1, 30), st.booleans()),
-        unique_by=lambda told: (told[0], told[1]),
-    ).flatmap(lambda told: st.tuples(st.just(told), st.permutations(told)))
+        unique_by=lambda change: (change[0], change[1]),
+    ).flatmap(lambda changes: st.tuples(st.just(changes), st.permutations(changes)))
 )
-def test_in_whatever_order_it_is_heard_all_routers_believe_the_same(
+def test_result_is_independent_of_merge_order(
     orders: tuple[list[tuple[str, int, bool]], list[tuple[str, int, bool]]],
 ) -> None:
-    books = []
-    for told in orders:
+    results = []
+    for changes in orders:
         evacuations = make_evacuations()
-        for name, revision, active in told:
+        for name, revision, active in changes:
             evacuations.merge(make(name, revision, active=active), source="p")
-        books.append({name: evacuations.is_active(name) for name in NAMES})
-    assert books[0] == books[1]
+        results.append({name: evacuations.is_active(name) for name in NAMES})
+    assert results[0] == results[1]
 
 
-def test_items_of_the_operator_are_read_as_evacuations() -> None:
+def test_operator_items_are_decoded_as_evacuations() -> None:
     items = (
         Item(key="op/config", revision=1, value=b"{}"),
         Item(key="op/evacuate/dc-a", revision=2, value=b"{}"),
         Item(key="op/evacuate/dc-b", revision=3, value=None),
         Item(key="op/evacuate/", revision=4, value=b"{}"),
-        # What its writer put there doesn't matter: the item exists.
+        # The value is ignored; the item's existence marks the evacuation.
         Item(key="op/evacuate/dc-c", revision=5, value=b"\xff"),
     )
     assert list(read_evacuations(items)) == [
@@ -98,7 +98,7 @@
     ]
 
 
-def test_how_old_an_evacuation_is_only_a_process_knows_that_was_there() -> None:
+def test_age_is_unknown_for_evacuations_learned_at_startup() -> None:
     clock = ManualClock()
     evacuations = make_evacuations(clock)
     evacuations.merge(make("dc-a", 1), source="p")
--- a/tests/directory/test_directory_machine.py
+++ b/tests/directory/test_directory_machine.py
@@ -1,4 +1,4 @@
-"""The list of upstreams under lapses, late news and peers with other views."""
+"""The list of upstreams with expired entries, late changes and peers with other revisions."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return Record(revision=revision, entry=entry)
 
 
-def test_a_whole_list_ends_what_it_lacks() -> None:
+def test_full_list_removes_missing_upstreams() -> None:
     directory = make_directory(ManualClock())
     directory.replace_all([make_record("i-1", 1), make_record("i-2", 2)], revision=5, source="p")
     directory.replace_all([make_record("i-1", 1)], revision=9, source="p")
@@ -46,7 +46,7 @@
     assert gone.state is EntryState.GONE
 
 
-def test_a_lapse_during_an_outage_ends_an_upstream_only_after_the_grace() -> None:
+def test_removal_during_outage_is_deferred_until_grace_period_ends() -> None:
     clock = ManualClock()
     directory = make_directory(clock)
     directory.merge(make_record("i-1", 1), source="p")
@@ -54,17 +54,17 @@
     directory.merge(make_record("i-1", 2, EntryState.GONE), source="p")
     clock.advance(60_000)
     directory.apply_deferred()
-    assert _state(directory, "i-1") is EntryState.READY
+    assert _get_state(directory, "i-1") is EntryState.READY
     directory.note_recovered()
     clock.advance(RECOVERY_GRACE_MS - 1)
     directory.apply_deferred()
-    assert _state(directory, "i-1") is EntryState.READY
+    assert _get_state(directory, "i-1") is EntryState.READY
     clock.advance(1)
     directory.apply_deferred()
-    assert _state(directory, "i-1") is EntryState.GONE
+    assert _get_state(directory, "i-1") is EntryState.GONE
 
 
-def test_an_upstream_that_comes_back_within_the_grace_stays() -> None:
+def test_upstream_listed_again_within_grace_period_stays_ready() -> None:
     clock = ManualClock()
     directory = make_directory(clock)
     directory.merge(make_record("i-1", 1), source="p")
@@ -74,80 +74,80 @@
     directory.merge(make_record("i-1", 3), source="p")
     clock.advance(RECOVERY_GRACE_MS)
     directory.apply_deferred()
-    assert _state(directory, "i-1") is EntryState.READY
+    assert _get_state(directory, "i-1") is EntryState.READY
 
 
-def test_an_upstream_that_leaves_is_acted_on_at_once_also_in_an_outage() -> None:
+def test_leaving_is_applied_at_once_during_outage() -> None:
     directory = make_directory(ManualClock())
     directory.merge(make_record("i-1", 1), source="p")
     directory.note_outage()
     directory.merge(make_record("i-1", 2, EntryState.LEAVING), source="entry-2")
-    assert _state(directory, "i-1") is EntryState.LEAVING
+    assert _get_state(directory, "i-1") is EntryState.LEAVING
 
 
-def test_a_removal_that_a_peer_has_made_sure_of_is_acted_on_in_an_outage() -> None:
+def test_confirmed_removal_is_applied_during_outage() -> None:
     directory = make_directory(ManualClock())
     directory.merge(make_record("i-1", 1), source="p")
     directory.note_outage()
     directory.merge(make_record("i-1", 2, EntryState.GONE), source="entry-2", confirmed=True)
-    assert _state(directory, "i-1") is EntryState.GONE
+    assert _get_state(directory, "i-1") is EntryState.GONE
 
 
-def test_an_upstream_that_says_itself_that_it_leaves_is_not_brought_back_by_the_list() -> None:
+def test_announced_leaving_is_not_undone_by_entries() -> None:
     directory = make_directory(ManualClock())
     directory.merge(make_record("i-1", 1), source="p")
     directory.note_leaving("i-1", source="answer")
-    assert _state(directory, "i-1") is EntryState.LEAVING
+    assert _get_state(directory, "i-1") is EntryState.LEAVING
     directory.merge(make_record("i-1", 2), source="p")
-    assert _state(directory, "i-1") is EntryState.LEAVING
+    assert _get_state(directory, "i-1") is EntryState.LEAVING
     directory.merge(make_record("i-1", 3, EntryState.GONE), source="p")
     directory.merge(make_record("i-1", 4), source="p")
-    assert _state(directory, "i-1") is EntryState.LEAVING
+    assert _get_state(directory, "i-1") is EntryState.LEAVING
 
 
-def test_its_word_is_heard_once_and_is_no_change_of_the_list() -> None:
+def test_announced_leaving_notifies_once_and_keeps_revision() -> None:
     directory = make_directory(ManualClock())
     directory.merge(make_record("i-1", 1), source="p")
-    heard: list[EntryState] = []
-    directory.on_change(lambda entry: heard.append(entry.state))
+    states: list[EntryState] = []
+    directory.on_change(lambda entry: states.append(entry.state))
     for _ in range(3):
         directory.note_leaving("i-1", source="answer")
-    assert heard == [EntryState.LEAVING]
+    assert states == [EntryState.LEAVING]
     assert directory.applied_revision == 1
 
 
-def test_a_word_that_comes_before_the_entry_counts_for_it() -> None:
+def test_announced_leaving_applies_to_a_later_entry() -> None:
     directory = make_directory(ManualClock())
     directory.note_leaving("i-1", source="answer")
     directory.merge(make_record("i-1", 1), source="p")
-    assert _state(directory, "i-1") is EntryState.LEAVING
+    assert _get_state(directory, "i-1") is EntryState.LEAVING
     directory.merge(make_record("i-1", 2), source="p")
-    assert _state(directory, "i-1") is EntryState.LEAVING
+    assert _get_state(directory, "i-1") is EntryState.LEAVING
 
 
-def test_the_next_start_of_an_upstream_that_said_so_takes_work() -> None:
+def test_restart_after_announced_leaving_is_ready() -> None:
     directory = make_directory(ManualClock())
     directory.merge(make_record("i-1", 1), source="p")
     directory.note_leaving("i-1", source="answer")
     entry = replace(make_record("i-1", 2).entry, started_ms=5)
     directory.merge(Record(revision=2, entry=entry), source="p")
-    assert _state(directory, "i-1") is EntryState.READY
+    assert _get_state(directory, "i-1") is EntryState.READY
 
 
-def _state(directory: Directory, upstream: str) -> EntryState:
+def _get_state(directory: Directory, upstream: str) -> EntryState:
     entry = directory.get(upstream)
     assert entry is not None
     return entry.state
 
 
 class DirectoryMachine(RuleBasedStateMachine):
-    """Entries arrive in any order; a state never goes back and old news change nothing."""
+    """Merges changes in any order; leaving is final and outdated changes are ignored."""
 
     def __init__(self) -> None:
         super().__init__()
         self.clock = ManualClock()
         self.directory = make_directory(self.clock)
-        self.worst: dict[str, int] = {}
+        self.last_rank: dict[str, int] = {}
 
     @rule(
         upstream=UPSTREAMS,
@@ -155,32 +155,32 @@
         state=st.sampled_from(list(EntryState)),
     )
     def merge(self, upstream: str, revision: int, state: EntryState) -> None:
-        """Take news from the store or a peer."""
+        """Merge a change from the store or a peer."""
         known = {r.entry.upstream: r.revision for r in self.directory.records()}
         changed = self.directory.merge(make_record(upstream, revision, state), source="p")
         if known.get(upstream, 0) >= revision:
             assert not changed
 
     @rule()
-    def lose(self) -> None:
-        """Lose the store."""
+    def lose_store(self) -> None:
+        """Start an outage of the store."""
         self.directory.note_outage()
 
     @rule(pause_ms=st.integers(min_value=0, max_value=2 * RECOVERY_GRACE_MS))
-    def regain(self, pause_ms: int) -> None:
-        """Regain the store and let time pass."""
+    def regain_store(self, pause_ms: int) -> None:
+        """End the outage and advance the clock."""
         self.directory.note_recovered()
         self.clock.advance(pause_ms)
         self.directory.apply_deferred()
 
     @invariant()
     def leaving_is_final(self) -> None:
-        """An upstream that leaves never takes new work again."""
+        """An upstream that is leaving is never ready again."""
         for record in self.directory.records():
             rank = RANK[record.entry.state]
-            left = self.worst.get(record.entry.upstream, 0) == RANK[EntryState.LEAVING]
-            assert not (left and rank == RANK[EntryState.READY])
-            self.worst[record.entry.upstream] = rank
+            was_leaving = self.last_rank.get(record.entry.upstream, 0) == RANK[EntryState.LEAVING]
+            assert not (was_leaving and rank == RANK[EntryState.READY])
+            self.last_rank[record.entry.upstream] = rank
 
 
 TestDirectoryMachine = DirectoryMachine.TestCase
--- a/tests/platform/test_platform_entries.py
+++ b/tests/platform/test_platform_entries.py
@@ -1,4 +1,4 @@
-"""What other writers put into the store: it names no upstream to use and hides no other."""
+"""Invalid content in the store: it yields no usable upstream and hides no valid items."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from gypsumrouter.published.models import StoreUnavailable
 from gypsumrouter.util.revisions import NUMBERS_PER_EPOCH, get_epoch, get_number
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "service": "models",
     "address": "10.1.0.9:8080",
     "zone": "dc-a",
@@ -30,7 +30,7 @@
     "cold_left_ms": 0,
     "born": 1_760_000_000_000,
 }
-WRONG: list[tuple[str, Any]] = [
+INVALID_FIELDS: list[tuple[str, Any]] = [
     ("address", "abc"),
     ("address", "1.2.3.4:x"),
     ("address", "1.2.3.4:70000"),
@@ -68,29 +68,29 @@
 
 
 def encode(**changed: Any) -> bytes:
-    return json.dumps(GOOD | changed).encode()
+    return json.dumps(VALID | changed).encode()
 
 
-def test_a_good_entry_is_read_with_its_start() -> None:
+def test_valid_entry_is_decoded_with_start_time() -> None:
     entry = decode_entry(upstream="i-1", value=encode(unknown={"a": 1}))
-    assert (entry.state, entry.slots, entry.started_ms) == (EntryState.READY, 64, GOOD["born"])
+    assert (entry.state, entry.slots, entry.started_ms) == (EntryState.READY, 64, VALID["born"])
 
 
-@pytest.mark.parametrize(("field", "value"), WRONG)
-def test_a_field_that_is_wrong_makes_an_entry_unreadable(field: str, value: Any) -> None:
+@pytest.mark.parametrize(("field", "value"), INVALID_FIELDS)
+def test_invalid_field_rejects_entry(field: str, value: Any) -> None:
     with pytest.raises(DocumentInvalid):
         decode_entry(upstream="i-1", value=encode(**{field: value}))
 
 
 @pytest.mark.parametrize("field", ["service", "address", "zone", "slots", "state"])
-def test_a_field_that_is_missing_makes_an_entry_unreadable(field: str) -> None:
-    document = {name: value for name, value in GOOD.items() if name != field}
+def test_missing_field_rejects_entry(field: str) -> None:
+    document = {name: value for name, value in VALID.items() if name != field}
     with pytest.raises(DocumentInvalid):
         decode_entry(upstream="i-1", value=json.dumps(document).encode())
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"7", b"[" * 100_000])
-def test_bytes_that_are_no_entry_are_unreadable(value: bytes) -> None:
+def test_malformed_value_rejects_entry(value: bytes) -> None:
     with pytest.raises(DocumentInvalid):
         decode_entry(upstream="i-1", value=value)
 
@@ -98,20 +98,20 @@
 @pytest.mark.parametrize(
     "key", ["servers/", "servers/a/b", "servers/a\r\nX: y", "servers/" + "a" * 201]
 )
-def test_a_key_that_names_no_upstream_is_passed_over(key: str) -> None:
+def test_key_without_valid_id_is_ignored(key: str) -> None:
     assert read_upstream_id(key) is None
 
 
 @given(
-    field=st.sampled_from(sorted(GOOD)),
+    field=st.sampled_from(sorted(VALID)),
     value=VALUES,
     keep=st.booleans(),
 )
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_no_change_of_one_field_ends_anything_or_names_a_wrong_place(
+def test_changed_field_neither_hides_other_entries_nor_changes_the_address(
     field: str, value: Any, keep: bool
 ) -> None:
-    document = dict(GOOD)
+    document = dict(VALID)
     if keep:
         document[field] = value
     else:
@@ -130,13 +130,13 @@
 
 @given(value=VALUES)
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_no_document_is_a_configuration_by_accident(value: Any) -> None:
+def test_arbitrary_json_is_no_configuration(value: Any) -> None:
     with pytest.raises(ConfigurationInvalid):
         decode_configuration(json.dumps(value).encode())
 
 
 @pytest.mark.parametrize("time", ["NaN", "Infinity", "-1", "1e300"])
-def test_a_route_with_an_impossible_time_makes_a_configuration_unreadable(time: str) -> None:
+def test_route_with_invalid_timeout_rejects_configuration(time: str) -> None:
     route = (
         '{"name": "r", "host": "h", "prefix": "/a/", "kind": "idempotent", "service": "s",'
         f' "timeout_ms": {time}}}'
@@ -145,7 +145,7 @@
         decode_configuration(f'{{"version": 1, "routes": [{route}]}}'.encode())
 
 
-def test_items_that_cannot_be_read_hide_no_others() -> None:
+def test_unreadable_items_do_not_hide_others() -> None:
     value = base64.b64encode(encode()).decode()
     document = {
         "as_of": 9,
@@ -171,7 +171,7 @@
 
 @given(document=VALUES)
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_an_answer_that_is_no_page_is_an_answer_of_a_store_that_is_away(document: Any) -> None:
+def test_response_that_is_no_page_means_store_unavailable(document: Any) -> None:
     with pytest.raises(StoreUnavailable):
         read_page(document, "items")
 
@@ -182,14 +182,14 @@
     epoch=st.integers(min_value=0, max_value=999_999),
 )
 @settings(max_examples=200, deadline=None, derandomize=True)
-def test_whatever_stands_in_a_page_it_is_read(entries: list[Any], as_of: int, epoch: int) -> None:
+def test_page_with_arbitrary_items_is_decoded(entries: list[Any], as_of: int, epoch: int) -> None:
     page = read_page({"items": entries, "as_of": as_of}, "items", epoch=epoch)
     assert (get_epoch(page.as_of), get_number(page.as_of)) == (epoch, as_of)
     assert page.items == ()
 
 
 @pytest.mark.parametrize("as_of", [-1, NUMBERS_PER_EPOCH, 2**70])
-def test_a_page_whose_revision_is_out_of_range_is_none(as_of: int) -> None:
+def test_page_with_revision_out_of_range_is_rejected(as_of: int) -> None:
     with pytest.raises(StoreUnavailable):
         read_page({"items": [], "as_of": as_of}, "items")
 
@@ -205,11 +205,11 @@
         ("999999999999999999", 999_999),
     ],
 )
-def test_an_era_of_any_size_is_read(text: str | None, epoch: int) -> None:
+def test_era_of_any_size_is_decoded(text: str | None, epoch: int) -> None:
     assert _read_epoch(text) == epoch
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", "x", "9" * 19, "٣"])
-def test_an_era_that_is_no_number_is_an_answer_of_a_store_that_is_away(text: str) -> None:
+def test_invalid_era_means_store_unavailable(text: str) -> None:
     with pytest.raises(StoreUnavailable):
         _read_epoch(text)
--- a/tests/platform/test_platform_wire.py
+++ b/tests/platform/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: what it decodes, and that nobody else knows the names on the wire."""
+"""The platform adapter: decoding, encoding, and that wire names occur nowhere else."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 )
 
 
-def test_no_other_module_names_the_wire() -> None:
+def test_wire_names_occur_only_in_platform() -> None:
     found = [
         f"{path.relative_to(PACKAGE)}: {name}"
         for path in PACKAGE.rglob("*.py")
@@ -51,12 +51,12 @@
     assert found == []
 
 
-def test_the_adapter_stays_small() -> None:
+def test_adapter_size_is_limited() -> None:
     lines = sum(len(path.read_text().splitlines()) for path in (PACKAGE / "platform").glob("*.py"))
     assert lines < 800
 
 
-def test_a_configuration_with_fields_of_the_future_is_read() -> None:
+def test_configuration_with_unknown_fields_is_decoded() -> None:
     document = {
         "version": 7,
         "new": 1,
@@ -91,12 +91,12 @@
 
 
 @pytest.mark.parametrize("document", [b"", b"[]", b'{"version": "x"}', b'{"routes": []}'])
-def test_a_wrong_configuration_is_an_error(document: bytes) -> None:
+def test_invalid_configuration_is_rejected(document: bytes) -> None:
     with pytest.raises(ConfigurationInvalid):
         decode_configuration(document)
 
 
-def test_an_entry_is_read_with_the_id_of_its_key() -> None:
+def test_entry_is_decoded_with_id_and_address() -> None:
     value = b'{"service":"s","address":"10.1.0.9:8080","zone":"a","slots":4,"state":"draining"}'
     entry = decode_entry(upstream="i-1", value=value)
     assert (entry.upstream, entry.state) == ("i-1", EntryState.LEAVING)
@@ -106,7 +106,7 @@
         decode_entry(upstream="i-1", value=b'{"service":"s"}')
 
 
-def test_a_request_is_written_with_what_the_system_adds() -> None:
+def test_request_is_encoded_with_router_headers() -> None:
     request = CallerRequest(
         request_id="r1",
         method="POST",
@@ -140,21 +140,21 @@
     assert body == b"body"
 
 
-class HeadOnly:
-    """The head of an answer."""
+class ResponseHead:
+    """Status and headers of a response."""
 
     def __init__(self, *, status: int, headers: dict[str, str]) -> None:
         self.status = status
         self._headers = CIMultiDict(headers)
 
     def get(self, name: str) -> str | None:
-        """Return a header."""
+        """Return a header's value."""
         return self._headers.get(name)
 
 
 def read_head(status: int, **headers: str) -> AnswerFacts:
     named = {name.replace("_", "-"): value for name, value in headers.items()}
-    head = HeadOnly(status=status, headers=named)
+    head = ResponseHead(status=status, headers=named)
     return PlatformDialect().read_answer(cast(Any, head))
 
 
@@ -176,13 +176,13 @@
         (200, "2", None),
     ],
 )
-def test_the_time_for_which_an_upstream_wants_nothing(
+def test_retry_after_is_read_only_from_status_503(
     status: int, value: str, rest_ms: int | None
 ) -> None:
     assert read_head(status, Retry_After=value).rest_ms == rest_ms
 
 
 @pytest.mark.parametrize(("value", "leaving"), [("1", True), (" 1 ", True), ("0", False)])
-def test_an_answer_says_whether_its_upstream_leaves(value: str, leaving: bool) -> None:
+def test_leaving_header_is_decoded(value: str, leaving: bool) -> None:
     assert read_head(200, Server_Leaving=value).leaving is leaving
     assert not read_head(200).leaving
--- a/tests/routing/test_routing_table.py
+++ b/tests/routing/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Routes, keys and versions."""
+"""Matching of routes and API keys, and the order of configuration versions."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     return table.find(host="API.example", path=path, key=key)
 
 
-def test_the_longest_prefix_counts_and_only_whole_segments_match() -> None:
+def test_longest_prefix_wins_and_only_whole_segments_match() -> None:
     short, long = make_route("/a/"), make_route("/a/b/")
     table = RoutingTable(configuration=make_configuration(1, short, long))
     assert find(table, "/a/b/c") == RouteMatch(route=long, workspace="plant", priority=1)
@@ -68,12 +68,12 @@
     assert find(table, "/") == NoRoute()
 
 
-def test_another_host_has_other_routes() -> None:
+def test_routes_are_matched_per_host() -> None:
     table = RoutingTable(configuration=make_configuration(1, make_route("/a/")))
     assert table.find(host="else.example", path="/a/", key="k1") == NoRoute()
 
 
-def test_a_key_names_its_workspace_and_a_wrong_one_is_told_apart_from_no_route() -> None:
+def test_key_selects_workspace_and_invalid_key_is_reported() -> None:
     route = make_route("/a/")
     table = RoutingTable(configuration=make_configuration(1, route))
     assert find(table, "/a/", "k3") == RouteMatch(route=route, workspace="school", priority=3)
@@ -81,13 +81,13 @@
     assert find(table, "/a/", None) == InvalidKey(route=route)
 
 
-def test_a_public_route_needs_no_key() -> None:
+def test_public_route_needs_no_key() -> None:
     route = make_route("/a/", public=True)
     table = RoutingTable(configuration=make_configuration(1, route))
     assert find(table, "/a/", None) == RouteMatch(route=route, workspace="", priority=3)
 
 
-def test_versions_only_go_up() -> None:
+def test_lower_or_equal_version_is_ignored() -> None:
     app = Application(
         name="entry-1", role=Role.FORWARDER, data_centre="a", region="r", clock=ManualClock()
     )
