--- a/gypsumrouter/published/follower.py
+++ b/gypsumrouter/published/follower.py
@@ -53,10 +53,10 @@
         "_handle_changes",
         "_is_watcher",
         "_journal",
-        "_lost_ms",
         "_name",
         "_on_lost",
         "_on_regained",
+        "_outage_since_ms",
         "_state",
         "_store",
     )
@@ -89,7 +89,7 @@
         self._count_peers = count_peers
         self._count_watchers = count_watchers
         self._is_watcher = is_watcher
-        self._lost_ms: int | None = None
+        self._outage_since_ms: int | None = None
 
     def async_start(self) -> None:
         """Start the task."""
@@ -134,7 +134,7 @@
             await self._app.clock.async_sleep(pause_ms)
 
     def _get_watch_timeout_ms(self) -> int:
-        if self._lost_ms is not None:
+        if self._outage_since_ms is not None:
             return FIRST_WATCH_TIMEOUT_MS
         share = max(1, self._count_watchers() // WATCHERS_PER_TIMEOUT_STEP)
         return min(MAX_WATCH_TIMEOUT_MS, WATCH_TIMEOUT_MS * share)
@@ -145,21 +145,21 @@
         await self._app.clock.async_sleep(random.randint(ceiling // 2, ceiling))
 
     def _note_lost(self, reason: str) -> None:
-        if self._lost_ms is not None:
+        if self._outage_since_ms is not None:
             return
-        self._lost_ms = self._app.clock.now_ms()
+        self._outage_since_ms = self._app.clock.now_ms()
         self._state.available = False
         self._journal.record(DependencyLost(dependency=self._name, reason=reason))
         if self._on_lost is not None:
             self._on_lost()
 
     def _note_regained(self) -> None:
-        if self._lost_ms is None:
+        if self._outage_since_ms is None:
             return
-        lost_ms = self._app.clock.now_ms() - self._lost_ms
-        self._lost_ms = None
+        outage_ms = self._app.clock.now_ms() - self._outage_since_ms
+        self._outage_since_ms = None
         self._state.available = True
-        self._journal.record(DependencyRegained(dependency=self._name, lost_ms=lost_ms))
+        self._journal.record(DependencyRegained(dependency=self._name, lost_ms=outage_ms))
         if self._on_regained is not None:
             self._on_regained()
 
