--- a/gypsumrouter/platform/names.py
+++ b/gypsumrouter/platform/names.py
@@ -18,12 +18,14 @@
 
 # Headers that only the router sets on requests to upstreams; callers' values are dropped.
 TENANT: Final = "X-Tenant"
+# Id of the upstream that the request is for.
 EXPECT_INSTANCE: Final = "X-Expect-Instance"
 PRIORITY: Final = "X-Request-Priority"
 HOLD: Final = "X-Hold"
 PIN: Final = "X-Pin-Ms"
 BACKUP: Final = "X-Kv-Backup"
 CONTINUE_FROM: Final = "Kv-From"
+# Address of an engine whose cache holds the prompt's prefix.
 FETCH_FROM: Final = "Kv-Fetch"
 SYSTEM_HEADERS: Final = frozenset(
     name.lower()
@@ -31,7 +33,9 @@
 )
 
 # Headers of responses.
+# Set by runners on responses that they wrote themselves.
 STAMP: Final = "X-Server-Stamp"
+# The runner has not executed the request and will not.
 NOT_RUN: Final = "X-Not-Executed"
 # Set on all responses of a runner that is leaving.
 SERVER_LEAVING: Final = "Server-Leaving"
