--- a/gypsumrouter/configuration/__init__.py
+++ b/gypsumrouter/configuration/__init__.py
@@ -1,6 +1,7 @@
-"""The fleet's configuration: the document, its check, the store that never goes back, its spread.
+"""The fleet's configuration: document model, validation, versioned store and replication.
 
-The spread is loaded when it is asked for: it knows the settings, which know the models here.
+The replicator and the sources are imported lazily: they depend on the settings, which import the
+models of this package.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     When,
     Workspace,
 )
-from gypsumrouter.configuration.outcomes import Accepted, Offer, Older, Rejected
+from gypsumrouter.configuration.outcomes import Accepted, OfferOutcome, Rejected, Stale
 from gypsumrouter.configuration.paths import collapse_path, is_ambiguous, normalise_path
 from gypsumrouter.configuration.rule_checks import get_rule_kind
 from gypsumrouter.configuration.slices import Sliced, async_run_sliced, run_sliced
@@ -33,8 +34,8 @@
 from gypsumrouter.util.validation import Name
 
 if TYPE_CHECKING:
+    from gypsumrouter.configuration.replicator import ConfigurationReplicator
     from gypsumrouter.configuration.source import ConfigurationSource, HttpConfigurationSource
-    from gypsumrouter.configuration.spread import ConfigurationSpread
 
 __all__ = [
     "Accepted",
@@ -42,13 +43,12 @@
     "CallPattern",
     "CallerClass",
     "Configuration",
+    "ConfigurationReplicator",
     "ConfigurationSource",
-    "ConfigurationSpread",
     "ConfigurationStore",
     "HttpConfigurationSource",
     "Name",
-    "Offer",
-    "Older",
+    "OfferOutcome",
     "OpaqueKeys",
     "OrderCheck",
     "OrderedAdapter",
@@ -58,6 +58,7 @@
     "Rejected",
     "Rule",
     "Sliced",
+    "Stale",
     "Then",
     "When",
     "Workspace",
@@ -72,12 +73,12 @@
     "run_sliced",
 ]
 
-_LATE: Final = ("ConfigurationSource", "ConfigurationSpread", "HttpConfigurationSource")
+_LAZY_IMPORTS: Final = ("ConfigurationSource", "ConfigurationReplicator", "HttpConfigurationSource")
 
 
 def __getattr__(name: str) -> Any:
-    if name not in _LATE:
+    if name not in _LAZY_IMPORTS:
         raise AttributeError(name)
-    from gypsumrouter.configuration import source, spread
+    from gypsumrouter.configuration import replicator, source
 
-    return getattr(spread if hasattr(spread, name) else source, name)
+    return getattr(replicator if hasattr(replicator, name) else source, name)
--- a/gypsumrouter/exchange/checks.py
+++ b/gypsumrouter/exchange/checks.py
@@ -1,4 +1,4 @@
-"""What a side checks of a request before anything else."""
+"""Checks that a request must pass before it is queued for the upstream."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from gypsumrouter.upstream import UpstreamClient
 
 
-class Checks:
-    """Decide whether this side may take a request at all."""
+class RequestChecks:
+    """Check readiness, target pool, model and idempotency key of incoming requests."""
 
     __slots__ = ("_client", "_policy", "_settings", "_store", "_version")
 
@@ -28,25 +28,21 @@
         self._version = store.current.version
 
     def configure(self, configuration: Configuration) -> None:
-        """Take a new configuration into use."""
+        """Apply a new configuration."""
         self._policy = Policy(configuration=configuration)
         self._version = configuration.version
 
     @property
     def ready(self) -> bool:
-        """Return whether new work can run here."""
-        return self._find_not_ready() is None
-
-    def find_refusal(self, request: Open) -> Refused | None:
-        """Return why a request of this pool can't run here, None if it can."""
-        return (
-            self._find_not_ready()
-            or self._find_missing_model(request)
-            or self._find_missing_key(request)
-        )
+        """Return whether new requests can be accepted."""
+        return self._check_ready() is None
+
+    def check_request(self, request: Open) -> Refused | None:
+        """Return a refusal if a request for this pool cannot run here, else None."""
+        return self._check_ready() or self._check_model(request) or self._check_key(request)
 
-    def find_wrong_upstream(self, request: Open) -> Refused | None:
-        """Return a refusal if the request is for another pool."""
+    def check_target(self, request: Open) -> Refused | None:
+        """Return a refusal if the request is for another pool or kind of upstream."""
         if request.pool == self._settings.pool and request.kind is self._settings.kind:
             return None
         return Refused(
@@ -55,16 +51,16 @@
             elsewhere=True,
         )
 
-    def _find_not_ready(self) -> Refused | None:
+    def _check_ready(self) -> Refused | None:
         if self._version == 0:
-            return _refuse_not_ready("no configuration is in force yet")
+            return _make_not_ready("no configuration is in force yet")
         if self._policy.get_pool(self._settings.pool) is None:
-            return _refuse_not_ready("the pool is not in the configuration")
+            return _make_not_ready("the pool is not in the configuration")
         if not self._client.up:
-            return _refuse_not_ready("the upstream does not answer")
+            return _make_not_ready("the upstream does not answer")
         return None
 
-    def _find_missing_model(self, request: Open) -> Refused | None:
+    def _check_model(self, request: Open) -> Refused | None:
         if self._settings.kind is not UpstreamKind.ENGINE or not request.model:
             return None
         if request.model in self._client.models:
@@ -76,8 +72,11 @@
             elsewhere=True,
         )
 
-    def _find_missing_key(self, request: Open) -> Refused | None:
-        """Return a refusal where a router doesn't know yet that a call must not be repeated."""
+    def _check_key(self, request: Open) -> Refused | None:
+        """Return a refusal if an at-most-once call has no idempotency key.
+
+        Routers require the key too, but may still use an older configuration.
+        """
         if request.idempotency_key:
             return None
         if not self._policy.must_not_repeat(
@@ -87,7 +86,7 @@
         return Refused(reason=Reason.KEY_REQUIRED, message="this call needs an idempotency key")
 
 
-def _refuse_not_ready(message: str) -> Refused:
+def _make_not_ready(message: str) -> Refused:
     return Refused(
         reason=Reason.NOT_READY,
         message=message,
--- a/gypsumrouter/forwarding/leaving.py
+++ b/gypsumrouter/forwarding/leaving.py
@@ -1,76 +1,77 @@
-"""Which requests a router that is stopping still takes.
+"""Admission of requests while the router drains.
 
-Answers this load: all routers of a data centre are stopped in turn, and some balancers keep sending
-to one that says it is not ready, because there is no other. A router that takes everything until
-its end cuts what it took last; one that takes nothing while a long stream ends leaves its callers
-without service for seconds.
+During a rolling restart some load balancers keep sending requests to a router that reports not
+ready, because no other is available. Accepting all of them until the process exits would cut off
+the last ones; rejecting all of them while a long stream finishes would be an outage of several
+seconds. Requests are therefore admitted if they are expected to end before those already running.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-from gypsumrouter.forwarding.const import LEAVING_MS
+from gypsumrouter.forwarding.const import DRAIN_GRACE_MS
 from gypsumrouter.forwarding.models import CallerRequest
 from gypsumrouter.routing import Route
 from gypsumrouter.util.clock import Clock
 
-# One generated token takes an engine about 5 ms at twenty running requests, 9 ms at seventy.
-TOKEN_MS: Final = 7
-# Reading a prompt, waiting for a slot, and the way there and back.
-START_MS: Final = 400
+# Expected time of an engine for one output token under load.
+MS_PER_TOKEN: Final = 7
+# Expected time for everything else: network, queueing and prompt processing.
+BASE_DURATION_MS: Final = 400
 
 
-class Leaving:
-    """Knows when the requests that run will have ended, and compares new ones with that.
+class DrainAdmission:
+    """Decides whether a new request is admitted, from the expected ends of the running ones.
 
-    For `LEAVING_MS` after the stop began everything is taken, until balancers have noticed. After
-    that only what ends before the last of the running requests, so that the stop takes no longer.
+    All requests are admitted in the first `DRAIN_GRACE_MS` of a drain, until load balancers have
+    seen the readiness change. After that a request is admitted only if it is expected to end before
+    the last running one, so that it does not prolong the drain.
     """
 
-    __slots__ = ("_clock", "_ends", "_limit_ms", "_since_ms")
+    __slots__ = ("_clock", "_expected_ends_ms", "_limit_ms", "_started_ms")
 
     def __init__(self, *, clock: Clock, limit_ms: int) -> None:
         self._clock = clock
         self._limit_ms = limit_ms
-        self._since_ms: int | None = None
-        self._ends: dict[int, int] = {}
+        self._started_ms: int | None = None
+        self._expected_ends_ms: dict[int, int] = {}
 
-    def take_limit(self, limit_ms: int) -> None:
-        """Let a stop take at most another time from now on."""
+    def set_limit(self, limit_ms: int) -> None:
+        """Set the maximum duration of a drain."""
         self._limit_ms = limit_ms
 
     @property
-    def leaving(self) -> bool:
-        """Return whether the stop has begun."""
-        return self._since_ms is not None
+    def draining(self) -> bool:
+        """Return whether the drain has started."""
+        return self._started_ms is not None
 
     def begin(self) -> None:
-        """Note that the stop begins."""
-        self._since_ms = self._clock.now_ms()
+        """Start the drain."""
+        self._started_ms = self._clock.now_ms()
 
-    def note_started(self, number: int, *, duration_ms: int) -> None:
-        """Note a request that runs, and how long it will take at most."""
-        self._ends[number] = self._clock.now_ms() + duration_ms
+    def request_started(self, number: int, *, duration_ms: int) -> None:
+        """Track a running request that is expected to take at most `duration_ms`."""
+        self._expected_ends_ms[number] = self._clock.now_ms() + duration_ms
 
-    def note_ended(self, number: int) -> None:
-        """Note that a request is over."""
-        self._ends.pop(number, None)
+    def request_ended(self, number: int) -> None:
+        """Stop tracking a request that has ended."""
+        self._expected_ends_ms.pop(number, None)
 
     def admits(self, *, duration_ms: int) -> bool:
-        """Return whether a request that takes that long may be taken now."""
-        if self._since_ms is None:
+        """Return whether to admit a request that is expected to take `duration_ms`."""
+        if self._started_ms is None:
             return True
         now_ms = self._clock.now_ms()
-        if now_ms - self._since_ms < LEAVING_MS:
+        if now_ms - self._started_ms < DRAIN_GRACE_MS:
             return True
-        last_ms = max(self._ends.values(), default=0)
-        last_ms = min(last_ms, self._since_ms + self._limit_ms)
+        last_ms = max(self._expected_ends_ms.values(), default=0)
+        last_ms = min(last_ms, self._started_ms + self._limit_ms)
         return now_ms + duration_ms <= last_ms
 
 
 def estimate_duration_ms(request: CallerRequest, route: Route) -> int:
-    """Return how long a request takes, rather too long than too short."""
+    """Return a conservative estimate of how long a request takes."""
     if request.prompt is None:
-        return START_MS
-    return START_MS + request.prompt.max_output_tokens * TOKEN_MS
+        return BASE_DURATION_MS
+    return BASE_DURATION_MS + request.prompt.max_output_tokens * MS_PER_TOKEN
--- a/gypsumrouter/forwarding/placed.py
+++ b/gypsumrouter/forwarding/placed.py
@@ -1,4 +1,4 @@
-"""What was decided of a placement, and what was noted of it, as values."""
+"""Values of a placement: the decision, the source of a cache copy and the request as sent."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from gypsumrouter.directory import Entry
 
 
-class Placed(Struct, frozen=True, kw_only=True):
-    """The chosen upstream and the inputs that decided it.
+class Placement(Struct, frozen=True, kw_only=True):
+    """The chosen upstream and the inputs of the decision.
 
-    `probably_held` is a prompt of which this router knows nothing at the first of its order, where
-    routers that know it send it: right after a start that is nearly always where it is cached.
+    `probably_cached` is set shortly after a router's start, if no engine is known to have the
+    prompt cached and it goes to the first upstream of its rendezvous order: other routers send it
+    there too, so it is most likely in that cache.
     """
 
     entry: Entry
@@ -21,24 +22,25 @@
     candidates: int
     pending_tokens: int = 0
     fetch_from: Entry | None = None
-    probably_held: bool = False
+    probably_cached: bool = False
 
 
-class Source(Struct, frozen=True, kw_only=True):
-    """An upstream from which cached parts can be copied, and what it lacks itself."""
+class CopySource(Struct, frozen=True, kw_only=True):
+    """An upstream from which cached prompt parts can be copied; `missing_tokens` are not cached."""
 
     entry: Entry
     missing_tokens: int
 
 
-class Sent(Struct, frozen=True, kw_only=True):
-    """What was noted of a request: prompt tokens to read, and parts new to its upstream.
+class SentRequest(Struct, frozen=True, kw_only=True):
+    """A request as it was sent: prompt tokens to prefill, and parts not cached there before.
 
-    `alone` says that its prompt is the only one that is to be read there, and nothing is copied.
+    `uncontended` is set if no other prompt waits for prefill at the upstream and nothing is copied,
+    so that the time to the first event measures the prefill speed.
     """
 
     upstream: str
     tokens: int
     new_parts: tuple[int, ...]
     sent_ms: int = 0
-    alone: bool = False
+    uncontended: bool = False
--- a/gypsumrouter/peers/loads.py
+++ b/gypsumrouter/peers/loads.py
@@ -1,43 +1,43 @@
-"""Loads between the book of a router and the news to its peers."""
+"""Conversion of load counts between a router's records and the messages to its peers."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from gypsumrouter.forwarding.loads import LoadBook, PeerLoads, UpstreamLoad
+from gypsumrouter.forwarding.loads import LoadTracker, PeerLoads, UpstreamLoad
 from gypsumrouter.link import DataCentreLoads, RouterLoad, RouterNews
 
 
-def write_loads(book: LoadBook) -> tuple[RouterLoad, ...]:
-    """Return a router's own counts for its news."""
-    return _write(book.own())
+def encode_loads(records: LoadTracker) -> tuple[RouterLoad, ...]:
+    """Return the router's own load counts as message entries."""
+    return _encode(records.get_own_loads())
 
 
-def write_sums(book: LoadBook, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
-    """Return the counts of a router and of some of its peers together."""
-    return _write(book.add_up_peers(peers))
+def encode_load_sums(records: LoadTracker, *, peers: Iterable[str]) -> tuple[RouterLoad, ...]:
+    """Return the load counts of the router and the given peers, summed for each upstream."""
+    return _encode(records.sum_with_peers(peers))
 
 
-def read_loads(news: RouterNews, *, now_ms: int) -> PeerLoads:
-    """Return what a peer told of its counts."""
-    return _read(news.loads, now_ms)
+def decode_loads(update: RouterNews, *, now_ms: int) -> PeerLoads:
+    """Return the load counts in a peer's update."""
+    return _decode(update.loads, now_ms)
 
 
-def read_sums(news: DataCentreLoads, *, now_ms: int) -> PeerLoads:
-    """Return what was told of the counts of a data centre."""
-    return _read(news.loads, now_ms)
+def decode_load_sums(update: DataCentreLoads, *, now_ms: int) -> PeerLoads:
+    """Return the summed load counts in a data centre's update."""
+    return _decode(update.loads, now_ms)
 
 
-def _write(loads: dict[str, UpstreamLoad]) -> tuple[RouterLoad, ...]:
+def _encode(loads: dict[str, UpstreamLoad]) -> tuple[RouterLoad, ...]:
     return tuple(
         RouterLoad(upstream=upstream, running=load.running, pending_tokens=load.pending_tokens)
         for upstream, load in loads.items()
     )
 
 
-def _read(loads: tuple[RouterLoad, ...], now_ms: int) -> PeerLoads:
+def _decode(loads: tuple[RouterLoad, ...], now_ms: int) -> PeerLoads:
     return PeerLoads(
-        heard_ms=now_ms,
+        received_ms=now_ms,
         loads={
             load.upstream: UpstreamLoad(running=load.running, pending_tokens=load.pending_tokens)
             for load in loads
--- a/gypsumrouter/platform/engines.py
+++ b/gypsumrouter/platform/engines.py
@@ -4,12 +4,12 @@
 
 import json
 
-from gypsumrouter.forwarding.inventory import HeldList, HeldPart
+from gypsumrouter.forwarding.inventory import CachedPart, CacheListing
 from gypsumrouter.helpers.http_connection import ConnectionBroken, HttpConnection
 from gypsumrouter.platform import names
 
 
-async def async_list_cached_parts(connection: HttpConnection) -> HeldList:
+async def async_list_cached_parts(connection: HttpConnection) -> CacheListing:
     """Return the prompt parts in an engine's cache; raises ConnectionBroken if invalid."""
     head = f"GET {names.CALL_HELD} HTTP/1.1\r\nHost: {connection.address}\r\n\r\n"
     connection.begin(method="GET", data=head.encode())
@@ -21,13 +21,13 @@
         document = json.loads(body)
         # Each entry is a list: an empty string, the part's id, its token count, its model.
         parts = tuple(
-            HeldPart(part=int(part, 16) & names.MASK_64, tokens=int(tokens))
+            CachedPart(part=int(part, 16) & names.MASK_64, tokens=int(tokens))
             for _, part, tokens, _ in document["held"]
         )
-        return HeldList(
+        return CacheListing(
             parts=parts,
-            born_ms=int(document.get("born", 0)),
-            leaving=names.is_leaving(answer.get(names.SERVER_LEAVING)),
+            started_ms=int(document.get("born", 0)),
+            draining=names.is_leaving(answer.get(names.SERVER_LEAVING)),
         )
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
         raise ConnectionBroken(f"no list of parts: {error!r}") from None
--- a/gypsumrouter/util/validation.py
+++ b/gypsumrouter/util/validation.py
@@ -110,10 +110,10 @@
         if name in value:
             yield from _find_errors(field.type, value[name], f"{path}.{name}", strict)
         elif field.default is NODEFAULT and field.default_factory is NODEFAULT:
-            yield FieldError(path=f"{path}.{name}", message="Missing required field")
+            yield FieldError(path=f"{path}.{name}", message="The field is needed")
     if kind.__struct_config__.forbid_unknown_fields:
         for name in value.keys() - fields.keys():
-            yield FieldError(path=f"{path}.{name}", message="Unknown field")
+            yield FieldError(path=f"{path}.{name}", message="No such field is known")
 
 
 def _unwrap(kind: Any) -> Any:
--- a/tests/forwarding/test_forwarding_placer.py
+++ b/tests/forwarding/test_forwarding_placer.py
@@ -1,4 +1,4 @@
-"""The placer of several routers: what they agree on without a word."""
+"""Placers of several routers choose the same upstream for a prompt without communication."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations, Record
 from gypsumrouter.directory.evacuations import STARTUP_MS
-from gypsumrouter.forwarding.eligibility import NoPlace
-from gypsumrouter.forwarding.health import HealthBook
+from gypsumrouter.forwarding.backoff import BackoffTracker
+from gypsumrouter.forwarding.eligibility import PlacementRefusal
+from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.models import Prompt, PromptPart
 from gypsumrouter.forwarding.placement import Cap
 from gypsumrouter.forwarding.placer import Placer
-from gypsumrouter.forwarding.rests import RestBook
-from gypsumrouter.forwarding.slow_start import SlowStartBook
+from gypsumrouter.forwarding.slow_start import SlowStartLimiter
 from gypsumrouter.instances import Address
 from gypsumrouter.journal import Journal
 from gypsumrouter.util.clock import ManualClock
@@ -29,7 +29,7 @@
 
 
 def make_prompt(number: int) -> Prompt:
-    """Return a prompt of one shared part and a part of its own."""
+    """Return a prompt of a shared part and a part that only this request has."""
     parts = (
         PromptPart(part=number, tokens=TOKENS),
         PromptPart(part=(number << 20) + 1, tokens=100),
@@ -38,7 +38,7 @@
 
 
 class Router:
-    """What one router places by; it hears of nobody."""
+    """The placer of one router, which receives no reports from others."""
 
     def __init__(self, clock: ManualClock, rng: random.Random) -> None:
         app = Application(name="r", role=Role.FORWARDER, data_centre="a", region="r", clock=clock)
@@ -49,10 +49,10 @@
             app=app,
             directory=directory,
             cap=Cap(factor=2.0, slack=3.0),
-            health=HealthBook(clock=clock, journal=journal),
-            rests=RestBook(clock=clock, journal=journal),
+            health=HealthTracker(clock=clock, journal=journal),
+            backoffs=BackoffTracker(clock=clock, journal=journal),
             evacuations=self.evacuations,
-            slow_start=SlowStartBook(clock=clock, journal=journal),
+            slow_start=SlowStartLimiter(clock=clock, journal=journal),
             evacuation_ms=EVACUATION_MS,
         )
         address = Address(host="10.0.0.1", port=80)
@@ -70,21 +70,21 @@
                 self.placer.loads.begin(name, tokens=0)
 
     def place(self, number: int, down: Collection[str] = ()) -> str:
-        """Return where a prompt goes; those that are down are found so one after the other."""
-        passed_over: set[str] = set()
+        """Return the upstream of a prompt; upstreams in `down` fail to connect and are excluded."""
+        excluded: set[str] = set()
         while True:
             placed = self.placer.place(
-                service=SERVICE, prompt=make_prompt(number), passed_over=passed_over
+                service=SERVICE, prompt=make_prompt(number), excluded=excluded
             )
-            assert not isinstance(placed, NoPlace)
+            assert not isinstance(placed, PlacementRefusal)
             if placed.entry.upstream not in down:
                 return placed.entry.upstream
             self.placer.health.note_unreachable(placed.entry.incarnation, reason="refused")
-            passed_over.add(placed.entry.incarnation)
+            excluded.add(placed.entry.incarnation)
 
 
-def count_readings(routers: list[Router], down: Collection[str] = ()) -> float:
-    """Return in how many places the routers have a prompt read, on the mean."""
+def count_engines_per_prompt(routers: list[Router], down: Collection[str] = ()) -> float:
+    """Return the mean number of engines that the routers choose for the same prompt."""
     places = [{router.place(number, down) for router in routers} for number in range(PROMPTS)]
     return sum(len(engines) for engines in places) / PROMPTS
 
@@ -94,33 +94,33 @@
     return [Router(clock, rng) for _ in range(ROUTERS)]
 
 
-def test_routers_that_meet_the_same_loss_read_a_prompt_in_one_place() -> None:
-    """A third of the engines refuse connections; routers hear nothing of each other meanwhile."""
-    assert count_readings(make_routers(), down=ENGINES[:4]) < 1.5
+def test_routers_agree_on_the_engine_of_a_prompt_after_the_same_failures() -> None:
+    """A third of the engines refuse connections; the routers do not communicate."""
+    assert count_engines_per_prompt(make_routers(), down=ENGINES[:4]) < 1.5
 
 
-def test_routers_read_a_prompt_of_an_evacuated_data_centre_in_one_place() -> None:
+def test_routers_agree_on_the_engine_of_a_prompt_after_an_evacuation() -> None:
     routers = make_routers()
     for router in routers:
         evacuation = Evacuation(data_centre="dc-1", revision=99, active=True)
         router.evacuations.merge(evacuation, source="test")
-    assert count_readings(routers) < 1.5
+    assert count_engines_per_prompt(routers) < 1.5
 
 
-def test_prompts_of_an_evacuated_data_centre_are_copied_at_its_beginning_and_never_later() -> None:
+def test_prompts_are_copied_from_an_evacuated_data_centre_only_at_the_beginning() -> None:
     clock = ManualClock(now_ms=100_000)
     router = Router(clock, random.Random(3))
     clock.advance(STARTUP_MS)
     prompt = make_prompt(1)
     holder = router.place(1)
-    router.placer.note_held(part=1, upstream=holder)
+    router.placer.note_cached(part=1, upstream=holder)
     number = ENGINES.index(holder)
     evacuation = Evacuation(data_centre=f"dc-{number % 3}", revision=99, active=True)
     router.evacuations.merge(evacuation, source="test")
     for passed_ms, source in ((0, holder), (EVACUATION_MS // 2, None), (EVACUATION_MS, None)):
         clock.advance(passed_ms)
-        placed = router.placer.place(service=SERVICE, prompt=prompt, passed_over=())
-        assert not isinstance(placed, NoPlace)
+        placed = router.placer.place(service=SERVICE, prompt=prompt, excluded=())
+        assert not isinstance(placed, PlacementRefusal)
         assert placed.entry.upstream != holder
         copied_from = placed.fetch_from
         assert (None if copied_from is None else copied_from.upstream) == source
