--- a/gypsumrouter/configuration/models.py
+++ b/gypsumrouter/configuration/models.py
@@ -8,11 +8,11 @@
 from msgspec import Meta
 
 from gypsumrouter.const import UpstreamKind
-from gypsumrouter.util.checked import (
+from gypsumrouter.util.validation import (
     MAX_FLOAT,
-    Checked,
+    DocumentStruct,
     Name,
-    NotNegativeInt,
+    NonNegativeInt,
     PositiveFloat,
     PositiveInt,
 )
@@ -50,7 +50,7 @@
     REFUSE = "refuse"
 
 
-class Workspace(Checked, frozen=True, kw_only=True):
+class Workspace(DocumentStruct, frozen=True, kw_only=True):
     """A customer: SHA-256 digests of its callers' keys, its guaranteed share and its limits.
 
     `share` is relative to the shares of the other workspaces. Limits apply to the whole fleet.
@@ -64,7 +64,7 @@
     default_class: Name | None = None
 
 
-class CallerClass(Checked, frozen=True, kw_only=True):
+class CallerClass(DocumentStruct, frozen=True, kw_only=True):
     """A class of callers: latency targets in milliseconds and the monetary penalty for a miss."""
 
     name: Name
@@ -74,14 +74,14 @@
     batch: bool = False
 
 
-class CallPattern(Checked, frozen=True, kw_only=True):
+class CallPattern(DocumentStruct, frozen=True, kw_only=True):
     """Calls of a service, by method (or `*`) and path prefix below the service."""
 
     method: Annotated[str, Meta(pattern=r"^(\*|[A-Z]{1,16})$")] = "*"
     path_prefix: Annotated[str, Meta(pattern=r"^/")] = "/"
 
 
-class AtMostOnce(Checked, frozen=True, kw_only=True):
+class AtMostOnce(DocumentStruct, frozen=True, kw_only=True):
     """Calls that run at most once, and how many of them are stored for how long."""
 
     calls: tuple[CallPattern, ...]
@@ -91,23 +91,23 @@
     remembered_bytes: PositiveInt = DEFAULT_REMEMBERED_BYTES
 
 
-class OrderedAdapter(Checked, frozen=True, kw_only=True):
+class OrderedAdapter(DocumentStruct, frozen=True, kw_only=True):
     """An adapter that is loaded on every engine that holds its model."""
 
     name: Name
     version: Version = DEFAULT_MODEL_VERSION
 
 
-class OrderedModel(Checked, frozen=True, kw_only=True):
+class OrderedModel(DocumentStruct, frozen=True, kw_only=True):
     """A model that is loaded on at least `min_engines` engines, and on more by demand."""
 
     name: Name
     version: Version = DEFAULT_MODEL_VERSION
-    min_engines: NotNegativeInt = 1
+    min_engines: NonNegativeInt = 1
     adapters: tuple[OrderedAdapter, ...] = ()
 
 
-class PoolOrders(Checked, frozen=True, kw_only=True):
+class PoolOrders(DocumentStruct, frozen=True, kw_only=True):
     """The models that the engines of a pool are ordered to load, and the limits on changes.
 
     At most `change_share` of a model's engines change their version at once. A difference between
@@ -125,7 +125,7 @@
     load_ms: PositiveInt = DEFAULT_LOAD_MS
 
 
-class Pool(Checked, frozen=True, kw_only=True):
+class Pool(DocumentStruct, frozen=True, kw_only=True):
     """A group of interchangeable upstreams.
 
     `cap` limits the load of each upstream to this multiple of the pool's mean load; it applies
@@ -140,13 +140,13 @@
     cap: Annotated[float, Meta(gt=1, le=MAX_FLOAT)] = DEFAULT_CAP
     floor: PositiveInt = DEFAULT_FLOOR
     slots: PositiveInt = DEFAULT_SLOTS
-    queue: NotNegativeInt = DEFAULT_QUEUE
+    queue: NonNegativeInt = DEFAULT_QUEUE
     at_most_once: AtMostOnce | None = None
     order_check: OrderCheck = OrderCheck.FENCING
     orders: PoolOrders | None = None
 
 
-class When(Checked, frozen=True, kw_only=True):
+class When(DocumentStruct, frozen=True, kw_only=True):
     """Conditions of a rule; all that are set must hold, and none set matches every request."""
 
     workspace: tuple[Name, ...] | None = None
@@ -157,14 +157,14 @@
     path_prefix: str | None = None
     data_centre: tuple[Name, ...] | None = None
     returning: bool | None = None
-    min_bytes: NotNegativeInt | None = None
-    max_bytes: NotNegativeInt | None = None
+    min_bytes: NonNegativeInt | None = None
+    max_bytes: NonNegativeInt | None = None
     from_minute: Annotated[int, Meta(ge=0, lt=1440)] | None = None
     to_minute: Annotated[int, Meta(ge=0, lt=1440)] | None = None
     weekdays: tuple[Annotated[int, Meta(ge=0, le=6)], ...] | None = None
 
 
-class Then(Checked, frozen=True, kw_only=True):
+class Then(DocumentStruct, frozen=True, kw_only=True):
     """Effects of a matching rule; settings that are not set keep their defaults."""
 
     caller_class: Name | None = None
@@ -178,7 +178,7 @@
     retry_after_ms: PositiveInt | None = None
 
 
-class Rule(Checked, frozen=True, kw_only=True):
+class Rule(DocumentStruct, frozen=True, kw_only=True):
     """A rule with conditions and effects; only the first matching rule applies to a request."""
 
     name: Name
@@ -186,10 +186,10 @@
     then: Then = Then()
 
 
-class Configuration(Checked, frozen=True, kw_only=True):
+class Configuration(DocumentStruct, frozen=True, kw_only=True):
     """The configuration document; only a higher version replaces the one in force."""
 
-    version: NotNegativeInt
+    version: NonNegativeInt
     workspaces: tuple[Workspace, ...] = ()
     classes: tuple[CallerClass, ...] = ()
     pools: tuple[Pool, ...] = ()
--- a/gypsumrouter/forwarding/execution.py
+++ b/gypsumrouter/forwarding/execution.py
@@ -49,7 +49,7 @@
 from gypsumrouter.journal import Journal
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
-from gypsumrouter.routing import Routed
+from gypsumrouter.routing import RouteMatch
 
 
 class ForwardingContext(Struct, frozen=True, kw_only=True):
@@ -85,7 +85,7 @@
         *,
         context: ForwardingContext,
         request: CallerRequest,
-        routed: Routed,
+        routed: RouteMatch,
         service: str,
         web_request: web.BaseRequest,
         progress: Progress,
@@ -295,7 +295,7 @@
 
     def _get_time_limit_ms(self) -> int:
         """Return the time left to the target latency, or to the deadline if that has passed."""
-        target_ms = self._routed.route.target_ms
+        target_ms = self._routed.route.target_latency_ms
         waited_ms = self._now_ms() - self.progress.arrived_ms
         remaining_ms = self._remaining_ms()
         return min(remaining_ms, target_ms - waited_ms) if waited_ms < target_ms else remaining_ms
@@ -377,7 +377,9 @@
             return None
         if Mechanism.RESPONSE_TIMEOUT in self._context.without:
             return None
-        timeout_ms = max(MIN_RESPONSE_TIMEOUT_MS, int(route.target_ms * RESPONSE_TIMEOUT_FACTOR))
+        timeout_ms = max(
+            MIN_RESPONSE_TIMEOUT_MS, int(route.target_latency_ms * RESPONSE_TIMEOUT_FACTOR)
+        )
         return max(1, min(timeout_ms, self._remaining_ms() // 2))
 
     def _make_attempt_options(self, placement: Placement) -> AttemptOptions:
--- a/gypsumrouter/forwarding/handler.py
+++ b/gypsumrouter/forwarding/handler.py
@@ -36,7 +36,7 @@
 from gypsumrouter.journal import RequestEnded, RequestRefused
 from gypsumrouter.mechanisms import Mechanism
 from gypsumrouter.outcomes import Reason
-from gypsumrouter.routing import NoRoute, Route, Routed, RoutingStore, WrongKey
+from gypsumrouter.routing import InvalidKey, NoRoute, Route, RouteMatch, RoutingStore
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -163,9 +163,9 @@
                 return self._reject(
                     caller_request, Reason.NOT_FOUND, "No route fits the host and the path"
                 )
-            case WrongKey():
+            case InvalidKey():
                 return self._reject(caller_request, Reason.UNAUTHENTICATED, "The key is not known")
-            case Routed() as routed:
+            case RouteMatch() as routed:
                 duration_ms = estimate_duration_ms(caller_request, routed.route)
                 if not self._admits(duration_ms):
                     return self._refuse(caller_request, Reason.LEAVING, "This router is stopping")
@@ -207,7 +207,7 @@
         self,
         request: web.BaseRequest,
         caller_request: CallerRequest,
-        routed: Routed,
+        routed: RouteMatch,
         arrived_ms: int,
     ) -> web.StreamResponse:
         route = routed.route
@@ -222,7 +222,7 @@
             routed=routed,
             service=service,
             configuration=self._routing.version,
-            list_revision=self._directory.newest,
+            list_revision=self._directory.applied_revision,
         )
         run = RequestExecution(
             context=self._context,
@@ -290,12 +290,12 @@
                 retry_after_ms=retry_after_ms,
                 waited_ms=0,
                 configuration=self._routing.version,
-                list_revision=self._directory.newest,
+                list_revision=self._directory.applied_revision,
             )
         )
 
     def _record_end(
-        self, caller_request: CallerRequest, routed: Routed, progress: Progress, status: int
+        self, caller_request: CallerRequest, routed: RouteMatch, progress: Progress, status: int
     ) -> None:
         total_ms = self._context.app.clock.now_ms() - progress.arrived_ms
         self._metrics.count_request(
--- a/gypsumrouter/forwarding/relay.py
+++ b/gypsumrouter/forwarding/relay.py
@@ -114,9 +114,10 @@
             return None
         if self.response is None:
             return max(
-                MIN_RESPONSE_TIMEOUT_MS, int(self._route.target_ms * RESPONSE_TIMEOUT_FACTOR)
+                MIN_RESPONSE_TIMEOUT_MS,
+                int(self._route.target_latency_ms * RESPONSE_TIMEOUT_FACTOR),
             )
-        return max(MIN_RESPONSE_TIMEOUT_MS, int(self._route.max_pause_ms * STREAM_PAUSE_FACTOR))
+        return max(MIN_RESPONSE_TIMEOUT_MS, int(self._route.max_event_gap_ms * STREAM_PAUSE_FACTOR))
 
     async def _async_write(self, streaming: StreamingResponse, data: bytes) -> None:
         if not data:
--- a/gypsumrouter/forwarding/slow_start.py
+++ b/gypsumrouter/forwarding/slow_start.py
@@ -181,8 +181,8 @@
         if entry.state is EntryState.GONE:
             self._warming.pop(entry.incarnation, None)
             self._windows.pop(entry.incarnation, None)
-        elif entry.cold_ms > 0:
-            self._start_warming(entry, entry.cold_ms, REASON_LISTED)
+        elif entry.warm_up_ms > 0:
+            self._start_warming(entry, entry.warm_up_ms, REASON_LISTED)
 
     def note_refused(self, entry: Entry) -> None:
         """Treat an upstream that refused a connection as restarting."""
--- a/gypsumrouter/peers/relays.py
+++ b/gypsumrouter/peers/relays.py
@@ -196,7 +196,7 @@
                 loads=encode_load_sums(self._loads, peers=_list_peer_names(neighbours)),
             ),
             routing_version=self._routing.version,
-            list_revision=self._directory.newest,
+            list_revision=self._directory.applied_revision,
             placed=placed,
             strikes=self._outbound.list_strikes(now_ms=self._app.clock.now_ms()),
             evacuations=encode_evacuations(self._evacuations),
--- a/tests/forwarding/test_forwarding_changes.py
+++ b/tests/forwarding/test_forwarding_changes.py
@@ -92,7 +92,7 @@
     world: ForwardingWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The peer saw the removal itself, so the router need not wait for the lapse grace period."""
-    monkeypatch.setattr(directory, "LAPSE_GRACE_MS", 600_000)
+    monkeypatch.setattr(directory, "RECOVERY_GRACE_MS", 600_000)
     own_store = PublishedStoreStandin()
     own_address = await own_store.async_start()
     await world.async_fill(own_store)
