--- a/bench/child.py
+++ b/bench/child.py
@@ -12,7 +12,7 @@
 from gypsumrouter.const import ENV_IO_URING, IO_URING_OFF
 
 READ_LIMIT: Final = 4 * 1024 * 1024
-ANSWER_S: Final = 90.0
+RESPONSE_TIMEOUT_S: Final = 90.0
 
 Command = dict[str, Any]
 
@@ -62,16 +62,16 @@
     async def _async_read(self) -> Any:
         assert self._process is not None
         assert self._process.stdout is not None
-        line = await asyncio.wait_for(self._process.stdout.readline(), ANSWER_S)
+        line = await asyncio.wait_for(self._process.stdout.readline(), RESPONSE_TIMEOUT_S)
         if not line:
             code = await self._process.wait()
             raise RuntimeError(f"{self._module} ended too early with code {code}")
         return json.loads(line)
 
 
-async def async_serve(first: object, follow: Callable[[Command], Awaitable[object]]) -> None:
+async def async_serve(greeting: object, handler: Callable[[Command], Awaitable[object]]) -> None:
     """Tell `first` to the parent, then follow its commands until the standard input ends."""
-    print(json.dumps(first), flush=True)
+    print(json.dumps(greeting), flush=True)
     reader = asyncio.StreamReader(limit=READ_LIMIT)
     loop = asyncio.get_running_loop()
     # The loop alone would not keep the transport alive.
@@ -79,5 +79,5 @@
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
     while line := await reader.readline():
-        print(json.dumps(await follow(json.loads(line))), flush=True)
+        print(json.dumps(await handler(json.loads(line))), flush=True)
     transport.close()
--- a/bench/churn.py
+++ b/bench/churn.py
@@ -121,9 +121,9 @@
         tries=TRIES,
     ) as stage:
         churn = Churn(stage=stage, renames=scenario.renames, seed=scenario.seed)
-        disturbing = asyncio.create_task(async_disturb(stage, churn, scenario))
+        churn_task = asyncio.create_task(async_run_churn(stage, churn, scenario))
         await stage.async_play(scenario.chats, seed=scenario.seed, stream=False)
-        await disturbing
+        await churn_task
         return Outcome(
             policy=policy.name,
             results=stage.play.results,
@@ -132,7 +132,7 @@
         )
 
 
-async def async_disturb(stage: Stage, churn: Churn, scenario: Scenario) -> None:
+async def async_run_churn(stage: Stage, churn: Churn, scenario: Scenario) -> None:
     """Let the callers warm up, churn, and replace all routers at the end of it."""
     times = scenario.times
     if scenario.calm:
@@ -152,15 +152,15 @@
     """Print the table and the last line."""
     times = scenario.times
     reuse: dict[str, Value] = {}
-    after: dict[str, Value] = {}
-    wrong: dict[str, Value] = {}
+    reuse_after: dict[str, Value] = {}
+    lost_or_wrong: dict[str, Value] = {}
     rows: list[list[object]] = []
     for outcome in outcomes:
         churned = [item for item in outcome.results if times.is_churn(item.at_ms)]
         later = [item for item in outcome.results if times.is_after(item.at_ms)]
         reuse[outcome.policy] = round(get_reuse(churned), 4)
-        after[outcome.policy] = round(get_reuse(later), 4)
-        wrong[outcome.policy] = sum(merge_outcomes(outcome.tally).values())
+        reuse_after[outcome.policy] = round(get_reuse(later), 4)
+        lost_or_wrong[outcome.policy] = sum(merge_outcomes(outcome.tally).values())
         rows.append(
             [
                 outcome.policy,
@@ -170,7 +170,7 @@
                 len(churned),
                 sum(not item.served for item in outcome.results),
                 sum(item.refused for item in outcome.results) / max(1, outcome.tally.tries),
-                wrong[outcome.policy],
+                lost_or_wrong[outcome.policy],
                 f"{outcome.counts.instances}/{outcome.counts.routers}/{outcome.counts.flaps}",
             ]
         )
@@ -203,10 +203,10 @@
         {
             "reuse": reuse,
             "reuse_ideal": round(ideal.churn, 4),
-            "reuse_after_replacing_all_routers": after,
+            "reuse_after_replacing_all_routers": reuse_after,
             "reuse_ideal_after": round(ideal.after, 4),
             "best_baseline": max(baselines, default=None),
-            "lost_or_wrong": wrong,
+            "lost_or_wrong": lost_or_wrong,
             "every_s": scenario.every_s,
             "engines": deployment.engines,
         }
--- a/bench/churn_faults.py
+++ b/bench/churn_faults.py
@@ -14,9 +14,9 @@
 
 FLAP_EVERY_MS: Final = 3_000
 FLAP_MS: Final = 800
-FIRST_REPLACED: Final = 0.2
-ROUTER_REPLACED: Final = 0.5
-LEAVE_NOTICE_MS: Final = 300
+INSTANCE_REPLACED_AT: Final = 0.2
+ROUTER_REPLACED_AT: Final = 0.5
+DRAIN_NOTICE_MS: Final = 300
 
 
 class ChurnCounts(Struct, kw_only=True):
@@ -57,10 +57,10 @@
         await self._async_replace_routers(list(self._stage.rig.routers))
 
     async def _async_replace_instance_in(self, name: str, every_s: float) -> None:
-        await self._stage.clock.async_sleep(round(FIRST_REPLACED * every_s * MS_PER_S))
+        await self._stage.clock.async_sleep(round(INSTANCE_REPLACED_AT * every_s * MS_PER_S))
         platform, rig = self._stage.platform, self._stage.rig
         platform.instances.leave(name)
-        await self._stage.clock.async_sleep(LEAVE_NOTICE_MS)
+        await self._stage.clock.async_sleep(DRAIN_NOTICE_MS)
         await rig.sides.pop(name).async_stop()
         engine = platform.engines[name]
         engine.crash()
@@ -80,7 +80,7 @@
         return successor
 
     async def _async_replace_router_in(self, every_s: float) -> None:
-        await self._stage.clock.async_sleep(round(ROUTER_REPLACED * every_s * MS_PER_S))
+        await self._stage.clock.async_sleep(round(ROUTER_REPLACED_AT * every_s * MS_PER_S))
         await self._async_replace_routers(list(self._stage.rig.routers)[:1])
 
     async def _async_replace_routers(self, names: list[str]) -> None:
--- a/bench/client_host.py
+++ b/bench/client_host.py
@@ -14,8 +14,8 @@
 
 from gypsumrouter.const import ENV_IO_URING, HEADER_CHAT, IO_URING_OFF, MS_PER_S, PATH_CHAT
 
-EVENT_MARK: Final = b'"content"'
-DONE_MARK: Final = b"[DONE]"
+TOKEN_MARKER: Final = b'"content"'
+DONE_MARKER: Final = b"[DONE]"
 HTTP_OK: Final = 200
 
 
@@ -70,16 +70,16 @@
 
     async def async_call_repeatedly(self, number: int) -> None:
         """Play one caller until the time is over."""
-        turn = 0
+        request_number = 0
         # Spread the callers over the length of one answer, so that they do not run in step.
         await asyncio.sleep((number % 97) / 97 * min(self.plan.warm_s, 1.0))
         while time.monotonic() < self.until_s:
-            await self._async_call(number, turn)
-            turn += 1
+            await self._async_call(number, request_number)
+            request_number += 1
 
-    async def _async_call(self, number: int, turn: int) -> None:
+    async def _async_call(self, number: int, request_number: int) -> None:
         origin = self.plan.origins[number % len(self.plan.origins)]
-        chat = f"chat-{self.plan.seed}-{number}-{turn}"
+        chat = f"chat-{self.plan.seed}-{number}-{request_number}"
         payload = {
             "model": self.plan.model,
             "stream": True,
@@ -97,22 +97,22 @@
 
     async def _async_count(self, answer: aiohttp.ClientResponse, began_s: float) -> None:
         last_s = 0.0
-        ending = b""
+        last_chunk = b""
         async for chunk in answer.content.iter_any():
             now_s = time.monotonic()
-            tokens = chunk.count(EVENT_MARK)
-            ending = chunk
+            tokens = chunk.count(TOKEN_MARKER)
+            last_chunk = chunk
             if tokens == 0:
                 continue
             if self.measure_from_s <= now_s < self.until_s:
-                self._note(tokens, now_s, began_s, last_s)
+                self._record(tokens, now_s, began_s, last_s)
             last_s = now_s
-        if DONE_MARK in ending:
+        if DONE_MARKER in last_chunk:
             self.result.whole += 1
         else:
             self.result.broken += 1
 
-    def _note(self, tokens: int, now_s: float, began_s: float, last_s: float) -> None:
+    def _record(self, tokens: int, now_s: float, began_s: float, last_s: float) -> None:
         self.result.tokens += tokens
         if last_s == 0.0:
             self.result.first_ms.append((now_s - began_s) * MS_PER_S)
--- a/bench/config_fleet.py
+++ b/bench/config_fleet.py
@@ -10,7 +10,7 @@
 from msgspec import Struct, field
 
 from bench.in_force import find_in_force, read_logs
-from bench.ledger import Spent, async_begin, async_end
+from bench.ledger import AverageUsage, async_measure_since, async_take_snapshot
 from bench.metered_platform import MeteredPlatform
 from bench.paced_engine import PacedEngine
 from bench.probe_host import ProbedProcess
@@ -98,13 +98,15 @@
         processes = self.list_processes()
         watching_before = await self._async_list_watching(processes)
         read_before = self._count_platform_bytes()
-        begins = {process.name: await async_begin(self.rig, [process]) for process in processes}
+        begins = {
+            process.name: await async_take_snapshot(self.rig, [process]) for process in processes
+        }
         for _ in range(changes):
             self.publish()
             await asyncio.sleep(pause_s)
         await asyncio.sleep(SETTLE_S)
         spent = {
-            process.name: await async_end(self.rig, [process], begins[process.name])
+            process.name: await async_measure_since(self.rig, [process], begins[process.name])
             for process in processes
         }
         read = self._count_platform_bytes() - read_before
@@ -188,13 +190,13 @@
             platform.list_router(name, probed.link, **place)
 
 
-def _average_bytes(spent: list[Spent]) -> float:
+def _average_bytes(spent: list[AverageUsage]) -> float:
     return sum(_sum_bytes(item) for item in spent) / max(1, len(spent))
 
 
-def _average_cpu_s(spent: list[Spent]) -> float:
+def _average_cpu_s(spent: list[AverageUsage]) -> float:
     return sum(item.core_share * item.seconds for item in spent) / max(1, len(spent))
 
 
-def _sum_bytes(spent: Spent) -> float:
+def _sum_bytes(spent: AverageUsage) -> float:
     return sum(spent.rates.get(kind, 0.0) for kind in KINDS) * spent.seconds
--- a/bench/control.py
+++ b/bench/control.py
@@ -14,7 +14,7 @@
 from bench.config_fleet import ChangeCost, async_start_fleet
 from bench.full_size import FullSizeFleet
 from bench.grid import GridPoint, async_measure_point
-from bench.ledger import HANDSHAKE_KINDS, KIND_STATUS, Rates, Spent
+from bench.ledger import HANDSHAKE_KINDS, KIND_STATUS, AverageUsage, Rates
 from bench.report import print_machine, print_result, print_table
 from bench.slope_math import Line, fit_kinds, spread_over_day, sum_at
 from bench.stages import STAGE_LOAD, FullSize
@@ -116,7 +116,7 @@
     return links * REQUESTS_S_A_PAIR * idle_share
 
 
-def _complete(spent: Spent, full: FullSize, change: ChangeCost, *, links: int) -> Rates:
+def _complete(spent: AverageUsage, full: FullSize, change: ChangeCost, *, links: int) -> Rates:
     """Return the rates of a stage with what a short one cannot show."""
     rates = _list_steady(spent)
     rates[KIND_HANDSHAKES] = count_reopened(links) * full.handshake_bytes
@@ -128,8 +128,8 @@
     return rates
 
 
-def _list_steady(spent: Spent) -> Rates:
-    rates = spent.list_control()
+def _list_steady(spent: AverageUsage) -> Rates:
+    rates = spent.list_control_rates()
     return {kind: rate for kind, rate in rates.items() if kind not in HANDSHAKE_KINDS}
 
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -28,7 +28,7 @@
     FaultOpaqueCaller,
 )
 from bench.faults_journal import Journal
-from bench.faults_probes import Found, async_probe_silence
+from bench.faults_probes import ProbeResult, async_probe_silent_connections
 from bench.faults_report import Findings, report
 from bench.faults_requests import CRASH_MARKER
 from bench.faults_rig import SplitPlatform, SplitRig
@@ -51,18 +51,18 @@
 
 ROUTERS: Final = 4
 CALL_CALLERS: Final = 28
-OPAQUE_EVERY: Final = 7
+OPAQUE_KEY_EVERY: Final = 7
 CHAT_CALLERS: Final = 24
 CHAT_SHAPE: Final = ChatShape(turns=4, first_bytes=800, turn_bytes=150, think_ms=250)
-LONG_SHAPE: Final = ChatShape(turns=2, first_bytes=800, min_tokens=150, max_tokens=400)
-LONG_EVERY: Final = 6
+LONG_CHAT_SHAPE: Final = ChatShape(turns=2, first_bytes=800, min_tokens=150, max_tokens=400)
+LONG_CHAT_EVERY: Final = 6
 
 LIST_LEASE_MS: Final = 2_000
 CLOCK_SKEW_MS: Final = 20
 LIST_POLL_MS: Final = 200
 SERVICE_DELAY_MS: Final = 20
 SETTLE_MS: Final = 2_000
-EXTRA: Final[Sections] = {
+EXTRA_SETTINGS: Final[Sections] = {
     "platform": {
         "list_lease_ms": LIST_LEASE_MS,
         "clock_skew_ms": CLOCK_SKEW_MS,
@@ -95,18 +95,18 @@
         "--window", type=float, help="seconds for which repeats are covered, else the default"
     )
     parser.add_argument("--logs", type=Path, help="keep the logs of all processes in this folder")
-    chosen = parser.parse_args(argv)
+    arguments = parser.parse_args(argv)
     logging.basicConfig(level=logging.WARNING)
     # Stand-ins write to connections that the faults have cut.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     options = Options(
-        seeds=chosen.seeds,
-        calls=chosen.calls,
-        seconds=chosen.seconds,
-        quiet_s=chosen.quiet,
-        first_seed=chosen.first_seed,
-        window_ms=None if chosen.window is None else round(chosen.window * MS_PER_S),
-        logs=chosen.logs,
+        seeds=arguments.seeds,
+        calls=arguments.calls,
+        seconds=arguments.seconds,
+        quiet_s=arguments.quiet_journal,
+        first_seed=arguments.first_seed,
+        window_ms=None if arguments.window is None else round(arguments.window * MS_PER_S),
+        logs=arguments.logs,
     )
     print_machine()
     print(
@@ -127,7 +127,7 @@
         service_delay_ms=SERVICE_DELAY_MS,
     )
     await platform.async_start()
-    rig = SplitRig(platform=platform, extra=EXTRA)
+    rig = SplitRig(platform=platform, extra=EXTRA_SETTINGS)
     try:
         await rig.async_start(routers=ROUTERS)
         async with aiohttp.ClientSession(connector=ShieldedConnector(limit=0)) as session:
@@ -170,29 +170,31 @@
 async def async_play(stage: Stage, options: Options) -> None:
     """Probe, play without faults, play every seed, and report."""
     await stage.clock.async_sleep(LIST_LEASE_MS + SETTLE_MS)
-    found = await async_probe_silence(stage)
-    quiet = Journal(clock=stage.clock)
-    calm = replace(stage.context, journal=quiet, tally=Tally())
-    pace = options.calls / options.seeds / options.seconds
-    budget = Budget(calls=round(pace * options.quiet_s))
-    await async_call(calm, stage, seed=options.first_seed - 1, budget=budget, pace=pace)
+    probe_results = await async_probe_silent_connections(stage)
+    quiet_journal = Journal(clock=stage.clock)
+    quiet_context = replace(stage.context, journal=quiet_journal, tally=Tally())
+    calls_per_s = options.calls / options.seeds / options.seconds
+    budget = CallBudget(calls=round(calls_per_s * options.quiet_s))
+    await async_call(
+        quiet_context, stage, seed=options.first_seed - 1, budget=budget, calls_per_s=calls_per_s
+    )
     counts: Counter[str] = Counter()
     for seed in range(options.first_seed, options.first_seed + options.seeds):
         await async_play_seed(stage, options, seed, counts)
     await stage.clock.async_sleep(SETTLE_MS)
-    report(make_findings(stage, options, calm, found))
+    report(make_findings(stage, options, quiet_context, probe_results))
 
 
 def make_findings(
-    stage: Stage, options: Options, calm: FaultContext, found: list[Found]
+    stage: Stage, options: Options, quiet_context: FaultContext, probe_results: list[ProbeResult]
 ) -> Findings:
     """Return all that the run has brought to light."""
     return Findings(
         seeds=options.seeds,
         stage=stage,
-        tallies=(stage.context.tally, calm.tally),
-        quiet=calm.journal,
-        found=found,
+        tallies=(stage.context.tally, quiet_context.tally),
+        quiet_journal=quiet_context.journal,
+        probe_results=probe_results,
     )
 
 
@@ -201,11 +203,11 @@
     calls = -(-options.calls // options.seeds)
     schedule = Schedule(stage=stage, seed=seed, counts=counts)
     faults = asyncio.create_task(schedule.async_run())
-    budget = Budget(calls=calls, faults=faults)
+    budget = CallBudget(calls=calls, faults=faults)
     stop = asyncio.get_running_loop().call_later(options.seconds, schedule.stop)
     try:
         await async_call(
-            stage.context, stage, seed=seed, budget=budget, pace=calls / options.seconds
+            stage.context, stage, seed=seed, budget=budget, calls_per_s=calls / options.seconds
         )
     finally:
         stop.cancel()
@@ -221,26 +223,26 @@
     )
 
 
-class Budget:
+class CallBudget:
     """Calls that are left to all callers together; there are more while faults go on."""
 
     def __init__(self, *, calls: int, faults: asyncio.Task[None] | None = None) -> None:
         self._left = calls
         self._faults = faults
 
-    def take(self) -> bool:
+    def consume(self) -> bool:
         """Return whether one more call is to be made."""
         self._left -= 1
         return self._left >= 0 or (self._faults is not None and not self._faults.done())
 
 
 async def async_call(
-    context: FaultContext, stage: Stage, *, seed: int, budget: Budget, pace: float
+    context: FaultContext, stage: Stage, *, seed: int, budget: CallBudget, calls_per_s: float
 ) -> None:
     """Make calls at a pace, calls a second, with chats beside them, until the budget is spent."""
     chats = [asyncio.create_task(play) for play in list_chats(context, stage, seed)]
     try:
-        await asyncio.gather(*list_calls(context, stage, seed, budget, pace))
+        await asyncio.gather(*list_calls(context, stage, seed, budget, calls_per_s))
     finally:
         for chat in chats:
             chat.cancel()
@@ -248,14 +250,14 @@
 
 
 def list_calls(
-    context: FaultContext, stage: Stage, seed: int, budget: Budget, pace: float
+    context: FaultContext, stage: Stage, seed: int, budget: CallBudget, calls_per_s: float
 ) -> list[Coroutine[Any, Any, None]]:
     """Return the callers of services; every seventh has keys that say nothing of their time."""
-    think_ms = round(CALL_CALLERS / pace * MS_PER_S)
+    think_ms = round(CALL_CALLERS / calls_per_s * MS_PER_S)
     plays = []
     for number in range(CALL_CALLERS):
         deployment = choose_deployment(stage, number)
-        kind = FaultOpaqueCaller if number % OPAQUE_EVERY == 0 else FaultCallCaller
+        kind = FaultOpaqueCaller if number % OPAQUE_KEY_EVERY == 0 else FaultCallCaller
         caller = kind(
             context=context,
             account=choose_account(deployment, seed * CALL_CALLERS + number),
@@ -267,10 +269,10 @@
     return plays
 
 
-async def async_make_calls(caller: FaultCallCaller, budget: Budget, think_ms: int) -> None:
+async def async_make_calls(caller: FaultCallCaller, budget: CallBudget, think_ms: int) -> None:
     """Make one call after the other until the budget is spent."""
-    while budget.take():
-        think = caller.clock.async_sleep(caller.habits.randrange(2 * think_ms))
+    while budget.consume():
+        think = caller.clock.async_sleep(caller.fault_random.randrange(2 * think_ms))
         await asyncio.gather(caller.async_call(), think)
 
 
@@ -294,7 +296,7 @@
             seed=number,
             chat=f"chat-{number:x}",
             model=deployment.model,
-            shape=LONG_SHAPE if number % LONG_EVERY == 0 else CHAT_SHAPE,
+            shape=LONG_CHAT_SHAPE if number % LONG_CHAT_EVERY == 0 else CHAT_SHAPE,
         )
         await caller.async_run()
         await context.clock.async_sleep(randomness.randrange(CHAT_SHAPE.think_ms))
--- a/bench/faults_callers.py
+++ b/bench/faults_callers.py
@@ -9,7 +9,7 @@
 from typing import Any, Final, TypeVar
 
 from bench.accounts import Account
-from bench.faults_journal import CODE_HUNG_UP, Journal, Request, RequestKind, Result, Try
+from bench.faults_journal import CODE_DISCONNECTED, Journal, Request, RequestKind, Result, Try
 from bench.load import (
     CODE_CONNECTION,
     CODE_TIMEOUT,
@@ -25,20 +25,20 @@
 
 DEADLINE_MS: Final = 6_000
 TIMEOUT_S: Final = 9.0
-PATIENCE_MS: Final = 12_000
+RETRY_TIMEOUT_MS: Final = 12_000
 MAX_TRIES: Final = 12
 # An answer that can't change any more; callers ask again all the same, but not for long.
-SETTLED_CODES: Final = frozenset(
+FINAL_CODES: Final = frozenset(
     {Reason.EARLIER_RUN_UNKNOWN, Reason.KEY_EXPIRED, Reason.ANSWER_EVICTED, Reason.HOME_TOO_YOUNG}
 )
-MAX_SETTLED_TRIES: Final = 3
-SETTLED_PAUSE_MS: Final = 100
-WORDLESS_CODES: Final = frozenset({CODE_CONNECTION, CODE_TIMEOUT, CODE_HUNG_UP})
+MAX_FINAL_TRIES: Final = 3
+FINAL_PAUSE_MS: Final = 100
+NO_RESPONSE_CODES: Final = frozenset({CODE_CONNECTION, CODE_TIMEOUT, CODE_DISCONNECTED})
 
-HANG_UP_SHARE: Final = 0.03
-HANG_UP_MAX_MS: Final = 150
-TWICE_SHARE: Final = 0.1
-TWICE_AFTER_MS: Final = 300
+DISCONNECT_SHARE: Final = 0.03
+DISCONNECT_MAX_MS: Final = 150
+DUPLICATE_SHARE: Final = 0.1
+DUPLICATE_AFTER_MS: Final = 300
 
 _T = TypeVar("_T")
 
@@ -58,23 +58,25 @@
     journal: Journal
 
 
-class NotingCaller(Caller):
+class RecordingCaller(Caller):
     """A caller that notes what became of each try and of the request as a whole."""
 
     kind = RequestKind.CHAT
-    sends_twice = False
+    sends_duplicates = False
     key = ""
 
-    def __init__(self, *, context: FaultContext, account: Account, seed: int, **more: Any) -> None:
-        super().__init__(context=context, account=account, seed=seed, **more)
+    def __init__(
+        self, *, context: FaultContext, account: Account, seed: int, **options: Any
+    ) -> None:
+        super().__init__(context=context, account=account, seed=seed, **options)
         self.journal = context.journal
-        self.habits = random.Random(seed)
-        self._chosen: Address | None = None
+        self.fault_random = random.Random(seed)
+        self._chosen_router: Address | None = None
 
     def choose_url(self, path: str) -> str:
         """Return a path at any router, and keep which one it is."""
-        self._chosen = self.random.choice(self.routers)
-        return f"http://{self._chosen}{path}"
+        self._chosen_router = self.random.choice(self.routers)
+        return f"http://{self._chosen_router}{path}"
 
     async def async_try_until_answered(
         self, attempt: Callable[[], Awaitable[_T | NoAnswer]]
@@ -84,72 +86,74 @@
         began_ms = self.clock.wall_ms()
         outcomes: list[NoAnswer] = []
         answer: _T | None = None
-        while answer is None and self._goes_on(outcomes, began_ms):
+        while answer is None and self._may_retry(outcomes, began_ms):
             if outcomes:
                 await self._async_pause(outcomes[-1])
             outcome = await self._async_send(attempt)
             if isinstance(outcome, NoAnswer):
-                self._note_no_answer(outcome)
+                self._count_no_answer(outcome)
                 outcomes.append(outcome)
             else:
                 answer = outcome
-        self._note_request(outcomes, began_ms, whole=answer is not None)
+        self._record_request(outcomes, began_ms, complete=answer is not None)
         return answer
 
-    def _goes_on(self, outcomes: list[NoAnswer], began_ms: int) -> bool:
-        if sum(outcome.code in SETTLED_CODES for outcome in outcomes) >= MAX_SETTLED_TRIES:
+    def _may_retry(self, outcomes: list[NoAnswer], began_ms: int) -> bool:
+        if sum(outcome.code in FINAL_CODES for outcome in outcomes) >= MAX_FINAL_TRIES:
             return False
-        return len(outcomes) < MAX_TRIES and self.clock.wall_ms() - began_ms < PATIENCE_MS
+        return len(outcomes) < MAX_TRIES and self.clock.wall_ms() - began_ms < RETRY_TIMEOUT_MS
 
     async def _async_pause(self, outcome: NoAnswer) -> None:
         """Wait as the answer asks for; one that can't change is asked for again at once."""
-        if outcome.code in SETTLED_CODES:
-            await self.clock.async_sleep(self.habits.randrange(SETTLED_PAUSE_MS))
+        if outcome.code in FINAL_CODES:
+            await self.clock.async_sleep(self.fault_random.randrange(FINAL_PAUSE_MS))
             return
         await super()._async_pause(outcome)
 
     async def _async_send(self, attempt: Callable[[], Awaitable[_T | NoAnswer]]) -> _T | NoAnswer:
-        first = asyncio.ensure_future(self._async_note_try(attempt))
-        if not self.sends_twice or self.habits.random() >= TWICE_SHARE:
+        first = asyncio.ensure_future(self._async_record_try(attempt))
+        if not self.sends_duplicates or self.fault_random.random() >= DUPLICATE_SHARE:
             return await first
-        await asyncio.wait({first}, timeout=TWICE_AFTER_MS / MS_PER_S)
+        await asyncio.wait({first}, timeout=DUPLICATE_AFTER_MS / MS_PER_S)
         if first.done():
             return first.result()
-        second = asyncio.ensure_future(self._async_note_try(attempt))
+        second = asyncio.ensure_future(self._async_record_try(attempt))
         outcomes = await asyncio.gather(first, second)
         answers = [outcome for outcome in outcomes if not isinstance(outcome, NoAnswer)]
         if len(answers) == len(outcomes) and answers[0] != answers[1]:
             self.tally.crossed += 1
         return answers[0] if answers else outcomes[-1]
 
-    async def _async_note_try(
+    async def _async_record_try(
         self, attempt: Callable[[], Awaitable[_T | NoAnswer]]
     ) -> _T | NoAnswer:
         self.tally.tries += 1
         began_ms = self.clock.wall_ms()
         task = asyncio.ensure_future(attempt())
         await asyncio.sleep(0)
-        router = self._chosen
-        outcome = await self._async_await(task)
-        self._note_try(outcome, router, began_ms)
+        router = self._chosen_router
+        outcome = await self._async_await_or_disconnect(task)
+        self._record_try(outcome, router, began_ms)
         return outcome
 
-    async def _async_await(self, task: asyncio.Future[_T | NoAnswer]) -> _T | NoAnswer:
-        if self.habits.random() >= HANG_UP_SHARE:
+    async def _async_await_or_disconnect(
+        self, task: asyncio.Future[_T | NoAnswer]
+    ) -> _T | NoAnswer:
+        if self.fault_random.random() >= DISCONNECT_SHARE:
             return await task
-        patience_s = self.habits.uniform(0, HANG_UP_MAX_MS) / MS_PER_S
-        done, _ = await asyncio.wait({task}, timeout=patience_s)
+        timeout_s = self.fault_random.uniform(0, DISCONNECT_MAX_MS) / MS_PER_S
+        done, _ = await asyncio.wait({task}, timeout=timeout_s)
         if done:
             return task.result()
         task.cancel()
         await asyncio.wait({task})
-        return NoAnswer(code=CODE_HUNG_UP, executed=Executed.UNKNOWN)
+        return NoAnswer(code=CODE_DISCONNECTED, executed=Executed.UNKNOWN)
 
-    def _note_try(self, outcome: object, router: Address | None, began_ms: int) -> None:
+    def _record_try(self, outcome: object, router: Address | None, began_ms: int) -> None:
         code, executed, request_id = str(Result.WHOLE), None, ""
         if isinstance(outcome, NoAnswer):
             code, request_id = outcome.code, outcome.request_id
-            executed = None if code in WORDLESS_CODES else outcome.executed
+            executed = None if code in NO_RESPONSE_CODES else outcome.executed
         self.journal.tries.append(
             Try(
                 router=router,
@@ -162,8 +166,8 @@
             )
         )
 
-    def _note_request(self, outcomes: list[NoAnswer], began_ms: int, *, whole: bool) -> None:
-        result = Result.WHOLE if whole else _conclude(outcomes)
+    def _record_request(self, outcomes: list[NoAnswer], began_ms: int, *, complete: bool) -> None:
+        result = Result.WHOLE if complete else _classify(outcomes)
         self.tally.not_run += result is Result.NOT_RUN
         self.tally.lost += result is Result.LOST
         self.journal.requests.append(
@@ -177,15 +181,15 @@
         )
 
 
-class FaultChatCaller(NotingCaller, ChatCaller):
+class FaultChatCaller(RecordingCaller, ChatCaller):
     """A returning chat that notes its tries."""
 
 
-class FaultCallCaller(NotingCaller, ServiceCaller):
+class FaultCallCaller(RecordingCaller, ServiceCaller):
     """Calls that must not be repeated, with keys that carry their time."""
 
     kind = RequestKind.CALL
-    sends_twice = True
+    sends_duplicates = True
 
     def make_key(self) -> str:
         """Return the key of the next call and keep it for the notes."""
@@ -204,9 +208,9 @@
         return self.key
 
 
-def _conclude(outcomes: list[NoAnswer]) -> Result:
+def _classify(outcomes: list[NoAnswer]) -> Result:
     """Return what a caller knows in the end of a request without an answer."""
-    if all(outcome.code in WORDLESS_CODES for outcome in outcomes):
+    if all(outcome.code in NO_RESPONSE_CODES for outcome in outcomes):
         return Result.LOST
     if all(outcome.executed is Executed.NOT_RUN for outcome in outcomes):
         return Result.NOT_RUN
--- a/bench/faults_journal.py
+++ b/bench/faults_journal.py
@@ -16,7 +16,7 @@
 
 # How long after its end a fault may still show, for the table by kind.
 AFTERMATH_MS: Final = 2_000
-CODE_HUNG_UP: Final = "hung_up"
+CODE_DISCONNECTED: Final = "hung_up"
 
 
 class RequestKind(StrEnum):
@@ -83,13 +83,13 @@
     tries: list[Try] = field(default_factory=list)
     requests: list[Request] = field(default_factory=list)
     windows: list[Window] = field(default_factory=list)
-    excuses: dict[Address, list[Window]] = field(default_factory=dict)
-    new_work_s: list[float] = field(default_factory=list)
-    listed_new_work_s: list[float] = field(default_factory=list)
-    lost_to_crashers: list[int] = field(default_factory=list)
-    crasher_ends: Counter[str] = field(default_factory=Counter)
-    stop_codes: Counter[str] = field(default_factory=Counter)
-    broken_faults: Counter[str] = field(default_factory=Counter)
+    unavailable: dict[Address, list[Window]] = field(default_factory=dict)
+    work_after_stop_s: list[float] = field(default_factory=list)
+    work_after_mark_s: list[float] = field(default_factory=list)
+    crashes_per_request: list[int] = field(default_factory=list)
+    crasher_codes: Counter[str] = field(default_factory=Counter)
+    exit_codes: Counter[str] = field(default_factory=Counter)
+    failed_faults: Counter[str] = field(default_factory=Counter)
 
     @contextmanager
     def window(self, kind: str) -> Iterator[Window]:
@@ -101,27 +101,27 @@
         finally:
             window.ended_ms = self.clock.wall_ms()
 
-    def excuse(self, router: Address, kind: str) -> Window:
+    def record_unavailable(self, router: Address, kind: str) -> Window:
         """Note that a router cannot answer from now on, until the window is ended."""
         window = Window(kind=kind, began_ms=self.clock.wall_ms())
-        self.excuses.setdefault(router, []).append(window)
+        self.unavailable.setdefault(router, []).append(window)
         return window
 
-    def is_excused(self, attempt: Try) -> bool:
+    def is_unavailable(self, attempt: Try) -> bool:
         """Return whether the router of a try was not able to give its word."""
         if attempt.router is None:
             return False
-        windows = self.excuses.get(attempt.router, ())
+        windows = self.unavailable.get(attempt.router, ())
         return any(window.overlaps(attempt.began_ms, attempt.ended_ms) for window in windows)
 
-    def list_without_word(self) -> list[Try]:
+    def list_unanswered(self) -> list[Try]:
         """Return the tries that a living router never answered."""
         return [
             attempt
             for attempt in self.tries
             if attempt.executed is None
-            and attempt.code not in (Result.WHOLE, CODE_HUNG_UP)
-            and not self.is_excused(attempt)
+            and attempt.code not in (Result.WHOLE, CODE_DISCONNECTED)
+            and not self.is_unavailable(attempt)
         ]
 
     def select(self, *kinds: RequestKind, result: Result | None = None) -> list[Request]:
--- a/bench/faults_network.py
+++ b/bench/faults_network.py
@@ -9,27 +9,27 @@
 from bench.faults_stage import Stage
 from gypsumrouter.standins import BOTH_WAYS, OutageKind, Way
 
-SOME_SIDES: Final = 5
+SIDES_PER_FAULT: Final = 5
 CUTS: Final = 3
 BETWEEN_CUTS_MS: Final = 500
 SILENT_MS: Final = 4_000
 SPLIT_MS: Final = (2_000, 5_000)
 BRIEF_MS: Final = (1_000, 3_000)
 SLOW_MS: Final = 120
-RESTARTED_MS: Final = 2_500
+RESTART_WAIT_MS: Final = 2_500
 
 
 async def async_cut_links(stage: Stage, randomness: random.Random) -> None:
     """Reset the links of some sides a few times."""
     for _ in range(CUTS):
-        for name in stage.choose_sides(randomness, SOME_SIDES):
+        for name in stage.choose_sides(randomness, SIDES_PER_FAULT):
             stage.rig.proxies[name].cut()
         await stage.clock.async_sleep(BETWEEN_CUTS_MS)
 
 
 async def async_refuse_links(stage: Stage, randomness: random.Random) -> None:
     """Cut the links of some sides and refuse new ones for a while."""
-    proxies = [stage.rig.proxies[name] for name in stage.choose_sides(randomness, SOME_SIDES)]
+    proxies = [stage.rig.proxies[name] for name in stage.choose_sides(randomness, SIDES_PER_FAULT)]
     for proxy in proxies:
         proxy.refuse()
         proxy.cut()
@@ -41,14 +41,14 @@
 async def async_silence_links(stage: Stage, randomness: random.Random) -> None:
     """Let the open links of some sides go silent for good, one way or both; new ones work."""
     ways = randomness.choice((BOTH_WAYS, frozenset({Way.FORWARD}), frozenset({Way.BACK})))
-    for name in stage.choose_sides(randomness, SOME_SIDES):
+    for name in stage.choose_sides(randomness, SIDES_PER_FAULT):
         stage.rig.proxies[name].silence(ways=ways)
     await stage.clock.async_sleep(SILENT_MS)
 
 
 async def async_slow_links(stage: Stage, randomness: random.Random) -> None:
     """Delay all that goes over the links of some sides."""
-    proxies = [stage.rig.proxies[name] for name in stage.choose_sides(randomness, SOME_SIDES)]
+    proxies = [stage.rig.proxies[name] for name in stage.choose_sides(randomness, SIDES_PER_FAULT)]
     for proxy in proxies:
         proxy.set_delay(SLOW_MS)
     await stage.async_pause(randomness, *BRIEF_MS)
@@ -56,7 +56,7 @@
         proxy.set_delay(0)
 
 
-async def async_split(stage: Stage, randomness: random.Random) -> None:
+async def async_partition(stage: Stage, randomness: random.Random) -> None:
     """Let nothing pass between the two groups, while callers use both."""
     stage.rig.partition.block([Group.LEFT], [Group.RIGHT])
     try:
@@ -65,26 +65,26 @@
         stage.rig.partition.unblock([Group.LEFT], [Group.RIGHT])
 
 
-async def async_split_from_platform(stage: Stage, randomness: random.Random) -> None:
+async def async_partition_without_list(stage: Stage, randomness: random.Random) -> None:
     """Split the groups, and cut one of them off from the instance list too."""
-    lost = stage.rig.platform.lists[randomness.choice(tuple(Group))]
-    await lost.async_set_outage(OutageKind.HANG)
+    listing = stage.rig.platform.lists[randomness.choice(tuple(Group))]
+    await listing.async_set_outage(OutageKind.HANG)
     try:
-        await async_split(stage, randomness)
+        await async_partition(stage, randomness)
     finally:
-        await lost.async_set_outage(OutageKind.NONE)
+        await listing.async_set_outage(OutageKind.NONE)
 
 
 async def async_crash_upstream(stage: Stage, randomness: random.Random) -> None:
     """Crash an upstream; it is back a second later."""
-    with stage.take_side(randomness) as name:
+    with stage.reserve_side(randomness) as name:
         stage.crash_upstream(name)
-        await stage.clock.async_sleep(RESTARTED_MS)
+        await stage.clock.async_sleep(RESTART_WAIT_MS)
 
 
 async def async_freeze_upstream(stage: Stage, randomness: random.Random) -> None:
     """Freeze an upstream for seconds."""
-    with stage.take_side(randomness) as name:
+    with stage.reserve_side(randomness) as name:
         upstream = stage.rig.get_upstream(name)
         upstream.freeze()
         await stage.async_pause(randomness, *BRIEF_MS)
@@ -93,6 +93,6 @@
 
 async def async_silence_upstream(stage: Stage, randomness: random.Random) -> None:
     """Let the open connections to some upstreams go silent for good; new ones work."""
-    for name in stage.choose_sides(randomness, SOME_SIDES):
+    for name in stage.choose_sides(randomness, SIDES_PER_FAULT):
         stage.rig.upstream_proxies[name].silence()
     await stage.clock.async_sleep(SILENT_MS)
--- a/bench/faults_platform.py
+++ b/bench/faults_platform.py
@@ -21,7 +21,7 @@
 STALE_BY_VERSIONS: Final = 2
 
 
-async def async_lose_list(stage: Stage, randomness: random.Random) -> None:
+async def async_fail_list(stage: Stage, randomness: random.Random) -> None:
     """Let the instance list be down for everyone."""
     kind = randomness.choice(OUTAGES)
     lists = stage.rig.platform.lists.values()
@@ -51,9 +51,9 @@
     service.set_lag(0)
 
 
-async def async_flap(stage: Stage, randomness: random.Random) -> None:
+async def async_flap_listing(stage: Stage, randomness: random.Random) -> None:
     """Take a running side off the list and put it back, again and again."""
-    with stage.take_side(randomness) as name:
+    with stage.reserve_side(randomness) as name:
         for _ in range(FLAPS):
             stage.rig.platform.remove_listed(name)
             await stage.clock.async_sleep(BETWEEN_FLAPS_MS)
@@ -61,7 +61,7 @@
             await stage.clock.async_sleep(BETWEEN_FLAPS_MS)
 
 
-async def async_lose_configuration(stage: Stage, randomness: random.Random) -> None:
+async def async_fail_configuration(stage: Stage, randomness: random.Random) -> None:
     """Let the configuration service be down, and publish a version meanwhile."""
     service = stage.rig.platform.configuration
     await service.async_set_outage(randomness.choice(OUTAGES))
--- a/bench/faults_probes.py
+++ b/bench/faults_probes.py
@@ -34,12 +34,12 @@
     ways: frozenset[Way]
 
 
-class Found(Struct, frozen=True, kw_only=True):
+class ProbeResult(Struct, frozen=True, kw_only=True):
     """How long a stream stood still, and whether its answer was whole and right all the same."""
 
     probe: Probe
     stall_s: float
-    whole: bool
+    complete: bool
 
 
 def _choose_link(stage: Stage, side: str) -> FaultProxy:
@@ -57,19 +57,21 @@
 )
 
 
-async def async_probe_silence(stage: Stage) -> list[Found]:
+async def async_probe_silent_connections(stage: Stage) -> list[ProbeResult]:
     """Silence the connections of some streams, one probe after the other on each leg."""
     deployments = stage.rig.platform.deployments
-    found = await asyncio.gather(
+    results = await asyncio.gather(
         *(
             _async_probe(stage, deployments[number % len(deployments)], probe, number)
             for number, probe in enumerate(PROBES)
         )
     )
-    return list(found)
+    return list(results)
 
 
-async def _async_probe(stage: Stage, deployment: Deployment, probe: Probe, number: int) -> Found:
+async def _async_probe(
+    stage: Stage, deployment: Deployment, probe: Probe, number: int
+) -> ProbeResult:
     content = f"probe {number} of a silent {probe.leg}"
     payload = {
         "model": deployment.model,
@@ -85,7 +87,7 @@
     router: Address = stage.routers[number % len(stage.routers)]
     events: list[bytes] = []
     times_ms: list[int] = []
-    silent_ms = 0
+    silenced_ms = 0
     async with stage.context.session.post(
         f"http://{router}{PATH_CHAT}", json=payload, headers=headers
     ) as response:
@@ -97,13 +99,13 @@
             if len(events) == SILENT_AFTER_TOKENS:
                 side = _find_side(stage, response.headers[HEADER_REQUEST_ID])
                 probe.choose(stage, side).silence(ways=probe.ways)
-                silent_ms = stage.clock.now_ms()
+                silenced_ms = stage.clock.now_ms()
     messages = [Message(role="user", content=content)]
     expected = make_text(digest_prompt(render_prompt(messages), model=deployment.model), TOKENS)
-    return Found(
+    return ProbeResult(
         probe=probe,
-        stall_s=_measure_stall(times_ms, silent_ms),
-        whole=bool(events) and events[-1] == DONE and _join(events[:-1]) == expected,
+        stall_s=_measure_stall(times_ms, silenced_ms),
+        complete=bool(events) and events[-1] == DONE and _join(events[:-1]) == expected,
     )
 
 
@@ -116,13 +118,13 @@
     )
 
 
-def _measure_stall(times_ms: list[int], silent_ms: int) -> float:
+def _measure_stall(times_ms: list[int], silenced_ms: int) -> float:
     """Return the seconds from the silence to the first event that came by another connection."""
-    before = [time for time in times_ms if time <= silent_ms + IN_FLIGHT_MS]
-    after = [time for time in times_ms if time > silent_ms + IN_FLIGHT_MS]
+    before = [time for time in times_ms if time <= silenced_ms + IN_FLIGHT_MS]
+    after = [time for time in times_ms if time > silenced_ms + IN_FLIGHT_MS]
     if not after or not before:
         return 0.0
-    return (after[0] - max(before[-1], silent_ms)) / MS_PER_S
+    return (after[0] - max(before[-1], silenced_ms)) / MS_PER_S
 
 
 def _join(events: list[bytes]) -> str:
--- a/bench/faults_processes.py
+++ b/bench/faults_processes.py
@@ -6,36 +6,36 @@
 import random
 import signal
 
-from bench.faults_stage import Stage, async_watch_new_work
+from bench.faults_stage import Stage, async_measure_new_work
 
-BRIEF_MS = (200, 1_500)
+RESTART_DELAY_MS = (200, 1_500)
 PAUSE_MS = (1_000, 4_000)
-LEAVING_MS = 2_500
+DRAIN_MS = 2_500
 
 
 async def async_kill_side(stage: Stage, randomness: random.Random) -> None:
     """Kill a side; a process of the same name takes its place at a new address."""
-    with stage.take_side(randomness) as name:
+    with stage.reserve_side(randomness) as name:
         await stage.async_kill_side(name)
-        await stage.async_pause(randomness, *BRIEF_MS)
+        await stage.async_pause(randomness, *RESTART_DELAY_MS)
         await stage.async_start_side(name)
 
 
 async def async_kill_side_renamed(stage: Stage, randomness: random.Random) -> None:
     """Kill a side; a process of another name takes its place."""
-    with stage.take_side(randomness) as name:
+    with stage.reserve_side(randomness) as name:
         await stage.async_kill_side(name)
-        await stage.async_pause(randomness, *BRIEF_MS)
+        await stage.async_pause(randomness, *RESTART_DELAY_MS)
         stage.rig.platform.remove_listed(name)
         await stage.async_start_side(stage.rig.make_replacement(name))
 
 
 async def async_kill_router(stage: Stage, randomness: random.Random) -> None:
     """Kill a router; one of the same or another name takes its place."""
-    with stage.take_router(randomness) as name:
+    with stage.reserve_router(randomness) as name:
         renamed = randomness.random() < 0.5
         await stage.async_kill_router(name)
-        await stage.async_pause(randomness, *BRIEF_MS)
+        await stage.async_pause(randomness, *RESTART_DELAY_MS)
         if renamed:
             stage.rig.platform.remove_listed(name)
         await stage.async_start_router(stage.choose_router_index(name, renamed=renamed))
@@ -43,7 +43,7 @@
 
 async def async_pause_side(stage: Stage, randomness: random.Random) -> None:
     """Pause a side for seconds."""
-    with stage.take_side(randomness) as name:
+    with stage.reserve_side(randomness) as name:
         process = stage.rig.sides[name]
         process.send_signal(signal.SIGSTOP)
         await stage.async_pause(randomness, *PAUSE_MS)
@@ -52,9 +52,9 @@
 
 async def async_pause_router(stage: Stage, randomness: random.Random) -> None:
     """Pause a router for seconds."""
-    with stage.take_router(randomness) as name:
+    with stage.reserve_router(randomness) as name:
         process = stage.rig.routers[name]
-        with stage.excuse_paused(process):
+        with stage.record_paused(process):
             process.send_signal(signal.SIGSTOP)
             await stage.async_pause(randomness, *PAUSE_MS)
             process.send_signal(signal.SIGCONT)
@@ -62,65 +62,65 @@
 
 async def async_replace_paused_side(stage: Stage, randomness: random.Random) -> None:
     """Pause a side, replace it, and let the first process wake late beside its successor."""
-    with stage.take_side(randomness) as name:
-        late = stage.rig.sides.pop(name)
-        late.send_signal(signal.SIGSTOP)
+    with stage.reserve_side(randomness) as name:
+        paused = stage.rig.sides.pop(name)
+        paused.send_signal(signal.SIGSTOP)
         try:
-            await stage.async_pause(randomness, *BRIEF_MS)
+            await stage.async_pause(randomness, *RESTART_DELAY_MS)
             successor = name
             if randomness.random() < 0.5:
                 stage.rig.platform.remove_listed(name)
                 successor = stage.rig.make_replacement(name)
             await stage.async_start_side(successor)
-            late.send_signal(signal.SIGCONT)
+            paused.send_signal(signal.SIGCONT)
             await stage.async_pause(randomness, 1_500, 2_500)
         finally:
-            await late.async_kill()
+            await paused.async_kill()
 
 
 async def async_stop_side(stage: Stage, randomness: random.Random) -> None:
     """Stop a side as planned, and replace it."""
-    with stage.take_side(randomness) as name:
-        stage.journal.new_work_s.append(await _async_order_stop(stage, name))
+    with stage.reserve_side(randomness) as name:
+        stage.journal.work_after_stop_s.append(await _async_stop_and_measure(stage, name))
         stage.rig.platform.remove_listed(name)
         await stage.async_start_side(name)
 
 
 async def async_stop_listed_side(stage: Stage, randomness: random.Random) -> None:
     """Mark a side as leaving on the list, stop it a moment later, and replace it."""
-    with stage.take_side(randomness) as name:
-        stage.rig.platform.mark_leaving(name)
+    with stage.reserve_side(randomness) as name:
+        stage.rig.platform.mark_draining(name)
         stopped = asyncio.Event()
-        watch = asyncio.create_task(
-            async_watch_new_work(
+        measuring = asyncio.create_task(
+            async_measure_new_work(
                 clock=stage.clock, upstream=stage.rig.get_upstream(name), until=stopped
             )
         )
-        await stage.clock.async_sleep(LEAVING_MS)
-        await _async_order_stop(stage, name)
+        await stage.clock.async_sleep(DRAIN_MS)
+        await _async_stop_and_measure(stage, name)
         stopped.set()
-        stage.journal.listed_new_work_s.append(await watch)
+        stage.journal.work_after_mark_s.append(await measuring)
         stage.rig.platform.remove_listed(name)
         await stage.async_start_side(name)
 
 
 async def async_stop_router(stage: Stage, randomness: random.Random) -> None:
     """Stop a router as planned, and replace it."""
-    with stage.take_router(randomness) as name:
+    with stage.reserve_router(randomness) as name:
         await stage.async_stop_router(name)
         await stage.async_start_router(stage.choose_router_index(name, renamed=False))
 
 
-async def _async_order_stop(stage: Stage, name: str) -> float:
+async def _async_stop_and_measure(stage: Stage, name: str) -> float:
     """Stop a side; return for how many seconds its upstream still got new work."""
     process = stage.rig.sides.pop(name)
     stopped = asyncio.Event()
     process.send_signal(signal.SIGTERM)
-    watch = asyncio.create_task(
-        async_watch_new_work(
+    measuring = asyncio.create_task(
+        async_measure_new_work(
             clock=stage.clock, upstream=stage.rig.get_upstream(name), until=stopped
         )
     )
     await stage.async_wait_for_exit(process)
     stopped.set()
-    return await watch
+    return await measuring
--- a/bench/faults_report.py
+++ b/bench/faults_report.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from bench.faults_journal import Journal, Request, RequestKind, Result, get_share
-from bench.faults_probes import Found
+from bench.faults_probes import ProbeResult
 from bench.faults_schedule import FAULTS
 from bench.faults_stage import Stage
 from bench.report import Value, print_result, print_table
@@ -25,8 +25,8 @@
     seeds: int
     stage: Stage
     tallies: Sequence[Tally]
-    quiet: Journal
-    found: Sequence[Found]
+    quiet_journal: Journal
+    probe_results: Sequence[ProbeResult]
 
     @property
     def journal(self) -> Journal:
@@ -36,15 +36,15 @@
     @property
     def doubled(self) -> int:
         """Return how many calls ran twice, or answers came with surplus."""
-        seen = sum(tally.doubled for tally in self.tallies)
-        return max(self.stage.rig.platform.count_doubled(), seen)
+        seen_by_callers = sum(tally.doubled for tally in self.tallies)
+        return max(self.stage.rig.platform.count_doubled(), seen_by_callers)
 
     def list_false_not_run(self) -> list[str]:
         """Return the requests that were told to be not run, and did run."""
         executed = list_executed_ids(self.stage)
         return [
             attempt.request_id
-            for journal in (self.quiet, self.journal)
+            for journal in (self.quiet_journal, self.journal)
             for attempt in journal.tries
             if attempt.executed is Executed.NOT_RUN and attempt.request_id in executed
         ]
@@ -66,7 +66,7 @@
     def count_lost(self) -> int:
         """Return the requests, and the tries at living routers, that got no word at all."""
         lost = [item for item in self.journal.requests if item.result is Result.LOST]
-        return len(lost) + len(self.journal.list_without_word())
+        return len(lost) + len(self.journal.list_unanswered())
 
 
 def list_executed_ids(stage: Stage) -> set[str]:
@@ -83,7 +83,7 @@
     """Print the tables and the last line."""
     _print_kinds(findings.journal)
     _print_results(findings)
-    _print_found(findings.found)
+    _print_probe_results(findings.probe_results)
     _print_details(findings)
     print_result(_make_figures(findings))
 
@@ -129,7 +129,7 @@
 
 def _print_results(findings: Findings) -> None:
     rows = []
-    for title, journal in (("quiet", findings.quiet), ("faults", findings.journal)):
+    for title, journal in (("quiet", findings.quiet_journal), ("faults", findings.journal)):
         for kind in RequestKind:
             requests = journal.select(kind)
             counts = Counter(request.result for request in requests)
@@ -151,26 +151,26 @@
     )
 
 
-def _print_found(found: Sequence[Found]) -> None:
+def _print_probe_results(probe_results: Sequence[ProbeResult]) -> None:
     print_table(
         title="streams whose connection went silent for good",
         columns=("leg", "ways", "stood still s", "whole"),
         rows=[
-            (item.probe.leg, "+".join(sorted(item.probe.ways)), item.stall_s, item.whole)
-            for item in found
+            (item.probe.leg, "+".join(sorted(item.probe.ways)), item.stall_s, item.complete)
+            for item in probe_results
         ],
     )
 
 
 def _print_details(findings: Findings) -> None:
     journal = findings.journal
-    print(f"\nplanned stops by exit code: {dict(journal.stop_codes)}")
-    print(f"upstreams lost to crashing requests: {journal.lost_to_crashers}")
-    print(f"last answers to crashing requests: {dict(journal.crasher_ends)}")
+    print(f"\nplanned stops by exit code: {dict(journal.exit_codes)}")
+    print(f"upstreams lost to crashing requests: {journal.crashes_per_request}")
+    print(f"last answers to crashing requests: {dict(journal.crasher_codes)}")
     print(f"'not run' of calls that had run before: {dict(findings.count_not_run_after_run())}")
-    if journal.broken_faults:
-        print(f"faults that could not be brought about: {dict(journal.broken_faults)}")
-    for attempt in journal.list_without_word()[:MAX_LISTED]:
+    if journal.failed_faults:
+        print(f"faults that could not be brought about: {dict(journal.failed_faults)}")
+    for attempt in journal.list_unanswered()[:MAX_LISTED]:
         print(f"no word from a living router: {attempt}")
     for request_id in findings.list_false_not_run()[:MAX_LISTED]:
         print(f"told as not run, and ran: {request_id}")
@@ -189,21 +189,25 @@
         "silently_truncated": sum(tally.truncated for tally in findings.tallies),
         "lost": findings.count_lost(),
         "unknown_share": round(get_share(journal.select(timed), Result.UNKNOWN), 4),
-        "unknown_share_quiet": round(get_share(findings.quiet.select(timed), Result.UNKNOWN), 4),
+        "unknown_share_quiet": round(
+            get_share(findings.quiet_journal.select(timed), Result.UNKNOWN), 4
+        ),
         "unknown_share_opaque": round(get_share(journal.select(opaque), Result.UNKNOWN), 4),
         "unknown_share_chats": round(
             get_share(journal.select(RequestKind.CHAT), Result.UNKNOWN), 4
         ),
         "not_run_after_run": findings.count_not_run_after_run().total(),
-        "new_work_after_leaving_s_max": round(max(journal.new_work_s, default=0.0), 3),
+        "new_work_after_leaving_s_max": round(max(journal.work_after_stop_s, default=0.0), 3),
         "new_work_after_listed_leaving_s_max": round(
-            max(journal.listed_new_work_s, default=0.0), 3
+            max(journal.work_after_mark_s, default=0.0), 3
+        ),
+        "upstreams_lost_per_crasher_max": max(journal.crashes_per_request, default=0),
+        "silent_found_s_max": round(
+            max((item.stall_s for item in findings.probe_results), default=0.0), 3
         ),
-        "upstreams_lost_per_crasher_max": max(journal.lost_to_crashers, default=0),
-        "silent_found_s_max": round(max((item.stall_s for item in findings.found), default=0.0), 3),
-        "silent_whole": all(item.whole for item in findings.found),
-        "planned_stops": journal.stop_codes.total(),
-        "planned_stops_unclean": journal.stop_codes.total() - journal.stop_codes["0"],
+        "silent_whole": all(item.complete for item in findings.probe_results),
+        "planned_stops": journal.exit_codes.total(),
+        "planned_stops_unclean": journal.exit_codes.total() - journal.exit_codes["0"],
     }
 
 
--- a/bench/faults_requests.py
+++ b/bench/faults_requests.py
@@ -35,13 +35,13 @@
     )
     await asyncio.gather(
         *(
-            _async_arrive(stage, deployment, account, randomness.getrandbits(32))
+            _async_open_chat(stage, deployment, account, randomness.getrandbits(32))
             for _ in range(SURGE_CHATS)
         )
     )
 
 
-async def async_crash_by_request(stage: Stage, randomness: random.Random) -> None:
+async def async_send_crashing_requests(stage: Stage, randomness: random.Random) -> None:
     """Send a request that crashes its engine, again and again through any router."""
     deployment = randomness.choice(stage.rig.platform.deployments)
     content = f"{CRASH_MARKER} {randomness.getrandbits(64):x}"
@@ -51,11 +51,11 @@
         code = (await _async_try_crasher(stage, randomness, deployment, content)).code
         await stage.async_pause(randomness, *CRASHER_PAUSE_MS)
     await stage.clock.async_sleep(SETTLE_MS)
-    stage.journal.lost_to_crashers.append(stage.count_crashes() - before)
-    stage.journal.crasher_ends[code] += 1
+    stage.journal.crashes_per_request.append(stage.count_crashes() - before)
+    stage.journal.crasher_codes[code] += 1
 
 
-async def _async_arrive(
+async def _async_open_chat(
     stage: Stage, deployment: Deployment, account: FaultAccount, seed: int
 ) -> None:
     await stage.clock.async_sleep(seed % SURGE_ARRIVAL_MS)
--- a/bench/faults_rig.py
+++ b/bench/faults_rig.py
@@ -78,8 +78,8 @@
 
     def get_group(self, data_centre: str) -> Group:
         """Return the group of a data centre: the first one of each deployment is on the left."""
-        firsts = {deployment.get_data_centre(0) for deployment in self.deployments}
-        return Group.LEFT if data_centre in firsts else Group.RIGHT
+        first_data_centres = {deployment.get_data_centre(0) for deployment in self.deployments}
+        return Group.LEFT if data_centre in first_data_centres else Group.RIGHT
 
     def make_side_settings(self, name: str, *, link: dict[str, Any]) -> dict[str, Any]:
         """Return the settings of a side, which reads the list of its group."""
@@ -106,7 +106,7 @@
         for service in self.lists.values():
             service.remove(name)
 
-    def mark_leaving(self, name: str) -> None:
+    def mark_draining(self, name: str) -> None:
         """Mark an instance as leaving on both lists."""
         for service in self.lists.values():
             service.leave(name)
@@ -132,20 +132,26 @@
         self.partition = Partition()
         self.upstream_proxies: dict[str, FaultProxy] = {}
         self._upstreams: dict[str, Engine | Service] = {}
-        self._crossings: list[FaultProxy] = []
-        self._retired: list[FaultProxy] = []
+        self._crossing_proxies: list[FaultProxy] = []
+        self._retired_proxies: list[FaultProxy] = []
         self._listed: dict[str, dict[Group, Address]] = {}
         self._replacements = 0
 
     async def async_start(self, *, routers: int) -> None:
         """Start one process for each plan of the platform, and wait until all are ready."""
-        await asyncio.gather(*(self._async_put_proxy(plan.name) for plan in self.platform.plans))
+        await asyncio.gather(
+            *(self._async_add_upstream_proxy(plan.name) for plan in self.platform.plans)
+        )
         await super().async_start(routers=routers)
 
     async def async_stop(self) -> None:
         """End every process, and release everything."""
         await super().async_stop()
-        proxies = (*self._crossings, *self._retired, *set(self.upstream_proxies.values()))
+        proxies = (
+            *self._crossing_proxies,
+            *self._retired_proxies,
+            *set(self.upstream_proxies.values()),
+        )
         for proxy in proxies:
             await proxy.async_stop()
 
@@ -180,7 +186,7 @@
             await asyncio.sleep(READY_POLL_MS / MS_PER_S)
         return False
 
-    async def _async_put_proxy(self, name: str) -> None:
+    async def _async_add_upstream_proxy(self, name: str) -> None:
         plan = self.platform.get_plan(name)
         upstream = self.platform.engines.get(name) or self.platform.services[name]
         self._upstreams[name] = upstream
@@ -195,31 +201,31 @@
     async def _async_make_proxy(self, name: str, settings: Sections) -> FaultProxy | None:
         old = self.proxies.pop(name, None)
         if old is not None:
-            self._retired.append(old)
+            self._retired_proxies.append(old)
         return await super()._async_make_proxy(name, settings)
 
     async def _async_list_side(self, name: str, address: Address) -> None:
         plan = self.platform.get_plan(name)
-        addresses = await self._async_cross(name, address, plan.data_centre)
+        addresses = await self._async_add_crossing_proxy(name, address, plan.data_centre)
         await super()._async_list_side(name, addresses[Group.LEFT])
         self.platform.copy_listing(name, addresses[Group.RIGHT])
 
     async def _async_list_router(
         self, name: str, address: Address, *, data_centre: str, region: str
     ) -> None:
-        addresses = await self._async_cross(name, address, data_centre)
+        addresses = await self._async_add_crossing_proxy(name, address, data_centre)
         await super()._async_list_router(
             name, addresses[Group.LEFT], data_centre=data_centre, region=region
         )
         self.platform.copy_listing(name, addresses[Group.RIGHT])
 
-    async def _async_cross(
+    async def _async_add_crossing_proxy(
         self, name: str, address: Address, data_centre: str
     ) -> dict[Group, Address]:
         """Return the address of a process in each group."""
         group = self.platform.get_group(data_centre)
         crossing = FaultProxy(target=address)
-        self._crossings.append(crossing)
+        self._crossing_proxies.append(crossing)
         self.partition.add(source=group.other, target=group, proxy=crossing)
         addresses = {group: address, group.other: await crossing.async_start()}
         self._listed[name] = addresses
--- a/bench/faults_schedule.py
+++ b/bench/faults_schedule.py
@@ -15,18 +15,18 @@
     async_crash_upstream,
     async_cut_links,
     async_freeze_upstream,
+    async_partition,
+    async_partition_without_list,
     async_refuse_links,
     async_silence_links,
     async_silence_upstream,
     async_slow_links,
-    async_split,
-    async_split_from_platform,
 )
 from bench.faults_platform import (
-    async_flap,
+    async_fail_configuration,
+    async_fail_list,
+    async_flap_listing,
     async_lag_list,
-    async_lose_configuration,
-    async_lose_list,
     async_publish,
     async_serve_stale_configuration,
     async_serve_stale_list,
@@ -42,12 +42,12 @@
     async_stop_router,
     async_stop_side,
 )
-from bench.faults_requests import async_crash_by_request, async_surge
+from bench.faults_requests import async_send_crashing_requests, async_surge
 from bench.faults_stage import NoTarget, Stage
 
 _LOGGER = logging.getLogger(__name__)
 
-AT_ONCE: Final = 2
+CONCURRENT_FAULTS: Final = 2
 BETWEEN_MS: Final = (100, 600)
 
 FaultRun = Callable[[Stage, random.Random], Coroutine[Any, Any, None]]
@@ -58,7 +58,7 @@
 
     kind: str
     run: FaultRun
-    part: str = ""
+    resource: str = ""
 
 
 FAULTS: Final = (
@@ -69,26 +69,28 @@
     Fault(kind="router paused", run=async_pause_router),
     Fault(kind="paused side replaced", run=async_replace_paused_side),
     Fault(kind="side stopped", run=async_stop_side),
-    Fault(kind="side leaves by list", run=async_stop_listed_side, part="list"),
+    Fault(kind="side leaves by list", run=async_stop_listed_side, resource="list"),
     Fault(kind="router stopped", run=async_stop_router),
     Fault(kind="links cut", run=async_cut_links),
     Fault(kind="links refused", run=async_refuse_links),
     Fault(kind="links silent", run=async_silence_links),
     Fault(kind="links slow", run=async_slow_links),
-    Fault(kind="partition", run=async_split, part="partition"),
-    Fault(kind="partition, list lost", run=async_split_from_platform, part="partition"),
+    Fault(kind="partition", run=async_partition, resource="partition"),
+    Fault(kind="partition, list lost", run=async_partition_without_list, resource="partition"),
     Fault(kind="upstream crashed", run=async_crash_upstream),
     Fault(kind="upstream frozen", run=async_freeze_upstream),
     Fault(kind="upstream silent", run=async_silence_upstream),
-    Fault(kind="list down", run=async_lose_list, part="list"),
-    Fault(kind="list stale", run=async_serve_stale_list, part="list"),
-    Fault(kind="list late", run=async_lag_list, part="list"),
-    Fault(kind="listing flaps", run=async_flap, part="list"),
-    Fault(kind="configuration down", run=async_lose_configuration, part="configuration"),
-    Fault(kind="configuration stale", run=async_serve_stale_configuration, part="configuration"),
-    Fault(kind="configuration published", run=async_publish, part="configuration"),
+    Fault(kind="list down", run=async_fail_list, resource="list"),
+    Fault(kind="list stale", run=async_serve_stale_list, resource="list"),
+    Fault(kind="list late", run=async_lag_list, resource="list"),
+    Fault(kind="listing flaps", run=async_flap_listing, resource="list"),
+    Fault(kind="configuration down", run=async_fail_configuration, resource="configuration"),
+    Fault(
+        kind="configuration stale", run=async_serve_stale_configuration, resource="configuration"
+    ),
+    Fault(kind="configuration published", run=async_publish, resource="configuration"),
     Fault(kind="surge", run=async_surge),
-    Fault(kind="crashing request", run=async_crash_by_request, part="crasher"),
+    Fault(kind="crashing request", run=async_send_crashing_requests, resource="crasher"),
 )
 
 
@@ -99,29 +101,31 @@
         self._stage = stage
         self._seed = seed
         self._counts = counts
-        self._order = random.Random(seed)
-        self._busy: set[str] = set()
+        self._random = random.Random(seed)
+        self._busy_resources: set[str] = set()
         self._stopped = asyncio.Event()
 
     async def async_run(self) -> None:
         """Keep two faults going until stopped, and wait for the last ones to end."""
-        await asyncio.gather(*(self._async_work(number) for number in range(AT_ONCE)))
+        await asyncio.gather(
+            *(self._async_run_faults(number) for number in range(CONCURRENT_FAULTS))
+        )
 
     def stop(self) -> None:
         """Begin no further fault."""
         self._stopped.set()
 
-    async def _async_work(self, number: int) -> None:
+    async def _async_run_faults(self, number: int) -> None:
         randomness = random.Random(f"{self._seed}-{number}")
         while not self._stopped.is_set():
             await self._stage.async_pause(randomness, *BETWEEN_MS)
-            fault = self._draw()
-            part = fault.part or fault.kind
-            self._busy.add(part)
+            fault = self._choose_fault()
+            resource = fault.resource or fault.kind
+            self._busy_resources.add(resource)
             try:
                 await self._async_run_fault(fault, randomness)
             finally:
-                self._busy.discard(part)
+                self._busy_resources.discard(resource)
 
     async def _async_run_fault(self, fault: Fault, randomness: random.Random) -> None:
         try:
@@ -131,12 +135,14 @@
             _LOGGER.info("No target is free for %s", fault.kind)
         except Exception:
             # One fault that could not be brought about must not end the others.
-            self._stage.journal.broken_faults[fault.kind] += 1
+            self._stage.journal.failed_faults[fault.kind] += 1
             _LOGGER.exception("The fault %s could not be brought about", fault.kind)
 
-    def _draw(self) -> Fault:
-        free = [fault for fault in FAULTS if (fault.part or fault.kind) not in self._busy]
-        least = min(self._counts[fault.kind] for fault in free)
-        fault = self._order.choice([item for item in free if self._counts[item.kind] == least])
+    def _choose_fault(self) -> Fault:
+        free = [
+            fault for fault in FAULTS if (fault.resource or fault.kind) not in self._busy_resources
+        ]
+        min_count = min(self._counts[fault.kind] for fault in free)
+        fault = self._random.choice([item for item in free if self._counts[item.kind] == min_count])
         self._counts[fault.kind] += 1
         return fault
--- a/bench/faults_stage.py
+++ b/bench/faults_stage.py
@@ -24,10 +24,10 @@
 from gypsumrouter.standins import Engine, Service, make_configuration
 from gypsumrouter.util.clock import Clock
 
-BALANCER_MS: Final = 300
-READY_MS: Final = 15_000
-STOP_MS: Final = 20_000
-WATCH_MS: Final = 10
+BALANCER_DELAY_MS: Final = 300
+READY_TIMEOUT_MS: Final = 15_000
+STOP_TIMEOUT_MS: Final = 20_000
+POLL_MS: Final = 10
 MIN_ROUTERS: Final = 2
 
 
@@ -43,7 +43,7 @@
     journal: Journal
     clock: Clock
     routers: list[Address]
-    taken: set[str] = field(default_factory=set)
+    reserved: set[str] = field(default_factory=set)
     injected_crashes: int = 0
     next_router: int = 0
     version: int = 1
@@ -51,17 +51,19 @@
     began_s: float = field(default_factory=time.monotonic)
 
     @contextmanager
-    def take_side(self, randomness: random.Random, *, pools: Collection[str] = ()) -> Iterator[str]:
+    def reserve_side(
+        self, randomness: random.Random, *, pools: Collection[str] = ()
+    ) -> Iterator[str]:
         """Take a running side that no other fault has; raises NoTarget."""
-        free = [name for name in list_sides(self.rig, pools=pools) if name not in self.taken]
-        with self._take(randomness, free) as name:
+        free = [name for name in list_sides(self.rig, pools=pools) if name not in self.reserved]
+        with self._reserve(randomness, free) as name:
             yield name
 
     @contextmanager
-    def take_router(self, randomness: random.Random) -> Iterator[str]:
+    def reserve_router(self, randomness: random.Random) -> Iterator[str]:
         """Take a running router, if enough others are left to callers; raises NoTarget."""
-        free = [name for name in self.rig.routers if name not in self.taken]
-        with self._take(randomness, free if len(free) > MIN_ROUTERS else []) as name:
+        free = [name for name in self.rig.routers if name not in self.reserved]
+        with self._reserve(randomness, free if len(free) > MIN_ROUTERS else []) as name:
             yield name
 
     def choose_sides(self, randomness: random.Random, count: int) -> list[str]:
@@ -69,9 +71,9 @@
         names = list_sides(self.rig)
         return randomness.sample(names, min(count, len(names)))
 
-    async def async_pause(self, randomness: random.Random, least_ms: int, most_ms: int) -> None:
+    async def async_pause(self, randomness: random.Random, min_ms: int, max_ms: int) -> None:
         """Let some time pass."""
-        await self.clock.async_sleep(randomness.randint(least_ms, most_ms))
+        await self.clock.async_sleep(randomness.randint(min_ms, max_ms))
 
     async def async_kill_side(self, name: str) -> None:
         """Kill a side at once; the list goes on to name it."""
@@ -81,22 +83,22 @@
     async def async_start_side(self, name: str) -> DaemonProcess:
         """Start a side and wait until it takes work."""
         process = await self.rig.async_start_side(name)
-        await self.rig.async_wait_until_ready(process, limit_ms=READY_MS)
+        await self.rig.async_wait_until_ready(process, limit_ms=READY_TIMEOUT_MS)
         return process
 
     async def async_kill_router(self, name: str) -> None:
         """Kill a router at once; the balancer finds it out a moment later."""
         process = self.rig.routers.pop(name)
         address = process.addresses[ADDRESS_CALLERS]
-        self.journal.excuse(address, "killed")
+        self.journal.record_unavailable(address, "killed")
         await process.async_kill()
-        await self.clock.async_sleep(BALANCER_MS)
+        await self.clock.async_sleep(BALANCER_DELAY_MS)
         self.routers.remove(address)
 
     async def async_start_router(self, index: int) -> DaemonProcess:
         """Start a router and give it to callers once it is ready."""
         process = await self.rig.async_start_router(index)
-        await self.rig.async_wait_until_ready(process, limit_ms=READY_MS)
+        await self.rig.async_wait_until_ready(process, limit_ms=READY_TIMEOUT_MS)
         self.routers.append(process.addresses[ADDRESS_CALLERS])
         return process
 
@@ -105,30 +107,30 @@
         process = self.rig.routers.pop(name)
         address = process.addresses[ADDRESS_CALLERS]
         process.send_signal(signal.SIGTERM)
-        await self.clock.async_sleep(BALANCER_MS)
+        await self.clock.async_sleep(BALANCER_DELAY_MS)
         self.routers.remove(address)
         await self.async_wait_for_exit(process)
-        self.journal.excuse(address, "stopped")
+        self.journal.record_unavailable(address, "stopped")
         self.rig.platform.remove_listed(name)
 
     async def async_wait_for_exit(self, process: DaemonProcess) -> None:
         """Wait for the end of a planned stop and note how it ended."""
         try:
-            async with asyncio.timeout(STOP_MS / MS_PER_S):
+            async with asyncio.timeout(STOP_TIMEOUT_MS / MS_PER_S):
                 code = await process.process.wait()
         except TimeoutError:
             await process.async_kill()
-            self.journal.stop_codes["overdue"] += 1
+            self.journal.exit_codes["overdue"] += 1
             return
-        self.journal.stop_codes[str(code)] += 1
+        self.journal.exit_codes[str(code)] += 1
 
     @contextmanager
-    def excuse_paused(self, process: DaemonProcess) -> Iterator[None]:
+    def record_paused(self, process: DaemonProcess) -> Iterator[None]:
         """Note that a process does not run while the context is open."""
         address = process.addresses.get(ADDRESS_CALLERS)
         window: Window | None = None
         if address is not None:
-            window = self.journal.excuse(address, "paused")
+            window = self.journal.record_unavailable(address, "paused")
         try:
             yield
         finally:
@@ -157,9 +159,9 @@
     def publish(self) -> None:
         """Publish the configuration of the deployments under the next version."""
         self.version += 1
-        made = make_configuration(*self.rig.platform.deployments, version=self.version)
-        pools = tuple(self._set_window(pool) for pool in made.pools)
-        self.rig.platform.publish(replace(made, pools=pools))
+        configuration = make_configuration(*self.rig.platform.deployments, version=self.version)
+        pools = tuple(self._set_window(pool) for pool in configuration.pools)
+        self.rig.platform.publish(replace(configuration, pools=pools))
 
     def _set_window(self, pool: Pool) -> Pool:
         if self.window_ms is None or pool.at_most_once is None:
@@ -167,15 +169,15 @@
         return replace(pool, at_most_once=replace(pool.at_most_once, window_ms=self.window_ms))
 
     @contextmanager
-    def _take(self, randomness: random.Random, free: list[str]) -> Iterator[str]:
+    def _reserve(self, randomness: random.Random, free: list[str]) -> Iterator[str]:
         if not free:
             raise NoTarget
         name = randomness.choice(free)
-        self.taken.add(name)
+        self.reserved.add(name)
         try:
             yield name
         finally:
-            self.taken.discard(name)
+            self.reserved.discard(name)
 
 
 def count_executions(upstream: Engine | Service) -> int:
@@ -187,7 +189,7 @@
             return len(upstream.executions)
 
 
-async def async_watch_new_work(
+async def async_measure_new_work(
     *, clock: Clock, upstream: Engine | Service, until: asyncio.Event
 ) -> float:
     """Return how many seconds after now the last new execution began, until the event."""
@@ -195,9 +197,9 @@
     last_s = 0.0
     seen = count_executions(upstream)
     while not until.is_set():
-        await clock.async_sleep(WATCH_MS)
-        now = count_executions(upstream)
-        if now != seen:
-            seen = now
+        await clock.async_sleep(POLL_MS)
+        count = count_executions(upstream)
+        if count != seen:
+            seen = count
             last_s = (clock.now_ms() - began_ms) / MS_PER_S
     return last_s
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -20,10 +20,10 @@
     KIND_CONFIGURATION,
     KIND_INSTANCES,
     KIND_STATUS,
-    Moment,
-    Spent,
-    async_begin,
-    async_end,
+    AverageUsage,
+    UsageSnapshot,
+    async_measure_since,
+    async_take_snapshot,
 )
 from bench.metered_platform import MeteredPlatform, PlatformBytes
 from bench.paced_engine import HOLD_TOKENS, QUICK_TOKENS, PacedEngine
@@ -90,7 +90,7 @@
         self._side: DaemonProcess
         self._side_hosts: list[PeerHost] = []
         self._router_hosts: list[PeerHost] = []
-        self._loaded_from: Moment
+        self._loaded_from: UsageSnapshot
 
     async def async_run(self, *, with_costs: bool) -> FullSize:
         """Go through all stages, or only through those that show the traffic."""
@@ -108,7 +108,7 @@
                 await self._async_hold()
             await self._async_load()
             # Statuses go out in bursts some seconds apart, so that one stage is too short.
-            since = await async_end(self._rig, [self._side], self._loaded_from)
+            since = await async_measure_since(self._rig, [self._side], self._loaded_from)
             self.result.side_status_bytes_s = since.rates[KIND_STATUS]
         return self.result
 
@@ -167,16 +167,16 @@
             await host.async_command(interval_ms=FIRST_INTERVAL_MS)
         address = self._side.addresses[ADDRESS_LINK]
         target = {"name": self._side.name, "host": address.host, "port": address.port}
-        before = await async_begin(self._rig, [self._side])
+        before = await async_take_snapshot(self._rig, [self._side])
         for host in self._router_hosts:
             await host.async_command(target=target, link=True)
-        opened = await async_end(self._rig, [self._side], before)
+        opened = await async_measure_since(self._rig, [self._side], before)
         handshakes = sum(opened.rates[kind] for kind in HANDSHAKE_KINDS) * opened.seconds
         more = opened.links - before.links
         self.result.handshake_bytes = handshakes / more
         # A new link is told the status once.
         self.result.status_frame_bytes = opened.rates[KIND_STATUS] * opened.seconds / more
-        self._loaded_from = await async_begin(self._rig, [self._side])
+        self._loaded_from = await async_take_snapshot(self._rig, [self._side])
         for host in self._router_hosts:
             # Few and short requests, so that there is always a changed load to tell of.
             await host.async_command(rate_s=TRICKLE_S, tokens=QUICK_TOKENS)
@@ -196,7 +196,7 @@
 
     async def _async_match_statuses(self) -> None:
         """Have the light sides tell their load as often as the real one has done so far."""
-        so_far = await async_end(self._rig, [self._side], self._loaded_from)
+        so_far = await async_measure_since(self._rig, [self._side], self._loaded_from)
         interval_ms = float(FIRST_INTERVAL_MS)
         if so_far.rates[KIND_STATUS] > 0:
             bytes_s_a_link = so_far.rates[KIND_STATUS] / so_far.links
@@ -241,7 +241,9 @@
     ) -> None:
         if work is None:
             await asyncio.sleep(SETTLE_S)
-        begins = {p.name: await async_begin(self._rig, [p]) for p in (self._router, self._side)}
+        begins = {
+            p.name: await async_take_snapshot(self._rig, [p]) for p in (self._router, self._side)
+        }
         passed = {role: self._platform.count_bytes(role) for role in Role}
         await (work() if work is not None else asyncio.sleep(seconds))
         self.result.router[name] = await self._async_read(self._router, begins, passed)
@@ -250,10 +252,10 @@
     async def _async_read(
         self,
         process: DaemonProcess,
-        begins: dict[str, Moment],
+        begins: dict[str, UsageSnapshot],
         passed: dict[Role, PlatformBytes],
-    ) -> Spent:
-        spent = await async_end(self._rig, [process], begins[process.name])
+    ) -> AverageUsage:
+        spent = await async_measure_since(self._rig, [process], begins[process.name])
         platform = self._platform.count_bytes(process.role) - passed[process.role]
         rates = spent.rates | {
             KIND_CONFIGURATION: platform.configuration / spent.seconds,
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -49,12 +49,22 @@
 ROUNDS: Final = 20_000
 S_PER_MINUTE: Final = 60
 # What a message is changed by, beside single bits: ends of numbers, of text and of documents.
-PIECES: Final = (b"\x00", b"\xff", b"\xff\xff\xff\xff", b'"', b"{", b"[", b"null", b"-1", b"1e400")
+INSERTIONS: Final = (
+    b"\x00",
+    b"\xff",
+    b"\xff\xff\xff\xff",
+    b'"',
+    b"{",
+    b"[",
+    b"null",
+    b"-1",
+    b"1e400",
+)
 MAX_CHANGES: Final = 4
 
 EVACUATION: Final = EvacuationTold(data_centre="dc-a", revision=7, active=True)
 LOADS: Final = (RouterLoad(upstream="i-1", running=3, pending_tokens=900),)
-PLACED: Final = (PlacedPart(part=1 << 60, upstream="i-1"),)
+PLACED_PARTS: Final = (PlacedPart(part=1 << 60, upstream="i-1"),)
 STRIKES: Final = (Strike(digest=1 << 63, upstream="i-2"),)
 NOTICES: Final[tuple[Notice, ...]] = (
     RouterNews(
@@ -63,7 +73,7 @@
         routing_version=3,
         list_revision=900,
         loads=LOADS,
-        placed=PLACED,
+        placed=PLACED_PARTS,
         strikes=STRIKES,
         evacuations=(EVACUATION,),
         refused=("i-3",),
@@ -74,14 +84,14 @@
         loads=DataCentreLoads(data_centre="dc-b", alive=4, routers=("10.0.0.3:80",), loads=LOADS),
         routing_version=3,
         list_revision=900,
-        placed=PLACED,
+        placed=PLACED_PARTS,
         strikes=STRIKES,
         evacuations=(EVACUATION,),
         refused=("i-3",),
     ),
     RelayedNews(
         loads=(DataCentreLoads(data_centre="dc-b", alive=4, routers=(), loads=LOADS),),
-        placed=PLACED,
+        placed=PLACED_PARTS,
         strikes=STRIKES,
         refused=("i-3",),
     ),
@@ -162,7 +172,7 @@
 
     name: str
     decode: Callable[[bytes], object]
-    sound: bytes
+    valid_message: bytes
 
 
 def list_targets() -> list[Target]:
@@ -171,21 +181,27 @@
         Target(
             name="entry",
             decode=lambda data: decode_entry(upstream="i-1", value=data),
-            sound=json.dumps(ENTRY).encode(),
+            valid_message=json.dumps(ENTRY).encode(),
         ),
         Target(
             name="configuration",
             decode=decode_configuration,
-            sound=json.dumps(CONFIGURATION).encode(),
+            valid_message=json.dumps(CONFIGURATION).encode(),
         ),
         Target(
-            name="settings", decode=check_forwarder_settings, sound=json.dumps(SETTINGS).encode()
+            name="settings",
+            decode=check_forwarder_settings,
+            valid_message=json.dumps(SETTINGS).encode(),
         ),
         Target(
-            name="list", decode=lambda d: _read_page(d, "items"), sound=json.dumps(PAGE).encode()
+            name="list",
+            decode=lambda d: _read_page(d, "items"),
+            valid_message=json.dumps(PAGE).encode(),
         ),
         Target(
-            name="watch", decode=lambda d: _read_page(d, "events"), sound=json.dumps(PAGE).encode()
+            name="watch",
+            decode=lambda d: _read_page(d, "events"),
+            valid_message=json.dumps(PAGE).encode(),
         ),
     ]
     for notice in NOTICES:
@@ -194,15 +210,15 @@
             Target(
                 name=type(notice).__name__,
                 decode=lambda data, kind=kind: decode_notice(kind, data),  # type: ignore[misc]
-                sound=body,
+                valid_message=body,
             )
         )
     return targets
 
 
-def damage(sound: bytes, rng: random.Random) -> bytes:
+def mutate(valid_message: bytes, rng: random.Random) -> bytes:
     """Return a message with a few changes."""
-    data = bytearray(sound)
+    data = bytearray(valid_message)
     for _ in range(rng.randint(1, MAX_CHANGES)):
         at = rng.randrange(len(data) + 1)
         end = min(len(data), at + rng.randint(1, 8))
@@ -212,7 +228,7 @@
             case 1:
                 del data[at:end]
             case 2:
-                data[at:at] = rng.choice(PIECES)
+                data[at:at] = rng.choice(INSERTIONS)
             case 3:
                 data[at:at] = data[at:end]
             case _:
@@ -223,7 +239,7 @@
 def fuzz(*, seed: int, rounds: int, ends_s: float | None = None) -> tuple[int, list[str]]:
     """Return how many messages were decoded or refused, and what went wrong otherwise."""
     targets = list_targets()
-    wrong: list[str] = []
+    failures: list[str] = []
     played = 0
     for number in range(rounds):
         if ends_s is not None and time.monotonic() >= ends_s:
@@ -231,13 +247,13 @@
         rng = random.Random(f"{seed}/{number}")
         target = rng.choice(targets)
         try:
-            target.decode(damage(target.sound, rng))
+            target.decode(mutate(target.valid_message, rng))
         except EXPECTED:
             pass
         except Exception as error:
-            wrong.append(f"seed {seed} round {number} {target.name}: {error!r}")
+            failures.append(f"seed {seed} round {number} {target.name}: {error!r}")
         played += 1
-    return played, wrong
+    return played, failures
 
 
 def main(argv: list[str]) -> int:
@@ -248,11 +264,11 @@
     arguments = parser.parse_args(argv)
     ends_s = time.monotonic() + arguments.minutes * S_PER_MINUTE if arguments.minutes else None
     rounds = sys.maxsize if arguments.minutes else ROUNDS
-    played, wrong = fuzz(seed=arguments.seed, rounds=rounds, ends_s=ends_s)
-    for line in wrong:
+    played, failures = fuzz(seed=arguments.seed, rounds=rounds, ends_s=ends_s)
+    for line in failures:
         print(line)
-    print(json.dumps({"seed": arguments.seed, "played": played, "wrong": len(wrong)}))
-    return EXIT_FAILED if wrong else EXIT_OK
+    print(json.dumps({"seed": arguments.seed, "played": played, "wrong": len(failures)}))
+    return EXIT_FAILED if failures else EXIT_OK
 
 
 def _read_page(data: bytes, field: str) -> Any:
--- a/bench/grid.py
+++ b/bench/grid.py
@@ -14,9 +14,9 @@
 from bench.ledger import (
     KIND_CONFIGURATION,
     KIND_INSTANCES,
-    Spent,
-    async_begin,
-    async_end,
+    AverageUsage,
+    async_measure_since,
+    async_take_snapshot,
 )
 from bench.metered_platform import MeteredPlatform
 from bench.paced_engine import PacedEngine
@@ -33,8 +33,8 @@
 
     size: int
     rate: float
-    router: Spent
-    side: Spent
+    router: AverageUsage
+    side: AverageUsage
     requests_s: float
     broken: int
 
@@ -70,12 +70,12 @@
     clients = asyncio.create_task(async_run_clients(plan))
     await asyncio.sleep(plan.warm_s)
     groups = {Role.ROUTER: list(rig.routers.values()), Role.SIDE: list(rig.sides.values())}
-    begins = {role: await async_begin(rig, group) for role, group in groups.items()}
+    begins = {role: await async_take_snapshot(rig, group) for role, group in groups.items()}
     bytes_before = {role: platform.count_bytes(role) for role in groups}
     await asyncio.sleep(plan.measure_s)
-    spent: dict[Role, Spent] = {}
+    spent: dict[Role, AverageUsage] = {}
     for role, group in groups.items():
-        measured = await async_end(rig, group, begins[role])
+        measured = await async_measure_since(rig, group, begins[role])
         passed = platform.count_bytes(role) - bytes_before[role]
         share = 1 / measured.seconds / len(group)
         rates = measured.rates | {
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -14,7 +14,7 @@
 from gypsumrouter.link.const import PAYLOAD_KINDS
 
 PAYLOAD_NAMES: Final = frozenset(kind.name.lower() for kind in PAYLOAD_KINDS)
-SECTION: Final = "link"
+SECTION_LINK: Final = "link"
 HANDSHAKE_KINDS: Final = ("hello", "proof", "welcome")
 KIND_STATUS: Final = "status"
 KIND_CONFIGURATION: Final = "platform_configuration"
@@ -23,7 +23,7 @@
 Rates = dict[str, float]
 
 
-class Moment(Struct, frozen=True, kw_only=True):
+class UsageSnapshot(Struct, frozen=True, kw_only=True):
     """What some processes together have used up to a moment."""
 
     at_s: float
@@ -34,7 +34,7 @@
     links: int
 
 
-class Spent(Struct, frozen=True, kw_only=True):
+class AverageUsage(Struct, frozen=True, kw_only=True):
     """What one process spent on average; bytes and processor seconds in each second."""
 
     seconds: float
@@ -43,47 +43,49 @@
     rates: Rates
     links: float
 
-    def sum_control(self) -> float:
+    def sum_control_rates(self) -> float:
         """Return the bytes a second that carry no request and no answer."""
         return sum(rate for kind, rate in self.rates.items() if kind not in PAYLOAD_NAMES)
 
-    def list_control(self) -> Rates:
+    def list_control_rates(self) -> Rates:
         """Return the rates of the kinds that carry no request and no answer."""
         return {kind: rate for kind, rate in self.rates.items() if kind not in PAYLOAD_NAMES}
 
 
-async def async_begin(rig: Rig, processes: Iterable[DaemonProcess]) -> Moment:
+async def async_take_snapshot(rig: Rig, processes: Iterable[DaemonProcess]) -> UsageSnapshot:
     """Return the moment at which a measurement begins; dumps are asked for before it."""
     chosen = list(processes)
     dumps = await _async_dump_all(rig, chosen)
-    return _make_moment(chosen, dumps)
+    return _make_snapshot(chosen, dumps)
 
 
-async def async_end(rig: Rig, processes: Iterable[DaemonProcess], begin: Moment) -> Spent:
+async def async_measure_since(
+    rig: Rig, processes: Iterable[DaemonProcess], start: UsageSnapshot
+) -> AverageUsage:
     """Return what was spent since a moment; dumps are asked for after it."""
     chosen = list(processes)
-    without_bytes = _make_moment(chosen, [])
+    before_dump = _make_snapshot(chosen, [])
     dumps = await _async_dump_all(rig, chosen)
-    with_bytes = _make_moment(chosen, dumps)
+    after_dump = _make_snapshot(chosen, dumps)
     count = max(1, len(chosen))
-    cpu_window_s = without_bytes.at_s - begin.at_s
-    bytes_window_s = with_bytes.at_s - begin.at_s
+    cpu_window_s = before_dump.at_s - start.at_s
+    bytes_window_s = after_dump.at_s - start.at_s
     rates = {
-        kind: (total - begin.bytes_by_kind.get(kind, 0)) / bytes_window_s / count
-        for kind, total in with_bytes.bytes_by_kind.items()
+        kind: (total - start.bytes_by_kind.get(kind, 0)) / bytes_window_s / count
+        for kind, total in after_dump.bytes_by_kind.items()
     }
-    return Spent(
+    return AverageUsage(
         seconds=cpu_window_s,
-        core_share=(without_bytes.cpu_s - begin.cpu_s) / cpu_window_s / count,
-        rss_bytes=without_bytes.rss_bytes / count,
+        core_share=(before_dump.cpu_s - start.cpu_s) / cpu_window_s / count,
+        rss_bytes=before_dump.rss_bytes / count,
         rates=rates,
-        links=with_bytes.links / count,
+        links=after_dump.links / count,
     )
 
 
 def read_link_bytes(sections: Sections) -> dict[str, int]:
     """Return the bytes by kind, sent and received together, from a state dump."""
-    kinds: dict[str, dict[str, int]] = sections[SECTION]["bytes"]
+    kinds: dict[str, dict[str, int]] = sections[SECTION_LINK]["bytes"]
     return {kind: sum(ways.values()) for kind, ways in kinds.items()}
 
 
@@ -91,17 +93,17 @@
     return list(await asyncio.gather(*(rig.async_dump(process) for process in processes)))
 
 
-def _make_moment(processes: list[DaemonProcess], dumps: list[Sections]) -> Moment:
+def _make_snapshot(processes: list[DaemonProcess], dumps: list[Sections]) -> UsageSnapshot:
     usages = [process.read_usage() for process in processes]
     totals: dict[str, int] = {}
     for dump in dumps:
         for kind, count in read_link_bytes(dump).items():
             totals[kind] = totals.get(kind, 0) + count
-    return Moment(
+    return UsageSnapshot(
         at_s=time.monotonic(),
         cpu_s=sum(usage.cpu_s for usage in usages),
         rss_bytes=sum(usage.rss_bytes for usage in usages),
         bytes_by_kind=totals,
         processes=len(processes),
-        links=sum(dump[SECTION]["open"] for dump in dumps),
+        links=sum(dump[SECTION_LINK]["open"] for dump in dumps),
     )
--- a/bench/load.py
+++ b/bench/load.py
@@ -55,7 +55,7 @@
     stream: bool = True
 
 
-class Whole(Struct, frozen=True, kw_only=True):
+class CompleteAnswer(Struct, frozen=True, kw_only=True):
     """An answer that came to its end; not yet checked."""
 
     text: str
@@ -114,7 +114,7 @@
             outcome = await attempt()
             if not isinstance(outcome, NoAnswer):
                 return outcome
-            self._note_no_answer(outcome)
+            self._count_no_answer(outcome)
             not_run = not_run and outcome.executed is Executed.NOT_RUN
             await self._async_pause(outcome)
         if not_run:
@@ -123,7 +123,7 @@
             self.tally.lost += 1
         return None
 
-    def _note_no_answer(self, outcome: NoAnswer) -> None:
+    def _count_no_answer(self, outcome: NoAnswer) -> None:
         counts = self.tally.refused if outcome.executed is Executed.NOT_RUN else self.tally.unknown
         counts[outcome.code] += 1
 
@@ -156,7 +156,7 @@
         """Play all turns; none begins after `until_ms` of the clock, and none after a failure."""
         for turn in range(self.shape.turns):
             if turn > 0:
-                await self.clock.async_sleep(round(self.shape.think_ms * self._vary()))
+                await self.clock.async_sleep(round(self.shape.think_ms * self._jitter()))
             if until_ms is not None and self.clock.now_ms() >= until_ms:
                 return
             if not await self.async_turn():
@@ -165,29 +165,29 @@
     async def async_turn(self) -> bool:
         """Play one turn; returns whether its answer was whole and right."""
         size = self.shape.turn_bytes if self.messages else self.shape.first_bytes
-        content = f"{self.chat} turn {len(self.messages)}: {self._write(size)}"
+        content = f"{self.chat} turn {len(self.messages)}: {self._make_words(size)}"
         self.messages.append(Message(role="user", content=content))
         tokens = self.random.randint(self.shape.min_tokens, self.shape.max_tokens)
         answer = await self.async_try_until_answered(lambda: self._async_try(tokens))
         return answer is not None and self._check(answer, tokens)
 
-    def _check(self, answer: Whole, tokens: int) -> bool:
+    def _check(self, answer: CompleteAnswer, tokens: int) -> bool:
         digest = digest_prompt(render_prompt(self.messages), model=self.model)
         expected = make_text(digest, tokens)
         if answer.text != expected or answer.tokens != tokens:
-            self._note_wrong(answer.text, digest, expected)
+            self._count_wrong(answer.text, digest, expected)
             return False
         self.tally.whole += 1
         self.tally.tokens += tokens
         self.tally.prompt_tokens += answer.prompt_tokens
         self.tally.cached_tokens += answer.cached_tokens
-        self.tally.note_times(
+        self.tally.record_times(
             self.account.caller_class, first_ms=answer.first_ms, answer_ms=answer.answer_ms
         )
         self.messages.append(Message(role="assistant", content=answer.text))
         return True
 
-    def _note_wrong(self, text: str, digest: str, expected: str) -> None:
+    def _count_wrong(self, text: str, digest: str, expected: str) -> None:
         if not text.startswith(digest) and not digest.startswith(text):
             self.tally.crossed += 1
         elif len(text) > len(expected):
@@ -195,7 +195,7 @@
         else:
             self.tally.truncated += 1
 
-    async def _async_try(self, tokens: int) -> Whole | NoAnswer:
+    async def _async_try(self, tokens: int) -> CompleteAnswer | NoAnswer:
         payload = {
             "model": self.model,
             "messages": [
@@ -218,7 +218,7 @@
                 self.hint = response.headers.get(HEADER_PLACEMENT, self.hint)
                 if self.shape.stream:
                     return await self._async_read_events(response, began_s)
-                return _parse_whole(await response.read(), _get_elapsed_ms(began_s))
+                return _parse_complete_answer(await response.read(), _get_elapsed_ms(began_s))
         except TimeoutError:
             return NoAnswer(code=CODE_TIMEOUT, executed=Executed.UNKNOWN)
         except (aiohttp.ClientError, OSError):
@@ -226,7 +226,7 @@
 
     async def _async_read_events(
         self, response: aiohttp.ClientResponse, began_s: float
-    ) -> Whole | NoAnswer:
+    ) -> CompleteAnswer | NoAnswer:
         parts: list[str] = []
         usage: dict[str, Any] = {}
         first_ms = last_ms = 0.0
@@ -235,7 +235,9 @@
                 continue
             data = line[len(DATA_PREFIX) :].strip()
             if data == DONE:
-                return _make_whole("".join(parts), usage, first_ms, _get_elapsed_ms(began_s))
+                return _make_complete_answer(
+                    "".join(parts), usage, first_ms, _get_elapsed_ms(began_s)
+                )
             event = json.loads(data)
             if "error" in event:
                 return parse_error(data, status=response.status)
@@ -253,16 +255,16 @@
                 parts.append(token)
         return NoAnswer(code=CODE_CONNECTION, executed=Executed.UNKNOWN)
 
-    def _write(self, size: int) -> str:
+    def _make_words(self, size: int) -> str:
         words: list[str] = []
-        written = 0
-        while written < size:
+        length = 0
+        while length < size:
             word = f"{self.random.choice(WORDS)}-{self.random.randrange(10_000)}"
             words.append(word)
-            written += len(word) + 1
+            length += len(word) + 1
         return " ".join(words)
 
-    def _vary(self) -> float:
+    def _jitter(self) -> float:
         return self.random.uniform(0.5, 1.5)
 
 
@@ -330,8 +332,14 @@
 
 def make_uuid7(*, wall_ms: int, randomness: random.Random) -> str:
     """Return a UUID of version 7, which carries the time at which it was made."""
-    tail = randomness.getrandbits(KEY_RANDOM_BITS)
-    value = wall_ms << 80 | 0x7 << 76 | (tail >> 62) << 64 | 0b10 << 62 | tail & (1 << 62) - 1
+    random_bits = randomness.getrandbits(KEY_RANDOM_BITS)
+    value = (
+        wall_ms << 80
+        | 0x7 << 76
+        | (random_bits >> 62) << 64
+        | 0b10 << 62
+        | random_bits & (1 << 62) - 1
+    )
     return str(uuid.UUID(int=value))
 
 
@@ -349,15 +357,17 @@
         return NoAnswer(code=f"status_{status}", executed=Executed.UNKNOWN)
 
 
-def _parse_whole(body: bytes, elapsed_ms: float) -> Whole:
+def _parse_complete_answer(body: bytes, elapsed_ms: float) -> CompleteAnswer:
     answer = json.loads(body)
     text = answer["choices"][0]["message"]["content"]
-    return _make_whole(text, answer.get("usage") or {}, elapsed_ms, elapsed_ms)
+    return _make_complete_answer(text, answer.get("usage") or {}, elapsed_ms, elapsed_ms)
 
 
-def _make_whole(text: str, usage: dict[str, Any], first_ms: float, answer_ms: float) -> Whole:
+def _make_complete_answer(
+    text: str, usage: dict[str, Any], first_ms: float, answer_ms: float
+) -> CompleteAnswer:
     details = usage.get("prompt_tokens_details") or {}
-    return Whole(
+    return CompleteAnswer(
         text=text,
         tokens=int(usage.get("completion_tokens", 0)),
         prompt_tokens=int(usage.get("prompt_tokens", 0)),
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -24,9 +24,9 @@
 # A part that nobody used for this long is not missed when it is gone.
 IDLE_MS: Final = 10_000
 # Routers hear of each other's placements within this time.
-RACE_MS: Final = 400
+UPDATE_DELAY_MS: Final = 400
 # A router that started this short a time ago may not know yet.
-YOUNG_MS: Final = 5_000
+RECENT_START_MS: Final = 5_000
 MS_PER_S: Final = 1_000
 
 
@@ -65,7 +65,7 @@
             yield Line(at_ms=at_ms, router=fields.get("instance", ""), fields=fields)
 
 
-class Account:
+class LossTracker:
     """Follows who holds which prompt, by the placements of all routers."""
 
     def __init__(self) -> None:
@@ -75,19 +75,19 @@
         self._gone: dict[str, int] = {}
         self._started: dict[str, int] = {}
 
-    def take(self, line: Line) -> None:
+    def record(self, line: Line) -> None:
         """Take the next line; lines come in the order of their times."""
         match line.fields["event"]:
             case "process_started":
                 self._started[line.router] = line.at_ms
             case "upstream_changed":
-                self._take_state(line)
+                self._record_state(line)
             case "request_placed" if line.fields["prompt"]:
-                self._take_placed(line)
+                self._record_placement(line)
             case "attempt_ended" if line.fields["next_step"] != "answer":
-                self._take_failed(line)
+                self._record_failure(line)
 
-    def _take_state(self, line: Line) -> None:
+    def _record_state(self, line: Line) -> None:
         upstream = line.fields["upstream"]
         match line.fields["state"]:
             case "leaving":
@@ -97,7 +97,7 @@
             case "ready":
                 self._gone.pop(upstream, None)
 
-    def _take_placed(self, line: Line) -> None:
+    def _record_placement(self, line: Line) -> None:
         upstream, missing = line.fields["upstream"], line.fields["missing_tokens"]
         holders = self._held[line.fields["prompt"]]
         if missing >= MIN_TOKENS:
@@ -116,26 +116,29 @@
         idle_ms = line.at_ms - max(holders.values())
         if idle_ms > IDLE_MS:
             return "not used for long"
-        cause = self._find_holder(holders, upstream)
-        if idle_ms < RACE_MS:
+        cause = self._classify_holders(holders, upstream)
+        if idle_ms < UPDATE_DELAY_MS:
             return f"{cause}, used a moment ago"
-        if line.at_ms - self._started.get(line.router, line.at_ms - YOUNG_MS) < YOUNG_MS:
+        if (
+            line.at_ms - self._started.get(line.router, line.at_ms - RECENT_START_MS)
+            < RECENT_START_MS
+        ):
             return f"{cause}, router just started"
         return cause
 
-    def _find_holder(self, holders: dict[str, int], upstream: str) -> str:
-        living = [name for name in holders if name not in self._gone]
-        if upstream in living:
+    def _classify_holders(self, holders: dict[str, int], upstream: str) -> str:
+        remaining = [name for name in holders if name not in self._gone]
+        if upstream in remaining:
             return "held there, router did not know"
-        if any(name not in self._leaving for name in living):
+        if any(name not in self._leaving for name in remaining):
             return "a ready engine held it"
-        if living:
+        if remaining:
             return "an engine that leaves held it"
         if any(name in self._leaving for name in holders):
             return "its engines had left"
         return "its engines had crashed"
 
-    def _take_failed(self, line: Line) -> None:
+    def _record_failure(self, line: Line) -> None:
         fields = line.fields
         key = (fields["outcome"], fields["next_step"], self._get_state(fields["upstream"], line))
         self.losses.attempts[key] += 1
@@ -146,12 +149,12 @@
         return "gone" if upstream in self._gone else "listed"
 
 
-def account(lines: Iterable[Line]) -> Losses:
+def attribute_losses(lines: Iterable[Line]) -> Losses:
     """Return what is lost to which cause."""
-    book = Account()
+    tracker = LossTracker()
     for line in sorted(lines, key=lambda line: line.at_ms):
-        book.take(line)
-    return book.losses
+        tracker.record(line)
+    return tracker.losses
 
 
 def main(argv: list[str]) -> int:
@@ -163,7 +166,7 @@
     for path in options.logs:
         with path.open(encoding="utf-8", errors="replace") as file:
             lines.extend(read_lines(file))
-    losses = account(lines)
+    losses = attribute_losses(lines)
     _print_tokens("prompts read", losses.read_tokens, losses.reads)
     _print_tokens("prompts copied", losses.copied_tokens, losses.copies)
     rows = [(*key, count) for key, count in losses.attempts.most_common()]
--- a/bench/plain_replay.py
+++ b/bench/plain_replay.py
@@ -30,7 +30,7 @@
 SERVICE: Final = "records"
 SLOTS: Final = 6
 # Upstreams turn away what their queue has no room for.
-QUEUE: Final = 24
+QUEUE_LIMIT: Final = 24
 # How often a caller comes back after a refusal.
 RETRIES: Final = 1
 ROUTERS: Final = 26
@@ -49,7 +49,7 @@
         """Return when a request that arrives now is over; None where the queue is full."""
         while self._ends_ms and self._ends_ms[0] <= now_ms:
             heapq.heappop(self._ends_ms)
-        if len(self._ends_ms) >= SLOTS + QUEUE:
+        if len(self._ends_ms) >= SLOTS + QUEUE_LIMIT:
             return None
         begin_ms = max(now_ms, heapq.heappop(self._free_ms))
         end_ms = begin_ms + self._rng.lognormvariate(-0.125, 0.5) * self._work_ms
@@ -80,27 +80,27 @@
     tries: int
 
 
-class Ended(Struct, frozen=True, kw_only=True):
+class Completed(Struct, frozen=True, kw_only=True):
     """A request of a router that is over at an upstream."""
 
     router: int
     upstream: str
 
 
-class NewsDue(Struct, frozen=True, kw_only=True):
+class UpdateDue(Struct, frozen=True, kw_only=True):
     """It is time for a router to tell the others."""
 
     router: int
 
 
-class NewsHeard(Struct, frozen=True, kw_only=True):
+class UpdateReceived(Struct, frozen=True, kw_only=True):
     """What a router had at the upstreams is known to the others."""
 
     router: int
     loads: dict[str, UpstreamLoad]
 
 
-Happening = Arrival | Ended | NewsDue | NewsHeard
+Event = Arrival | Completed | UpdateDue | UpdateReceived
 
 
 class PlainReplay:
@@ -115,13 +115,13 @@
         # What callers expect scales with the work, as their operator sets it; one that is refused
         # comes back when half of that is over. So do the news, to play the same at each speed.
         self._target_ms = 4.6 * work_ms
-        self._news_ms = 3.3 * work_ms
+        self._update_interval_ms = 3.3 * work_ms
         self._clock = ManualClock(now_ms=1_000)
         self._upstreams = {
             f"i-{number}": Upstream(work_ms=work_ms, rng=self._rng) for number in range(upstreams)
         }
         self._placers = [self._make_placer(without) for _ in range(ROUTERS)]
-        self._events: list[tuple[float, int, Happening]] = []
+        self._events: list[tuple[float, int, Event]] = []
         self._number = 0
         self.tally = Tally()
 
@@ -132,39 +132,41 @@
         while at_ms < duration_ms:
             at_ms += self._rng.expovariate(1 / gap_ms)
             router = self._rng.randrange(ROUTERS)
-            self._add(at_ms, Arrival(router=router, asked_ms=at_ms, tries=0))
+            self._schedule(at_ms, Arrival(router=router, asked_ms=at_ms, tries=0))
         for router in range(ROUTERS):
-            due_ms = self._rng.random() * self._news_ms
+            due_ms = self._rng.random() * self._update_interval_ms
             while due_ms < duration_ms:
-                self._add(due_ms, NewsDue(router=router))
-                due_ms += self._news_ms
+                self._schedule(due_ms, UpdateDue(router=router))
+                due_ms += self._update_interval_ms
         begin_ms = self._clock.now_ms()
         while self._events:
             at_ms, _, event = heapq.heappop(self._events)
             self._clock.advance(max(0, int(begin_ms + at_ms) - self._clock.now_ms()))
-            self._take(at_ms, event)
+            self._handle(at_ms, event)
         return self.tally
 
-    def _take(self, at_ms: float, event: Happening) -> None:
+    def _handle(self, at_ms: float, event: Event) -> None:
         match event:
             case Arrival():
-                self._arrive(at_ms, event)
-            case Ended(router=router, upstream=upstream):
+                self._handle_arrival(at_ms, event)
+            case Completed(router=router, upstream=upstream):
                 self._placers[router].loads.end(upstream)
-            case NewsDue(router=router):
+            case UpdateDue(router=router):
                 loads = self._placers[router].loads.get_own_loads()
-                self._add(at_ms + self._news_ms / 2, NewsHeard(router=router, loads=loads))
-            case NewsHeard(router=router, loads=loads):
-                told = PeerLoads(received_ms=self._clock.now_ms(), loads=loads)
+                self._schedule(
+                    at_ms + self._update_interval_ms / 2, UpdateReceived(router=router, loads=loads)
+                )
+            case UpdateReceived(router=router, loads=loads):
+                peer_loads = PeerLoads(received_ms=self._clock.now_ms(), loads=loads)
                 for number, placer in enumerate(self._placers):
                     if number != router:
-                        placer.loads.set_peer_loads(f"r{router}", told)
+                        placer.loads.set_peer_loads(f"r{router}", peer_loads)
 
-    def _add(self, at_ms: float, event: Happening) -> None:
+    def _schedule(self, at_ms: float, event: Event) -> None:
         self._number += 1
         heapq.heappush(self._events, (at_ms, self._number, event))
 
-    def _arrive(self, at_ms: float, arrival: Arrival) -> None:
+    def _handle_arrival(self, at_ms: float, arrival: Arrival) -> None:
         self.tally.asked += arrival.tries == 0
         placer = self._placers[arrival.router]
         placed = placer.place(
@@ -174,27 +176,27 @@
         if not isinstance(placed, PlacementRefusal):
             end_ms = self._upstreams[placed.entry.upstream].serve(at_ms)
         if isinstance(placed, PlacementRefusal) or end_ms is None:
-            self._refuse(at_ms, arrival)
+            self._retry_or_refuse(at_ms, arrival)
             return
         placer.note_sent(placed, None)
         placer.plain.note_answered(placed, elapsed_ms=round(end_ms - at_ms))
-        self._add(end_ms, Ended(router=arrival.router, upstream=placed.entry.upstream))
+        self._schedule(end_ms, Completed(router=arrival.router, upstream=placed.entry.upstream))
         if end_ms - arrival.asked_ms <= self._target_ms:
             self.tally.in_time += 1
         else:
             self.tally.late += 1
 
-    def _refuse(self, at_ms: float, arrival: Arrival) -> None:
+    def _retry_or_refuse(self, at_ms: float, arrival: Arrival) -> None:
         """Let the caller come back at another router, or give up."""
         if arrival.tries == RETRIES:
             self.tally.refused += 1
             return
-        again = Arrival(
+        retry = Arrival(
             router=self._rng.randrange(ROUTERS),
             asked_ms=arrival.asked_ms,
             tries=arrival.tries + 1,
         )
-        self._add(at_ms + self._target_ms / 2, again)
+        self._schedule(at_ms + self._target_ms / 2, retry)
 
     def _make_placer(self, without: frozenset[Mechanism]) -> Placer:
         app = Application(
@@ -203,7 +205,7 @@
         journal = Journal(app=app)
         directory = Directory(app=app, journal=journal)
         slow_start = SlowStartLimiter(clock=self._clock, journal=journal)
-        slow_start.set_fleet(Others())
+        slow_start.set_fleet(StaticFleet())
         placer = Placer(
             app=app,
             directory=directory,
@@ -227,7 +229,7 @@
         return placer
 
 
-class Others:
+class StaticFleet:
     """The other routers, all of them known."""
 
     own_address = "r"
--- a/bench/planned.py
+++ b/bench/planned.py
@@ -10,7 +10,7 @@
 from msgspec import Struct, field
 
 from bench.accounts import Account
-from bench.load import CallerContext, ChatCaller, ChatShape, NoAnswer, Whole
+from bench.load import CallerContext, ChatCaller, ChatShape, CompleteAnswer, NoAnswer
 from bench.tally import Tally
 from gypsumrouter.standins.tokens import (
     BYTES_PER_TOKEN,
@@ -108,7 +108,9 @@
             return
         self.messages.append(make_answer(self.messages, model=self.model, tokens=turn.tokens))
 
-    async def _async_count_try(self, turn: PlannedTurn, result: TurnResult) -> Whole | NoAnswer:
+    async def _async_count_try(
+        self, turn: PlannedTurn, result: TurnResult
+    ) -> CompleteAnswer | NoAnswer:
         waited_ms = self.clock.now_ms() - self.play.began_ms - turn.at_ms
         if not self.play.brings_hint:
             self.hint = ""
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -17,9 +17,9 @@
 from gypsumrouter.instances import Address, parse_address
 
 TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
-KIB: Final = 1024
-ANNOUNCE_S: Final = 20.0
-STOP_S: Final = 20.0
+BYTES_PER_KIB: Final = 1024
+ANNOUNCE_TIMEOUT_S: Final = 20.0
+STOP_TIMEOUT_S: Final = 20.0
 
 
 class Usage(Struct, frozen=True, kw_only=True):
@@ -66,7 +66,7 @@
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         try:
-            return await asyncio.wait_for(self.process.wait(), STOP_S)
+            return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             self.send_signal(signal.SIGKILL)
             return await self.process.wait()
@@ -118,7 +118,7 @@
     announced: dict[str, str] | None = None
     # A forwarder writes its journal to the same output.
     while announced is None:
-        line = await asyncio.wait_for(process.stdout.readline(), ANNOUNCE_S)
+        line = await asyncio.wait_for(process.stdout.readline(), ANNOUNCE_TIMEOUT_S)
         if not line:
             raise RuntimeError(f"{name} ended before it announced its addresses")
         announced = json.loads(line).get("addresses")
@@ -131,5 +131,5 @@
     cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            return Usage(cpu_s=cpu_s, rss_bytes=int(line.split()[1]) * KIB)
+            return Usage(cpu_s=cpu_s, rss_bytes=int(line.split()[1]) * BYTES_PER_KIB)
     return Usage(cpu_s=cpu_s, rss_bytes=0)
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -18,9 +18,9 @@
 
 LINK_KEY_BYTES: Final = 32
 READY_POLL_MS: Final = 20
-READY_MS: Final = 20_000
-STARTS_AT_ONCE: Final = 12
-NOWHERE: Final = Address(host="127.0.0.1", port=1)
+READY_TIMEOUT_MS: Final = 20_000
+CONCURRENT_STARTS: Final = 12
+UNREACHABLE: Final = Address(host="127.0.0.1", port=1)
 ADDRESS_CALLERS: Final = "callers"
 ADDRESS_OPERATORS: Final = "operators"
 ADDRESS_LINK: Final = "link"
@@ -52,11 +52,11 @@
         self.sides: dict[str, DaemonProcess] = {}
         self.routers: dict[str, DaemonProcess] = {}
         self.proxies: dict[str, FaultProxy] = {}
-        self._scratch = tempfile.TemporaryDirectory(prefix="gypsumrouter-bench-")
-        self.folder = Path(self._scratch.name)
+        self._temporary_folder = tempfile.TemporaryDirectory(prefix="gypsumrouter-bench-")
+        self.folder = Path(self._temporary_folder.name)
         self._key_file = self.folder / "link.key"
         self._key_file.write_text(secrets.token_hex(LINK_KEY_BYTES))
-        self._gate = asyncio.Semaphore(STARTS_AT_ONCE)
+        self._start_semaphore = asyncio.Semaphore(CONCURRENT_STARTS)
         self._session: aiohttp.ClientSession | None = None
 
     async def async_start(self, *, routers: int) -> None:
@@ -68,26 +68,26 @@
     async def async_start_side(self, name: str) -> DaemonProcess:
         """Start the side beside one upstream and put it on the instance list."""
         settings = self.platform.make_side_settings(name, link=self._make_link())
-        process, listed = await self._async_start(Role.SIDE, settings)
+        process, address = await self._async_start(Role.SIDE, settings)
         self.sides[name] = process
-        await self._async_list_side(name, listed)
+        await self._async_list_side(name, address)
         return process
 
     async def async_start_router(self, index: int) -> DaemonProcess:
         """Start a router and put it on the instance list."""
         deployment = self.platform.deployments[index % len(self.platform.deployments)]
         name = f"{deployment.name}-router-{index + 1}"
-        place = {"data_centre": deployment.get_data_centre(index), "region": deployment.region}
-        settings = self.platform.make_router_settings(name, link=self._make_link(), **place)
-        process, listed = await self._async_start(Role.ROUTER, settings)
+        location = {"data_centre": deployment.get_data_centre(index), "region": deployment.region}
+        settings = self.platform.make_router_settings(name, link=self._make_link(), **location)
+        process, address = await self._async_start(Role.ROUTER, settings)
         self.routers[name] = process
-        await self._async_list_router(name, listed, **place)
+        await self._async_list_router(name, address, **location)
         return process
 
     async def async_wait_ready(self) -> None:
         """Wait until every process takes work; raises TimeoutError after 20 s."""
         waiting = {**self.sides, **self.routers}
-        for _ in range(READY_MS // READY_POLL_MS):
+        for _ in range(READY_TIMEOUT_MS // READY_POLL_MS):
             ready = await asyncio.gather(*(self.async_is_ready(item) for item in waiting.values()))
             waiting = {
                 name: process
@@ -133,7 +133,7 @@
         if self._session is not None:
             await self._session.close()
         await self.platform.async_stop()
-        self._scratch.cleanup()
+        self._temporary_folder.cleanup()
 
     async def _async_list_side(self, name: str, address: Address) -> None:
         self.platform.list_side(name, address)
@@ -146,11 +146,11 @@
     async def _async_start(self, role: Role, settings: Sections) -> tuple[DaemonProcess, Address]:
         name = settings["instance"]["name"]
         merged = {
-            section: _lay_over(settings.get(section, {}), self.extra.get(section, {}))
-            for section in settings.keys() | self._pick_extra(role)
+            section: _merge_section(settings.get(section, {}), self.extra.get(section, {}))
+            for section in settings.keys() | self._list_extra_sections(role)
         }
         proxy = await self._async_make_proxy(name, merged)
-        async with self._gate:
+        async with self._start_semaphore:
             process = await async_start_daemon(
                 role=role, settings=merged, folder=self.folder, options=self._make_options(role)
             )
@@ -165,15 +165,15 @@
             return None
         if name in self.proxies:
             await self.proxies[name].async_stop()
-        proxy = FaultProxy(target=NOWHERE)
+        proxy = FaultProxy(target=UNREACHABLE)
         self.proxies[name] = proxy
         address = await proxy.async_start()
         settings["link"] |= {"advertised_host": address.host, "advertised_port": address.port}
         return proxy
 
-    def _pick_extra(self, role: Role) -> set[str]:
-        foreign = {"callers"} if role is Role.SIDE else {"upstream"}
-        return self.extra.keys() - foreign
+    def _list_extra_sections(self, role: Role) -> set[str]:
+        unsupported = {"callers"} if role is Role.SIDE else {"upstream"}
+        return self.extra.keys() - unsupported
 
     def _make_options(self, role: Role) -> tuple[str, ...]:
         return (OPTION_PLACEMENT, self.placement.value) if role is Role.ROUTER else ()
@@ -187,5 +187,5 @@
         return self._session
 
 
-def _lay_over(base: Sections, extra: Sections) -> Sections:
+def _merge_section(base: Sections, extra: Sections) -> Sections:
     return {**base, **extra}
--- a/bench/role_slopes.py
+++ b/bench/role_slopes.py
@@ -10,7 +10,7 @@
 from bench.config_fleet import ChangeCost
 from bench.costs import RequestCost
 from bench.full_size import LIST_CHANGES
-from bench.ledger import KIND_STATUS, Spent
+from bench.ledger import KIND_STATUS, AverageUsage
 from bench.paced_engine import HOLD_GAP_MS
 from bench.slope_math import spread_over_day
 from bench.stages import (
@@ -51,7 +51,7 @@
 
 
 def derive_slopes(
-    stages: Mapping[str, Spent], change: ChangeCost, request: RequestCost, *, streams: int
+    stages: Mapping[str, AverageUsage], change: ChangeCost, request: RequestCost, *, streams: int
 ) -> RoleSlopes:
     """Return the slopes that the stages of one role show."""
     base, listed, changed = stages[STAGE_BASE], stages[STAGE_LIST], stages[STAGE_LIST_CHANGES]
@@ -83,7 +83,7 @@
     )
 
 
-def measure_status_us(stages: Mapping[str, Spent], *, frame_bytes: float) -> float:
+def measure_status_us(stages: Mapping[str, AverageUsage], *, frame_bytes: float) -> float:
     """Return the processor time of one status that comes in, from two rates of them."""
     slow, fast = stages[STAGE_LINKS], stages[STAGE_STATUSES]
     more = (fast.rates[KIND_STATUS] - slow.rates[KIND_STATUS]) / frame_bytes
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -97,7 +97,7 @@
                     spent.core_share,
                     spent.rss_bytes / MB,
                     spent.links,
-                    spent.sum_control(),
+                    spent.sum_control_rates(),
                 )
                 for stage, spent in stages.items()
             ],
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -14,65 +14,65 @@
 import click
 
 from bench.soak_callers import Callers
-from bench.soak_checks import Violation, check_all, check_cold, check_evacuations
-from bench.soak_faults import Saboteur
+from bench.soak_checks import Violation, check_all, check_cold_starts, check_evacuations
+from bench.soak_drain_checks import check_backoffs, check_draining, check_retired
+from bench.soak_faults import FaultInjector
 from bench.soak_rig import ENV_KEY, KEY, SoakRig
-from bench.soak_words import check_leaving, check_rests, check_retired
 
 DEFAULT_S: Final = 6.0
-CALM_S: Final = 3.0
-PROBES: Final = 40
+SETTLE_S: Final = 3.0
+RECOVERY_PROBES: Final = 40
 MS: Final = 1_000
 
 
 async def async_soak(
-    *, seed: int, seconds: float, folder: Path, places: bool = False, drills: bool = False
+    *, seed: int, seconds: float, folder: Path, evacuations: bool = False, drills: bool = False
 ) -> tuple[dict[str, object], bool]:
     """Run one seed and return its figures, and whether every promise was kept.
 
     With `places` data centres are evacuated and engines start cold. With `drills` the store comes
     back from copies, and runners say of themselves that they leave or want a rest.
     """
-    rig = SoakRig(folder=folder, places=places)
+    rig = SoakRig(folder=folder, evacuations=evacuations)
     try:
         await rig.async_start()
         callers = Callers(rig=rig, seed=seed)
-        saboteur = Saboteur(rig=rig, seed=seed, places=places, drills=drills)
-        calling = asyncio.create_task(callers.async_run())
-        await saboteur.async_run(seconds=seconds)
-        await saboteur.async_heal()
-        await asyncio.sleep(CALM_S)
+        injector = FaultInjector(rig=rig, seed=seed, evacuations=evacuations, drills=drills)
+        call_task = asyncio.create_task(callers.async_run())
+        await injector.async_run(seconds=seconds)
+        await injector.async_heal()
+        await asyncio.sleep(SETTLE_S)
         callers.stop()
-        await calling
-        calm_s = time.monotonic()
-        recovered = await callers.async_probe(count=PROBES)
+        await call_task
+        healed_s = time.monotonic()
+        recovered = await callers.async_probe(count=RECOVERY_PROBES)
         violations = check_all(
             records=callers.records,
             arrivals=rig.list_arrivals(),
             journals=rig.read_journals(),
-            recovered=recovered / PROBES,
+            recovered=recovered / RECOVERY_PROBES,
         )
         violations += check_evacuations(rig.read_journals(), rig.data_centres)
-        violations += check_cold(rig.list_runners())
-        violations += check_leaving(callers.records, rig.list_runners(), rig.broken_s)
-        violations += check_rests(callers.records, rig.list_runners(), rig.broken_s)
-        violations += check_retired(rig.retired, calm_s)
+        violations += check_cold_starts(rig.list_runners())
+        violations += check_draining(callers.records, rig.list_runners(), rig.interruptions_s)
+        violations += check_backoffs(callers.records, rig.list_runners(), rig.interruptions_s)
+        violations += check_retired(rig.retired, healed_s)
     finally:
         await rig.async_stop()
     figures: dict[str, object] = {
         "seed": seed,
         "requests": len(callers.records),
-        "answered": sum(record.status == 200 and record.whole for record in callers.records),
+        "answered": sum(record.status == 200 and record.complete for record in callers.records),
         "refused": sum(record.refused for record in callers.records),
-        "faults": saboteur.told,
+        "faults": injector.counts,
         "recovered": recovered,
         "violations": [str(violation) for violation in violations],
     }
-    _tell(violations, rig)
+    _print_violations(violations, rig)
     return figures, not violations
 
 
-def _tell(violations: list[Violation], rig: SoakRig) -> None:
+def _print_violations(violations: list[Violation], rig: SoakRig) -> None:
     """Print the whole story of each request that a promise was broken for."""
     for violation in violations:
         click.echo(f"VIOLATION {violation}")
@@ -96,7 +96,7 @@
     chosen = [seed] if seed is not None else list(range(first, first + seeds))
     ends = time.monotonic() + 60 * minutes
     runs: list[dict[str, object]] = []
-    good = True
+    all_kept = True
     while chosen or time.monotonic() < ends:
         number = chosen.pop(0) if chosen else first + len(runs)
         with tempfile.TemporaryDirectory() as folder:
@@ -105,15 +105,15 @@
                     seed=number,
                     seconds=seconds,
                     folder=Path(folder),
-                    places=places,
+                    evacuations=places,
                     drills=drills,
                 )
             )
         click.echo(json.dumps(figures))
         runs.append(figures)
-        good = good and kept
-    click.echo(json.dumps({"seeds": len(runs), "kept": good}))
-    sys.exit(0 if good else 1)
+        all_kept = all_kept and kept
+    click.echo(json.dumps({"seeds": len(runs), "kept": all_kept}))
+    sys.exit(0 if all_kept else 1)
 
 
 def main(argv: list[str]) -> int:
--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -15,11 +15,11 @@
 from gypsumrouter.platform import names
 
 CALLERS: Final = 12
-PAUSE_MS: Final = 25
+MEAN_PAUSE_MS: Final = 25
 DEADLINE_MS: Final = 2_000
-PROMISES: Final = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 KINDS: Final = ("lookup", "reserve", "draft", "quote")
-REPEATABLE: Final = frozenset({"lookup", "quote"})
+REPEATABLE_KINDS: Final = frozenset({"lookup", "quote"})
 MS_PER_S: Final = 1_000
 
 
@@ -35,17 +35,17 @@
     path: str
     status: int = 0
     body: bytes = b""
-    whole: bool = False
-    own: bool = False
+    complete: bool = False
+    id_matches: bool = False
     forwarder: int = 0
     sent_s: float = 0.0
     answered_s: float = 0.0
-    leaving: bool = False
+    draining: bool = False
 
     @property
     def refused(self) -> bool:
         """Return whether the caller was promised that the request did not run."""
-        return self.status in PROMISES
+        return self.status in NOT_RUN_STATUSES
 
     @property
     def streamed(self) -> bool:
@@ -60,7 +60,7 @@
         self._rig = rig
         self._seed = seed
         self._stopping = asyncio.Event()
-        self._numbers = 0
+        self._calls = 0
         self.records: list[CallRecord] = []
 
     def stop(self) -> None:
@@ -69,7 +69,7 @@
 
     async def async_run(self) -> None:
         """Call until stopped."""
-        await asyncio.gather(*(self._async_call_on(number) for number in range(CALLERS)))
+        await asyncio.gather(*(self._async_run_caller(number) for number in range(CALLERS)))
 
     async def async_probe(self, *, count: int) -> int:
         """Send requests after all trouble and return how many were answered."""
@@ -80,7 +80,7 @@
             ]
         return sum(record.status == 200 for record in records)
 
-    async def _async_call_on(self, caller: int) -> None:
+    async def _async_run_caller(self, caller: int) -> None:
         rng = random.Random(f"{self._seed}/{caller}")
         async with _make_session() as session:
             while not self._stopping.is_set():
@@ -88,13 +88,13 @@
                 self.records.append(
                     await self._async_call(session, rng.randrange(FORWARDERS), kind)
                 )
-                await asyncio.sleep(rng.uniform(0, 2 * PAUSE_MS) / MS_PER_S)
+                await asyncio.sleep(rng.uniform(0, 2 * MEAN_PAUSE_MS) / MS_PER_S)
 
     async def _async_call(
         self, session: aiohttp.ClientSession, forwarder: int, kind: str
     ) -> CallRecord:
-        self._numbers += 1
-        request_id = f"{self._seed}-{self._numbers}"
+        self._calls += 1
+        request_id = f"{self._seed}-{self._calls}"
         path = f"/{kind}/{request_id}"
         sent_s = time.monotonic()
         record = CallRecord(
@@ -110,7 +110,7 @@
             headers |= {
                 "X-Token-Usage": "1400,60",
                 "X-Model": "m",
-                "X-Prefix-Hash": f"a1:800,b{self._numbers % 5}:400,{self._numbers:x}:200",
+                "X-Prefix-Hash": f"a1:800,b{self._calls % 5}:400,{self._calls:x}:200",
             }
         method = "GET" if kind == "lookup" else "POST"
         body = None if method == "GET" else b"a body of some bytes"
@@ -125,10 +125,10 @@
                     record,
                     status=answer.status,
                     body=await answer.read(),
-                    whole=True,
-                    own=answer.headers.get("X-Request-Id") == request_id,
+                    complete=True,
+                    id_matches=answer.headers.get("X-Request-Id") == request_id,
                     answered_s=time.monotonic(),
-                    leaving=names.says_leaving(answer.headers.get(names.SERVER_LEAVING)),
+                    draining=names.says_leaving(answer.headers.get(names.SERVER_LEAVING)),
                 )
         except (aiohttp.ClientError, OSError, TimeoutError):
             return record
@@ -136,10 +136,10 @@
 
 def _make_session() -> aiohttp.ClientSession:
     connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=10)
-    return aiohttp.ClientSession(connector=connector, middlewares=(_never_again,))
+    return aiohttp.ClientSession(connector=connector, middlewares=(_disable_retries,))
 
 
-async def _never_again(
+async def _disable_retries(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
     """Keep the library from sending a request twice by itself."""
@@ -149,6 +149,6 @@
         raise aiohttp.ClientPayloadError(str(error)) from error
 
 
-def make_stream() -> bytes:
+def make_expected_stream() -> bytes:
     """Return the whole stream of a sound runner."""
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, EVENTS + 1))
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from bench.soak_callers import REPEATABLE, CallRecord, make_stream
-from bench.soak_rig import MAX_COLD, WORKSPACE
+from bench.soak_callers import REPEATABLE_KINDS, CallRecord, make_expected_stream
+from bench.soak_rig import MAX_IN_COLD_START, WORKSPACE
 from gypsumrouter.platform import names
 from gypsumrouter.standins import PlatformRunner
 from gypsumrouter.standins.platform_runner import Arrival
@@ -20,12 +20,12 @@
 class Violation(Struct, frozen=True, kw_only=True):
     """A promise that was not kept."""
 
-    promise: str
+    guarantee: str
     request_id: str = ""
     detail: str = ""
 
     def __str__(self) -> str:
-        return f"{self.promise} {self.request_id} {self.detail}".strip()
+        return f"{self.guarantee} {self.request_id} {self.detail}".strip()
 
 
 def check_all(
@@ -36,42 +36,44 @@
     recovered: float,
 ) -> list[Violation]:
     """Return every violation."""
-    found = [
+    violations = [
         *check_runs(records, arrivals),
         *check_answers(records),
         *check_arrivals(records, arrivals),
         *check_versions(journals),
     ]
     if recovered < MIN_RECOVERED:
-        found.append(Violation(promise="not recovered", detail=f"{recovered:.2f} answered"))
-    return found
+        violations.append(Violation(guarantee="not recovered", detail=f"{recovered:.2f} answered"))
+    return violations
 
 
 def check_runs(records: Sequence[CallRecord], arrivals: Sequence[Arrival]) -> Iterator[Violation]:
     """Check that nothing ran twice that must not, nor what was said not to have run."""
     runs = Counter(arrival.request_id for arrival in arrivals if arrival.ran)
     for record in records:
-        if record.kind in REPEATABLE:
+        if record.kind in REPEATABLE_KINDS:
             continue
         ran = runs[record.request_id]
         if ran > 1:
-            yield Violation(promise="ran twice", request_id=record.request_id, detail=f"{ran} runs")
+            yield Violation(
+                guarantee="ran twice", request_id=record.request_id, detail=f"{ran} runs"
+            )
         if record.refused and ran:
-            yield Violation(promise="ran though refused", request_id=record.request_id)
+            yield Violation(guarantee="ran though refused", request_id=record.request_id)
 
 
 def check_answers(records: Sequence[CallRecord]) -> Iterator[Violation]:
     """Check that each success is the whole answer to its own request."""
     for record in records:
-        if record.status != 200 or not record.whole:
+        if record.status != 200 or not record.complete:
             continue
-        if not record.own:
-            yield Violation(promise="another's answer", request_id=record.request_id)
-        elif record.streamed and record.body != make_stream():
+        if not record.id_matches:
+            yield Violation(guarantee="another's answer", request_id=record.request_id)
+        elif record.streamed and record.body != make_expected_stream():
             detail = f"{len(record.body)} bytes"
-            yield Violation(promise="torn stream", request_id=record.request_id, detail=detail)
+            yield Violation(guarantee="torn stream", request_id=record.request_id, detail=detail)
         elif not record.streamed and not record.body.endswith(record.path.encode()):
-            yield Violation(promise="another's body", request_id=record.request_id)
+            yield Violation(guarantee="another's body", request_id=record.request_id)
 
 
 def check_arrivals(
@@ -81,11 +83,11 @@
     paths = {record.request_id: record.path for record in records}
     for arrival in arrivals:
         if arrival.request_id in paths and arrival.path != paths[arrival.request_id]:
-            yield Violation(promise="changed path", request_id=arrival.request_id)
+            yield Violation(guarantee="changed path", request_id=arrival.request_id)
         if names.API_KEY in arrival.headers:
-            yield Violation(promise="key passed on", request_id=arrival.request_id)
+            yield Violation(guarantee="key passed on", request_id=arrival.request_id)
         if arrival.headers.get(names.TENANT) != WORKSPACE:
-            yield Violation(promise="wrong workspace", request_id=arrival.request_id)
+            yield Violation(guarantee="wrong workspace", request_id=arrival.request_id)
 
 
 def check_evacuations(
@@ -103,15 +105,17 @@
             case "data_centre_evacuated":
                 active.discard(line["data_centre"])
             case "request_placed" if data_centres.get(line["upstream"]) in active:
-                yield Violation(promise="placed where evacuated", request_id=line["request_id"])
+                yield Violation(guarantee="placed where evacuated", request_id=line["request_id"])
 
 
-def check_cold(runners: Iterable[PlatformRunner]) -> Iterator[Violation]:
+def check_cold_starts(runners: Iterable[PlatformRunner]) -> Iterator[Violation]:
     """Check that no runner got more than it bears after its start."""
     for runner in runners:
-        densest = runner.count_densest_cold()
-        if densest > MAX_COLD:
-            yield Violation(promise="too much while cold", detail=f"{runner.name} {densest}")
+        most_arrivals = runner.count_densest_cold()
+        if most_arrivals > MAX_IN_COLD_START:
+            yield Violation(
+                guarantee="too much while cold", detail=f"{runner.name} {most_arrivals}"
+            )
 
 
 def check_versions(journals: Sequence[dict[str, Any]]) -> Iterator[Violation]:
@@ -121,5 +125,5 @@
             continue
         if line["version"] <= line["previous"]:
             yield Violation(
-                promise="version went back", detail=f"{line['previous']} to {line['version']}"
+                guarantee="version went back", detail=f"{line['previous']} to {line['version']}"
             )
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -18,9 +18,9 @@
 MAX_FAULT_S: Final = 1.5
 DELAY_MS: Final = 60
 # Longer than the bound on requests to a runner that has said that it leaves.
-MAX_UNLISTED_S: Final = 5.0
-MIN_REST_S: Final = 0.7
-MAX_REST_S: Final = 2.0
+MAX_LISTING_DELAY_S: Final = 5.0
+MIN_BACKOFF_S: Final = 0.7
+MAX_BACKOFF_S: Final = 2.0
 RUNNER_TROUBLES: Final = (
     RunnerTrouble.SHED,
     RunnerTrouble.ERROR,
@@ -34,17 +34,17 @@
 Fault = Callable[[], Awaitable[None]]
 
 
-class Saboteur:
+class FaultInjector:
     """Draws faults and heals them; each fault is a task of its own."""
 
     def __init__(
-        self, *, rig: SoakRig, seed: int, places: bool = False, drills: bool = False
+        self, *, rig: SoakRig, seed: int, evacuations: bool = False, drills: bool = False
     ) -> None:
         self._rig = rig
         self._rng = random.Random(seed)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._busy: set[int] = set()
-        self._told: Counter[str] = Counter()
+        self._reserved: set[int] = set()
+        self._counts: Counter[str] = Counter()
         self._faults: dict[str, Fault] = {
             "kill": self._async_kill,
             "stop": self._async_stop,
@@ -57,27 +57,27 @@
             "replace": self._async_replace,
             "configure": self._rig.async_configure,
         }
-        if places:
+        if evacuations:
             self._faults["evacuate"] = self._async_evacuate
         if drills:
             self._faults["restore"] = self._async_restore
-            self._faults["leave_unlisted"] = self._async_leave_unlisted
-            self._faults["rest"] = self._async_rest
+            self._faults["leave_unlisted"] = self._async_drain_unlisted
+            self._faults["rest"] = self._async_back_off
         self._evacuated: set[str] = set()
         self._restoring = False
 
     @property
-    def told(self) -> dict[str, int]:
+    def counts(self) -> dict[str, int]:
         """Return how often each fault was made."""
-        return dict(self._told)
+        return dict(self._counts)
 
     async def async_run(self, *, seconds: float) -> None:
         """Make faults for a time."""
         ends = time.monotonic() + seconds
         while time.monotonic() < ends:
             name = self._rng.choice(tuple(self._faults))
-            self._told[name] += 1
-            task = asyncio.create_task(self._async_guard(name), name=f"fault {name}")
+            self._counts[name] += 1
+            task = asyncio.create_task(self._async_run_fault(name), name=f"fault {name}")
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             await asyncio.sleep(self._rng.uniform(MIN_GAP_S, MAX_GAP_S))
@@ -86,16 +86,16 @@
         """Wait until each fault has healed."""
         await asyncio.gather(*self._tasks)
 
-    async def _async_guard(self, name: str) -> None:
+    async def _async_run_fault(self, name: str) -> None:
         await self._faults[name]()
 
-    def _take_forwarder(self) -> int | None:
+    def _reserve_forwarder(self) -> int | None:
         """Return a forwarder that no other fault has in hand."""
-        free = [number for number in range(FORWARDERS) if number not in self._busy]
+        free = [number for number in range(FORWARDERS) if number not in self._reserved]
         if not free:
             return None
         number = self._rng.choice(free)
-        self._busy.add(number)
+        self._reserved.add(number)
         return number
 
     async def _async_kill(self) -> None:
@@ -104,40 +104,40 @@
     async def _async_stop(self) -> None:
         await self._async_restart(signal.SIGTERM)
 
-    async def _async_restart(self, how: signal.Signals) -> None:
-        number = self._take_forwarder()
+    async def _async_restart(self, signal_number: signal.Signals) -> None:
+        number = self._reserve_forwarder()
         if number is None:
             return
-        await self._rig.async_end_forwarder(number, how)
+        await self._rig.async_end_forwarder(number, signal_number)
         await asyncio.sleep(self._rng.uniform(0, 0.5))
         await self._rig.async_start_forwarder(number)
-        self._busy.discard(number)
+        self._reserved.discard(number)
 
     async def _async_freeze(self) -> None:
-        number = self._take_forwarder()
+        number = self._reserve_forwarder()
         if number is None:
             return
         process = self._rig.forwarders[number]
         if process is not None:
             process.send_signal(signal.SIGSTOP)
-            await self._async_last()
+            await self._async_hold()
             process.send_signal(signal.SIGCONT)
-            self._rig.broken_s[number].append(time.monotonic())
-        self._busy.discard(number)
+            self._rig.interruptions_s[number].append(time.monotonic())
+        self._reserved.discard(number)
 
     async def _async_reload(self) -> None:
-        number = self._take_forwarder()
+        number = self._reserve_forwarder()
         if number is None:
             return
         process = self._rig.forwarders[number]
         if process is not None:
             process.send_signal(signal.SIGHUP)
-        self._busy.discard(number)
+        self._reserved.discard(number)
 
     async def _async_store(self) -> None:
         trouble = self._rng.choice((StoreTrouble.BUSY, StoreTrouble.RESET, StoreTrouble.SILENT))
         await self._rig.store.async_fail(trouble)
-        await self._async_last()
+        await self._async_hold()
         if self._rng.random() < 0.3:
             self._rig.store.forget_history()
         await self._rig.store.async_fail(StoreTrouble.NONE)
@@ -154,41 +154,41 @@
         store = self._rig.store
         copy = store.make_copy()
         await self._rig.async_list_all()
-        await self._async_last()
+        await self._async_hold()
         trouble = self._rng.choice((StoreTrouble.NONE, StoreTrouble.BUSY, StoreTrouble.RESET))
         await store.async_fail(trouble)
         if trouble is not StoreTrouble.NONE:
-            await self._async_last()
+            await self._async_hold()
         lost = await store.async_restore(copy)
         service = self._rng.choice(tuple(self._rig.runners))
-        place = self._rng.randrange(RUNNERS)
-        await self._rig.async_replace_runner(service, place, says_so=False)
+        index = self._rng.randrange(RUNNERS)
+        await self._rig.async_replace_runner(service, index, announces=False)
         await store.async_fail(StoreTrouble.NONE)
-        await self._async_last()
+        await self._async_hold()
         await store.async_write_again(copy=copy, lost=lost)
         self._restoring = False
 
-    async def _async_leave_unlisted(self) -> None:
+    async def _async_drain_unlisted(self) -> None:
         """Replace a runner whose entry says much later than its answers that it leaves."""
         service = self._rng.choice(tuple(self._rig.runners))
-        place = self._rng.randrange(RUNNERS)
-        listed_after_s = self._rng.uniform(0, MAX_UNLISTED_S)
-        await self._rig.async_replace_runner(service, place, listed_after_s=listed_after_s)
+        index = self._rng.randrange(RUNNERS)
+        listing_delay_s = self._rng.uniform(0, MAX_LISTING_DELAY_S)
+        await self._rig.async_replace_runner(service, index, listing_delay_s=listing_delay_s)
 
-    async def _async_rest(self) -> None:
+    async def _async_back_off(self) -> None:
         """Let a runner turn requests away and name a time to come back."""
         service = self._rng.choice(tuple(self._rig.runners))
         runner = self._rng.choice(self._rig.runners[service])
-        runner.rest_s = self._rng.uniform(MIN_REST_S, MAX_REST_S)
+        runner.rest_s = self._rng.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S)
         runner.always = RunnerTrouble.SHED
-        await self._async_last()
+        await self._async_hold()
         runner.always = RunnerTrouble.NONE
         runner.rest_s = None
 
     async def _async_store_path(self) -> None:
         proxy = self._rng.choice(self._rig.store_proxies)
         if self._rng.random() < 0.5:
-            proxy.silence(ways=self._draw_ways())
+            proxy.silence(ways=self._choose_directions())
         else:
             proxy.cut()
 
@@ -196,19 +196,19 @@
         service = self._rng.choice(tuple(self._rig.runners))
         runner = self._rng.choice(self._rig.runners[service])
         runner.always = self._rng.choice(RUNNER_TROUBLES)
-        await self._async_last()
+        await self._async_hold()
         runner.always = RunnerTrouble.NONE
 
     async def _async_runner_path(self) -> None:
         proxy = self._rng.choice(self._rig.runner_proxies)
-        draw = self._rng.random()
-        if draw < 0.4:
+        fraction = self._rng.random()
+        if fraction < 0.4:
             proxy.cut()
-        elif draw < 0.7:
-            proxy.silence(ways=self._draw_ways())
+        elif fraction < 0.7:
+            proxy.silence(ways=self._choose_directions())
         else:
             proxy.set_delay(DELAY_MS)
-            await self._async_last()
+            await self._async_hold()
             proxy.set_delay(0)
 
     async def _async_replace(self) -> None:
@@ -217,18 +217,18 @@
 
     async def _async_evacuate(self) -> None:
         """Evacuate a data centre for a while; one is always left."""
-        left = [name for name in DATA_CENTRES[1:] if name not in self._evacuated]
-        if not left:
+        open_data_centres = [name for name in DATA_CENTRES[1:] if name not in self._evacuated]
+        if not open_data_centres:
             return
-        name = self._rng.choice(left)
+        name = self._rng.choice(open_data_centres)
         self._evacuated.add(name)
         await self._rig.async_evacuate(name)
-        await self._async_last()
+        await self._async_hold()
         await self._rig.async_reopen(name)
         self._evacuated.discard(name)
 
-    def _draw_ways(self) -> tuple[Way, ...]:
+    def _choose_directions(self) -> tuple[Way, ...]:
         return self._rng.choice((tuple(BOTH_WAYS), (Way.FORWARD,), (Way.BACK,)))
 
-    async def _async_last(self) -> None:
+    async def _async_hold(self) -> None:
         await asyncio.sleep(self._rng.uniform(0.1, MAX_FAULT_S))
--- a/bench/soak_rig.py
+++ b/bench/soak_rig.py
@@ -30,11 +30,11 @@
 EVENT_STARTED: Final = "process_started"
 # With places, runners stand in several data centres, and new engines are cold for so long.
 DATA_CENTRES: Final = ("dc-a", "dc-b", "dc-c")
-COLD_S: Final = 1.5
-COLD_PER_S: Final = 3.0
-COLD_FACTOR: Final = 1.5
-COLD_SLACK: Final = 2.0
-MAX_COLD: Final = COLD_PER_S * COLD_FACTOR + COLD_SLACK
+COLD_START_S: Final = 1.5
+COLD_START_PER_S: Final = 3.0
+COLD_START_FACTOR: Final = 1.5
+COLD_START_SLACK: Final = 2.0
+MAX_IN_COLD_START: Final = COLD_START_PER_S * COLD_START_FACTOR + COLD_START_SLACK
 
 
 class SoakRig:
@@ -43,8 +43,8 @@
     With `places` there are several data centres, which may be evacuated, and engines start cold.
     """
 
-    def __init__(self, *, folder: Path, places: bool = False) -> None:
-        self._places = places
+    def __init__(self, *, folder: Path, evacuations: bool = False) -> None:
+        self._evacuations = evacuations
         # The data centre of each runner, by its id.
         self.data_centres: dict[str, str] = {}
         self._folder = folder
@@ -59,19 +59,19 @@
         }
         self.runner_proxies: list[FaultProxy] = []
         # The tasks that copy what forwarders write, by their number.
-        self._copies: dict[int, asyncio.Task[None]] = {}
+        self._copy_tasks: dict[int, asyncio.Task[None]] = {}
         self.forwarders: list[DaemonProcess | None] = [None] * FORWARDERS
         # Bound for the whole run: another run's listener on a port that is free for a moment would
         # be called by forwarders that mean this one.
-        self._held = [
+        self._port_holders = [
             (PortHolder(host="127.0.0.1", port=0), PortHolder(host="127.0.0.1", port=0))
             for _ in range(FORWARDERS)
         ]
-        self._ports = [(c.address.port, link.address.port) for c, link in self._held]
+        self._ports = [(c.address.port, link.address.port) for c, link in self._port_holders]
         self._runner_addresses: dict[str, Address] = {}
         self.retired: list[PlatformRunner] = []
         # When each forwarder ended, was started, or went on after a freeze; monotonic seconds.
-        self.broken_s: dict[int, list[float]] = {number: [] for number in range(FORWARDERS)}
+        self.interruptions_s: dict[int, list[float]] = {number: [] for number in range(FORWARDERS)}
         self.version = 1
 
     async def async_start(self) -> None:
@@ -82,8 +82,8 @@
             await proxy.async_start()
             self.store_proxies.append(proxy)
         for service, runners in self.runners.items():
-            for place, runner in enumerate(runners):
-                self._locate(runner, place)
+            for index, runner in enumerate(runners):
+                self._assign_data_centre(runner, index)
                 await self.async_add_runner(service, runner)
         await self.async_configure()
         starts = (self.async_start_forwarder(number) for number in range(FORWARDERS))
@@ -119,8 +119,10 @@
             for runner in tuple(runners):
                 await self.async_list_runner(service, runner, state="ready")
 
-    def _locate(self, runner: PlatformRunner, place: int) -> None:
-        self.data_centres[runner.name] = DATA_CENTRES[place] if self._places else DATA_CENTRES[0]
+    def _assign_data_centre(self, runner: PlatformRunner, index: int) -> None:
+        self.data_centres[runner.name] = (
+            DATA_CENTRES[index] if self._evacuations else DATA_CENTRES[0]
+        )
 
     async def async_evacuate(self, data_centre: str) -> None:
         """Ask that nothing new is sent to a data centre."""
@@ -131,24 +133,24 @@
         await self.store.async_remove(f"{names.PREFIX_EVACUATIONS}{data_centre}")
 
     async def async_replace_runner(
-        self, service: str, place: int, *, listed_after_s: float = 0.0, says_so: bool = True
+        self, service: str, index: int, *, listing_delay_s: float = 0.0, announces: bool = True
     ) -> None:
         """Let a new runner take a place; the old one leaves and answers what it has.
 
         It says so in its answers at once, unless only its entry does, which is written after a
         while.
         """
-        old = self.runners[service][place]
-        new = PlatformRunner(name=f"{old.name}x", events=EVENTS)
-        self.runners[service][place] = new
-        self.retired.append(old)
-        self._locate(new, place)
-        if self._places and service == "models":
-            new.cold_until_s = time.monotonic() + COLD_S
-        await self.async_add_runner(service, new)
-        old.leaving = says_so
-        await asyncio.sleep(listed_after_s)
-        await self.async_list_runner(service, old, state="draining")
+        replaced = self.runners[service][index]
+        replacement = PlatformRunner(name=f"{replaced.name}x", events=EVENTS)
+        self.runners[service][index] = replacement
+        self.retired.append(replaced)
+        self._assign_data_centre(replacement, index)
+        if self._evacuations and service == "models":
+            replacement.cold_until_s = time.monotonic() + COLD_START_S
+        await self.async_add_runner(service, replacement)
+        replaced.leaving = announces
+        await asyncio.sleep(listing_delay_s)
+        await self.async_list_runner(service, replaced, state="draining")
 
     async def async_configure(self) -> None:
         """Publish the next version of the configuration."""
@@ -167,7 +169,11 @@
         )
 
     def _make_models(self) -> dict[str, Any]:
-        cold = {"cold_start_s": COLD_S, "cold_per_s": COLD_PER_S} if self._places else {}
+        cold = (
+            {"cold_start_s": COLD_START_S, "cold_per_s": COLD_START_PER_S}
+            if self._evacuations
+            else {}
+        )
         return {"name": "models", "engine": {"slots": 64}, **cold}
 
     async def async_start_forwarder(self, number: int) -> None:
@@ -182,8 +188,8 @@
             "store": str(self.store_proxies[number].address),
             "bounds": {
                 "stop_ms": 4_000,
-                "warm_up_factor": COLD_FACTOR,
-                "warm_up_slack": COLD_SLACK,
+                "warm_up_factor": COLD_START_FACTOR,
+                "warm_up_slack": COLD_START_SLACK,
             },
             "log": {"format": "json"},
         }
@@ -191,30 +197,30 @@
             role=Role.FORWARDER, settings=settings, folder=self._folder
         )
         self.forwarders[number] = process
-        self.broken_s[number].append(time.monotonic())
-        await self._async_follow(number, process)
+        self.interruptions_s[number].append(time.monotonic())
+        await self._async_copy_journal(number, process)
 
-    async def _async_follow(self, number: int, process: DaemonProcess) -> None:
+    async def _async_copy_journal(self, number: int, process: DaemonProcess) -> None:
         """Copy what a process writes, after all that the one before it wrote."""
-        earlier = self._copies.get(number)
-        if earlier is not None:
-            await earlier
+        previous = self._copy_tasks.get(number)
+        if previous is not None:
+            await previous
         journal = self._folder / f"journal-{number}.log"
         with journal.open("a") as file:
             # The line of the start itself is read by who waits for it.
             file.write(json.dumps({"event": EVENT_STARTED, "instance": f"entry-{number}"}) + "\n")
-        self._copies[number] = asyncio.create_task(
-            _async_copy(process, journal), name=f"journal {number}"
+        self._copy_tasks[number] = asyncio.create_task(
+            _async_copy_output(process, journal), name=f"journal {number}"
         )
 
-    async def async_end_forwarder(self, number: int, how: signal.Signals) -> None:
+    async def async_end_forwarder(self, number: int, signal_number: signal.Signals) -> None:
         """Send a signal that ends a forwarder and wait for its end."""
         process, self.forwarders[number] = self.forwarders[number], None
         if process is None or process.process.returncode is not None:
             return
-        process.send_signal(how)
+        process.send_signal(signal_number)
         await process.process.wait()
-        self.broken_s[number].append(time.monotonic())
+        self.interruptions_s[number].append(time.monotonic())
 
     def url(self, number: int, path: str) -> str:
         """Return the address of a path at a forwarder."""
@@ -249,12 +255,12 @@
         for runner in self.list_runners():
             await runner.async_stop()
         await self.store.async_stop()
-        for holders in self._held:
+        for holders in self._port_holders:
             for holder in holders:
                 holder.close()
 
 
-def _make_route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
+def _make_route(name: str, kind: str, service: str, **options: Any) -> dict[str, Any]:
     return {
         "name": name,
         "host": HOST,
@@ -265,11 +271,11 @@
         "target_latency_ms": 150,
         "target_gap_ms": 150,
         "max_attempts": 2,
-        **more,
+        **options,
     }
 
 
-async def _async_copy(process: DaemonProcess, journal: Path) -> None:
+async def _async_copy_output(process: DaemonProcess, journal: Path) -> None:
     """Copy what a process writes, so that its pipe never fills."""
     stdout = process.process.stdout
     if stdout is None:
--- a/bench/stages.py
+++ b/bench/stages.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from bench.ledger import Spent
+from bench.ledger import AverageUsage
 
 STAGE_BASE: Final = "base"
 STAGE_LIST: Final = "list"
@@ -21,8 +21,8 @@
 class FullSize(Struct, kw_only=True):
     """What the router and the side spent, by stage; each stage adds to the one before."""
 
-    router: dict[str, Spent] = field(default_factory=dict)
-    side: dict[str, Spent] = field(default_factory=dict)
+    router: dict[str, AverageUsage] = field(default_factory=dict)
+    side: dict[str, AverageUsage] = field(default_factory=dict)
     list_change_bytes: float = 0.0
     document_bytes: int = 0
     side_status_bytes_s: float = 0.0
--- a/bench/tally.py
+++ b/bench/tally.py
@@ -41,7 +41,7 @@
         """Return the first-token times of all classes."""
         return [time for times in self.first_token_ms.values() for time in times]
 
-    def note_times(self, caller_class: str, *, first_ms: float, answer_ms: float) -> None:
+    def record_times(self, caller_class: str, *, first_ms: float, answer_ms: float) -> None:
         """Count the times of one whole answer."""
         self.first_token_ms.setdefault(caller_class, []).append(first_ms)
         self.answer_ms.setdefault(caller_class, []).append(answer_ms)
--- a/tests/bench/test_bench_losses.py
+++ b/tests/bench/test_bench_losses.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bench.losses import IDLE_MS, Losses, account, main, read_lines
+from bench.losses import IDLE_MS, Losses, attribute_losses, main, read_lines
 
 START = datetime(2026, 1, 2, tzinfo=UTC)
 
@@ -36,7 +36,7 @@
 
 
 def count(*texts: str) -> Losses:
-    return account(read_lines(texts))
+    return attribute_losses(read_lines(texts))
 
 
 @pytest.mark.parametrize(
--- a/tests/bench/test_bench_soak.py
+++ b/tests/bench/test_bench_soak.py
@@ -9,10 +9,16 @@
 from multidict import CIMultiDict
 
 from bench.soak import async_soak
-from bench.soak_callers import CallRecord, make_stream
-from bench.soak_checks import check_all, check_cold, check_evacuations
-from bench.soak_rig import ENV_KEY, KEY, MAX_COLD, WORKSPACE
-from bench.soak_words import LEAVING_S, MAX_IN_REST, check_leaving, check_rests, check_retired
+from bench.soak_callers import CallRecord, make_expected_stream
+from bench.soak_checks import check_all, check_cold_starts, check_evacuations
+from bench.soak_drain_checks import (
+    MAX_DURING_BACKOFF,
+    MAX_SENT_AFTER_DRAIN_S,
+    check_backoffs,
+    check_draining,
+    check_retired,
+)
+from bench.soak_rig import ENV_KEY, KEY, MAX_IN_COLD_START, WORKSPACE
 from gypsumrouter.standins import PlatformRunner
 from gypsumrouter.standins.platform_runner import Arrival, Rest
 
@@ -23,9 +29,11 @@
         "kind": kind,
         "path": f"/{kind}/r1",
         "status": 200,
-        "body": make_stream() if kind in {"draft", "quote"} else f"i-1 /{kind}/r1".encode(),
-        "whole": True,
-        "own": True,
+        "body": (
+            make_expected_stream() if kind in {"draft", "quote"} else f"i-1 /{kind}/r1".encode()
+        ),
+        "complete": True,
+        "id_matches": True,
         **more,
     }
     return CallRecord(**values)  # type: ignore[arg-type]
@@ -44,7 +52,7 @@
     return Arrival(**values)  # type: ignore[arg-type]
 
 
-def find(
+def list_violated(
     record: CallRecord,
     *arrivals: Arrival,
     journals: tuple[dict[str, object], ...] = (),
@@ -53,45 +61,45 @@
     violations = check_all(
         records=[record], arrivals=arrivals, journals=journals, recovered=recovered
     )
-    return [violation.promise for violation in violations]
+    return [violation.guarantee for violation in violations]
 
 
 def test_a_sound_record_breaks_no_promise() -> None:
-    assert find(make_record(), make_arrival()) == []
-    assert find(make_record("draft"), make_arrival(path="/draft/r1")) == []
+    assert list_violated(make_record(), make_arrival()) == []
+    assert list_violated(make_record("draft"), make_arrival(path="/draft/r1")) == []
 
 
 def test_a_second_run_is_found_unless_it_may_be_repeated() -> None:
-    assert find(make_record(), make_arrival(), make_arrival()) == ["ran twice"]
+    assert list_violated(make_record(), make_arrival(), make_arrival()) == ["ran twice"]
     lookup = make_arrival(path="/lookup/r1")
-    assert find(make_record("lookup"), lookup, lookup) == []
+    assert list_violated(make_record("lookup"), lookup, lookup) == []
 
 
 def test_a_refusal_of_what_ran_is_found() -> None:
-    assert find(make_record(status=503), make_arrival()) == ["ran though refused"]
-    assert find(make_record(status=503), make_arrival(ran=False)) == []
+    assert list_violated(make_record(status=503), make_arrival()) == ["ran though refused"]
+    assert list_violated(make_record(status=503), make_arrival(ran=False)) == []
 
 
 def test_answers_of_others_and_torn_streams_are_found() -> None:
-    assert find(make_record(own=False), make_arrival()) == ["another's answer"]
-    assert find(make_record(body=b"i-1 /reserve/r2"), make_arrival()) == ["another's body"]
-    torn = make_record("draft", body=make_stream()[:-20])
-    assert find(torn, make_arrival(path="/draft/r1")) == ["torn stream"]
-    doubled = make_record("draft", body=make_stream() + b"id: 12\ndata: piece 12\n\n")
-    assert find(doubled, make_arrival(path="/draft/r1")) == ["torn stream"]
+    assert list_violated(make_record(id_matches=False), make_arrival()) == ["another's answer"]
+    assert list_violated(make_record(body=b"i-1 /reserve/r2"), make_arrival()) == ["another's body"]
+    torn = make_record("draft", body=make_expected_stream()[:-20])
+    assert list_violated(torn, make_arrival(path="/draft/r1")) == ["torn stream"]
+    doubled = make_record("draft", body=make_expected_stream() + b"id: 12\ndata: piece 12\n\n")
+    assert list_violated(doubled, make_arrival(path="/draft/r1")) == ["torn stream"]
 
 
 def test_what_runners_must_not_see_is_found() -> None:
-    assert find(make_record(), make_arrival(path="/reserve/r2")) == ["changed path"]
+    assert list_violated(make_record(), make_arrival(path="/reserve/r2")) == ["changed path"]
     keyed = make_arrival(headers=CIMultiDict({"X-Tenant": WORKSPACE, "Api-Key": "k"}))
-    assert find(make_record(), keyed) == ["key passed on"]
-    assert find(make_record(), make_arrival(headers=CIMultiDict())) == ["wrong workspace"]
+    assert list_violated(make_record(), keyed) == ["key passed on"]
+    assert list_violated(make_record(), make_arrival(headers=CIMultiDict())) == ["wrong workspace"]
 
 
 def test_a_version_that_goes_back_and_a_fleet_that_stays_down_are_found() -> None:
     line = {"event": "configuration_accepted", "version": 3, "previous": 4}
-    assert find(make_record(), make_arrival(), journals=(line,)) == ["version went back"]
-    assert find(make_record(), make_arrival(), recovered=0.5) == ["not recovered"]
+    assert list_violated(make_record(), make_arrival(), journals=(line,)) == ["version went back"]
+    assert list_violated(make_record(), make_arrival(), recovered=0.5) == ["not recovered"]
 
 
 def test_a_request_placed_in_an_evacuated_data_centre_is_found() -> None:
@@ -105,39 +113,41 @@
     }
     started = {"instance": "entry-1", "event": "process_started"}
     elsewhere = placed | {"instance": "entry-2"}
-    places = {"i-1": "dc-b"}
-    assert len(list(check_evacuations((begun, placed), places))) == 1
-    assert not list(check_evacuations((begun, ended, placed), places))
-    assert not list(check_evacuations((begun, started, placed, elsewhere), places))
+    data_centres_by_upstream = {"i-1": "dc-b"}
+    assert len(list(check_evacuations((begun, placed), data_centres_by_upstream))) == 1
+    assert not list(check_evacuations((begun, ended, placed), data_centres_by_upstream))
+    assert not list(
+        check_evacuations((begun, started, placed, elsewhere), data_centres_by_upstream)
+    )
 
 
 def test_more_than_a_cold_runner_bears_is_found() -> None:
     runner = PlatformRunner(name="i-1")
     runner.cold_until_s = 10.0
-    bears = int(MAX_COLD)
-    runner.arrivals = [make_arrival(at_s=8 + number / 100) for number in range(bears)]
+    limit = int(MAX_IN_COLD_START)
+    runner.arrivals = [make_arrival(at_s=8 + number / 100) for number in range(limit)]
     runner.arrivals.append(make_arrival(at_s=9.5))
-    assert not list(check_cold([runner]))
+    assert not list(check_cold_starts([runner]))
     runner.arrivals.append(make_arrival(at_s=8.9))
-    assert len(list(check_cold([runner]))) == 1
+    assert len(list(check_cold_starts([runner]))) == 1
     runner.cold_until_s = 8.05
-    assert not list(check_cold([runner]))
+    assert not list(check_cold_starts([runner]))
 
 
-def find_sent_late(sent_s: float, *broken_s: float) -> int:
+def count_sent_after_drain(sent_s: float, *interruptions_s: float) -> int:
     """Return how often a request that was sent then is found to be too late at who leaves."""
-    told = make_record(request_id="r1", leaving=True, answered_s=10.0)
+    announced = make_record(request_id="r1", draining=True, answered_s=10.0)
     later = make_record(request_id="r2", sent_s=sent_s)
     runner = PlatformRunner(name="i-1")
     runner.arrivals = [make_arrival(request_id="r1"), make_arrival(request_id="r2")]
-    return len(list(check_leaving([told, later], [runner], {0: broken_s})))
+    return len(list(check_draining([announced, later], [runner], {0: interruptions_s})))
 
 
 def test_a_request_to_a_runner_that_had_said_that_it_leaves_is_found() -> None:
-    assert find_sent_late(10.0 + LEAVING_S) == 0
-    assert find_sent_late(10.1 + LEAVING_S) == 1
-    assert find_sent_late(10.1 + LEAVING_S, 11.0) == 0
-    assert find_sent_late(10.1 + LEAVING_S, 9.0) == 1
+    assert count_sent_after_drain(10.0 + MAX_SENT_AFTER_DRAIN_S) == 0
+    assert count_sent_after_drain(10.1 + MAX_SENT_AFTER_DRAIN_S) == 1
+    assert count_sent_after_drain(10.1 + MAX_SENT_AFTER_DRAIN_S, 11.0) == 0
+    assert count_sent_after_drain(10.1 + MAX_SENT_AFTER_DRAIN_S, 9.0) == 1
 
 
 def test_requests_to_a_runner_that_wants_a_rest_are_found() -> None:
@@ -146,13 +156,13 @@
     records = [make_record(request_id=f"r{number}") for number in range(9)]
     runner.arrivals = [
         make_arrival(request_id="r1", at_s=10.4),
-        *(make_arrival(request_id=f"r{2 + n}", at_s=11.0) for n in range(MAX_IN_REST)),
+        *(make_arrival(request_id=f"r{2 + n}", at_s=11.0) for n in range(MAX_DURING_BACKOFF)),
         make_arrival(request_id="r8", at_s=12.1),
     ]
-    assert not list(check_rests(records, [runner], {}))
+    assert not list(check_backoffs(records, [runner], {}))
     runner.arrivals.append(make_arrival(request_id="r7", at_s=11.9))
-    assert len(list(check_rests(records, [runner], {}))) == 1
-    assert not list(check_rests(records, [runner], {0: [11.0]}))
+    assert len(list(check_backoffs(records, [runner], {}))) == 1
+    assert not list(check_backoffs(records, [runner], {0: [11.0]}))
 
 
 def test_a_request_to_a_runner_that_left_long_ago_is_found() -> None:
@@ -181,7 +191,7 @@
     seed: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(os.environ, ENV_KEY, KEY)
-    figures, kept = await async_soak(seed=seed, seconds=4.0, folder=tmp_path, places=True)
+    figures, kept = await async_soak(seed=seed, seconds=4.0, folder=tmp_path, evacuations=True)
     assert kept, figures["violations"]
     assert figures["answered"]
 
--- a/tests/standins/test_standins_platform.py
+++ b/tests/standins/test_standins_platform.py
@@ -164,7 +164,7 @@
     chat = make_chat(context)
     await chat.async_turn()
     twin = make_chat(context)
-    twin._write(SHAPE.first_bytes)
+    twin._make_words(SHAPE.first_bytes)
     tokens = twin.random.randint(SHAPE.min_tokens, SHAPE.max_tokens)
     prompt = render_prompt([Message(role="user", content=chat.messages[0].content)])
     return make_text(digest_prompt(prompt, model=chat.model), tokens), tokens
