--- a/bench/accounts.py
+++ b/bench/accounts.py
@@ -1,4 +1,4 @@
-"""Accounts that callers of a bench or the demo use."""
+"""Accounts of callers in benches and the demo."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class Account(Struct, frozen=True, kw_only=True):
-    """Whose requests these are."""
+    """Workspace, API key and class of a caller."""
 
     workspace: str
     key: str
     caller_class: str
 
     def make_headers(self) -> dict[str, str]:
-        """Return the headers that say so."""
+        """Return the request headers with the key and the class."""
         return {"Authorization": f"Bearer {self.key}", HEADER_CLASS: self.caller_class}
 
 
 def choose_accounts(
     deployment: Deployment, *, count: int, seed: int, reports_share: float = DEFAULT_REPORTS_SHARE
 ) -> list[Account]:
-    """Return accounts by the traffic of the workspaces; a share of them write reports."""
+    """Return random accounts, weighted by workspace traffic; a share is of the reports class."""
     randomness = random.Random(seed)
     plans = deployment.workspaces
     chosen = randomness.choices(plans, weights=[plan.traffic for plan in plans], k=count)
--- a/bench/child.py
+++ b/bench/child.py
@@ -1,4 +1,4 @@
-"""A process of a bench that is driven by lines of JSON on its standard input."""
+"""Child processes of a bench that receive JSON commands, one per line, on standard input."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Child:
-    """The parent's end: starts a module, and ends it by closing its standard input."""
+    """Runs a module as a child process; closing its standard input stops it."""
 
     def __init__(self, *, module: str, plan: Command) -> None:
         self._module = module
@@ -27,12 +27,12 @@
 
     @property
     def pid(self) -> int:
-        """Return the id of the process."""
+        """Return the process id."""
         assert self._process is not None
         return self._process.pid
 
     async def async_start(self) -> Any:
-        """Start the process and return what it says first."""
+        """Start the process and return its greeting."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -46,14 +46,14 @@
         return await self._async_read()
 
     async def async_command(self, **command: Any) -> Any:
-        """Have the process do something and return its answer."""
+        """Send a command and return the response."""
         assert self._process is not None
         assert self._process.stdin is not None
         self._process.stdin.write(json.dumps(command).encode() + b"\n")
         return await self._async_read()
 
     async def async_stop(self) -> None:
-        """End the process."""
+        """Stop the process and wait for its exit."""
         if self._process is None or self._process.stdin is None:
             return
         self._process.stdin.close()
@@ -65,16 +65,16 @@
         line = await asyncio.wait_for(self._process.stdout.readline(), RESPONSE_TIMEOUT_S)
         if not line:
             code = await self._process.wait()
-            raise RuntimeError(f"{self._module} ended too early with code {code}")
+            raise RuntimeError(f"{self._module} exited with code {code} before it sent a response")
         return json.loads(line)
 
 
 async def async_serve(greeting: object, handler: Callable[[Command], Awaitable[object]]) -> None:
-    """Tell `first` to the parent, then follow its commands until the standard input ends."""
+    """Send `greeting` to the parent, then handle its commands until standard input closes."""
     print(json.dumps(greeting), flush=True)
     reader = asyncio.StreamReader(limit=READ_LIMIT)
     loop = asyncio.get_running_loop()
-    # The loop alone would not keep the transport alive.
+    # Keep a reference: the event loop does not keep the transport alive.
     transport, _ = await loop.connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
     )
--- a/bench/churn.py
+++ b/bench/churn.py
@@ -1,7 +1,7 @@
 """Cache reuse while instances are replaced, listings flap and routers are replaced.
 
-Every policy gets the same chats at the same times, before real routers and sides with stand-in
-engines. Chats hold about as many tokens as all engines together and many more than one.
+Every policy serves the same chats at the same times, with router and side processes and stand-in
+engines. The caches of all engines together hold all chats, the cache of one engine does not.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class Scenario(Struct, frozen=True, kw_only=True):
-    """What every policy of a run goes through."""
+    """Load and churn, identical for all policies of a run."""
 
     deployment: Deployment
     chats: tuple[PlannedChat, ...]
@@ -50,7 +50,7 @@
 
 
 class Outcome(Struct, frozen=True, kw_only=True):
-    """What one policy gave."""
+    """Results of one policy."""
 
     policy: str
     results: list[TurnResult]
@@ -59,17 +59,25 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the bench and return its exit code."""
     parser = argparse.ArgumentParser(prog="bench churn")
     add_common_options(parser)
     parser.add_argument("--warm-s", type=float, default=5.0)
     parser.add_argument("--churn-s", type=float, default=10.0)
     parser.add_argument("--after-s", type=float, default=4.0)
-    parser.add_argument("--every-s", type=float, default=10.0, help="one instance replaced in each")
-    parser.add_argument("--period-s", type=float, default=2.0, help="a chat comes back after")
-    parser.add_argument("--mean-load", type=float, default=8.0, help="of an engine")
-    parser.add_argument("--renames", action="store_true", help="a new instance has a new name")
-    parser.add_argument("--calm", action="store_true", help="nothing is replaced")
+    parser.add_argument(
+        "--every-s", type=float, default=10.0, help="seconds between replacements of an instance"
+    )
+    parser.add_argument(
+        "--period-s", type=float, default=2.0, help="mean seconds between turns of a chat"
+    )
+    parser.add_argument(
+        "--mean-load", type=float, default=8.0, help="mean running requests of an engine"
+    )
+    parser.add_argument(
+        "--renames", action="store_true", help="give replacement instances new names"
+    )
+    parser.add_argument("--calm", action="store_true", help="replace nothing")
     options = parser.parse_args(argv)
     if options.deployment is None:
         return asyncio.run(async_run_deployments("churn", argv))
@@ -133,7 +141,7 @@
 
 
 async def async_run_churn(stage: Stage, churn: Churn, scenario: Scenario) -> None:
-    """Let the callers warm up, churn, and replace all routers at the end of it."""
+    """Wait for the warm-up, run the churn, then replace all routers."""
     times = scenario.times
     if scenario.calm:
         return
@@ -149,7 +157,7 @@
 
 
 def report(scenario: Scenario, ideal: IdealReuse, outcomes: list[Outcome]) -> None:
-    """Print the table and the last line."""
+    """Print the table and the figures."""
     times = scenario.times
     reuse: dict[str, Value] = {}
     reuse_after: dict[str, Value] = {}
--- a/bench/churn_faults.py
+++ b/bench/churn_faults.py
@@ -1,4 +1,4 @@
-"""The churn itself: instances replaced, listings that flap, routers replaced."""
+"""Churn of a fleet: replaced instances and routers, and flapping instance list entries."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ChurnCounts(Struct, kw_only=True):
-    """What has been done to the fleet."""
+    """Numbers of replaced instances and routers, and of flaps."""
 
     instances: int = 0
     routers: int = 0
@@ -28,7 +28,7 @@
 
 
 class Churn:
-    """Replaces and flaps the instances of one stage, the same way for every policy."""
+    """Replaces and flaps instances of one stage, in an order set by the seed."""
 
     def __init__(self, *, stage: Stage, renames: bool, seed: int) -> None:
         self._stage = stage
@@ -40,7 +40,7 @@
         self.counts = ChurnCounts()
 
     async def async_run(self, *, seconds: float, every_s: float) -> None:
-        """Replace an engine with its side, and a router, once in each `every_s`, and flap."""
+        """Replace a side with its engine, and a router, once per `every_s`, with flaps between."""
         rounds = max(1, round(seconds / every_s))
         flaps = asyncio.create_task(self._async_flap(round(seconds * MS_PER_S)))
         for number in range(rounds):
@@ -53,7 +53,7 @@
         await asyncio.gather(flaps, return_exceptions=True)
 
     async def async_replace_all_routers(self) -> None:
-        """Start as many new routers as there are, and end the old ones in the planned way."""
+        """Start a new router for each running one, then stop the old ones gracefully."""
         await self._async_replace_routers(list(self._stage.rig.routers))
 
     async def _async_replace_instance_in(self, name: str, every_s: float) -> None:
@@ -100,7 +100,7 @@
         self.counts.routers += len(names)
 
     async def _async_flap(self, limit_ms: int) -> None:
-        """Take an instance off the list for a moment, again and again."""
+        """Remove an instance from the list for a moment, repeatedly."""
         clock, instances = self._stage.clock, self._stage.platform.instances
         for _ in range(limit_ms // FLAP_EVERY_MS):
             await clock.async_sleep(FLAP_EVERY_MS - FLAP_MS)
--- a/bench/churn_plan.py
+++ b/bench/churn_plan.py
@@ -1,4 +1,4 @@
-"""What callers ask in the churn bench, and the reuse that one ideal engine would have."""
+"""Load of the churn bench, and the cache reuse of an ideal engine as an upper bound."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ChurnTimes(Struct, frozen=True, kw_only=True):
-    """The parts of a run in seconds: warming up, churn, after all routers were replaced."""
+    """Phases of a run in seconds: warm-up, churn, after the replacement of all routers."""
 
     warm_s: float
     churn_s: float
@@ -35,22 +35,22 @@
 
     @property
     def end_ms(self) -> int:
-        """Return when the last turn may come."""
+        """Return the end of the run."""
         return round((self.warm_s + self.churn_s + self.after_s) * MS_PER_S)
 
     def is_churn(self, at_ms: int) -> bool:
-        """Return whether a turn comes while instances are replaced."""
+        """Return whether a time is in the churn phase."""
         return self.warm_s * MS_PER_S <= at_ms < (self.warm_s + self.churn_s) * MS_PER_S
 
     def is_after(self, at_ms: int) -> bool:
-        """Return whether a turn comes after all routers were replaced."""
+        """Return whether a time is after the churn phase."""
         return at_ms >= (self.warm_s + self.churn_s) * MS_PER_S
 
 
 def plan_chats(
     deployment: Deployment, *, times: ChurnTimes, period_s: float, mean_load: float, seed: int
 ) -> tuple[PlannedChat, ...]:
-    """Return chats that each come back about every `period_s`, for a mean load of the engines."""
+    """Return chats with a turn about every `period_s`, as many as the mean load requires."""
     hold_s = ANSWER_TOKENS * STEP_MS / MS_PER_S
     count = round(mean_load * deployment.engines * period_s / hold_s)
     accounts = choose_accounts(deployment, count=count, seed=seed, reports_share=0.0)
@@ -69,7 +69,7 @@
 
 
 def sum_chat_tokens(chats: tuple[PlannedChat, ...], *, model: str) -> int:
-    """Return the tokens of all chats at their end, each counted once."""
+    """Return the total tokens of all complete transcripts."""
     total = 0
     for chat in chats:
         messages: list[Message] = []
@@ -81,7 +81,7 @@
 
 
 class IdealReuse(Struct, frozen=True, kw_only=True):
-    """The reuse of one engine with all memory and without churn."""
+    """Reuse of one engine with the memory of all engines, without churn."""
 
     churn: float
     after: float
@@ -90,7 +90,7 @@
 def compute_ideal(
     chats: tuple[PlannedChat, ...], *, model: str, memory_tokens: int, times: ChurnTimes
 ) -> IdealReuse:
-    """Return the reuse of one engine that holds all memory and gets the same arrivals."""
+    """Return the reuse of one engine with all memory that serves the same arrivals."""
     events = CacheEventLog(clock=SystemClock(), lag_ms=0, loss=0.0, seed=0)
     cache = PrefixCache(capacity_tokens=memory_tokens, events=events)
     arrivals = sorted(
--- a/bench/client_host.py
+++ b/bench/client_host.py
@@ -1,4 +1,4 @@
-"""A process of its own for many streaming callers: counts tokens and first-token times."""
+"""Process that runs many streaming callers and measures tokens and times to first token."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ClientPlan(Struct, frozen=True, kw_only=True):
-    """What one process of callers does; `origins` are taken in turn, times are seconds."""
+    """Load of one caller process; callers use `origins` round-robin, times are seconds."""
 
     origins: tuple[str, ...]
     key: str
@@ -34,7 +34,7 @@
 
 
 class ClientResult(Struct, kw_only=True):
-    """What the callers of one process saw while measured; times in milliseconds."""
+    """Results of one caller process in the measured period; times in milliseconds."""
 
     tokens: int = 0
     whole: int = 0
@@ -44,7 +44,7 @@
 
 
 async def async_run_clients(plan: ClientPlan) -> ClientResult:
-    """Run callers in a process of its own and return what they saw."""
+    """Run callers in a separate process and return their result."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -58,7 +58,7 @@
 
 
 class StreamCallers:
-    """Callers that each ask again as soon as their stream has ended."""
+    """Callers that each send the next request when their stream ends."""
 
     def __init__(self, *, plan: ClientPlan, session: aiohttp.ClientSession) -> None:
         self.plan = plan
@@ -69,9 +69,9 @@
         self.until_s = self.measure_from_s + plan.measure_s
 
     async def async_call_repeatedly(self, number: int) -> None:
-        """Play one caller until the time is over."""
+        """Run one caller until the end of the measurement."""
         request_number = 0
-        # Spread the callers over the length of one answer, so that they do not run in step.
+        # Stagger the starts, so that the callers do not run in lockstep.
         await asyncio.sleep((number % 97) / 97 * min(self.plan.warm_s, 1.0))
         while time.monotonic() < self.until_s:
             await self._async_call(number, request_number)
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -109,7 +109,7 @@
                 means[name],
                 spread,
                 *(
-                    statistics.mean(getattr(tally, part) / tally.asked for tally in tallies)
+                    statistics.mean(getattr(tally, part) / tally.requests for tally in tallies)
                     for part in ("in_time", "late", "refused")
                 ),
                 count_won(played, name),
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""Real processes under seeded schedules of faults, two at a time: what must hold, counted."""
+"""Run router and side processes under seeded faults, two at a time, and count violations."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 class Options(Struct, frozen=True, kw_only=True):
-    """How much is done; `seconds` is the time of one seed, `calls` the sum over all seeds."""
+    """Size of a run; `seconds` is the duration of one seed, `calls` the total of all seeds."""
 
     seeds: int
     calls: int
@@ -84,20 +84,26 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench; the last line of the output holds the figures."""
+    """Run the bench; the last line of the output is a JSON object with the figures."""
     parser = argparse.ArgumentParser(prog="python -m bench faults", description=__doc__)
     parser.add_argument("--seeds", type=int, default=DEFAULT_SEEDS)
     parser.add_argument("--calls", type=int, default=DEFAULT_CALLS)
-    parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS, help="of one seed")
-    parser.add_argument("--quiet", type=float, default=DEFAULT_QUIET_S, help="without faults")
+    parser.add_argument(
+        "--seconds", type=float, default=DEFAULT_SECONDS, help="duration of one seed"
+    )
+    parser.add_argument(
+        "--quiet", type=float, default=DEFAULT_QUIET_S, help="seconds of the phase without faults"
+    )
     parser.add_argument("--first-seed", type=int, default=FIRST_SEED)
     parser.add_argument(
-        "--window", type=float, help="seconds for which repeats are covered, else the default"
+        "--window",
+        type=float,
+        help="at-most-once window in seconds, by default that of the configuration",
     )
-    parser.add_argument("--logs", type=Path, help="keep the logs of all processes in this folder")
+    parser.add_argument("--logs", type=Path, help="folder to copy the logs of all processes to")
     arguments = parser.parse_args(argv)
     logging.basicConfig(level=logging.WARNING)
-    # Stand-ins write to connections that the faults have cut.
+    # Stand-ins log an error for each write to a connection that a fault has closed.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     options = Options(
         seeds=arguments.seeds,
@@ -111,14 +117,14 @@
     print_machine()
     print(
         f"list_lease_ms {LIST_LEASE_MS}, clock_skew_ms {CLOCK_SKEW_MS}, "
-        f"list_poll_ms {LIST_POLL_MS}; all else as by default"
+        f"list_poll_ms {LIST_POLL_MS}; other settings at their defaults"
     )
     uvloop.run(async_run(options))
     return 0
 
 
 async def async_run(options: Options) -> None:
-    """Start the fleet, play everything and print what was found."""
+    """Start the fleet, run all phases and print the report."""
     clock = SystemClock()
     platform = SplitPlatform(
         clock=clock,
@@ -143,7 +149,7 @@
 
 
 def make_stage(rig: SplitRig, session: aiohttp.ClientSession, options: Options) -> Stage:
-    """Return the stage of a running rig."""
+    """Return the stage for a running rig."""
     clock = SystemClock()
     journal = Journal(clock=clock)
     routers = rig.list_callers()
@@ -168,7 +174,7 @@
 
 
 async def async_play(stage: Stage, options: Options) -> None:
-    """Probe, play without faults, play every seed, and report."""
+    """Probe silent connections, run a phase without faults, run every seed and report."""
     await stage.clock.async_sleep(LIST_LEASE_MS + SETTLE_MS)
     probe_results = await async_probe_silent_connections(stage)
     quiet_journal = Journal(clock=stage.clock)
@@ -188,7 +194,7 @@
 def make_findings(
     stage: Stage, options: Options, quiet_context: FaultContext, probe_results: list[ProbeResult]
 ) -> Findings:
-    """Return all that the run has brought to light."""
+    """Return the findings of the run."""
     return Findings(
         seeds=options.seeds,
         stage=stage,
@@ -199,7 +205,7 @@
 
 
 async def async_play_seed(stage: Stage, options: Options, seed: int, counts: Counter[str]) -> None:
-    """Play the calls of one seed under its schedule, and heal everything after it."""
+    """Make the calls of one seed under its fault schedule, then wait for recovery."""
     calls = -(-options.calls // options.seeds)
     schedule = Schedule(stage=stage, seed=seed, counts=counts)
     faults = asyncio.create_task(schedule.async_run())
@@ -218,20 +224,20 @@
     print(
         f"{stage.clock.now_ms() / MS_PER_S - stage.began_s:4.0f} s, seed {seed}: "
         f"{len(journal.requests)} requests, {len(journal.tries)} tries, "
-        f"{stage.rig.platform.count_doubled()} calls doubled so far",
+        f"{stage.rig.platform.count_doubled()} calls executed twice so far",
         flush=True,
     )
 
 
 class CallBudget:
-    """Calls that are left to all callers together; there are more while faults go on."""
+    """Number of calls shared by all callers; it is exceeded while faults are still active."""
 
     def __init__(self, *, calls: int, faults: asyncio.Task[None] | None = None) -> None:
         self._left = calls
         self._faults = faults
 
     def consume(self) -> bool:
-        """Return whether one more call is to be made."""
+        """Take one call from the budget and return whether it may be made."""
         self._left -= 1
         return self._left >= 0 or (self._faults is not None and not self._faults.done())
 
@@ -239,7 +245,7 @@
 async def async_call(
     context: FaultContext, stage: Stage, *, seed: int, budget: CallBudget, calls_per_s: float
 ) -> None:
-    """Make calls at a pace, calls a second, with chats beside them, until the budget is spent."""
+    """Make service calls at a rate until the budget is spent, with concurrent chats."""
     chats = [asyncio.create_task(play) for play in list_chats(context, stage, seed)]
     try:
         await asyncio.gather(*list_calls(context, stage, seed, budget, calls_per_s))
@@ -252,7 +258,7 @@
 def list_calls(
     context: FaultContext, stage: Stage, seed: int, budget: CallBudget, calls_per_s: float
 ) -> list[Coroutine[Any, Any, None]]:
-    """Return the callers of services; every seventh has keys that say nothing of their time."""
+    """Return the runs of service callers; every OPAQUE_KEY_EVERY-th uses keys without a time."""
     think_ms = round(CALL_CALLERS / calls_per_s * MS_PER_S)
     plays = []
     for number in range(CALL_CALLERS):
@@ -270,14 +276,14 @@
 
 
 async def async_make_calls(caller: FaultCallCaller, budget: CallBudget, think_ms: int) -> None:
-    """Make one call after the other until the budget is spent."""
+    """Make calls in sequence until the budget is spent."""
     while budget.consume():
         think = caller.clock.async_sleep(caller.fault_random.randrange(2 * think_ms))
         await asyncio.gather(caller.async_call(), think)
 
 
 def list_chats(context: FaultContext, stage: Stage, seed: int) -> list[Coroutine[Any, Any, None]]:
-    """Return callers that open one chat after the other."""
+    """Return the runs of callers that open chats in sequence."""
     return [
         async_chat(context, choose_deployment(stage, number), seed * CHAT_CALLERS + number)
         for number in range(CHAT_CALLERS)
@@ -285,7 +291,7 @@
 
 
 async def async_chat(context: FaultContext, deployment: Deployment, seed: int) -> None:
-    """Play one chat after the other until cancelled."""
+    """Open chats in sequence until cancelled."""
     randomness = random.Random(seed)
     account = choose_account(deployment, seed)
     while True:
--- a/bench/faults_callers.py
+++ b/bench/faults_callers.py
@@ -1,4 +1,4 @@
-"""Callers that note every try, repeat through any router, hang up, and send twice at once."""
+"""Callers that record every try, retry through any router, disconnect and send duplicates."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 TIMEOUT_S: Final = 9.0
 RETRY_TIMEOUT_MS: Final = 12_000
 MAX_TRIES: Final = 12
-# An answer that can't change any more; callers ask again all the same, but not for long.
+# Outcomes that a retry cannot change; callers still retry a few times.
 FINAL_CODES: Final = frozenset(
     {Reason.EARLIER_RUN_UNKNOWN, Reason.KEY_EXPIRED, Reason.ANSWER_EVICTED, Reason.HOME_TOO_YOUNG}
 )
@@ -47,19 +47,19 @@
     """An account whose requests carry a deadline."""
 
     def make_headers(self) -> dict[str, str]:
-        """Return the headers that say so."""
-        # A data class with slots is made anew, so that super() without arguments has no cell.
+        """Return the account headers and the deadline."""
+        # super() without arguments does not work in a class that its metaclass recreates.
         return {**Account.make_headers(self), HEADER_DEADLINE: str(DEADLINE_MS)}
 
 
 class FaultContext(CallerContext, frozen=True, kw_only=True):
-    """What these callers share besides."""
+    """A caller context with a journal."""
 
     journal: Journal
 
 
 class RecordingCaller(Caller):
-    """A caller that notes what became of each try and of the request as a whole."""
+    """A caller that records the outcome of each try and of each request."""
 
     kind = RequestKind.CHAT
     sends_duplicates = False
@@ -74,14 +74,14 @@
         self._chosen_router: Address | None = None
 
     def choose_url(self, path: str) -> str:
-        """Return a path at any router, and keep which one it is."""
+        """Return the URL of a path at a random router and remember that router."""
         self._chosen_router = self.random.choice(self.routers)
         return f"http://{self._chosen_router}{path}"
 
     async def async_try_until_answered(
         self, attempt: Callable[[], Awaitable[_T | NoAnswer]]
     ) -> _T | None:
-        """Return the answer of the first try that gets one, None after all patience."""
+        """Return the first answer, None after too many tries or too much time."""
         self.tally.requests += 1
         began_ms = self.clock.wall_ms()
         outcomes: list[NoAnswer] = []
@@ -104,7 +104,7 @@
         return len(outcomes) < MAX_TRIES and self.clock.wall_ms() - began_ms < RETRY_TIMEOUT_MS
 
     async def _async_pause(self, outcome: NoAnswer) -> None:
-        """Wait as the answer asks for; one that can't change is asked for again at once."""
+        """Wait for the retry time of the outcome; retry final outcomes after a short pause."""
         if outcome.code in FINAL_CODES:
             await self.clock.async_sleep(self.fault_random.randrange(FINAL_PAUSE_MS))
             return
@@ -182,23 +182,23 @@
 
 
 class FaultChatCaller(RecordingCaller, ChatCaller):
-    """A returning chat that notes its tries."""
+    """A multi-turn chat that records its tries."""
 
 
 class FaultCallCaller(RecordingCaller, ServiceCaller):
-    """Calls that must not be repeated, with keys that carry their time."""
+    """At-most-once calls with idempotency keys that contain their time."""
 
     kind = RequestKind.CALL
     sends_duplicates = True
 
     def make_key(self) -> str:
-        """Return the key of the next call and keep it for the notes."""
+        """Return the key of the next call and remember it for the journal."""
         self.key = super().make_key()
         return self.key
 
 
 class FaultOpaqueCaller(FaultCallCaller):
-    """Calls that must not be repeated, with keys that say nothing of their time."""
+    """At-most-once calls with random idempotency keys."""
 
     kind = RequestKind.OPAQUE_CALL
 
@@ -209,7 +209,7 @@
 
 
 def _classify(outcomes: list[NoAnswer]) -> Result:
-    """Return what a caller knows in the end of a request without an answer."""
+    """Return the result of a request whose tries all failed."""
     if all(outcome.code in NO_RESPONSE_CODES for outcome in outcomes):
         return Result.LOST
     if all(outcome.executed is Executed.NOT_RUN for outcome in outcomes):
--- a/bench/faults_journal.py
+++ b/bench/faults_journal.py
@@ -1,4 +1,4 @@
-"""What callers saw while faults went on: every try, every request, every fault."""
+"""Journal of a faults run: every try, every request and every fault."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from gypsumrouter.outcomes import Executed
 from gypsumrouter.util.clock import Clock
 
-# How long after its end a fault may still show, for the table by kind.
+# Requests within this time after a fault are also attributed to it.
 AFTERMATH_MS: Final = 2_000
 CODE_DISCONNECTED: Final = "hung_up"
 
 
 class RequestKind(StrEnum):
-    """What is asked for; keys of calls carry a time or are opaque."""
+    """Kind of a request; the keys of opaque calls contain no time."""
 
     CHAT = "chat"
     CALL = "call"
@@ -28,7 +28,7 @@
 
 
 class Result(StrEnum):
-    """How a request has ended after all of its tries."""
+    """Result of a request after all tries; LOST if none of them received a response."""
 
     WHOLE = "whole"
     NOT_RUN = "not_run"
@@ -37,7 +37,7 @@
 
 
 class Try(Struct, frozen=True, kw_only=True):
-    """One HTTP request; `executed` is None where no word came. Times are wall milliseconds."""
+    """One HTTP request; `executed` is None if no response arrived. Times are wall milliseconds."""
 
     router: Address | None
     began_ms: int
@@ -49,7 +49,7 @@
 
 
 class Request(Struct, frozen=True, kw_only=True):
-    """One request with all of its tries; `code` is the last reason without an answer."""
+    """One request with all its tries; `code` is the code of its last failed try."""
 
     kind: RequestKind
     result: Result
@@ -59,24 +59,24 @@
 
 
 class Window(Struct, kw_only=True):
-    """The time of one fault; `ended_ms` is None while it goes on."""
+    """The period of one fault; `ended_ms` is None while the fault is active."""
 
     kind: str
     began_ms: int
     ended_ms: int | None = None
 
     def overlaps(self, began_ms: int, ended_ms: int, *, after_ms: int = 0) -> bool:
-        """Return whether it was there at any time of a span."""
+        """Return whether the window, extended by `after_ms`, overlaps a period."""
         ends_ms = ended_ms if self.ended_ms is None else self.ended_ms + after_ms
         return self.began_ms <= ended_ms and began_ms <= ends_ms
 
 
 class Journal(Struct, kw_only=True):
-    """All that is counted; `excuses` are the times in which a router could not answer.
+    """All records of a run; `unavailable` has the periods in which a router could not answer.
 
-    `new_work_s` and `listed_new_work_s` are the times from an order to leave, and from a mark on
-    the list, to the last new execution. `lost_to_crashers` counts the upstreams that each
-    crashing request brought down.
+    `work_after_stop_s` and `work_after_mark_s` are the times from a stop signal, and from a drain
+    mark on the instance list, to the last new execution. `crashes_per_request` has the number of
+    upstreams that each crashing request crashed.
     """
 
     clock: Clock
@@ -93,7 +93,7 @@
 
     @contextmanager
     def window(self, kind: str) -> Iterator[Window]:
-        """Note a fault for as long as the context is open."""
+        """Record a fault that is active while the context is open."""
         window = Window(kind=kind, began_ms=self.clock.wall_ms())
         self.windows.append(window)
         try:
@@ -102,20 +102,20 @@
             window.ended_ms = self.clock.wall_ms()
 
     def record_unavailable(self, router: Address, kind: str) -> Window:
-        """Note that a router cannot answer from now on, until the window is ended."""
+        """Record that a router cannot answer from now until the window is ended."""
         window = Window(kind=kind, began_ms=self.clock.wall_ms())
         self.unavailable.setdefault(router, []).append(window)
         return window
 
     def is_unavailable(self, attempt: Try) -> bool:
-        """Return whether the router of a try was not able to give its word."""
+        """Return whether the router of a try was unavailable during it."""
         if attempt.router is None:
             return False
         windows = self.unavailable.get(attempt.router, ())
         return any(window.overlaps(attempt.began_ms, attempt.ended_ms) for window in windows)
 
     def list_unanswered(self) -> list[Try]:
-        """Return the tries that a living router never answered."""
+        """Return the tries that an available router did not answer."""
         return [
             attempt
             for attempt in self.tries
@@ -125,7 +125,7 @@
         ]
 
     def select(self, *kinds: RequestKind, result: Result | None = None) -> list[Request]:
-        """Return the requests of some kinds, of all results or of one."""
+        """Return the requests of some kinds, optionally only those with one result."""
         return [
             request
             for request in self.requests
@@ -133,7 +133,7 @@
         ]
 
     def list_during(self, kind: str) -> list[Request]:
-        """Return the requests that met a fault of a kind or its aftermath."""
+        """Return the requests during a fault of a kind or shortly after it."""
         windows = [window for window in self.windows if window.kind == kind]
         return [
             request
@@ -146,7 +146,7 @@
 
 
 def get_share(requests: list[Request], result: Result) -> float:
-    """Return the share of a result, 0 where there are no requests."""
+    """Return the share of requests with a result, 0 if there are none."""
     if not requests:
         return 0.0
     return sum(request.result is result for request in requests) / len(requests)
--- a/bench/faults_network.py
+++ b/bench/faults_network.py
@@ -1,4 +1,8 @@
-"""Faults of the network and of upstreams: cut, silent, slow, split, crashed, frozen."""
+"""Faults of links and upstreams.
+
+Links are reset, refused, slowed, partitioned or go silent, which means that their connections stay
+open but drop all data. Upstreams crash, freeze or go silent.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 
 
 async def async_cut_links(stage: Stage, randomness: random.Random) -> None:
-    """Reset the links of some sides a few times."""
+    """Reset the link connections of some sides a few times."""
     for _ in range(CUTS):
         for name in stage.choose_sides(randomness, SIDES_PER_FAULT):
             stage.rig.proxies[name].cut()
@@ -28,7 +32,7 @@
 
 
 async def async_refuse_links(stage: Stage, randomness: random.Random) -> None:
-    """Cut the links of some sides and refuse new ones for a while."""
+    """Reset the link connections of some sides and refuse new ones for a while."""
     proxies = [stage.rig.proxies[name] for name in stage.choose_sides(randomness, SIDES_PER_FAULT)]
     for proxy in proxies:
         proxy.refuse()
@@ -39,7 +43,7 @@
 
 
 async def async_silence_links(stage: Stage, randomness: random.Random) -> None:
-    """Let the open links of some sides go silent for good, one way or both; new ones work."""
+    """Drop all data on the open links of some sides, one way or both; new links work."""
     ways = randomness.choice((BOTH_WAYS, frozenset({Way.FORWARD}), frozenset({Way.BACK})))
     for name in stage.choose_sides(randomness, SIDES_PER_FAULT):
         stage.rig.proxies[name].silence(ways=ways)
@@ -47,7 +51,7 @@
 
 
 async def async_slow_links(stage: Stage, randomness: random.Random) -> None:
-    """Delay all that goes over the links of some sides."""
+    """Delay all data on the links of some sides."""
     proxies = [stage.rig.proxies[name] for name in stage.choose_sides(randomness, SIDES_PER_FAULT)]
     for proxy in proxies:
         proxy.set_delay(SLOW_MS)
@@ -57,7 +61,7 @@
 
 
 async def async_partition(stage: Stage, randomness: random.Random) -> None:
-    """Let nothing pass between the two groups, while callers use both."""
+    """Partition the two groups, while callers can reach both."""
     stage.rig.partition.block([Group.LEFT], [Group.RIGHT])
     try:
         await stage.async_pause(randomness, *SPLIT_MS)
@@ -66,7 +70,7 @@
 
 
 async def async_partition_without_list(stage: Stage, randomness: random.Random) -> None:
-    """Split the groups, and cut one of them off from the instance list too."""
+    """Partition the groups, with the instance list of one of them not responding."""
     listing = stage.rig.platform.lists[randomness.choice(tuple(Group))]
     await listing.async_set_outage(OutageKind.HANG)
     try:
@@ -76,14 +80,14 @@
 
 
 async def async_crash_upstream(stage: Stage, randomness: random.Random) -> None:
-    """Crash an upstream; it is back a second later."""
+    """Crash an upstream and wait for its restart."""
     with stage.reserve_side(randomness) as name:
         stage.crash_upstream(name)
         await stage.clock.async_sleep(RESTART_WAIT_MS)
 
 
 async def async_freeze_upstream(stage: Stage, randomness: random.Random) -> None:
-    """Freeze an upstream for seconds."""
+    """Freeze an upstream for a few seconds."""
     with stage.reserve_side(randomness) as name:
         upstream = stage.rig.get_upstream(name)
         upstream.freeze()
@@ -92,7 +96,7 @@
 
 
 async def async_silence_upstream(stage: Stage, randomness: random.Random) -> None:
-    """Let the open connections to some upstreams go silent for good; new ones work."""
+    """Drop all data on the open connections to some upstreams; new connections work."""
     for name in stage.choose_sides(randomness, SIDES_PER_FAULT):
         stage.rig.upstream_proxies[name].silence()
     await stage.clock.async_sleep(SILENT_MS)
--- a/bench/faults_platform.py
+++ b/bench/faults_platform.py
@@ -1,4 +1,4 @@
-"""Faults of the platform: its list and its configuration down, late, stale or flapping."""
+"""Faults of the instance list and the configuration service: outages, lag and stale reads."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 async def async_fail_list(stage: Stage, randomness: random.Random) -> None:
-    """Let the instance list be down for everyone."""
+    """Make the instance list unavailable in both groups."""
     kind = randomness.choice(OUTAGES)
     lists = stage.rig.platform.lists.values()
     for service in lists:
@@ -35,7 +35,7 @@
 
 
 async def async_serve_stale_list(stage: Stage, randomness: random.Random) -> None:
-    """Let one group read, every other time or always, what the list said some time ago."""
+    """Serve an old state of the instance list to one group, on half or all of its reads."""
     service = stage.rig.platform.lists[randomness.choice(tuple(Group))]
     at_ms = stage.clock.wall_ms() - randomness.randint(*STALE_BY_MS)
     service.serve_stale(at_ms, share=randomness.choice((0.5, 1.0)))
@@ -44,7 +44,7 @@
 
 
 async def async_lag_list(stage: Stage, randomness: random.Random) -> None:
-    """Let one group see the list late, so that routers disagree about the instances."""
+    """Delay instance list changes for one group, so that routers disagree on instances."""
     service = stage.rig.platform.lists[randomness.choice(tuple(Group))]
     service.set_lag(randomness.randint(*LAG_MS))
     await stage.clock.async_sleep(LAGGING_MS)
@@ -52,7 +52,7 @@
 
 
 async def async_flap_listing(stage: Stage, randomness: random.Random) -> None:
-    """Take a running side off the list and put it back, again and again."""
+    """Remove a running side from the instance list and add it again, repeatedly."""
     with stage.reserve_side(randomness) as name:
         for _ in range(FLAPS):
             stage.rig.platform.remove_listed(name)
@@ -62,7 +62,7 @@
 
 
 async def async_fail_configuration(stage: Stage, randomness: random.Random) -> None:
-    """Let the configuration service be down, and publish a version meanwhile."""
+    """Make the configuration service unavailable and publish a version during the outage."""
     service = stage.rig.platform.configuration
     await service.async_set_outage(randomness.choice(OUTAGES))
     try:
@@ -73,7 +73,7 @@
 
 
 async def async_serve_stale_configuration(stage: Stage, randomness: random.Random) -> None:
-    """Publish, and answer every other read with an older version."""
+    """Publish a version, and answer half of the reads with an older one."""
     service = stage.rig.platform.configuration
     stage.publish()
     service.serve_stale(max(1, stage.version - STALE_BY_VERSIONS), share=0.5)
@@ -82,7 +82,7 @@
 
 
 async def async_publish(stage: Stage, _randomness: random.Random) -> None:
-    """Publish some versions one after the other."""
+    """Publish several configuration versions in sequence."""
     for _ in range(VERSIONS):
         stage.publish()
         await stage.clock.async_sleep(BETWEEN_VERSIONS_MS)
--- a/bench/faults_probes.py
+++ b/bench/faults_probes.py
@@ -1,4 +1,4 @@
-"""Probes of silent connections: a stream whose connection goes silent for good."""
+"""Probes that measure how long a stream stalls after its connection stops passing data."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 TOKENS: Final = 1_200
 SILENT_AFTER_TOKENS: Final = 50
-# What was on its way when the connection fell silent still comes.
+# Data in flight when the connection goes silent may still arrive within this time.
 IN_FLIGHT_MS: Final = 100
 DATA_PREFIX: Final = b"data: "
 DONE: Final = b"[DONE]"
@@ -27,7 +27,7 @@
 
 
 class Probe(Struct, frozen=True, kw_only=True):
-    """Which connection goes silent, and in which ways."""
+    """Which connection goes silent, and in which directions."""
 
     leg: str
     choose: ChooseProxy
@@ -35,7 +35,7 @@
 
 
 class ProbeResult(Struct, frozen=True, kw_only=True):
-    """How long a stream stood still, and whether its answer was whole and right all the same."""
+    """How long a stream stalled, and whether its answer was still complete and correct."""
 
     probe: Probe
     stall_s: float
@@ -58,7 +58,7 @@
 
 
 async def async_probe_silent_connections(stage: Stage) -> list[ProbeResult]:
-    """Silence the connections of some streams, one probe after the other on each leg."""
+    """Run all probes concurrently, each on a stream of its own."""
     deployments = stage.rig.platform.deployments
     results = await asyncio.gather(
         *(
@@ -110,7 +110,7 @@
 
 
 def _find_side(stage: Stage, request_id: str) -> str:
-    """Return the side whose engine runs a request."""
+    """Return the name of the side whose engine runs a request."""
     return next(
         name
         for name, engine in stage.rig.platform.engines.items()
@@ -119,7 +119,7 @@
 
 
 def _measure_stall(times_ms: list[int], silenced_ms: int) -> float:
-    """Return the seconds from the silence to the first event that came by another connection."""
+    """Return the seconds without events until the stream resumed on another connection."""
     before = [time for time in times_ms if time <= silenced_ms + IN_FLIGHT_MS]
     after = [time for time in times_ms if time > silenced_ms + IN_FLIGHT_MS]
     if not after or not before:
@@ -128,7 +128,7 @@
 
 
 def _join(events: list[bytes]) -> str:
-    """Return the text of all tokens; an error event has none."""
+    """Return the joined text of all events; an error event has no text."""
     parts: list[str] = []
     for event in events:
         for choice in json.loads(event).get("choices", ()):
--- a/bench/faults_processes.py
+++ b/bench/faults_processes.py
@@ -1,4 +1,4 @@
-"""Faults of processes: killed, replaced, paused, woken late, stopped as planned."""
+"""Faults of processes: kill, replacement, pause, late resume and graceful stop."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def async_kill_side(stage: Stage, randomness: random.Random) -> None:
-    """Kill a side; a process of the same name takes its place at a new address."""
+    """Kill a side and start one with the same name at a new address."""
     with stage.reserve_side(randomness) as name:
         await stage.async_kill_side(name)
         await stage.async_pause(randomness, *RESTART_DELAY_MS)
@@ -22,7 +22,7 @@
 
 
 async def async_kill_side_renamed(stage: Stage, randomness: random.Random) -> None:
-    """Kill a side; a process of another name takes its place."""
+    """Kill a side and start one with another name."""
     with stage.reserve_side(randomness) as name:
         await stage.async_kill_side(name)
         await stage.async_pause(randomness, *RESTART_DELAY_MS)
@@ -31,7 +31,7 @@
 
 
 async def async_kill_router(stage: Stage, randomness: random.Random) -> None:
-    """Kill a router; one of the same or another name takes its place."""
+    """Kill a router and start one with the same or another name."""
     with stage.reserve_router(randomness) as name:
         renamed = randomness.random() < 0.5
         await stage.async_kill_router(name)
@@ -42,7 +42,7 @@
 
 
 async def async_pause_side(stage: Stage, randomness: random.Random) -> None:
-    """Pause a side for seconds."""
+    """Pause a side for a few seconds."""
     with stage.reserve_side(randomness) as name:
         process = stage.rig.sides[name]
         process.send_signal(signal.SIGSTOP)
@@ -51,7 +51,7 @@
 
 
 async def async_pause_router(stage: Stage, randomness: random.Random) -> None:
-    """Pause a router for seconds."""
+    """Pause a router for a few seconds."""
     with stage.reserve_router(randomness) as name:
         process = stage.rig.routers[name]
         with stage.record_paused(process):
@@ -61,7 +61,7 @@
 
 
 async def async_replace_paused_side(stage: Stage, randomness: random.Random) -> None:
-    """Pause a side, replace it, and let the first process wake late beside its successor."""
+    """Pause a side, replace it, and resume the old process while its successor runs."""
     with stage.reserve_side(randomness) as name:
         paused = stage.rig.sides.pop(name)
         paused.send_signal(signal.SIGSTOP)
@@ -79,7 +79,7 @@
 
 
 async def async_stop_side(stage: Stage, randomness: random.Random) -> None:
-    """Stop a side as planned, and replace it."""
+    """Stop a side gracefully and replace it."""
     with stage.reserve_side(randomness) as name:
         stage.journal.work_after_stop_s.append(await _async_stop_and_measure(stage, name))
         stage.rig.platform.remove_listed(name)
@@ -87,7 +87,7 @@
 
 
 async def async_stop_listed_side(stage: Stage, randomness: random.Random) -> None:
-    """Mark a side as leaving on the list, stop it a moment later, and replace it."""
+    """Mark a side as draining on the instance list, stop it later and replace it."""
     with stage.reserve_side(randomness) as name:
         stage.rig.platform.mark_draining(name)
         stopped = asyncio.Event()
@@ -105,14 +105,14 @@
 
 
 async def async_stop_router(stage: Stage, randomness: random.Random) -> None:
-    """Stop a router as planned, and replace it."""
+    """Stop a router gracefully and replace it."""
     with stage.reserve_router(randomness) as name:
         await stage.async_stop_router(name)
         await stage.async_start_router(stage.choose_router_index(name, renamed=False))
 
 
 async def _async_stop_and_measure(stage: Stage, name: str) -> float:
-    """Stop a side; return for how many seconds its upstream still got new work."""
+    """Stop a side and return the seconds for which its upstream still got new requests."""
     process = stage.rig.sides.pop(name)
     stopped = asyncio.Event()
     process.send_signal(signal.SIGTERM)
--- a/bench/faults_report.py
+++ b/bench/faults_report.py
@@ -1,4 +1,4 @@
-"""What the bench of faults prints."""
+"""Report of the faults bench."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Findings(Struct, frozen=True, kw_only=True):
-    """All that the run has brought to light; `quiet` is the journal without faults."""
+    """Results of a run; `quiet_journal` covers the phase without faults."""
 
     seeds: int
     stage: Stage
@@ -30,17 +30,17 @@
 
     @property
     def journal(self) -> Journal:
-        """Return the journal of the time with faults."""
+        """Return the journal of the phase with faults."""
         return self.stage.journal
 
     @property
     def doubled(self) -> int:
-        """Return how many calls ran twice, or answers came with surplus."""
+        """Return the number of calls that ran twice, or of answers with surplus data."""
         seen_by_callers = sum(tally.doubled for tally in self.tallies)
         return max(self.stage.rig.platform.count_doubled(), seen_by_callers)
 
     def list_false_not_run(self) -> list[str]:
-        """Return the requests that were told to be not run, and did run."""
+        """Return the ids of requests that were reported as not run, but did run."""
         executed = list_executed_ids(self.stage)
         return [
             attempt.request_id
@@ -50,7 +50,7 @@
         ]
 
     def count_not_run_after_run(self) -> Counter[str]:
-        """Return the tries answered "not run" of calls that an earlier try had run, by code."""
+        """Count, by code, tries reported as not run whose call an earlier try had run."""
         ran_ms: dict[str, int] = {}
         for service in self.stage.rig.platform.services.values():
             for execution in service.executions:
@@ -64,13 +64,13 @@
         )
 
     def count_lost(self) -> int:
-        """Return the requests, and the tries at living routers, that got no word at all."""
+        """Count requests without any response and tries that an available router ignored."""
         lost = [item for item in self.journal.requests if item.result is Result.LOST]
         return len(lost) + len(self.journal.list_unanswered())
 
 
 def list_executed_ids(stage: Stage) -> set[str]:
-    """Return the ids of all requests that an upstream has run."""
+    """Return the ids of all requests that ran at an upstream."""
     ids: set[str] = set()
     for engine in stage.rig.platform.engines.values():
         ids.update(stream_id.partition(".")[0] for stream_id in engine.executions)
@@ -80,7 +80,7 @@
 
 
 def report(findings: Findings) -> None:
-    """Print the tables and the last line."""
+    """Print the tables and the figures."""
     _print_kinds(findings.journal)
     _print_results(findings)
     _print_probe_results(findings.probe_results)
@@ -111,7 +111,7 @@
             )
         )
     print_table(
-        title="requests that met each kind of fault, or the 2 s after it (two faults at a time)",
+        title="requests during each kind of fault or within 2 s after it (two faults at a time)",
         columns=(
             "fault",
             "times",
@@ -121,7 +121,7 @@
             "chats",
             "unknown",
             "not run",
-            "why calls were unknown",
+            "codes of unknown calls",
         ),
         rows=rows,
     )
@@ -140,7 +140,7 @@
         rows=rows,
     )
     codes = Counter(
-        (attempt.code, attempt.executed or "no word")
+        (attempt.code, attempt.executed or "no response")
         for attempt in findings.journal.tries
         if attempt.code != Result.WHOLE
     )
@@ -153,8 +153,8 @@
 
 def _print_probe_results(probe_results: Sequence[ProbeResult]) -> None:
     print_table(
-        title="streams whose connection went silent for good",
-        columns=("leg", "ways", "stood still s", "whole"),
+        title="streams whose connection went silent",
+        columns=("leg", "directions", "stalled s", "complete"),
         rows=[
             (item.probe.leg, "+".join(sorted(item.probe.ways)), item.stall_s, item.complete)
             for item in probe_results
@@ -164,16 +164,16 @@
 
 def _print_details(findings: Findings) -> None:
     journal = findings.journal
-    print(f"\nplanned stops by exit code: {dict(journal.exit_codes)}")
-    print(f"upstreams lost to crashing requests: {journal.crashes_per_request}")
-    print(f"last answers to crashing requests: {dict(journal.crasher_codes)}")
-    print(f"'not run' of calls that had run before: {dict(findings.count_not_run_after_run())}")
+    print(f"\ngraceful stops by exit code: {dict(journal.exit_codes)}")
+    print(f"upstreams crashed by each crashing request: {journal.crashes_per_request}")
+    print(f"last codes of crashing requests: {dict(journal.crasher_codes)}")
+    print(f"reported as not run after an earlier run: {dict(findings.count_not_run_after_run())}")
     if journal.failed_faults:
-        print(f"faults that could not be brought about: {dict(journal.failed_faults)}")
+        print(f"faults that could not be injected: {dict(journal.failed_faults)}")
     for attempt in journal.list_unanswered()[:MAX_LISTED]:
-        print(f"no word from a living router: {attempt}")
+        print(f"no response from an available router: {attempt}")
     for request_id in findings.list_false_not_run()[:MAX_LISTED]:
-        print(f"told as not run, and ran: {request_id}")
+        print(f"reported as not run, but ran: {request_id}")
 
 
 def _make_figures(findings: Findings) -> dict[str, Value]:
--- a/bench/faults_requests.py
+++ b/bench/faults_requests.py
@@ -1,4 +1,4 @@
-"""Faults that callers bring: a surge of one workspace, and a request that crashes its upstream."""
+"""Faults caused by callers: a surge of one workspace, and requests that crash their upstream."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def async_surge(stage: Stage, randomness: random.Random) -> None:
-    """Let one workspace open many chats at once."""
+    """Open many chats of one workspace within a short time."""
     deployment = randomness.choice(stage.rig.platform.deployments)
     plan = randomness.choice(deployment.workspaces)
     account = FaultAccount(
@@ -42,7 +42,7 @@
 
 
 async def async_send_crashing_requests(stage: Stage, randomness: random.Random) -> None:
-    """Send a request that crashes its engine, again and again through any router."""
+    """Send a request that crashes its engine repeatedly through random routers."""
     deployment = randomness.choice(stage.rig.platform.deployments)
     content = f"{CRASH_MARKER} {randomness.getrandbits(64):x}"
     before = stage.count_crashes()
--- a/bench/faults_rig.py
+++ b/bench/faults_rig.py
@@ -1,4 +1,4 @@
-"""A fleet in two groups of data centres: each reads its own instance list, by its own addresses."""
+"""A fleet in two groups of data centres, each with its own instance list and addresses."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 class SplitPlatform(StandinPlatform):
     """A platform whose instance list has one replica in each group.
 
-    Both replicas take the same changes in the same order; each tells its readers addresses that
-    lead through their own side of the partition.
+    Both replicas receive the same changes in the same order; each lists the addresses at which its
+    group reaches the instances.
     """
 
     def __init__(
@@ -67,47 +67,47 @@
         }
 
     async def async_start(self) -> None:
-        """Start everything and publish the first configuration."""
+        """Start all services and publish the first configuration."""
         await self.lists[Group.RIGHT].async_start()
         await super().async_start()
 
     async def async_stop(self) -> None:
-        """Release everything."""
+        """Stop all services."""
         await super().async_stop()
         await self.lists[Group.RIGHT].async_stop()
 
     def get_group(self, data_centre: str) -> Group:
-        """Return the group of a data centre: the first one of each deployment is on the left."""
+        """Return the group of a data centre; the first one of each deployment is in LEFT."""
         first_data_centres = {deployment.get_data_centre(0) for deployment in self.deployments}
         return Group.LEFT if data_centre in first_data_centres else Group.RIGHT
 
     def make_side_settings(self, name: str, *, link: dict[str, Any]) -> dict[str, Any]:
-        """Return the settings of a side, which reads the list of its group."""
+        """Return the settings of a side, with the instance list of its group."""
         settings = super().make_side_settings(name, link=link)
         return self._choose_list(settings, self.get_plan(name).data_centre)
 
     def make_router_settings(
         self, name: str, *, data_centre: str, region: str, link: dict[str, Any]
     ) -> dict[str, Any]:
-        """Return the settings of a router, which reads the list of its group."""
+        """Return the settings of a router, with the instance list of its group."""
         settings = super().make_router_settings(
             name, data_centre=data_centre, region=region, link=link
         )
         return self._choose_list(settings, data_centre)
 
     def copy_listing(self, name: str, address: Address) -> None:
-        """List an instance on the right as on the left, but for its address there."""
+        """Copy the entry of an instance from the left list to the right, with another address."""
         instance = self.instances.get(name)
         if instance is not None:
             self.lists[Group.RIGHT].set(replace(instance, address=address))
 
     def remove_listed(self, name: str) -> None:
-        """Take an instance off both lists."""
+        """Remove an instance from both lists."""
         for service in self.lists.values():
             service.remove(name)
 
     def mark_draining(self, name: str) -> None:
-        """Mark an instance as leaving on both lists."""
+        """Mark an instance as draining on both lists."""
         for service in self.lists.values():
             service.leave(name)
 
@@ -118,11 +118,11 @@
 
 
 class SplitRig(Rig):
-    """Real processes in two groups, with a fault proxy before each link and each upstream.
+    """Router and side processes in two groups, with fault proxies for links and upstreams.
 
-    A process is reached from its own group through `proxies`, from the other one through a
-    second proxy before that, which `partition` knows. Proxies of replaced processes stay open, so
-    that a process which wakes late is still reached by whoever holds an old view.
+    A process is reached from its own group through its proxy in `proxies`, and from the other group
+    through a second proxy, which `partition` can block. Proxies of replaced processes stay open, so
+    that instances with an outdated list can still reach a process that resumes late.
     """
 
     platform: SplitPlatform
@@ -138,14 +138,14 @@
         self._replacements = 0
 
     async def async_start(self, *, routers: int) -> None:
-        """Start one process for each plan of the platform, and wait until all are ready."""
+        """Start the upstream proxies, sides and routers, and wait until all are ready."""
         await asyncio.gather(
             *(self._async_add_upstream_proxy(plan.name) for plan in self.platform.plans)
         )
         await super().async_start(routers=routers)
 
     async def async_stop(self) -> None:
-        """End every process, and release everything."""
+        """Stop all processes, proxies and stand-ins."""
         await super().async_stop()
         proxies = (
             *self._crossing_proxies,
@@ -156,11 +156,11 @@
             await proxy.async_stop()
 
     def get_upstream(self, name: str) -> Engine | Service:
-        """Return the stand-in beside a side."""
+        """Return the stand-in upstream of a side."""
         return self._upstreams[name]
 
     def make_replacement(self, name: str) -> str:
-        """Plan a side of another name beside the same upstream, in place of the named one."""
+        """Replace the plan of a side by one with a new name and the same upstream."""
         self._replacements += 1
         stem = name.partition("-new-")[0]
         successor = f"{stem}-new-{self._replacements}"
@@ -172,14 +172,14 @@
         return successor
 
     def relist(self, name: str) -> None:
-        """List a running process again at its addresses, after it was taken off the lists."""
+        """Add a running side to the lists again, at its previous addresses."""
         plan = self.platform.get_plan(name)
         addresses = self._listed[plan.name]
         self.platform.list_side(name, addresses[Group.LEFT])
         self.platform.copy_listing(name, addresses[Group.RIGHT])
 
     async def async_wait_until_ready(self, process: DaemonProcess, *, limit_ms: int) -> bool:
-        """Return whether a process takes work before the time is over."""
+        """Return whether a process becomes ready within a time limit."""
         for _ in range(limit_ms // READY_POLL_MS):
             if await self.async_is_ready(process):
                 return True
@@ -222,7 +222,7 @@
     async def _async_add_crossing_proxy(
         self, name: str, address: Address, data_centre: str
     ) -> dict[Group, Address]:
-        """Return the address of a process in each group."""
+        """Start the proxy for the other group and return the address by group."""
         group = self.platform.get_group(data_centre)
         crossing = FaultProxy(target=address)
         self._crossing_proxies.append(crossing)
@@ -233,5 +233,5 @@
 
 
 def list_sides(rig: SplitRig, *, pools: Collection[str] = ()) -> list[str]:
-    """Return the names of the sides that run now, of all pools or of some."""
+    """Return the names of the running sides, optionally only those of some pools."""
     return [name for name in rig.sides if not pools or rig.platform.get_plan(name).pool in pools]
--- a/bench/faults_schedule.py
+++ b/bench/faults_schedule.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults, two at a time."""
+"""Seeded schedule that keeps two faults active."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class Fault(Struct, frozen=True, kw_only=True):
-    """One kind of fault; those of one `part` never go on at the same time."""
+    """One kind of fault; faults with the same `resource` are never active together."""
 
     kind: str
     run: FaultRun
@@ -95,7 +95,7 @@
 
 
 class Schedule:
-    """Draws faults by a seed; kinds that came least often so far come first."""
+    """Injects faults by a seed, preferring the kinds with the fewest injections."""
 
     def __init__(self, *, stage: Stage, seed: int, counts: Counter[str]) -> None:
         self._stage = stage
@@ -106,13 +106,13 @@
         self._stopped = asyncio.Event()
 
     async def async_run(self) -> None:
-        """Keep two faults going until stopped, and wait for the last ones to end."""
+        """Inject faults until stopped, then wait for the active ones to end."""
         await asyncio.gather(
             *(self._async_run_faults(number) for number in range(CONCURRENT_FAULTS))
         )
 
     def stop(self) -> None:
-        """Begin no further fault."""
+        """Start no further fault."""
         self._stopped.set()
 
     async def _async_run_faults(self, number: int) -> None:
@@ -132,11 +132,11 @@
             with self._stage.journal.window(fault.kind):
                 await fault.run(self._stage, randomness)
         except NoTarget:
-            _LOGGER.info("No target is free for %s", fault.kind)
+            _LOGGER.info("Skipping fault %s: every target is reserved by another fault", fault.kind)
         except Exception:
-            # One fault that could not be brought about must not end the others.
+            # A failed injection must not stop the schedule.
             self._stage.journal.failed_faults[fault.kind] += 1
-            _LOGGER.exception("The fault %s could not be brought about", fault.kind)
+            _LOGGER.exception("Injecting fault %s failed; continuing with the schedule", fault.kind)
 
     def _choose_fault(self) -> Fault:
         free = [
--- a/bench/faults_stage.py
+++ b/bench/faults_stage.py
@@ -1,4 +1,4 @@
-"""What faults work on: the rig, the balancer before the routers, and which targets are taken."""
+"""State shared by faults: the rig, the load balancer of the callers and reserved targets."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 class NoTarget(Exception):
-    """Every process that a fault could hit is taken by another fault."""
+    """Every target of a fault is reserved by another fault."""
 
 
 class Stage(Struct, kw_only=True):
-    """A running fleet under faults; `routers` is what the balancer gives to callers."""
+    """A running fleet under faults; `routers` are the addresses in the load balancer."""
 
     rig: SplitRig
     context: FaultContext
@@ -54,40 +54,40 @@
     def reserve_side(
         self, randomness: random.Random, *, pools: Collection[str] = ()
     ) -> Iterator[str]:
-        """Take a running side that no other fault has; raises NoTarget."""
+        """Reserve a running side; raises NoTarget if none is free."""
         free = [name for name in list_sides(self.rig, pools=pools) if name not in self.reserved]
         with self._reserve(randomness, free) as name:
             yield name
 
     @contextmanager
     def reserve_router(self, randomness: random.Random) -> Iterator[str]:
-        """Take a running router, if enough others are left to callers; raises NoTarget."""
+        """Reserve a running router; raises NoTarget if too few are free."""
         free = [name for name in self.rig.routers if name not in self.reserved]
         with self._reserve(randomness, free if len(free) > MIN_ROUTERS else []) as name:
             yield name
 
     def choose_sides(self, randomness: random.Random, count: int) -> list[str]:
-        """Return some running sides, taken or not."""
+        """Return some running sides, reserved or not."""
         names = list_sides(self.rig)
         return randomness.sample(names, min(count, len(names)))
 
     async def async_pause(self, randomness: random.Random, min_ms: int, max_ms: int) -> None:
-        """Let some time pass."""
+        """Sleep for a random time."""
         await self.clock.async_sleep(randomness.randint(min_ms, max_ms))
 
     async def async_kill_side(self, name: str) -> None:
-        """Kill a side at once; the list goes on to name it."""
+        """Kill a side; it stays on the instance list."""
         process = self.rig.sides.pop(name)
         await process.async_kill()
 
     async def async_start_side(self, name: str) -> DaemonProcess:
-        """Start a side and wait until it takes work."""
+        """Start a side and wait until it is ready."""
         process = await self.rig.async_start_side(name)
         await self.rig.async_wait_until_ready(process, limit_ms=READY_TIMEOUT_MS)
         return process
 
     async def async_kill_router(self, name: str) -> None:
-        """Kill a router at once; the balancer finds it out a moment later."""
+        """Kill a router; the load balancer removes it after a delay."""
         process = self.rig.routers.pop(name)
         address = process.addresses[ADDRESS_CALLERS]
         self.journal.record_unavailable(address, "killed")
@@ -96,14 +96,14 @@
         self.routers.remove(address)
 
     async def async_start_router(self, index: int) -> DaemonProcess:
-        """Start a router and give it to callers once it is ready."""
+        """Start a router and add it to the load balancer once it is ready."""
         process = await self.rig.async_start_router(index)
         await self.rig.async_wait_until_ready(process, limit_ms=READY_TIMEOUT_MS)
         self.routers.append(process.addresses[ADDRESS_CALLERS])
         return process
 
     async def async_stop_router(self, name: str) -> None:
-        """Stop a router as planned; the balancer takes it out while it still serves."""
+        """Stop a router gracefully; the load balancer removes it while it drains."""
         process = self.rig.routers.pop(name)
         address = process.addresses[ADDRESS_CALLERS]
         process.send_signal(signal.SIGTERM)
@@ -114,7 +114,7 @@
         self.rig.platform.remove_listed(name)
 
     async def async_wait_for_exit(self, process: DaemonProcess) -> None:
-        """Wait for the end of a planned stop and note how it ended."""
+        """Wait for a graceful stop and record the exit code; kill the process on timeout."""
         try:
             async with asyncio.timeout(STOP_TIMEOUT_MS / MS_PER_S):
                 code = await process.process.wait()
@@ -126,7 +126,7 @@
 
     @contextmanager
     def record_paused(self, process: DaemonProcess) -> Iterator[None]:
-        """Note that a process does not run while the context is open."""
+        """Record that a router is paused while the context is open."""
         address = process.addresses.get(ADDRESS_CALLERS)
         window: Window | None = None
         if address is not None:
@@ -138,19 +138,19 @@
                 window.ended_ms = self.clock.wall_ms()
 
     def choose_router_index(self, name: str, *, renamed: bool) -> int:
-        """Return the number of a router that takes the place of another."""
+        """Return the index of the replacement of a router."""
         if not renamed:
             return int(name.rpartition("-")[2]) - 1
         self.next_router += 1
         return self.next_router - 1
 
     def crash_upstream(self, name: str) -> None:
-        """Crash an upstream by force."""
+        """Crash an upstream as an injected fault."""
         self.injected_crashes += 1
         self.rig.get_upstream(name).crash()
 
     def count_crashes(self) -> int:
-        """Return how many upstreams have crashed without being forced to."""
+        """Return the number of upstream crashes that were not injected."""
         engines, services = self.rig.platform.engines, self.rig.platform.services
         crashes = sum(engine.crashes for engine in engines.values())
         crashes += sum(service.crashes for service in services.values())
@@ -181,7 +181,7 @@
 
 
 def count_executions(upstream: Engine | Service) -> int:
-    """Return how often an upstream has begun to run a request."""
+    """Return the number of requests that an upstream has started."""
     match upstream:
         case Engine():
             return upstream.requests
@@ -192,7 +192,7 @@
 async def async_measure_new_work(
     *, clock: Clock, upstream: Engine | Service, until: asyncio.Event
 ) -> float:
-    """Return how many seconds after now the last new execution began, until the event."""
+    """Watch an upstream until an event; return the seconds until its last new execution."""
     began_ms = clock.now_ms()
     last_s = 0.0
     seen = count_executions(upstream)
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -1,8 +1,8 @@
-"""Feeds every decoder with damaged messages: each must decode or refuse them by its own error.
+"""Mutation fuzzing of all decoders, which must decode a message or raise an expected error.
 
-`python -m bench fuzz [--minutes M] [--seed N]`. Messages begin as sound ones, and some of their
-bytes are changed, doubled, cut out or put in. The last line is a JSON object; the exit code tells
-of errors that no caller expects; a line for each has the seed and the round that plays it again.
+`python -m bench fuzz [--minutes M] [--seed N]` changes, duplicates, deletes and inserts bytes of
+valid messages. Each unexpected error is printed with the seed and round that reproduce it. The last
+line is a JSON object; the exit code is nonzero after an unexpected error.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 EXPECTED: Final = (DocumentInvalid, SettingsInvalid, FrameError, StoreUnavailable)
 ROUNDS: Final = 20_000
 S_PER_MINUTE: Final = 60
-# What a message is changed by, beside single bits: ends of numbers, of text and of documents.
+# Byte sequences to insert: extreme values and tokens that break the structure of a message.
 INSERTIONS: Final = (
     b"\x00",
     b"\xff",
@@ -168,7 +168,7 @@
 
 
 class Target(Struct, frozen=True, kw_only=True):
-    """A decoder and a sound message for it."""
+    """A decoder and a valid message for it."""
 
     name: str
     decode: Callable[[bytes], object]
@@ -176,7 +176,7 @@
 
 
 def list_targets() -> list[Target]:
-    """Return every decoder at the platform's edge and between our processes."""
+    """Return the decoders of platform documents and of messages between processes."""
     targets = [
         Target(
             name="entry",
@@ -217,7 +217,7 @@
 
 
 def mutate(valid_message: bytes, rng: random.Random) -> bytes:
-    """Return a message with a few changes."""
+    """Return a copy of a message with a few random changes."""
     data = bytearray(valid_message)
     for _ in range(rng.randint(1, MAX_CHANGES)):
         at = rng.randrange(len(data) + 1)
@@ -237,7 +237,7 @@
 
 
 def fuzz(*, seed: int, rounds: int, ends_s: float | None = None) -> tuple[int, list[str]]:
-    """Return how many messages were decoded or refused, and what went wrong otherwise."""
+    """Return the number of messages tried, and a description of each unexpected error."""
     targets = list_targets()
     failures: list[str] = []
     played = 0
@@ -257,7 +257,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the bench and return its exit code."""
     parser = argparse.ArgumentParser(prog="python -m bench fuzz")
     parser.add_argument("--minutes", type=float, default=0.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -275,5 +275,7 @@
     try:
         document = json.loads(data)
     except (ValueError, RecursionError):
-        raise StoreUnavailable("the answer is no JSON") from None
+        raise StoreUnavailable(
+            "expected a JSON document from the store, got invalid JSON"
+        ) from None
     return read_page(document, field)
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,4 +1,4 @@
-"""What processes have spent between two moments: bytes by kind, processor time, memory."""
+"""Resource usage of processes over an interval: link bytes by kind, CPU time and memory."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class UsageSnapshot(Struct, frozen=True, kw_only=True):
-    """What some processes together have used up to a moment."""
+    """Total resource usage of some processes at a point in time."""
 
     at_s: float
     cpu_s: float
@@ -35,7 +35,7 @@
 
 
 class AverageUsage(Struct, frozen=True, kw_only=True):
-    """What one process spent on average; bytes and processor seconds in each second."""
+    """Mean usage per process; `rates` are bytes per second by kind."""
 
     seconds: float
     core_share: float
@@ -44,16 +44,16 @@
     links: float
 
     def sum_control_rates(self) -> float:
-        """Return the bytes a second that carry no request and no answer."""
+        """Return the bytes per second of all kinds without request or response payload."""
         return sum(rate for kind, rate in self.rates.items() if kind not in PAYLOAD_NAMES)
 
     def list_control_rates(self) -> Rates:
-        """Return the rates of the kinds that carry no request and no answer."""
+        """Return the rates of all kinds without request or response payload."""
         return {kind: rate for kind, rate in self.rates.items() if kind not in PAYLOAD_NAMES}
 
 
 async def async_take_snapshot(rig: Rig, processes: Iterable[DaemonProcess]) -> UsageSnapshot:
-    """Return the moment at which a measurement begins; dumps are asked for before it."""
+    """Return the usage at the start of a measurement, read after the state dumps."""
     chosen = list(processes)
     dumps = await _async_dump_all(rig, chosen)
     return _make_snapshot(chosen, dumps)
@@ -62,7 +62,7 @@
 async def async_measure_since(
     rig: Rig, processes: Iterable[DaemonProcess], start: UsageSnapshot
 ) -> AverageUsage:
-    """Return what was spent since a moment; dumps are asked for after it."""
+    """Return the mean usage since a snapshot; CPU and memory are read before the dumps."""
     chosen = list(processes)
     before_dump = _make_snapshot(chosen, [])
     dumps = await _async_dump_all(rig, chosen)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Load for benches and the demo: callers that check each answer, and a tally of outcomes."""
+"""Load for benches and the demo: callers that verify each answer and count outcomes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class ChatShape(Struct, frozen=True, kw_only=True):
-    """How a chat goes: sizes in bytes, times in milliseconds, answers in tokens."""
+    """Parameters of a chat: sizes in bytes, times in milliseconds, answers in tokens."""
 
     turns: int = 4
     first_bytes: int = 2_000
@@ -56,7 +56,7 @@
 
 
 class CompleteAnswer(Struct, frozen=True, kw_only=True):
-    """An answer that came to its end; not yet checked."""
+    """A complete answer that has not been verified yet."""
 
     text: str
     tokens: int
@@ -67,7 +67,7 @@
 
 
 class NoAnswer(Struct, frozen=True, kw_only=True):
-    """A try without an answer, and whether the system says that it did not run."""
+    """A failed try; `executed` is whether the request ran, as far as it is known."""
 
     code: str
     executed: Executed
@@ -76,7 +76,7 @@
 
 
 class CallerContext(Struct, frozen=True, kw_only=True):
-    """What many callers share: a session, routers to choose from, a tally, and limits."""
+    """Session, routers, tally and limits that callers share."""
 
     session: aiohttp.ClientSession
     routers: Sequence[Address]
@@ -87,7 +87,7 @@
 
 
 class Caller:
-    """What both kinds of callers do: choose a router, try again, pause, count."""
+    """Base of callers: chooses a router, retries after a pause and counts outcomes."""
 
     def __init__(self, *, context: CallerContext, account: Account, seed: int) -> None:
         self.session = context.session
@@ -100,13 +100,13 @@
         self.timeout = aiohttp.ClientTimeout(total=context.timeout_s)
 
     def choose_url(self, path: str) -> str:
-        """Return a path at any router, as a balancer would choose one."""
+        """Return the URL of a path at a random router, as a load balancer chooses one."""
         return f"http://{self.random.choice(self.routers)}{path}"
 
     async def async_try_until_answered(
         self, attempt: Callable[[], Awaitable[_T | NoAnswer]]
     ) -> _T | None:
-        """Return the answer of the first try that gets one, None when all tries are spent."""
+        """Return the answer of the first successful try, None if all tries fail."""
         self.tally.requests += 1
         not_run = True
         for _ in range(self.tries):
@@ -133,7 +133,7 @@
 
 
 class ChatCaller(Caller):
-    """One chat that returns: each turn sends the whole transcript and waits for the answer."""
+    """A multi-turn chat; each turn sends the whole transcript and waits for the answer."""
 
     def __init__(
         self,
@@ -153,7 +153,7 @@
         self.hint = ""
 
     async def async_run(self, *, until_ms: int | None = None) -> None:
-        """Play all turns; none begins after `until_ms` of the clock, and none after a failure."""
+        """Run the turns until one fails; no turn starts once the clock reaches `until_ms`."""
         for turn in range(self.shape.turns):
             if turn > 0:
                 await self.clock.async_sleep(round(self.shape.think_ms * self._jitter()))
@@ -163,7 +163,7 @@
                 return
 
     async def async_turn(self) -> bool:
-        """Play one turn; returns whether its answer was whole and right."""
+        """Run one turn; returns whether its answer was complete and correct."""
         size = self.shape.turn_bytes if self.messages else self.shape.first_bytes
         content = f"{self.chat} turn {len(self.messages)}: {self._make_words(size)}"
         self.messages.append(Message(role="user", content=content))
@@ -269,7 +269,7 @@
 
 
 class ServiceCaller(Caller):
-    """Calls to a plain service; one that must not be repeated carries a key of its own."""
+    """At-most-once calls to a plain service, each with its own idempotency key."""
 
     def __init__(
         self, *, context: CallerContext, account: Account, seed: int, pool: str, path: str
@@ -282,7 +282,7 @@
     async def async_run(
         self, *, calls: int, think_ms: int = 0, until_ms: int | None = None
     ) -> None:
-        """Make a number of calls, one after the other; none begins after `until_ms`."""
+        """Make calls in sequence; none starts once the clock reaches `until_ms`."""
         for _ in range(calls):
             if until_ms is not None and self.clock.now_ms() >= until_ms:
                 return
@@ -290,11 +290,11 @@
             await self.clock.async_sleep(round(think_ms * self.random.uniform(0.5, 1.5)))
 
     def make_key(self) -> str:
-        """Return the key of the next call, which carries the time of now."""
+        """Return an idempotency key that contains the current time."""
         return make_uuid7(wall_ms=self.clock.wall_ms(), randomness=self.random)
 
     async def async_call(self) -> bool:
-        """Make one call and repeat it, with the same key, until it is answered."""
+        """Make one call and retry it with the same key; returns whether its answer was correct."""
         key = self.make_key()
         self.keys.append(key)
         body = json.dumps({"call": key, "quantity": self.random.randrange(1, 50)}).encode()
@@ -331,7 +331,7 @@
 
 
 def make_uuid7(*, wall_ms: int, randomness: random.Random) -> str:
-    """Return a UUID of version 7, which carries the time at which it was made."""
+    """Return a UUID of version 7, which contains its creation time."""
     random_bits = randomness.getrandbits(KEY_RANDOM_BITS)
     value = (
         wall_ms << 80
@@ -344,7 +344,7 @@
 
 
 def parse_error(body: bytes, *, status: int) -> NoAnswer:
-    """Return what an error of the router says; without its form the outcome is unknown."""
+    """Parse an error response of the router; the outcome is unknown for any other body."""
     try:
         error = json.loads(body)["error"]
         return NoAnswer(
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,8 +1,7 @@
-"""Lays what a day's logs show of prompts read and copied, and of attempts that failed, to causes.
+"""Attributes prompt prefills, prefix copies and failed attempts in router logs to causes.
 
-Reads the journal lines of all routers, each behind any prefix, and prints one table for prompts
-that were read, one for copies, and one for attempts that brought no answer. The rows of each table
-add up to all that the logs show.
+Reads the journal lines of all routers, with any prefix before the JSON, and prints a table each for
+prefills, copies and failed attempts. The rows of each table add up to the total of the logs.
 """
 
 from __future__ import annotations
@@ -19,19 +18,19 @@
 
 from bench.report import print_table
 
-# Fewer tokens are read beside the other work of an engine.
+# Prefills of fewer tokens are ignored.
 MIN_TOKENS: Final = 100
-# A part that nobody used for this long is not missed when it is gone.
+# A prompt not used for this long counts as evicted.
 IDLE_MS: Final = 10_000
-# Routers hear of each other's placements within this time.
+# Time within which placements reach the other routers.
 UPDATE_DELAY_MS: Final = 400
-# A router that started this short a time ago may not know yet.
+# A router may lack placements within this time after its start.
 RECENT_START_MS: Final = 5_000
 MS_PER_S: Final = 1_000
 
 
 class Line(Struct, frozen=True, kw_only=True):
-    """One journal line: when, of which router, and its fields."""
+    """A journal line of a router."""
 
     at_ms: int
     router: str
@@ -39,7 +38,7 @@
 
 
 class Losses(Struct, kw_only=True):
-    """Tokens and times by cause."""
+    """Tokens and counts by cause; attempts by outcome, next step and upstream state."""
 
     read_tokens: Counter[str] = field(default_factory=Counter)
     reads: Counter[str] = field(default_factory=Counter)
@@ -49,7 +48,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Return the journal lines of a log; all else in it is passed over."""
+    """Yield the journal lines of a log and skip all other lines."""
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -66,7 +65,7 @@
 
 
 class LossTracker:
-    """Follows who holds which prompt, by the placements of all routers."""
+    """Tracks which upstreams hold which prompt, from the placements of all routers."""
 
     def __init__(self) -> None:
         self.losses = Losses()
@@ -76,7 +75,7 @@
         self._started: dict[str, int] = {}
 
     def record(self, line: Line) -> None:
-        """Take the next line; lines come in the order of their times."""
+        """Record the next line; lines must be in the order of their times."""
         match line.fields["event"]:
             case "process_started":
                 self._started[line.router] = line.at_ms
@@ -112,13 +111,13 @@
 
     def _find_cause(self, line: Line, holders: dict[str, int], upstream: str) -> str:
         if not holders:
-            return "first reading"
+            return "first prefill"
         idle_ms = line.at_ms - max(holders.values())
         if idle_ms > IDLE_MS:
-            return "not used for long"
+            return "not used for a long time"
         cause = self._classify_holders(holders, upstream)
         if idle_ms < UPDATE_DELAY_MS:
-            return f"{cause}, used a moment ago"
+            return f"{cause}, used within the update delay"
         if (
             line.at_ms - self._started.get(line.router, line.at_ms - RECENT_START_MS)
             < RECENT_START_MS
@@ -129,13 +128,13 @@
     def _classify_holders(self, holders: dict[str, int], upstream: str) -> str:
         remaining = [name for name in holders if name not in self._gone]
         if upstream in remaining:
-            return "held there, router did not know"
+            return "held there, unknown to the router"
         if any(name not in self._leaving for name in remaining):
             return "a ready engine held it"
         if remaining:
-            return "an engine that leaves held it"
+            return "a draining engine held it"
         if any(name in self._leaving for name in holders):
-            return "its engines had left"
+            return "its engines had drained"
         return "its engines had crashed"
 
     def _record_failure(self, line: Line) -> None:
@@ -150,7 +149,7 @@
 
 
 def attribute_losses(lines: Iterable[Line]) -> Losses:
-    """Return what is lost to which cause."""
+    """Return the losses of a log by cause."""
     tracker = LossTracker()
     for line in sorted(lines, key=lambda line: line.at_ms):
         tracker.record(line)
@@ -158,7 +157,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Print the tables of one or several logs of one day."""
+    """Print the tables for logs of the same period."""
     parser = argparse.ArgumentParser(prog="python -m bench losses")
     parser.add_argument("logs", nargs="+", type=Path)
     options = parser.parse_args(argv)
@@ -167,11 +166,11 @@
         with path.open(encoding="utf-8", errors="replace") as file:
             lines.extend(read_lines(file))
     losses = attribute_losses(lines)
-    _print_tokens("prompts read", losses.read_tokens, losses.reads)
-    _print_tokens("prompts copied", losses.copied_tokens, losses.copies)
+    _print_tokens("prefills", losses.read_tokens, losses.reads)
+    _print_tokens("copies", losses.copied_tokens, losses.copies)
     rows = [(*key, count) for key, count in losses.attempts.most_common()]
     print_table(
-        title="attempts without an answer",
+        title="failed attempts",
         columns=("outcome", "next step", "upstream", "times"),
         rows=rows,
     )
--- a/bench/plain_replay.py
+++ b/bench/plain_replay.py
@@ -1,7 +1,7 @@
-"""Routers that hear of each other late, before a plain service, replayed without sockets.
+"""Discrete-event simulation of forwarders in front of a plain service, without sockets.
 
-Answers how requests end where upstreams have about as much to do as they serve. Everything scales
-with the work of a request, so that the same code is seen at any speed.
+Forwarders exchange their loads with a delay. All times scale with the work of a request, so that a
+decision can be compared at any request duration.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
 SERVICE: Final = "records"
 SLOTS: Final = 6
-# Upstreams turn away what their queue has no room for.
+# Upstreams reject requests beyond this queue length.
 QUEUE_LIMIT: Final = 24
-# How often a caller comes back after a refusal.
+# Retries of a caller after a refusal.
 RETRIES: Final = 1
 ROUTERS: Final = 26
 
 
 class Upstream:
-    """A plain upstream: so many slots, and a queue in the order of arrival."""
+    """A plain upstream with SLOTS slots and a first-in, first-out queue."""
 
     def __init__(self, *, work_ms: float, rng: random.Random) -> None:
         self._work_ms = work_ms
@@ -46,7 +46,7 @@
         self._ends_ms: list[float] = []
 
     def serve(self, now_ms: float) -> float | None:
-        """Return when a request that arrives now is over; None where the queue is full."""
+        """Return the end time of a request that arrives now, None if the queue is full."""
         while self._ends_ms and self._ends_ms[0] <= now_ms:
             heapq.heappop(self._ends_ms)
         if len(self._ends_ms) >= SLOTS + QUEUE_LIMIT:
@@ -59,42 +59,42 @@
 
 
 class Tally(Struct, kw_only=True):
-    """How requests ended."""
+    """Outcomes of all requests."""
 
-    asked: int = 0
+    requests: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
 
     @property
     def credit(self) -> float:
-        """Return what the answers are worth; a late one is worth a third, as operators have it."""
-        return (self.in_time + self.late / 3) / self.asked
+        """Return the mean value of a request: 1 if in time, a third if late, else 0."""
+        return (self.in_time + self.late / 3) / self.requests
 
 
 class Arrival(Struct, frozen=True, kw_only=True):
-    """A request, or its caller's return after a refusal."""
+    """A request or its retry reaches a router."""
 
     router: int
-    asked_ms: float
+    requested_ms: float
     tries: int
 
 
 class Completed(Struct, frozen=True, kw_only=True):
-    """A request of a router that is over at an upstream."""
+    """A request of a router ends at an upstream."""
 
     router: int
     upstream: str
 
 
 class UpdateDue(Struct, frozen=True, kw_only=True):
-    """It is time for a router to tell the others."""
+    """A router sends an update to the other routers."""
 
     router: int
 
 
 class UpdateReceived(Struct, frozen=True, kw_only=True):
-    """What a router had at the upstreams is known to the others."""
+    """The other routers receive the loads of a router."""
 
     router: int
     loads: dict[str, UpstreamLoad]
@@ -104,7 +104,7 @@
 
 
 class PlainReplay:
-    """Routers that hear of each other late, before the upstreams of a plain service."""
+    """Simulates routers in front of a plain service; updates between them arrive late."""
 
     def __init__(
         self, *, work_ms: float, upstreams: int, without: frozenset[Mechanism], seed: int
@@ -112,8 +112,7 @@
         random.seed(seed)
         self._rng = random.Random(seed)
         self._work_ms = work_ms
-        # What callers expect scales with the work, as their operator sets it; one that is refused
-        # comes back when half of that is over. So do the news, to play the same at each speed.
+        # The latency target and the update interval scale with the work of a request.
         self._target_ms = 4.6 * work_ms
         self._update_interval_ms = 3.3 * work_ms
         self._clock = ManualClock(now_ms=1_000)
@@ -126,13 +125,13 @@
         self.tally = Tally()
 
     def play(self, *, pressure: float, duration_ms: float) -> Tally:
-        """Play a load that is `pressure` times what the upstreams serve."""
+        """Simulate a load of `pressure` times the capacity of the upstreams."""
         gap_ms = self._work_ms / (len(self._upstreams) * SLOTS) / pressure
         at_ms = 0.0
         while at_ms < duration_ms:
             at_ms += self._rng.expovariate(1 / gap_ms)
             router = self._rng.randrange(ROUTERS)
-            self._schedule(at_ms, Arrival(router=router, asked_ms=at_ms, tries=0))
+            self._schedule(at_ms, Arrival(router=router, requested_ms=at_ms, tries=0))
         for router in range(ROUTERS):
             due_ms = self._rng.random() * self._update_interval_ms
             while due_ms < duration_ms:
@@ -167,7 +166,7 @@
         heapq.heappush(self._events, (at_ms, self._number, event))
 
     def _handle_arrival(self, at_ms: float, arrival: Arrival) -> None:
-        self.tally.asked += arrival.tries == 0
+        self.tally.requests += arrival.tries == 0
         placer = self._placers[arrival.router]
         placed = placer.place(
             service=SERVICE, prompt=None, excluded=(), limit_ms=int(self._target_ms)
@@ -181,19 +180,19 @@
         placer.note_sent(placed, None)
         placer.plain.note_answered(placed, elapsed_ms=round(end_ms - at_ms))
         self._schedule(end_ms, Completed(router=arrival.router, upstream=placed.entry.upstream))
-        if end_ms - arrival.asked_ms <= self._target_ms:
+        if end_ms - arrival.requested_ms <= self._target_ms:
             self.tally.in_time += 1
         else:
             self.tally.late += 1
 
     def _retry_or_refuse(self, at_ms: float, arrival: Arrival) -> None:
-        """Let the caller come back at another router, or give up."""
+        """Schedule a retry at a random router, or count a refusal after the last one."""
         if arrival.tries == RETRIES:
             self.tally.refused += 1
             return
         retry = Arrival(
             router=self._rng.randrange(ROUTERS),
-            asked_ms=arrival.asked_ms,
+            requested_ms=arrival.requested_ms,
             tries=arrival.tries + 1,
         )
         self._schedule(at_ms + self._target_ms / 2, retry)
@@ -230,18 +229,18 @@
 
 
 class StaticFleet:
-    """The other routers, all of them known."""
+    """A fleet of routers that never changes."""
 
     own_address = "r"
 
     def list_addresses(self) -> tuple[str, ...]:
-        """Return one address less than there are routers."""
+        """Return an address for each other router."""
         return tuple(str(number) for number in range(ROUTERS - 1))
 
     def get_last_added_ms(self) -> int:
-        """Return that they were there from the beginning."""
+        """Return 0: no router was added after the start."""
         return 0
 
     def has_received_update(self) -> bool:
-        """Return that they were heard."""
+        """Return True: updates of all routers count as received."""
         return True
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the product for benches: started, measured and ended by their own id."""
+"""Daemon processes for benches: start, resource usage and stop."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class Usage(Struct, frozen=True, kw_only=True):
-    """Processor seconds that a process has used so far, and its resident bytes."""
+    """CPU seconds that a process has used so far, and its resident memory."""
 
     cpu_s: float
     rss_bytes: int
 
 
 class DaemonProcess:
-    """One running daemon and the addresses that it announced."""
+    """A running daemon and the addresses that it announced."""
 
     __slots__ = ("addresses", "name", "process", "role")
 
@@ -49,20 +49,20 @@
 
     @property
     def pid(self) -> int:
-        """Return the id of the process."""
+        """Return the process id."""
         return self.process.pid
 
     def read_usage(self) -> Usage:
-        """Return what the process has used, read from the kernel."""
+        """Return the resource usage of the process from /proc."""
         return read_usage(self.pid)
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process if it is still running."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
     async def async_stop(self) -> int:
-        """End the process in the planned way, or by force when that takes too long."""
+        """Stop the process gracefully, or kill it after STOP_TIMEOUT_S; return its exit code."""
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         try:
@@ -72,7 +72,7 @@
             return await self.process.wait()
 
     async def async_kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its exit."""
         self.send_signal(signal.SIGKILL)
         await self.process.wait()
 
@@ -85,9 +85,9 @@
     log: Path | None = None,
     options: Sequence[str] = (),
 ) -> DaemonProcess:
-    """Start one daemon with further options and wait until it has announced its addresses.
+    """Start a daemon and wait until it has announced its addresses.
 
-    Raises RuntimeError when it ends before that.
+    Raises RuntimeError if it exits before that.
     """
     name = settings["instance"]["name"]
     file = folder / f"{name}.json"
@@ -114,19 +114,19 @@
     process: asyncio.subprocess.Process, name: str
 ) -> dict[str, Address]:
     if process.stdout is None:
-        raise RuntimeError("the process has no standard output")
+        raise RuntimeError("expected a pipe as standard output of the daemon, got none")
     announced: dict[str, str] | None = None
-    # A forwarder writes its journal to the same output.
+    # A forwarder also writes its journal to standard output.
     while announced is None:
         line = await asyncio.wait_for(process.stdout.readline(), ANNOUNCE_TIMEOUT_S)
         if not line:
-            raise RuntimeError(f"{name} ended before it announced its addresses")
+            raise RuntimeError(f"{name} exited before it announced its addresses")
         announced = json.loads(line).get("addresses")
     return {key: parse_address(value) for key, value in announced.items()}
 
 
 def read_usage(pid: int) -> Usage:
-    """Return the processor time and memory of a process of this machine."""
+    """Return the CPU time and resident memory of a local process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes before stand-ins: one daemon for each side and each router."""
+"""A fleet of router and side processes with stand-in upstreams."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class Rig:
-    """Starts, finds, replaces and ends the processes of one fleet.
+    """Starts, replaces and stops the processes of one fleet.
 
-    With `proxied` each link is reached through a fault proxy of its own. `extra` is laid over the
-    settings of every process, section by section. `placement` is how the routers place requests.
+    With `proxied` each link address is behind a fault proxy. `extra` overrides the settings of all
+    processes, section by section. `placement` is the placement strategy of the routers.
     """
 
     def __init__(
@@ -60,13 +60,13 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def async_start(self, *, routers: int) -> None:
-        """Start one process for each plan of the platform, and wait until all are ready."""
+        """Start a side for each plan of the platform and the routers; wait until all are ready."""
         await asyncio.gather(*(self.async_start_side(plan.name) for plan in self.platform.plans))
         await asyncio.gather(*(self.async_start_router(index) for index in range(routers)))
         await self.async_wait_ready()
 
     async def async_start_side(self, name: str) -> DaemonProcess:
-        """Start the side beside one upstream and put it on the instance list."""
+        """Start the side of one upstream and add it to the instance list."""
         settings = self.platform.make_side_settings(name, link=self._make_link())
         process, address = await self._async_start(Role.SIDE, settings)
         self.sides[name] = process
@@ -74,7 +74,7 @@
         return process
 
     async def async_start_router(self, index: int) -> DaemonProcess:
-        """Start a router and put it on the instance list."""
+        """Start a router and add it to the instance list."""
         deployment = self.platform.deployments[index % len(self.platform.deployments)]
         name = f"{deployment.name}-router-{index + 1}"
         location = {"data_centre": deployment.get_data_centre(index), "region": deployment.region}
@@ -85,7 +85,7 @@
         return process
 
     async def async_wait_ready(self) -> None:
-        """Wait until every process takes work; raises TimeoutError after 20 s."""
+        """Wait until every process is ready; raises TimeoutError after READY_TIMEOUT_MS."""
         waiting = {**self.sides, **self.routers}
         for _ in range(READY_TIMEOUT_MS // READY_POLL_MS):
             ready = await asyncio.gather(*(self.async_is_ready(item) for item in waiting.values()))
@@ -97,10 +97,10 @@
             if not waiting:
                 return
             await asyncio.sleep(READY_POLL_MS / MS_PER_S)
-        raise TimeoutError(f"not ready in time: {', '.join(waiting)}")
+        raise TimeoutError(f"not ready within {READY_TIMEOUT_MS} ms: {', '.join(waiting)}")
 
     async def async_is_ready(self, process: DaemonProcess) -> bool:
-        """Return whether a process says that it takes work."""
+        """Return whether a process reports that it is ready."""
         url = f"http://{process.addresses[ADDRESS_OPERATORS]}/readyz"
         try:
             async with self._get_session().get(url) as response:
@@ -109,7 +109,7 @@
             return False
 
     async def async_dump(self, process: DaemonProcess) -> Sections:
-        """Return the sections of a process's state dump."""
+        """Return the sections of the state dump of a process."""
         url = f"http://{process.addresses[ADDRESS_OPERATORS]}/dump"
         async with self._get_session().get(url) as response:
             dump = await response.json()
@@ -117,15 +117,15 @@
         return sections
 
     def list_processes(self) -> list[DaemonProcess]:
-        """Return every daemon that was started and not replaced."""
+        """Return all current routers and sides."""
         return [*self.routers.values(), *self.sides.values()]
 
     def list_callers(self) -> list[Address]:
-        """Return where the routers take callers' requests."""
+        """Return the caller-facing addresses of the routers."""
         return [process.addresses[ADDRESS_CALLERS] for process in self.routers.values()]
 
     async def async_stop(self) -> None:
-        """End every process, the routers first, and release everything."""
+        """Stop all processes, the routers first, then proxies and stand-ins."""
         for processes in (self.routers, self.sides):
             await asyncio.gather(*(process.async_stop() for process in processes.values()))
         for proxy in self.proxies.values():
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,4 +1,4 @@
-"""A randomized soak: real forwarders, stand-ins around them, and faults from outside."""
+"""Randomized soak test of forwarder processes against stand-ins with injected faults."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 async def async_soak(
     *, seed: int, seconds: float, folder: Path, evacuations: bool = False, drills: bool = False
 ) -> tuple[dict[str, object], bool]:
-    """Run one seed and return its figures, and whether every promise was kept.
+    """Run one seed and return its figures, and whether all guarantees held.
 
-    With `places` data centres are evacuated and engines start cold. With `drills` the store comes
-    back from copies, and runners say of themselves that they leave or want a rest.
+    With `evacuations` data centres are evacuated and engines start cold. With `drills` the
+    store is restored from backups, and runners announce their drain or ask for back-off.
     """
     rig = SoakRig(folder=folder, evacuations=evacuations)
     try:
@@ -73,7 +73,7 @@
 
 
 def _print_violations(violations: list[Violation], rig: SoakRig) -> None:
-    """Print the whole story of each request that a promise was broken for."""
+    """Print each violation with all journal lines of its request."""
     for violation in violations:
         click.echo(f"VIOLATION {violation}")
         for line in rig.read_journals():
@@ -82,16 +82,20 @@
 
 
 @click.command()
-@click.option("--seed", type=int, default=None, help="Run this seed alone.")
-@click.option("--seeds", type=int, default=1, help="Run so many seeds, one after the other.")
-@click.option("--minutes", type=float, default=0.0, help="Run fresh seeds for so long.")
-@click.option("--seconds", type=float, default=DEFAULT_S, help="How long faults last in a seed.")
-@click.option("--places", is_flag=True, help="Evacuate data centres and start engines cold.")
-@click.option("--drills", is_flag=True, help="Restore the store, let runners leave and rest.")
+@click.option("--seed", type=int, default=None, help="Run only this seed.")
+@click.option("--seeds", type=int, default=1, help="Number of seeds to run in sequence.")
+@click.option("--minutes", type=float, default=0.0, help="Run new seeds for this many minutes.")
+@click.option(
+    "--seconds", type=float, default=DEFAULT_S, help="Seconds of fault injection in each seed."
+)
+@click.option("--places", is_flag=True, help="Evacuate data centres and cold-start engines.")
+@click.option(
+    "--drills", is_flag=True, help="Restore the store; drain runners and let them ask for back-off."
+)
 def soak_command(
     seed: int | None, seeds: int, minutes: float, seconds: float, places: bool, drills: bool
 ) -> None:
-    """Run seeds; the last line is one JSON object, the exit code tells of broken promises."""
+    """Run seeds; the last line is a JSON object. Exits with 1 after a violation."""
     first = int(time.time()) % 1_000_000 if minutes else 1
     chosen = [seed] if seed is not None else list(range(first, first + seeds))
     ends = time.monotonic() + 60 * minutes
--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they keep connections, come back as told, and record what they saw."""
+"""Callers of the soak test, which reuse connections and record every response."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 
 
 class CallRecord(Struct, frozen=True, kw_only=True):
-    """One request as its caller saw it; `status` is 0 where no answer came.
+    """One request as seen by its caller; `status` is 0 if no response arrived.
 
-    `forwarder` is whom it was sent to; times are monotonic seconds. `leaving` says that the
-    answer's upstream leaves.
+    `complete` is whether the whole response was read, `id_matches` whether it carried the id of the
+    request, `forwarder` the number of the forwarder, and `draining` whether the response announced
+    a drain of its upstream. Times are monotonic seconds.
     """
 
     request_id: str
@@ -44,17 +45,17 @@
 
     @property
     def refused(self) -> bool:
-        """Return whether the caller was promised that the request did not run."""
+        """Return whether the status guarantees that the request did not run."""
         return self.status in NOT_RUN_STATUSES
 
     @property
     def streamed(self) -> bool:
-        """Return whether the answer is a series of events."""
+        """Return whether the response is an event stream."""
         return self.kind in {"draft", "quote"}
 
 
 class Callers:
-    """A fixed number of callers, each with one request at a time."""
+    """A fixed number of callers, each with one request in flight."""
 
     def __init__(self, *, rig: SoakRig, seed: int) -> None:
         self._rig = rig
@@ -64,15 +65,15 @@
         self.records: list[CallRecord] = []
 
     def stop(self) -> None:
-        """Let each caller end after its request."""
+        """Stop each caller after its current request."""
         self._stopping.set()
 
     async def async_run(self) -> None:
-        """Call until stopped."""
+        """Send requests until stopped."""
         await asyncio.gather(*(self._async_run_caller(number) for number in range(CALLERS)))
 
     async def async_probe(self, *, count: int) -> int:
-        """Send requests after all trouble and return how many were answered."""
+        """Send requests in sequence and return how many succeeded."""
         async with _make_session() as session:
             records = [
                 await self._async_call(session, number % FORWARDERS, "lookup")
@@ -142,7 +143,7 @@
 async def _disable_retries(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep the library from sending a request twice by itself."""
+    """Prevent aiohttp from retrying a request on its own."""
     try:
         return await handler(request)
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
@@ -150,5 +151,5 @@
 
 
 def make_expected_stream() -> bytes:
-    """Return the whole stream of a sound runner."""
+    """Return the complete event stream of a runner without faults."""
     return b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, EVENTS + 1))
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -1,4 +1,4 @@
-"""The promises that the soak checks, from what callers and runners saw."""
+"""Checks of the soak test on the records of callers, runners and forwarder journals."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Violation(Struct, frozen=True, kw_only=True):
-    """A promise that was not kept."""
+    """A guarantee that did not hold, and the request that shows it, if any."""
 
     guarantee: str
     request_id: str = ""
@@ -35,7 +35,7 @@
     journals: Sequence[dict[str, Any]],
     recovered: float,
 ) -> list[Violation]:
-    """Return every violation."""
+    """Return the violations of all checks that use caller records, arrivals and journals."""
     violations = [
         *check_runs(records, arrivals),
         *check_answers(records),
@@ -48,7 +48,7 @@
 
 
 def check_runs(records: Sequence[CallRecord], arrivals: Sequence[Arrival]) -> Iterator[Violation]:
-    """Check that nothing ran twice that must not, nor what was said not to have run."""
+    """Check that non-repeatable requests run at most once, and not at all if refused."""
     runs = Counter(arrival.request_id for arrival in arrivals if arrival.ran)
     for record in records:
         if record.kind in REPEATABLE_KINDS:
@@ -59,33 +59,37 @@
                 guarantee="ran twice", request_id=record.request_id, detail=f"{ran} runs"
             )
         if record.refused and ran:
-            yield Violation(guarantee="ran though refused", request_id=record.request_id)
+            yield Violation(guarantee="ran after refusal", request_id=record.request_id)
 
 
 def check_answers(records: Sequence[CallRecord]) -> Iterator[Violation]:
-    """Check that each success is the whole answer to its own request."""
+    """Check that each successful response is complete and belongs to its request."""
     for record in records:
         if record.status != 200 or not record.complete:
             continue
         if not record.id_matches:
-            yield Violation(guarantee="another's answer", request_id=record.request_id)
+            yield Violation(guarantee="response to another request", request_id=record.request_id)
         elif record.streamed and record.body != make_expected_stream():
             detail = f"{len(record.body)} bytes"
-            yield Violation(guarantee="torn stream", request_id=record.request_id, detail=detail)
+            yield Violation(
+                guarantee="incomplete or altered stream",
+                request_id=record.request_id,
+                detail=detail,
+            )
         elif not record.streamed and not record.body.endswith(record.path.encode()):
-            yield Violation(guarantee="another's body", request_id=record.request_id)
+            yield Violation(guarantee="body of another request", request_id=record.request_id)
 
 
 def check_arrivals(
     records: Sequence[CallRecord], arrivals: Sequence[Arrival]
 ) -> Iterator[Violation]:
-    """Check that runners see only what callers sent, under their workspace, without their key."""
+    """Check path, workspace and absence of the caller's API key in requests at the runners."""
     paths = {record.request_id: record.path for record in records}
     for arrival in arrivals:
         if arrival.request_id in paths and arrival.path != paths[arrival.request_id]:
             yield Violation(guarantee="changed path", request_id=arrival.request_id)
         if names.API_KEY in arrival.headers:
-            yield Violation(guarantee="key passed on", request_id=arrival.request_id)
+            yield Violation(guarantee="caller key forwarded", request_id=arrival.request_id)
         if arrival.headers.get(names.TENANT) != WORKSPACE:
             yield Violation(guarantee="wrong workspace", request_id=arrival.request_id)
 
@@ -93,7 +97,7 @@
 def check_evacuations(
     journals: Sequence[dict[str, Any]], data_centres: Mapping[str, str]
 ) -> Iterator[Violation]:
-    """Check that no router places anything in a data centre that it knows to be evacuated."""
+    """Check that no forwarder places requests in a data centre after logging its evacuation."""
     evacuated: dict[str, set[str]] = {}
     for line in journals:
         active = evacuated.setdefault(line.get("instance", ""), set())
@@ -105,25 +109,28 @@
             case "data_centre_evacuated":
                 active.discard(line["data_centre"])
             case "request_placed" if data_centres.get(line["upstream"]) in active:
-                yield Violation(guarantee="placed where evacuated", request_id=line["request_id"])
+                yield Violation(
+                    guarantee="placed in evacuated data centre", request_id=line["request_id"]
+                )
 
 
 def check_cold_starts(runners: Iterable[PlatformRunner]) -> Iterator[Violation]:
-    """Check that no runner got more than it bears after its start."""
+    """Check that no runner received more requests than its cold-start limit allows."""
     for runner in runners:
         most_arrivals = runner.count_densest_cold()
         if most_arrivals > MAX_IN_COLD_START:
             yield Violation(
-                guarantee="too much while cold", detail=f"{runner.name} {most_arrivals}"
+                guarantee="cold-start limit exceeded", detail=f"{runner.name} {most_arrivals}"
             )
 
 
 def check_versions(journals: Sequence[dict[str, Any]]) -> Iterator[Violation]:
-    """Check that no incarnation went back to an older configuration."""
+    """Check that no forwarder process replaced its configuration with an older version."""
     for line in journals:
         if line.get("event") != "configuration_accepted":
             continue
         if line["version"] <= line["previous"]:
             yield Violation(
-                guarantee="version went back", detail=f"{line['previous']} to {line['version']}"
+                guarantee="configuration version decreased",
+                detail=f"{line['previous']} to {line['version']}",
             )
--- a/bench/soak_drain_checks.py
+++ b/bench/soak_drain_checks.py
@@ -1,4 +1,7 @@
-"""The promises about what runners say of themselves, from what callers and runners saw."""
+"""Checks that forwarders respect the drain and back-off signals of runners.
+
+They compare the records of the callers with the arrivals at the runners.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +12,9 @@
 from bench.soak_checks import Violation
 from gypsumrouter.standins import PlatformRunner
 
-# How long after an answer that says so a forwarder may still send to a runner that leaves.
+# How long a forwarder may still send to a runner after a response announced its drain.
 MAX_SENT_AFTER_DRAIN_S: Final = 2.0
-# How long after its word a runner that wants a rest may still get requests, and how many later.
+# A back-off is enforced after this grace period; concurrent requests may still slip through.
 BACKOFF_GRACE_S: Final = 0.5
 MAX_DURING_BACKOFF: Final = 2
 
@@ -21,7 +24,7 @@
 def check_draining(
     records: Sequence[CallRecord], runners: Iterable[PlatformRunner], interruptions: Interruptions
 ) -> Iterator[Violation]:
-    """Check that a forwarder sends nothing to a runner whose answer it passed on as leaving."""
+    """Check that a forwarder stops sending to a runner after a response announced its drain."""
     by_id = {record.request_id: record for record in records}
     for runner in runners:
         sent = [by_id[a.request_id] for a in runner.arrivals if a.request_id in by_id]
@@ -32,7 +35,9 @@
                 for announcement in announcements
             ):
                 yield Violation(
-                    guarantee="sent to who leaves", request_id=record.request_id, detail=runner.name
+                    guarantee="sent to draining runner",
+                    request_id=record.request_id,
+                    detail=runner.name,
                 )
 
 
@@ -52,41 +57,43 @@
 def check_backoffs(
     records: Sequence[CallRecord], runners: Iterable[PlatformRunner], interruptions: Interruptions
 ) -> Iterator[Violation]:
-    """Check that a forwarder leaves alone a runner that told it to, for as long as it said."""
+    """Check that a forwarder sends nothing to a runner for the back-off time that it asked for."""
     by_id = {record.request_id: record for record in records}
     for runner in runners:
         for backoff in runner.rests:
-            record = by_id.get(backoff.request_id)
-            if record is None:
+            refused = by_id.get(backoff.request_id)
+            if refused is None:
                 continue
             begins_s = backoff.begins_s + BACKOFF_GRACE_S
-            if _was_interrupted(record.forwarder, backoff.begins_s, backoff.ends_s, interruptions):
+            if _was_interrupted(refused.forwarder, backoff.begins_s, backoff.ends_s, interruptions):
                 continue
             late = [
                 arrival
                 for arrival in runner.arrivals
                 if begins_s < arrival.at_s < backoff.ends_s
                 and arrival.request_id in by_id
-                and by_id[arrival.request_id].forwarder == record.forwarder
+                and by_id[arrival.request_id].forwarder == refused.forwarder
             ]
             if len(late) > MAX_DURING_BACKOFF:
                 detail = f"{runner.name} {len(late)} requests"
-                yield Violation(guarantee="no rest", request_id=late[0].request_id, detail=detail)
+                yield Violation(
+                    guarantee="sent during back-off", request_id=late[0].request_id, detail=detail
+                )
 
 
 def check_retired(retired: Iterable[PlatformRunner], since_s: float) -> Iterator[Violation]:
-    """Check that runners that left got nothing once all faults had healed long before."""
+    """Check that replaced runners received nothing after the fleet had settled."""
     for runner in retired:
         late = [arrival for arrival in runner.arrivals if arrival.at_s > since_s]
         if late:
             detail = f"{runner.name} {len(late)} requests"
             yield Violation(
-                guarantee="sent to who has left", request_id=late[0].request_id, detail=detail
+                guarantee="sent to removed runner", request_id=late[0].request_id, detail=detail
             )
 
 
 def _was_interrupted(
     forwarder: int, begins_s: float, ends_s: float, interruptions: Interruptions
 ) -> bool:
-    """Return whether a forwarder ended, started or went on after a freeze between two moments."""
+    """Return whether a forwarder was stopped, started or resumed within an interval."""
     return any(begins_s < at_s <= ends_s for at_s in interruptions.get(forwarder, ()))
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, in series and overlapping, drawn from a seed."""
+"""Seeded random faults for the soak test; several can be active at once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 MAX_GAP_S: Final = 0.4
 MAX_FAULT_S: Final = 1.5
 DELAY_MS: Final = 60
-# Longer than the bound on requests to a runner that has said that it leaves.
+# Exceeds the time for which forwarders may still send to a runner that announced its drain.
 MAX_LISTING_DELAY_S: Final = 5.0
 MIN_BACKOFF_S: Final = 0.7
 MAX_BACKOFF_S: Final = 2.0
@@ -35,7 +35,7 @@
 
 
 class FaultInjector:
-    """Draws faults and heals them; each fault is a task of its own."""
+    """Injects random faults and reverts them, each in its own task."""
 
     def __init__(
         self, *, rig: SoakRig, seed: int, evacuations: bool = False, drills: bool = False
@@ -68,11 +68,11 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Return how often each fault was made."""
+        """Return the number of injections by fault name."""
         return dict(self._counts)
 
     async def async_run(self, *, seconds: float) -> None:
-        """Make faults for a time."""
+        """Inject faults at random intervals for a number of seconds."""
         ends = time.monotonic() + seconds
         while time.monotonic() < ends:
             name = self._rng.choice(tuple(self._faults))
@@ -83,14 +83,14 @@
             await asyncio.sleep(self._rng.uniform(MIN_GAP_S, MAX_GAP_S))
 
     async def async_heal(self) -> None:
-        """Wait until each fault has healed."""
+        """Wait until all faults have been reverted."""
         await asyncio.gather(*self._tasks)
 
     async def _async_run_fault(self, name: str) -> None:
         await self._faults[name]()
 
     def _reserve_forwarder(self) -> int | None:
-        """Return a forwarder that no other fault has in hand."""
+        """Reserve a forwarder that no other fault uses; return None if there is none."""
         free = [number for number in range(FORWARDERS) if number not in self._reserved]
         if not free:
             return None
@@ -143,10 +143,10 @@
         await self._rig.store.async_fail(StoreTrouble.NONE)
 
     async def _async_restore(self) -> None:
-        """Let the store come back from a copy, and its writers write again what it lost.
+        """Restore the store from a backup; afterwards its writers repeat the lost writes.
 
-        All runners had written themselves since the copy, and the first change after it is a
-        runner that leaves: its revision was given out before, to the entry of another one.
+        All runners are written after the backup, and the first change after the restore drains a
+        runner. Its revision was assigned to another entry before the restore.
         """
         if self._restoring:
             return
@@ -169,14 +169,14 @@
         self._restoring = False
 
     async def _async_drain_unlisted(self) -> None:
-        """Replace a runner whose entry says much later than its answers that it leaves."""
+        """Replace a runner that announces its drain in responses long before the store does."""
         service = self._rng.choice(tuple(self._rig.runners))
         index = self._rng.randrange(RUNNERS)
         listing_delay_s = self._rng.uniform(0, MAX_LISTING_DELAY_S)
         await self._rig.async_replace_runner(service, index, listing_delay_s=listing_delay_s)
 
     async def _async_back_off(self) -> None:
-        """Let a runner turn requests away and name a time to come back."""
+        """Let a runner reject requests with a retry time."""
         service = self._rng.choice(tuple(self._rig.runners))
         runner = self._rng.choice(self._rig.runners[service])
         runner.rest_s = self._rng.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S)
@@ -216,7 +216,7 @@
         await self._rig.async_replace_runner(service, self._rng.randrange(RUNNERS))
 
     async def _async_evacuate(self) -> None:
-        """Evacuate a data centre for a while; one is always left."""
+        """Evacuate a data centre for a while; the first one always stays open."""
         open_data_centres = [name for name in DATA_CENTRES[1:] if name not in self._evacuated]
         if not open_data_centres:
             return
--- a/bench/soak_rig.py
+++ b/bench/soak_rig.py
@@ -1,4 +1,4 @@
-"""The soak's rig: forwarders as processes, stand-ins and fault proxies around them."""
+"""Test rig of the soak: forwarder processes, stand-ins and fault proxies."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 RUNNERS: Final = 3
 EVENTS: Final = 12
 EVENT_STARTED: Final = "process_started"
-# With places, runners stand in several data centres, and new engines are cold for so long.
+# With evacuations, runners are spread over these data centres and new engines start cold.
 DATA_CENTRES: Final = ("dc-a", "dc-b", "dc-c")
 COLD_START_S: Final = 1.5
 COLD_START_PER_S: Final = 3.0
@@ -38,14 +38,14 @@
 
 
 class SoakRig:
-    """Starts, kills and restarts forwarders by their own ids, always on the same ports.
+    """Starts, kills and restarts forwarder processes, always on the same ports.
 
-    With `places` there are several data centres, which may be evacuated, and engines start cold.
+    With `evacuations` runners are in several data centres, and new engines start cold.
     """
 
     def __init__(self, *, folder: Path, evacuations: bool = False) -> None:
         self._evacuations = evacuations
-        # The data centre of each runner, by its id.
+        # Data centre by name of the runner.
         self.data_centres: dict[str, str] = {}
         self._folder = folder
         self.store = PublishedStoreStandin()
@@ -58,11 +58,11 @@
             for service in ("records", "models")
         }
         self.runner_proxies: list[FaultProxy] = []
-        # The tasks that copy what forwarders write, by their number.
+        # Tasks that copy the output of forwarders to journals, by number of the forwarder.
         self._copy_tasks: dict[int, asyncio.Task[None]] = {}
         self.forwarders: list[DaemonProcess | None] = [None] * FORWARDERS
-        # Bound for the whole run: another run's listener on a port that is free for a moment would
-        # be called by forwarders that mean this one.
+        # Ports stay bound for the whole run, so that no concurrent run can bind the port of a
+        # stopped forwarder.
         self._port_holders = [
             (PortHolder(host="127.0.0.1", port=0), PortHolder(host="127.0.0.1", port=0))
             for _ in range(FORWARDERS)
@@ -70,12 +70,12 @@
         self._ports = [(c.address.port, link.address.port) for c, link in self._port_holders]
         self._runner_addresses: dict[str, Address] = {}
         self.retired: list[PlatformRunner] = []
-        # When each forwarder ended, was started, or went on after a freeze; monotonic seconds.
+        # Monotonic seconds at which each forwarder was stopped, started or resumed.
         self.interruptions_s: dict[int, list[float]] = {number: [] for number in range(FORWARDERS)}
         self.version = 1
 
     async def async_start(self) -> None:
-        """Start everything and wait until all forwarders are ready."""
+        """Start all stand-ins, proxies and forwarders, and wait for the forwarders."""
         address = await self.store.async_start()
         for _ in range(FORWARDERS):
             proxy = FaultProxy(target=address)
@@ -87,20 +87,20 @@
                 await self.async_add_runner(service, runner)
         await self.async_configure()
         starts = (self.async_start_forwarder(number) for number in range(FORWARDERS))
-        # Each start is waited for, so that a failed one leaves no process behind.
+        # Wait for every start, so that a failed one leaves no process behind.
         for failure in await asyncio.gather(*starts, return_exceptions=True):
             if isinstance(failure, BaseException):
                 raise failure
 
     async def async_add_runner(self, service: str, runner: PlatformRunner) -> None:
-        """Start a runner behind a proxy and list it."""
+        """Start a runner behind a proxy and write its store entry."""
         proxy = FaultProxy(target=await runner.async_start())
         self._runner_addresses[runner.name] = await proxy.async_start()
         self.runner_proxies.append(proxy)
         await self.async_list_runner(service, runner, state="ready")
 
     async def async_list_runner(self, service: str, runner: PlatformRunner, *, state: str) -> None:
-        """Write a runner's entry."""
+        """Write the store entry of a runner."""
         address = self._runner_addresses[runner.name]
         cold_ms = max(0, round((runner.cold_until_s - time.monotonic()) * MS_PER_S))
         await self.store.async_put_runner(
@@ -114,7 +114,7 @@
         )
 
     async def async_list_all(self) -> None:
-        """Write the entries of all runners that do not leave again, as they are."""
+        """Rewrite the store entries of all current runners."""
         for service, runners in self.runners.items():
             for runner in tuple(runners):
                 await self.async_list_runner(service, runner, state="ready")
@@ -125,20 +125,20 @@
         )
 
     async def async_evacuate(self, data_centre: str) -> None:
-        """Ask that nothing new is sent to a data centre."""
+        """Mark a data centre as evacuated in the store."""
         await self.store.async_put(f"{names.PREFIX_EVACUATIONS}{data_centre}", {})
 
     async def async_reopen(self, data_centre: str) -> None:
-        """Take a data centre back."""
+        """Remove the evacuation mark of a data centre."""
         await self.store.async_remove(f"{names.PREFIX_EVACUATIONS}{data_centre}")
 
     async def async_replace_runner(
         self, service: str, index: int, *, listing_delay_s: float = 0.0, announces: bool = True
     ) -> None:
-        """Let a new runner take a place; the old one leaves and answers what it has.
+        """Replace a runner; the old one drains.
 
-        It says so in its answers at once, unless only its entry does, which is written after a
-        while.
+        With `announces` its responses announce the drain at once. Its store entry follows after
+        `listing_delay_s`.
         """
         replaced = self.runners[service][index]
         replacement = PlatformRunner(name=f"{replaced.name}x", events=EVENTS)
@@ -201,20 +201,20 @@
         await self._async_copy_journal(number, process)
 
     async def _async_copy_journal(self, number: int, process: DaemonProcess) -> None:
-        """Copy what a process writes, after all that the one before it wrote."""
+        """Append the output of a process to its journal, after that of its predecessor."""
         previous = self._copy_tasks.get(number)
         if previous is not None:
             await previous
         journal = self._folder / f"journal-{number}.log"
         with journal.open("a") as file:
-            # The line of the start itself is read by who waits for it.
+            # The start-up line has already been consumed by async_start_daemon.
             file.write(json.dumps({"event": EVENT_STARTED, "instance": f"entry-{number}"}) + "\n")
         self._copy_tasks[number] = asyncio.create_task(
             _async_copy_output(process, journal), name=f"journal {number}"
         )
 
     async def async_end_forwarder(self, number: int, signal_number: signal.Signals) -> None:
-        """Send a signal that ends a forwarder and wait for its end."""
+        """Stop a forwarder with a signal and wait for its exit."""
         process, self.forwarders[number] = self.forwarders[number], None
         if process is None or process.process.returncode is not None:
             return
@@ -223,31 +223,31 @@
         self.interruptions_s[number].append(time.monotonic())
 
     def url(self, number: int, path: str) -> str:
-        """Return the address of a path at a forwarder."""
+        """Return the URL of a path at a forwarder."""
         return f"http://127.0.0.1:{self._ports[number][0]}{path}"
 
     def list_runners(self) -> list[PlatformRunner]:
-        """Return all runners, those that were replaced too."""
+        """Return all runners, including replaced ones."""
         return [*self.retired, *(r for runners in self.runners.values() for r in runners)]
 
     def list_arrivals(self) -> list[Arrival]:
-        """Return everything that arrived at any runner."""
+        """Return the requests that arrived at any runner."""
         return [arrival for runner in self.list_runners() for arrival in runner.arrivals]
 
     def read_journals(self) -> list[dict[str, Any]]:
-        """Return the lines of all forwarders."""
+        """Return the journal lines of all forwarders."""
         lines: list[dict[str, Any]] = []
         for path in sorted(self._folder.glob("journal-*.log")):
             for text in path.read_text(errors="replace").splitlines():
                 try:
                     lines.append(json.loads(text))
                 except ValueError:
-                    # A process that is killed may leave half a line.
+                    # A killed process may leave an incomplete line.
                     continue
         return lines
 
     async def async_stop(self) -> None:
-        """End what this rig started, by its ids."""
+        """Stop all processes, proxies and stand-ins of this rig."""
         for number in range(FORWARDERS):
             await self.async_end_forwarder(number, signal.SIGKILL)
         for proxy in (*self.store_proxies, *self.runner_proxies):
@@ -276,7 +276,7 @@
 
 
 async def _async_copy_output(process: DaemonProcess, journal: Path) -> None:
-    """Copy what a process writes, so that its pipe never fills."""
+    """Copy the output of a process to a file, so that its pipe does not fill up."""
     stdout = process.process.stdout
     if stdout is None:
         return
@@ -286,4 +286,4 @@
 
 
 if sys.platform != "linux":
-    raise SystemExit(f"the soak needs Linux, not {os.name}")
+    raise SystemExit(f"the soak test requires Linux, got {os.name}")
--- a/bench/stage.py
+++ b/bench/stage.py
@@ -1,4 +1,4 @@
-"""One deployment of real processes, set up anew for each policy that a bench compares."""
+"""A deployment of router and side processes for one policy that a bench compares."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def get_deployment(name: str) -> Deployment:
-    """Return a deployment's engines alone; its services take no part."""
+    """Return a deployment without its plain services."""
     return replace(DEPLOYMENTS[name](), services=0)
 
 
@@ -47,11 +47,11 @@
     tries: int
 
     def refresh_callers(self) -> None:
-        """Let the balancer know the routers that run now."""
+        """Update the routers that callers use to those that run now."""
         self.callers[:] = self.rig.list_callers()
 
     async def async_play(self, chats: tuple[PlannedChat, ...], *, seed: int, stream: bool) -> None:
-        """Play all chats from now on, to their end."""
+        """Run all chats to their end, with times relative to now."""
         self.play.began_ms = self.clock.now_ms()
         context = CallerContext(
             session=self.session,
@@ -85,8 +85,8 @@
     tries: int,
     pool: Pool | None = None,
 ) -> AsyncIterator[Stage]:
-    """Run the processes of one policy while the context is open."""
-    # A stand-in says so whenever work that gave way has no reader any more.
+    """Run the processes of one policy while the context is open; kill them afterwards."""
+    # Stand-ins log an error for each preempted request whose connection is closed.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
     clock = SystemClock()
     platform = StandinPlatform(clock=clock, deployments=(deployment,), engine_settings=engine)
@@ -114,6 +114,6 @@
             )
             yield stage
         finally:
-            # Nothing runs any more, and a planned stop would hand prefixes on.
+            # Kill the processes: a graceful stop would first transfer prefixes.
             await asyncio.gather(*(item.async_kill() for item in rig.list_processes()))
             await rig.async_stop()
--- a/bench/stages.py
+++ b/bench/stages.py
@@ -1,4 +1,4 @@
-"""The stages of the measurement at full size, and what the router and the side spent in each."""
+"""Stages of the full-size measurement, and the resource usage of router and side in each."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FullSize(Struct, kw_only=True):
-    """What the router and the side spent, by stage; each stage adds to the one before."""
+    """Resource usage of the router and the side by stage; each stage adds load to the previous."""
 
     router: dict[str, AverageUsage] = field(default_factory=dict)
     side: dict[str, AverageUsage] = field(default_factory=dict)
--- a/bench/surge.py
+++ b/bench/surge.py
@@ -1,7 +1,7 @@
-"""Load skew, targets and penalties while one workspace surges.
+"""Load skew, latency targets and penalties while one workspace surges.
 
-Every policy gets the same requests at the same times, before real routers and sides with stand-in
-engines. The baselines are whole policies: their placement, first-come order and no cap.
+Every policy serves the same requests at the same times, with router and side processes and stand-in
+engines. The baselines differ in placement, use a first-come queue and have no load cap.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 class Outcome(Struct, frozen=True, kw_only=True):
-    """What one policy gave."""
+    """Results of one policy."""
 
     policy: str
     results: list[TurnResult]
@@ -43,7 +43,7 @@
 
 
 class Scenario(Struct, frozen=True, kw_only=True):
-    """What every policy of a run goes through."""
+    """Load, identical for all policies of a run."""
 
     deployment: Deployment
     chats: tuple[PlannedChat, ...]
@@ -52,17 +52,23 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the bench and return its exit code."""
     parser = argparse.ArgumentParser(prog="bench surge")
     add_common_options(parser)
     parser.add_argument("--calm-s", type=float, default=3.0)
     parser.add_argument("--surge-s", type=float, default=5.0)
     parser.add_argument("--after-s", type=float, default=5.0)
-    parser.add_argument("--steady", type=float, default=6.0, help="mean load of interactive work")
+    parser.add_argument(
+        "--steady", type=float, default=6.0, help="mean load of interactive requests"
+    )
     parser.add_argument("--reports", type=float, default=1.0, help="mean load of reports")
-    parser.add_argument("--surge", type=float, default=14.0, help="mean load of the surge alone")
     parser.add_argument(
-        "--our-admission", action="store_true", help="baselines use our queue and cap too"
+        "--surge", type=float, default=14.0, help="additional mean load during the surge"
+    )
+    parser.add_argument(
+        "--our-admission",
+        action="store_true",
+        help="use our queue and load cap for the baselines too",
     )
     options = parser.parse_args(argv)
     if options.deployment is None:
@@ -75,7 +81,7 @@
     """Measure every policy at one deployment and print the figures."""
     deployment = get_deployment(options.deployment)
     times = SurgeTimes(calm_s=options.calm_s, surge_s=options.surge_s, after_s=options.after_s)
-    # Office reports of a utility surge while inspectors ask; callers of schools surge themselves.
+    # With a single interactive class the reports surge, otherwise the interactive classes do.
     surging_class = CLASS_REPORTS if len(deployment.interactive) == 1 else None
     planner = SurgePlanner(
         deployment=deployment, times=times, surging_class=surging_class, seed=options.seed
@@ -111,14 +117,14 @@
 
 
 async def async_end_arrivals(stage: Stage, sampler: SkewSampler, scenario: Scenario) -> None:
-    """Tell the sampler when the last request has come."""
+    """Notify the sampler at the time of the last arrival."""
     last_ms = max(turn.at_ms for chat in scenario.chats for turn in chat.turns)
     await stage.clock.async_sleep(last_ms)
     sampler.end_arrivals()
 
 
 def is_met(result: TurnResult, caller_class: CallerClass) -> bool:
-    """Return whether a request met both targets of its class."""
+    """Return whether a request met both latency targets of its class."""
     return (
         result.served
         and result.first_ms <= caller_class.first_token_ms
@@ -133,14 +139,14 @@
 
 
 def sum_penalty(results: Iterable[TurnResult], classes: tuple[CallerClass, ...]) -> float:
-    """Return the money that all missed targets cost."""
+    """Return the total penalty of all requests that missed a target."""
     by_name = {item.name: item for item in classes}
     missed = [item for item in results if not is_met(item, by_name[item.account.caller_class])]
     return sum(by_name[item.account.caller_class].penalty for item in missed)
 
 
 def report(scenario: Scenario, outcomes: list[Outcome]) -> None:
-    """Print the table and the last line."""
+    """Print the table and the figures."""
     deployment, times = scenario.deployment, scenario.times
     classes = deployment.classes
     figures: dict[str, dict[str, Value]] = {
--- a/bench/surge_plan.py
+++ b/bench/surge_plan.py
@@ -1,4 +1,4 @@
-"""What callers ask in the surge bench: a steady part, and one workspace that surges."""
+"""Load of the surge bench: steady traffic, and a surge of one workspace."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class SurgeTimes(Struct, frozen=True, kw_only=True):
-    """The parts of a run in seconds: calm, surge, calm again."""
+    """Phases of a run in seconds: before, during and after the surge."""
 
     calm_s: float
     surge_s: float
@@ -33,21 +33,21 @@
 
     @property
     def surge_end_s(self) -> float:
-        """Return when the surge ends."""
+        """Return the end of the surge."""
         return self.calm_s + self.surge_s
 
     @property
     def end_s(self) -> float:
-        """Return when the last request comes."""
+        """Return the end of the run."""
         return self.surge_end_s + self.after_s
 
     def is_surge(self, at_ms: int) -> bool:
-        """Return whether a time from the begin lies in the surge."""
+        """Return whether a time since the start is in the surge."""
         return self.calm_s * MS_PER_S <= at_ms < self.surge_end_s * MS_PER_S
 
 
 class SurgeLoad(Struct, frozen=True, kw_only=True):
-    """How much is asked for, in running requests of an engine; `surge` comes on top."""
+    """Offered load in running requests per engine; `surge` is added to the others."""
 
     steady: float
     reports: float
@@ -55,9 +55,10 @@
 
 
 class SurgePlanner:
-    """Draws the chats of one run; the surge is of the largest workspace.
+    """Plans the chats of one run; the workspace with the most traffic surges.
 
-    Where there are reports the surge consists of them, or else of all interactive classes.
+    The surge consists of reports if `surging_class` is that class, otherwise of all interactive
+    classes.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         self._chats: list[PlannedChat] = []
 
     def plan(self, load: SurgeLoad) -> tuple[PlannedChat, ...]:
-        """Return all chats."""
+        """Return all chats of the run."""
         engines, times = self._deployment.engines, self._times
         interactive_s = TURNS * HOLD_S
         self._draw_chats(load.steady * engines / interactive_s, 0.0, times.end_s, surge=False)
--- a/bench/tally.py
+++ b/bench/tally.py
@@ -1,4 +1,4 @@
-"""What callers of a bench or the demo have counted."""
+"""Outcome counts of the callers in benches and the demo."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 class Tally(Struct, kw_only=True):
     """Outcomes of all callers; times are in milliseconds.
 
-    A request counts once, however often it is tried. It is `whole`, or `not_run` (each try was
-    refused), or `lost`. `crossed`, `doubled` and `truncated` count answers that passed for whole
-    and were not: another request's, with surplus, with parts missing.
+    A request counts once, whatever its number of tries: as `whole` (complete and correct), as
+    `not_run` (every try was refused) or as `lost`. Wrong answers count as `crossed` if they belong
+    to another request, as `doubled` if they have surplus data, and as `truncated` if data is
+    missing. `refused` and `unknown` count failed tries by code.
     """
 
     requests: int = 0
@@ -38,10 +39,10 @@
         return self.cached_tokens / self.prompt_tokens if self.prompt_tokens else 0.0
 
     def list_first_token_ms(self) -> list[float]:
-        """Return the first-token times of all classes."""
+        """Return the times to first token of all classes."""
         return [time for times in self.first_token_ms.values() for time in times]
 
     def record_times(self, caller_class: str, *, first_ms: float, answer_ms: float) -> None:
-        """Count the times of one whole answer."""
+        """Record the times of one complete answer."""
         self.first_token_ms.setdefault(caller_class, []).append(first_ms)
         self.answer_ms.setdefault(caller_class, []).append(answer_ms)
--- a/tests/bench/test_bench_compare.py
+++ b/tests/bench/test_bench_compare.py
@@ -11,8 +11,8 @@
 def test_each_way_plays_the_same_requests() -> None:
     load = PlainLoad(pressure=0.85, upstreams=2)
     played = compare(DECISIONS["plain"], load, 1)
-    assert len({tallies[0].asked for tallies in played.values()}) == 1
-    assert all(tally.asked for tallies in played.values() for tally in tallies)
+    assert len({tallies[0].requests for tallies in played.values()}) == 1
+    assert all(tally.requests for tallies in played.values() for tally in tallies)
 
 
 def test_the_same_seed_is_played_the_same_way() -> None:
@@ -21,7 +21,7 @@
 
 
 def test_seeds_are_won_by_credit() -> None:
-    better, worse = Tally(asked=4, in_time=3), Tally(asked=4, in_time=1, late=3)
+    better, worse = Tally(requests=4, in_time=3), Tally(requests=4, in_time=1, late=3)
     played = {"one": [better, worse], "other": [worse, worse]}
     assert count_won(played, "one") == 1.0
     assert count_won(played, "other") == 0.5
--- a/tests/bench/test_bench_losses.py
+++ b/tests/bench/test_bench_losses.py
@@ -1,4 +1,4 @@
-"""The account of a day's logs: each prompt that was read or copied has one cause."""
+"""Each prefill, copy and failed attempt in the logs is attributed to one cause."""
 
 from __future__ import annotations
 
@@ -43,16 +43,16 @@
     ("between", "at_ms", "upstream", "cause"),
     [
         ((), 2_000, "i-2", "a ready engine held it"),
-        ((), 100, "i-2", "a ready engine held it, used a moment ago"),
-        ((), 2_000, "i-1", "held there, router did not know"),
-        ((), IDLE_MS + 1, "i-2", "not used for long"),
-        ((change(500, "i-1", "leaving"),), 2_000, "i-2", "an engine that leaves held it"),
+        ((), 100, "i-2", "a ready engine held it, used within the update delay"),
+        ((), 2_000, "i-1", "held there, unknown to the router"),
+        ((), IDLE_MS + 1, "i-2", "not used for a long time"),
+        ((change(500, "i-1", "leaving"),), 2_000, "i-2", "a draining engine held it"),
         ((change(500, "i-1", "gone"),), 2_000, "i-2", "its engines had crashed"),
         (
             (change(500, "i-1", "leaving"), change(900, "i-1", "gone")),
             2_000,
             "i-2",
-            "its engines had left",
+            "its engines had drained",
         ),
         (
             (change(500, "i-1", "gone"), change(900, "i-1", "ready")),
@@ -68,14 +68,14 @@
         ),
     ],
 )
-def test_a_second_reading_has_one_cause(
+def test_repeated_prefill_has_one_cause(
     between: tuple[str, ...], at_ms: int, upstream: str, cause: str
 ) -> None:
     losses = count(place(0, "i-1"), *between, place(at_ms, upstream))
-    assert losses.read_tokens == {"first reading": 1_000, cause: 1_000}
+    assert losses.read_tokens == {"first prefill": 1_000, cause: 1_000}
 
 
-def test_causes_add_up_to_all_that_was_read_and_copied() -> None:
+def test_causes_add_up_to_all_prefills_and_copies() -> None:
     losses = count(
         place(0, "i-1"),
         place(1_000, "i-2", source="i-1"),
@@ -87,7 +87,7 @@
     assert losses.reads.total() + losses.copies.total() == 3
 
 
-def test_attempts_without_an_answer_are_counted_with_the_state_of_their_upstream() -> None:
+def test_failed_attempts_are_counted_by_upstream_state() -> None:
     ended = {"outcome": "begun", "next_step": "fail", "upstream": "i-1"}
     losses = count(
         write(0, "attempt_ended", **ended),
@@ -98,8 +98,8 @@
     assert losses.attempts == {("begun", "fail", "listed"): 1, ("begun", "fail", "leaving"): 1}
 
 
-def test_what_is_no_journal_line_is_passed_over(tmp_path: Any, capsys: Any) -> None:
+def test_lines_that_are_no_journal_lines_are_skipped(tmp_path: Any, capsys: Any) -> None:
     log = tmp_path / "day.log"
     log.write_text("\n".join(["words", "{", '{"event": 3}', place(0, "i-1")]))
     assert main([str(log)]) == 0
-    assert "first reading" in capsys.readouterr().out
+    assert "first prefill" in capsys.readouterr().out
--- a/tests/bench/test_bench_soak.py
+++ b/tests/bench/test_bench_soak.py
@@ -1,4 +1,4 @@
-"""Each check of the soak fails on a doctored record, and a short seeded soak keeps all promises."""
+"""The checks of the soak test detect violations, and short seeded soak runs have none."""
 
 from __future__ import annotations
 
@@ -64,45 +64,53 @@
     return [violation.guarantee for violation in violations]
 
 
-def test_a_sound_record_breaks_no_promise() -> None:
+def test_correct_record_has_no_violations() -> None:
     assert list_violated(make_record(), make_arrival()) == []
     assert list_violated(make_record("draft"), make_arrival(path="/draft/r1")) == []
 
 
-def test_a_second_run_is_found_unless_it_may_be_repeated() -> None:
+def test_second_run_is_violation_unless_repeatable() -> None:
     assert list_violated(make_record(), make_arrival(), make_arrival()) == ["ran twice"]
     lookup = make_arrival(path="/lookup/r1")
     assert list_violated(make_record("lookup"), lookup, lookup) == []
 
 
-def test_a_refusal_of_what_ran_is_found() -> None:
-    assert list_violated(make_record(status=503), make_arrival()) == ["ran though refused"]
+def test_refused_request_that_ran_is_violation() -> None:
+    assert list_violated(make_record(status=503), make_arrival()) == ["ran after refusal"]
     assert list_violated(make_record(status=503), make_arrival(ran=False)) == []
 
 
-def test_answers_of_others_and_torn_streams_are_found() -> None:
-    assert list_violated(make_record(id_matches=False), make_arrival()) == ["another's answer"]
-    assert list_violated(make_record(body=b"i-1 /reserve/r2"), make_arrival()) == ["another's body"]
+def test_mismatched_or_incomplete_response_is_violation() -> None:
+    assert list_violated(make_record(id_matches=False), make_arrival()) == [
+        "response to another request"
+    ]
+    assert list_violated(make_record(body=b"i-1 /reserve/r2"), make_arrival()) == [
+        "body of another request"
+    ]
     torn = make_record("draft", body=make_expected_stream()[:-20])
-    assert list_violated(torn, make_arrival(path="/draft/r1")) == ["torn stream"]
+    assert list_violated(torn, make_arrival(path="/draft/r1")) == ["incomplete or altered stream"]
     doubled = make_record("draft", body=make_expected_stream() + b"id: 12\ndata: piece 12\n\n")
-    assert list_violated(doubled, make_arrival(path="/draft/r1")) == ["torn stream"]
+    assert list_violated(doubled, make_arrival(path="/draft/r1")) == [
+        "incomplete or altered stream"
+    ]
 
 
-def test_what_runners_must_not_see_is_found() -> None:
+def test_wrong_path_key_or_workspace_at_runner_is_violation() -> None:
     assert list_violated(make_record(), make_arrival(path="/reserve/r2")) == ["changed path"]
     keyed = make_arrival(headers=CIMultiDict({"X-Tenant": WORKSPACE, "Api-Key": "k"}))
-    assert list_violated(make_record(), keyed) == ["key passed on"]
+    assert list_violated(make_record(), keyed) == ["caller key forwarded"]
     assert list_violated(make_record(), make_arrival(headers=CIMultiDict())) == ["wrong workspace"]
 
 
-def test_a_version_that_goes_back_and_a_fleet_that_stays_down_are_found() -> None:
+def test_version_decrease_and_missing_recovery_are_violations() -> None:
     line = {"event": "configuration_accepted", "version": 3, "previous": 4}
-    assert list_violated(make_record(), make_arrival(), journals=(line,)) == ["version went back"]
+    assert list_violated(make_record(), make_arrival(), journals=(line,)) == [
+        "configuration version decreased"
+    ]
     assert list_violated(make_record(), make_arrival(), recovered=0.5) == ["not recovered"]
 
 
-def test_a_request_placed_in_an_evacuated_data_centre_is_found() -> None:
+def test_placement_in_evacuated_data_centre_is_violation() -> None:
     evacuated = {"instance": "entry-1", "event": "data_centre_evacuated", "data_centre": "dc-b"}
     begun, ended = evacuated | {"active": True}, evacuated | {"active": False}
     placed = {
@@ -121,7 +129,7 @@
     )
 
 
-def test_more_than_a_cold_runner_bears_is_found() -> None:
+def test_exceeded_cold_start_limit_is_violation() -> None:
     runner = PlatformRunner(name="i-1")
     runner.cold_until_s = 10.0
     limit = int(MAX_IN_COLD_START)
@@ -135,7 +143,7 @@
 
 
 def count_sent_after_drain(sent_s: float, *interruptions_s: float) -> int:
-    """Return how often a request that was sent then is found to be too late at who leaves."""
+    """Return the violations for a request sent at a time after its runner announced a drain."""
     announced = make_record(request_id="r1", draining=True, answered_s=10.0)
     later = make_record(request_id="r2", sent_s=sent_s)
     runner = PlatformRunner(name="i-1")
@@ -143,14 +151,14 @@
     return len(list(check_draining([announced, later], [runner], {0: interruptions_s})))
 
 
-def test_a_request_to_a_runner_that_had_said_that_it_leaves_is_found() -> None:
+def test_request_after_announced_drain_is_violation() -> None:
     assert count_sent_after_drain(10.0 + MAX_SENT_AFTER_DRAIN_S) == 0
     assert count_sent_after_drain(10.1 + MAX_SENT_AFTER_DRAIN_S) == 1
     assert count_sent_after_drain(10.1 + MAX_SENT_AFTER_DRAIN_S, 11.0) == 0
     assert count_sent_after_drain(10.1 + MAX_SENT_AFTER_DRAIN_S, 9.0) == 1
 
 
-def test_requests_to_a_runner_that_wants_a_rest_are_found() -> None:
+def test_requests_during_backoff_are_violation() -> None:
     runner = PlatformRunner(name="i-1")
     runner.rests = [Rest(request_id="r0", begins_s=10.0, ends_s=12.0)]
     records = [make_record(request_id=f"r{number}") for number in range(9)]
@@ -165,17 +173,16 @@
     assert not list(check_backoffs(records, [runner], {0: [11.0]}))
 
 
-def test_a_request_to_a_runner_that_left_long_ago_is_found() -> None:
+def test_request_to_removed_runner_is_violation() -> None:
     runner = PlatformRunner(name="i-1")
     runner.arrivals = [make_arrival(at_s=10.0)]
     assert not list(check_retired([runner], 10.0))
     assert len(list(check_retired([runner], 9.0))) == 1
 
 
-# 21: a forwarder that a failed start of another run had left behind called this run's runners, one
-# of which had the port of its store; ports are held for a whole run, each start is waited for.
+# Seed 21: a forwarder left over from another run must not reach the ports of this run.
 @pytest.mark.parametrize("seed", [1, 2, 21])
-async def test_a_short_soak_keeps_every_promise(
+async def test_short_soak_has_no_violations(
     seed: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(os.environ, ENV_KEY, KEY)
@@ -184,10 +191,10 @@
     assert figures["answered"]
 
 
-# 278325: the rig lost the line of a start, so that a router seemed to know of an evacuation that
-# only the process before it had known; journals have each start now, one process after the other.
+# Seed 278325: a missing start line in the journal made the check attribute the evacuations of the
+# previous process to the new one.
 @pytest.mark.parametrize("seed", [2, 278325])
-async def test_a_short_soak_with_evacuations_and_cold_engines_keeps_every_promise(
+async def test_short_soak_with_evacuations_has_no_violations(
     seed: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(os.environ, ENV_KEY, KEY)
@@ -196,10 +203,10 @@
     assert figures["answered"]
 
 
-# 1: the rig took a process that was just starting for the one before it. 3: an answer that names
-# no request was not read for what its runner says of itself.
+# Seed 1: the rig confused a starting process with its predecessor.
+# Seed 3: the drain announcement in a response without a request id was ignored.
 @pytest.mark.parametrize("seed", [1, 3])
-async def test_a_short_soak_with_drills_keeps_every_promise(
+async def test_short_soak_with_drills_has_no_violations(
     seed: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(os.environ, ENV_KEY, KEY)
--- a/tests/forwarding/test_forwarding_service_time.py
+++ b/tests/forwarding/test_forwarding_service_time.py
@@ -53,8 +53,8 @@
             work_ms=work_ms, upstreams=upstreams, without=frozenset(without), seed=seed
         )
         tally = replay.play(pressure=pressure, duration_ms=120 * work_ms)
-        assert tally.in_time + tally.late + tally.refused == tally.asked
-        total.asked += tally.asked
+        assert tally.in_time + tally.late + tally.refused == tally.requests
+        total.requests += tally.requests
         total.in_time += tally.in_time
         total.late += tally.late
         total.refused += tally.refused
@@ -66,14 +66,14 @@
 def test_nearly_all_requests_are_in_time_below_capacity(work_ms: float, upstreams: int) -> None:
     """Without spreading, all routers follow the same old reports and fill one queue at a time."""
     tally = play(pressure=0.85, upstreams=upstreams, work_ms=work_ms)
-    assert tally.in_time > 0.97 * tally.asked
+    assert tally.in_time > 0.97 * tally.requests
     baseline = play(
         pressure=0.85,
         upstreams=upstreams,
         work_ms=work_ms,
         without=(Mechanism.PLAIN_OWN_LOAD, Mechanism.DEADLINE_ADMISSION),
     )
-    assert baseline.in_time < 0.95 * baseline.asked
+    assert baseline.in_time < 0.95 * baseline.requests
 
 
 @pytest.mark.parametrize("work_ms", [22.5, 90.0, 360.0])
