--- a/bench/faults_network.py
+++ b/bench/faults_network.py
@@ -17,7 +17,7 @@
 CUTS: Final = 3
 BETWEEN_CUTS_MS: Final = 500
 SILENT_MS: Final = 4_000
-SPLIT_MS: Final = (2_000, 5_000)
+PARTITION_MS: Final = (2_000, 5_000)
 BRIEF_MS: Final = (1_000, 3_000)
 SLOW_MS: Final = 120
 RESTART_WAIT_MS: Final = 2_500
@@ -64,7 +64,7 @@
     """Partition the two groups, while callers can reach both."""
     stage.rig.partition.block([Group.LEFT], [Group.RIGHT])
     try:
-        await stage.async_pause(randomness, *SPLIT_MS)
+        await stage.async_pause(randomness, *PARTITION_MS)
     finally:
         stage.rig.partition.unblock([Group.LEFT], [Group.RIGHT])
 
--- a/bench/faults_platform.py
+++ b/bench/faults_platform.py
@@ -12,7 +12,7 @@
 OUTAGES: Final = (OutageKind.ERROR, OutageKind.HANG, OutageKind.REFUSE)
 OUTAGE_MS: Final = (2_000, 5_000)
 LAG_MS: Final = (500, 2_500)
-LAGGING_MS: Final = 4_000
+LAG_DURATION_MS: Final = 4_000
 STALE_BY_MS: Final = (2_000, 15_000)
 FLAPS: Final = 4
 BETWEEN_FLAPS_MS: Final = 400
@@ -47,7 +47,7 @@
     """Delay instance list changes for one group, so that routers disagree on instances."""
     service = stage.rig.platform.lists[randomness.choice(tuple(Group))]
     service.set_lag(randomness.randint(*LAG_MS))
-    await stage.clock.async_sleep(LAGGING_MS)
+    await stage.clock.async_sleep(LAG_DURATION_MS)
     service.set_lag(0)
 
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -40,11 +40,11 @@
         injector = FaultInjector(rig=rig, seed=seed, evacuations=evacuations, drills=drills)
         call_task = asyncio.create_task(callers.async_run())
         await injector.async_run(seconds=seconds)
-        await injector.async_heal()
+        await injector.async_wait_until_reverted()
         await asyncio.sleep(SETTLE_S)
         callers.stop()
         await call_task
-        healed_s = time.monotonic()
+        settled_s = time.monotonic()
         recovered = await callers.async_probe(count=RECOVERY_PROBES)
         violations = check_all(
             records=callers.records,
@@ -56,7 +56,7 @@
         violations += check_cold_starts(rig.list_runners())
         violations += check_draining(callers.records, rig.list_runners(), rig.interruptions_s)
         violations += check_backoffs(callers.records, rig.list_runners(), rig.interruptions_s)
-        violations += check_retired(rig.retired, healed_s)
+        violations += check_retired(rig.retired, settled_s)
     finally:
         await rig.async_stop()
     figures: dict[str, object] = {
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -82,7 +82,7 @@
             task.add_done_callback(self._tasks.discard)
             await asyncio.sleep(self._rng.uniform(MIN_GAP_S, MAX_GAP_S))
 
-    async def async_heal(self) -> None:
+    async def async_wait_until_reverted(self) -> None:
         """Wait until all faults have been reverted."""
         await asyncio.gather(*self._tasks)
 
