--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -129,7 +129,7 @@
                     complete=True,
                     id_matches=answer.headers.get("X-Request-Id") == request_id,
                     answered_s=time.monotonic(),
-                    draining=names.says_leaving(answer.headers.get(names.SERVER_LEAVING)),
+                    draining=names.is_leaving(answer.headers.get(names.SERVER_LEAVING)),
                 )
         except (aiohttp.ClientError, OSError, TimeoutError):
             return record
--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -30,7 +30,7 @@
 from gypsumrouter.peers import Mesh
 from gypsumrouter.platform import (
     PlatformDialect,
-    async_list_held,
+    async_list_cached_parts,
     decode_configuration,
     read_request,
 )
@@ -85,7 +85,7 @@
         evacuations=evacuations,
         dialect=PlatformDialect(),
         parse_request=read_request,
-        fetch_cache_listing=async_list_held,
+        fetch_cache_listing=async_list_cached_parts,
     )
     routing_state, upstreams_state = WatchState(clock=app.clock), WatchState(clock=app.clock)
     mesh = Mesh(
@@ -146,8 +146,8 @@
 async def _async_settle(app: Application, directory: Directory, evacuations: Evacuations) -> None:
     while True:
         await app.clock.async_sleep(SETTLE_INTERVAL_MS)
-        directory.settle()
-        evacuations.settle()
+        directory.apply_deferred()
+        evacuations.apply_deferred()
 
 
 def _watch_settings(
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -223,8 +223,8 @@
             )
             return
         # The engine may have restarted before the directory shows it; the listing names its start.
-        started_ms = listing.started_ms or entry.born_ms
-        incarnation = name_incarnation(upstream=entry.upstream, born_ms=started_ms)
+        started_ms = listing.started_ms or entry.started_ms
+        incarnation = name_incarnation(upstream=entry.upstream, started_ms=started_ms)
         parts = tuple(part.part for part in listing.parts if part.tokens >= MIN_PART_TOKENS)
         for part in parts:
             self._placer.note_cached(part=part, upstream=incarnation)
--- a/gypsumrouter/forwarding/request_journal.py
+++ b/gypsumrouter/forwarding/request_journal.py
@@ -22,7 +22,7 @@
     RequestRefused,
     StreamResumed,
 )
-from gypsumrouter.routing import Routed
+from gypsumrouter.routing import RouteMatch
 
 
 class RequestJournal:
@@ -39,7 +39,7 @@
         *,
         journal: Journal,
         request: CallerRequest,
-        routed: Routed,
+        routed: RouteMatch,
         service: str,
         configuration: int,
         list_revision: int,
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -28,8 +28,8 @@
 from gypsumrouter.peers.relays import DataCentreRelay
 from gypsumrouter.peers.routers import RouterRegistry
 from gypsumrouter.peers.watchers import WatchCoordinator
-from gypsumrouter.published import Follower, HistoryLost, Listed, StoreUnavailable, WatchState
-from gypsumrouter.published.follower import WATCH_MS
+from gypsumrouter.published import Follower, HistoryLost, ItemBatch, StoreUnavailable, WatchState
+from gypsumrouter.published.follower import WATCH_TIMEOUT_MS
 from gypsumrouter.routing import RoutingConfiguration, RoutingStore
 from gypsumrouter.util.clock import ManualClock
 
@@ -47,14 +47,14 @@
         self._store = store
         self._router = router
 
-    async def async_list(self) -> Listed:
+    async def async_list(self) -> ItemBatch:
         """Return the list; raises StoreUnavailable while partitioned."""
         if self._router.partitioned:
             self._store.calls += 1
             raise StoreUnavailable("cut")
         return self._store.list()
 
-    async def async_watch(self, *, after: int, wait_ms: int) -> Listed | HistoryLost:
+    async def async_watch(self, *, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
         """Return the changes; an answer that arrives while partitioned is lost."""
         if self._router.partitioned:
             self._store.calls += 1
@@ -164,10 +164,10 @@
             name="upstreams",
             store=StoreView(store, self, clock),
             state=self.state,
-            take_all=self._take_all,
-            take_changes=self._take_changes,
+            handle_all=self._take_all,
+            handle_changes=self._take_changes,
             on_lost=self.directory.note_outage,
-            on_regained=self.directory.note_return,
+            on_regained=self.directory.note_recovered,
             count_peers=self.routers.count_alive,
             count_watchers=self.watchers.count_watchers,
             is_watcher=self.watchers.is_watcher,
@@ -219,13 +219,13 @@
         self.cross_data_centre_messages += target.app.data_centre != self.app.data_centre
         return MemoryPeer(sender=self, target=target).send(notice)
 
-    def _take_all(self, listed: Listed) -> None:
+    def _take_all(self, listed: ItemBatch) -> None:
         self.directory.replace_all(read_records(listed), revision=listed.as_of, source="platform")
 
-    def _take_changes(self, listed: Listed) -> None:
+    def _take_changes(self, listed: ItemBatch) -> None:
         for record in read_records(listed):
             self.directory.merge(record, source="platform")
-        self.directory.note_revision(listed.as_of)
+        self.directory.note_read_revision(listed.as_of)
 
 
 class PeerFleet:
@@ -259,7 +259,7 @@
         """Start all routers at once and run until their first watches have ended."""
         for router in self.routers:
             router.start()
-        await self.async_advance(2 * WATCH_MS)
+        await self.async_advance(2 * WATCH_TIMEOUT_MS)
 
     async def async_stop(self) -> None:
         """Stop all routers."""
@@ -275,8 +275,8 @@
             self.clock.advance(STEP_MS)
             await async_run_ready_tasks()
             for router in self.list_running():
-                router.directory.settle()
-                router.evacuations.settle()
+                router.directory.apply_deferred()
+                router.evacuations.apply_deferred()
 
     def list_running(self) -> Iterator[FleetRouter]:
         """Return the running routers."""
@@ -312,7 +312,7 @@
         evacuations = encode_evacuations(other.evacuations)
         router.catch_up.merge_evacuations(peer, evacuations)
         router.catch_up.check_versions(
-            peer, routing_version=0, list_revision=other.directory.newest
+            peer, routing_version=0, list_revision=other.directory.applied_revision
         )
 
 
@@ -322,7 +322,7 @@
         await asyncio.sleep(0)
 
 
-def read_records(listed: Listed) -> Iterator[Record]:
+def read_records(listed: ItemBatch) -> Iterator[Record]:
     """Return the directory records of listed items."""
     for item in listed.items:
         state = EntryState((item.value or b"gone").decode())
--- a/tests/peers/test_peers_watchers_machine.py
+++ b/tests/peers/test_peers_watchers_machine.py
@@ -98,8 +98,8 @@
         if not hasattr(self, "_fleet"):
             return
         for router in self._fleet.routers:
-            assert router.directory.newest >= router.max_seen_revision
-            router.max_seen_revision = router.directory.newest
+            assert router.directory.applied_revision >= router.max_seen_revision
+            router.max_seen_revision = router.directory.applied_revision
 
     def _record_fault(self, router: FleetRouter) -> None:
         self._last_fault_ms[router.name] = self._fleet.clock.now_ms()
@@ -109,7 +109,7 @@
         for router in self._fleet.routers:
             if self._is_healthy(router, now_ms):
                 required = self._get_required_revision(now_ms)
-                assert router.directory.newest >= required, router.name
+                assert router.directory.applied_revision >= required, router.name
                 self._check_last(router, now_ms)
 
     def _check_last(self, router: FleetRouter, now_ms: int) -> None:
