--- a/bench/compare.py
+++ b/bench/compare.py
@@ -115,7 +115,7 @@
                 means[name],
                 spread,
                 *(
-                    statistics.mean(getattr(tally, part) / tally.asked for tally in tallies)
+                    statistics.mean(getattr(tally, part) / tally.requests for tally in tallies)
                     for part in ("in_time", "late", "refused")
                 ),
                 get_win_share(results, name),
--- a/bench/control.py
+++ b/bench/control.py
@@ -18,7 +18,7 @@
 from bench.config_fleet import ChangeCost, async_start_fleet
 from bench.full_size import FullSizeFleet
 from bench.grid import GridPoint, async_measure_point
-from bench.ledger import HANDSHAKE_KINDS, KIND_STATUS, Rates, Spent
+from bench.ledger import HANDSHAKE_KINDS, KIND_STATUS, AverageUsage, Rates
 from bench.report import print_machine, print_result, print_table
 from bench.slope_math import Line, fit_kinds, get_mean_rate, sum_at
 from bench.stages import STAGE_LOAD, FullSize
@@ -129,7 +129,7 @@
 
 
 def _add_extrapolated_rates(
-    spent: Spent, full: FullSize, change: ChangeCost, *, links: int
+    spent: AverageUsage, full: FullSize, change: ChangeCost, *, links: int
 ) -> Rates:
     """Return the rates of a stage plus those of events that are too rare to be measured in it."""
     rates = _get_steady_rates(spent)
@@ -142,8 +142,8 @@
     return rates
 
 
-def _get_steady_rates(spent: Spent) -> Rates:
-    rates = spent.list_control()
+def _get_steady_rates(spent: AverageUsage) -> Rates:
+    rates = spent.list_control_rates()
     return {kind: rate for kind, rate in rates.items() if kind not in HANDSHAKE_KINDS}
 
 
--- a/bench/faults_requests.py
+++ b/bench/faults_requests.py
@@ -1,4 +1,4 @@
-"""Faults that callers bring: a surge of one workspace, and a request that crashes its upstream."""
+"""Faults caused by callers: a surge of one workspace, and requests that crash their upstream."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def async_surge(stage: Stage, randomness: random.Random) -> None:
-    """Let one workspace open many chats at once."""
+    """Open many chats of one workspace within a short time."""
     deployment = randomness.choice(stage.rig.platform.deployments)
     plan = randomness.choice(deployment.workspaces)
     account = FaultAccount(
@@ -35,14 +35,14 @@
     )
     await asyncio.gather(
         *(
-            _async_arrive(stage, deployment, account, randomness.getrandbits(32))
+            _async_open_chat(stage, deployment, account, randomness.getrandbits(32))
             for _ in range(SURGE_CHATS)
         )
     )
 
 
-async def async_crash_by_request(stage: Stage, randomness: random.Random) -> None:
-    """Send a request that crashes its engine, again and again through any router."""
+async def async_send_crashing_requests(stage: Stage, randomness: random.Random) -> None:
+    """Send a request that crashes its engine repeatedly through random routers."""
     deployment = randomness.choice(stage.rig.platform.deployments)
     content = f"{CRASH_MARKER} {randomness.getrandbits(64):x}"
     before = stage.count_crashes()
@@ -51,11 +51,11 @@
         code = (await _async_try_crasher(stage, randomness, deployment, content)).code
         await stage.async_pause(randomness, *CRASHER_PAUSE_MS)
     await stage.clock.async_sleep(SETTLE_MS)
-    stage.journal.lost_to_crashers.append(stage.count_crashes() - before)
-    stage.journal.crasher_ends[code] += 1
+    stage.journal.crashes_per_request.append(stage.count_crashes() - before)
+    stage.journal.crasher_codes[code] += 1
 
 
-async def _async_arrive(
+async def _async_open_chat(
     stage: Stage, deployment: Deployment, account: FaultAccount, seed: int
 ) -> None:
     await stage.clock.async_sleep(seed % SURGE_ARRIVAL_MS)
--- a/bench/full_size.py
+++ b/bench/full_size.py
@@ -20,10 +20,10 @@
     KIND_CONFIGURATION,
     KIND_INSTANCES,
     KIND_STATUS,
-    Moment,
-    Spent,
-    async_begin,
-    async_end,
+    AverageUsage,
+    UsageSnapshot,
+    async_measure_since,
+    async_take_snapshot,
 )
 from bench.metered_platform import MeteredPlatform, PlatformBytes
 from bench.paced_engine import HOLD_TOKENS, QUICK_TOKENS, PacedEngine
@@ -90,7 +90,7 @@
         self._side: DaemonProcess
         self._side_hosts: list[PeerHost] = []
         self._router_hosts: list[PeerHost] = []
-        self._links_opened: Moment
+        self._links_opened: UsageSnapshot
 
     async def async_run(self, *, with_costs: bool) -> FullSize:
         """Run all stages, or only those that measure traffic."""
@@ -108,7 +108,7 @@
                 await self._async_measure_held_streams()
             await self._async_measure_load()
             # Statuses are sent in bursts seconds apart, so the rate is measured over all stages.
-            since = await async_end(self._rig, [self._side], self._links_opened)
+            since = await async_measure_since(self._rig, [self._side], self._links_opened)
             self.result.side_status_bytes_s = since.rates[KIND_STATUS]
         return self.result
 
@@ -167,16 +167,16 @@
             await host.async_command(interval_ms=INITIAL_STATUS_INTERVAL_MS)
         address = self._side.addresses[ADDRESS_LINK]
         target = {"name": self._side.name, "host": address.host, "port": address.port}
-        before = await async_begin(self._rig, [self._side])
+        before = await async_take_snapshot(self._rig, [self._side])
         for host in self._router_hosts:
             await host.async_command(target=target, link=True)
-        opened = await async_end(self._rig, [self._side], before)
+        opened = await async_measure_since(self._rig, [self._side], before)
         handshakes = sum(opened.rates[kind] for kind in HANDSHAKE_KINDS) * opened.seconds
         added_links = opened.links - before.links
         self.result.handshake_bytes = handshakes / added_links
         # A status is sent once on a new link.
         self.result.status_frame_bytes = opened.rates[KIND_STATUS] * opened.seconds / added_links
-        self._links_opened = await async_begin(self._rig, [self._side])
+        self._links_opened = await async_take_snapshot(self._rig, [self._side])
         for host in self._router_hosts:
             # A few short requests, so that the load changes between statuses.
             await host.async_command(rate_s=BACKGROUND_REQUESTS_S, tokens=QUICK_TOKENS)
@@ -198,7 +198,7 @@
 
     async def _async_match_status_rate(self) -> None:
         """Set the status rate of the lightweight sides to the measured rate of the real one."""
-        so_far = await async_end(self._rig, [self._side], self._links_opened)
+        so_far = await async_measure_since(self._rig, [self._side], self._links_opened)
         interval_ms = float(INITIAL_STATUS_INTERVAL_MS)
         if so_far.rates[KIND_STATUS] > 0:
             bytes_s_per_link = so_far.rates[KIND_STATUS] / so_far.links
@@ -243,7 +243,9 @@
     ) -> None:
         if work is None:
             await asyncio.sleep(SETTLE_S)
-        begins = {p.name: await async_begin(self._rig, [p]) for p in (self._router, self._side)}
+        begins = {
+            p.name: await async_take_snapshot(self._rig, [p]) for p in (self._router, self._side)
+        }
         exchanged_before = {role: self._platform.count_bytes(role) for role in Role}
         await (work() if work is not None else asyncio.sleep(seconds))
         self.result.router[name] = await self._async_measure_spent(
@@ -256,10 +258,10 @@
     async def _async_measure_spent(
         self,
         process: DaemonProcess,
-        begins: dict[str, Moment],
+        begins: dict[str, UsageSnapshot],
         exchanged_before: dict[Role, PlatformBytes],
-    ) -> Spent:
-        spent = await async_end(self._rig, [process], begins[process.name])
+    ) -> AverageUsage:
+        spent = await async_measure_since(self._rig, [process], begins[process.name])
         platform = self._platform.count_bytes(process.role) - exchanged_before[process.role]
         rates = spent.rates | {
             KIND_CONFIGURATION: platform.configuration / spent.seconds,
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Load for benches and the demo: callers that check each answer, and a tally of outcomes."""
+"""Load for benches and the demo: callers that verify each answer and count outcomes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class ChatShape(Struct, frozen=True, kw_only=True):
-    """How a chat goes: sizes in bytes, times in milliseconds, answers in tokens."""
+    """Parameters of a chat: sizes in bytes, times in milliseconds, answers in tokens."""
 
     turns: int = 4
     first_bytes: int = 2_000
@@ -55,8 +55,8 @@
     stream: bool = True
 
 
-class Whole(Struct, frozen=True, kw_only=True):
-    """An answer that came to its end; not yet checked."""
+class CompleteAnswer(Struct, frozen=True, kw_only=True):
+    """A complete answer that has not been verified yet."""
 
     text: str
     tokens: int
@@ -67,7 +67,7 @@
 
 
 class NoAnswer(Struct, frozen=True, kw_only=True):
-    """A try without an answer, and whether the system says that it did not run."""
+    """A failed try; `executed` is whether the request ran, as far as it is known."""
 
     code: str
     executed: Executed
@@ -76,7 +76,7 @@
 
 
 class CallerContext(Struct, frozen=True, kw_only=True):
-    """What many callers share: a session, routers to choose from, a tally, and limits."""
+    """Session, routers, tally and limits that callers share."""
 
     session: aiohttp.ClientSession
     routers: Sequence[Address]
@@ -87,7 +87,7 @@
 
 
 class Caller:
-    """What both kinds of callers do: choose a router, try again, pause, count."""
+    """Base of callers: chooses a router, retries after a pause and counts outcomes."""
 
     def __init__(self, *, context: CallerContext, account: Account, seed: int) -> None:
         self.session = context.session
@@ -100,13 +100,13 @@
         self.timeout = aiohttp.ClientTimeout(total=context.timeout_s)
 
     def choose_url(self, path: str) -> str:
-        """Return a path at any router, as a balancer would choose one."""
+        """Return the URL of a path at a random router, as a load balancer chooses one."""
         return f"http://{self.random.choice(self.routers)}{path}"
 
     async def async_try_until_answered(
         self, attempt: Callable[[], Awaitable[_T | NoAnswer]]
     ) -> _T | None:
-        """Return the answer of the first try that gets one, None when all tries are spent."""
+        """Return the answer of the first successful try, None if all tries fail."""
         self.tally.requests += 1
         not_run = True
         for _ in range(self.tries):
@@ -114,7 +114,7 @@
             outcome = await attempt()
             if not isinstance(outcome, NoAnswer):
                 return outcome
-            self._note_no_answer(outcome)
+            self._count_no_answer(outcome)
             not_run = not_run and outcome.executed is Executed.NOT_RUN
             await self._async_pause(outcome)
         if not_run:
@@ -123,7 +123,7 @@
             self.tally.lost += 1
         return None
 
-    def _note_no_answer(self, outcome: NoAnswer) -> None:
+    def _count_no_answer(self, outcome: NoAnswer) -> None:
         counts = self.tally.refused if outcome.executed is Executed.NOT_RUN else self.tally.unknown
         counts[outcome.code] += 1
 
@@ -133,7 +133,7 @@
 
 
 class ChatCaller(Caller):
-    """One chat that returns: each turn sends the whole transcript and waits for the answer."""
+    """A multi-turn chat; each turn sends the whole transcript and waits for the answer."""
 
     def __init__(
         self,
@@ -153,41 +153,41 @@
         self.hint = ""
 
     async def async_run(self, *, until_ms: int | None = None) -> None:
-        """Play all turns; none begins after `until_ms` of the clock, and none after a failure."""
+        """Run the turns until one fails; no turn starts once the clock reaches `until_ms`."""
         for turn in range(self.shape.turns):
             if turn > 0:
-                await self.clock.async_sleep(round(self.shape.think_ms * self._vary()))
+                await self.clock.async_sleep(round(self.shape.think_ms * self._jitter()))
             if until_ms is not None and self.clock.now_ms() >= until_ms:
                 return
             if not await self.async_turn():
                 return
 
     async def async_turn(self) -> bool:
-        """Play one turn; returns whether its answer was whole and right."""
+        """Run one turn; returns whether its answer was complete and correct."""
         size = self.shape.turn_bytes if self.messages else self.shape.first_bytes
-        content = f"{self.chat} turn {len(self.messages)}: {self._write(size)}"
+        content = f"{self.chat} turn {len(self.messages)}: {self._make_words(size)}"
         self.messages.append(Message(role="user", content=content))
         tokens = self.random.randint(self.shape.min_tokens, self.shape.max_tokens)
         answer = await self.async_try_until_answered(lambda: self._async_try(tokens))
         return answer is not None and self._check(answer, tokens)
 
-    def _check(self, answer: Whole, tokens: int) -> bool:
+    def _check(self, answer: CompleteAnswer, tokens: int) -> bool:
         digest = digest_prompt(render_prompt(self.messages), model=self.model)
         expected = make_text(digest, tokens)
         if answer.text != expected or answer.tokens != tokens:
-            self._note_wrong(answer.text, digest, expected)
+            self._count_wrong(answer.text, digest, expected)
             return False
         self.tally.whole += 1
         self.tally.tokens += tokens
         self.tally.prompt_tokens += answer.prompt_tokens
         self.tally.cached_tokens += answer.cached_tokens
-        self.tally.note_times(
+        self.tally.record_times(
             self.account.caller_class, first_ms=answer.first_ms, answer_ms=answer.answer_ms
         )
         self.messages.append(Message(role="assistant", content=answer.text))
         return True
 
-    def _note_wrong(self, text: str, digest: str, expected: str) -> None:
+    def _count_wrong(self, text: str, digest: str, expected: str) -> None:
         if not text.startswith(digest) and not digest.startswith(text):
             self.tally.crossed += 1
         elif len(text) > len(expected):
@@ -195,7 +195,7 @@
         else:
             self.tally.truncated += 1
 
-    async def _async_try(self, tokens: int) -> Whole | NoAnswer:
+    async def _async_try(self, tokens: int) -> CompleteAnswer | NoAnswer:
         payload = {
             "model": self.model,
             "messages": [
@@ -218,7 +218,7 @@
                 self.hint = response.headers.get(HEADER_PLACEMENT, self.hint)
                 if self.shape.stream:
                     return await self._async_read_events(response, began_s)
-                return _parse_whole(await response.read(), _get_elapsed_ms(began_s))
+                return _parse_complete_answer(await response.read(), _get_elapsed_ms(began_s))
         except TimeoutError:
             return NoAnswer(code=CODE_TIMEOUT, executed=Executed.UNKNOWN)
         except (aiohttp.ClientError, OSError):
@@ -226,7 +226,7 @@
 
     async def _async_read_events(
         self, response: aiohttp.ClientResponse, began_s: float
-    ) -> Whole | NoAnswer:
+    ) -> CompleteAnswer | NoAnswer:
         parts: list[str] = []
         usage: dict[str, Any] = {}
         first_ms = last_ms = 0.0
@@ -235,7 +235,9 @@
                 continue
             data = line[len(DATA_PREFIX) :].strip()
             if data == DONE:
-                return _make_whole("".join(parts), usage, first_ms, _get_elapsed_ms(began_s))
+                return _make_complete_answer(
+                    "".join(parts), usage, first_ms, _get_elapsed_ms(began_s)
+                )
             event = json.loads(data)
             if "error" in event:
                 return parse_error(data, status=response.status)
@@ -253,21 +255,21 @@
                 parts.append(token)
         return NoAnswer(code=CODE_CONNECTION, executed=Executed.UNKNOWN)
 
-    def _write(self, size: int) -> str:
+    def _make_words(self, size: int) -> str:
         words: list[str] = []
-        written = 0
-        while written < size:
+        length = 0
+        while length < size:
             word = f"{self.random.choice(WORDS)}-{self.random.randrange(10_000)}"
             words.append(word)
-            written += len(word) + 1
+            length += len(word) + 1
         return " ".join(words)
 
-    def _vary(self) -> float:
+    def _jitter(self) -> float:
         return self.random.uniform(0.5, 1.5)
 
 
 class ServiceCaller(Caller):
-    """Calls to a plain service; one that must not be repeated carries a key of its own."""
+    """At-most-once calls to a plain service, each with its own idempotency key."""
 
     def __init__(
         self, *, context: CallerContext, account: Account, seed: int, pool: str, path: str
@@ -280,7 +282,7 @@
     async def async_run(
         self, *, calls: int, think_ms: int = 0, until_ms: int | None = None
     ) -> None:
-        """Make a number of calls, one after the other; none begins after `until_ms`."""
+        """Make calls in sequence; none starts once the clock reaches `until_ms`."""
         for _ in range(calls):
             if until_ms is not None and self.clock.now_ms() >= until_ms:
                 return
@@ -288,11 +290,11 @@
             await self.clock.async_sleep(round(think_ms * self.random.uniform(0.5, 1.5)))
 
     def make_key(self) -> str:
-        """Return the key of the next call, which carries the time of now."""
+        """Return an idempotency key that contains the current time."""
         return make_uuid7(wall_ms=self.clock.wall_ms(), randomness=self.random)
 
     async def async_call(self) -> bool:
-        """Make one call and repeat it, with the same key, until it is answered."""
+        """Make one call and retry it with the same key; returns whether its answer was correct."""
         key = self.make_key()
         self.keys.append(key)
         body = json.dumps({"call": key, "quantity": self.random.randrange(1, 50)}).encode()
@@ -329,14 +331,20 @@
 
 
 def make_uuid7(*, wall_ms: int, randomness: random.Random) -> str:
-    """Return a UUID of version 7, which carries the time at which it was made."""
-    tail = randomness.getrandbits(KEY_RANDOM_BITS)
-    value = wall_ms << 80 | 0x7 << 76 | (tail >> 62) << 64 | 0b10 << 62 | tail & (1 << 62) - 1
+    """Return a UUID of version 7, which contains its creation time."""
+    random_bits = randomness.getrandbits(KEY_RANDOM_BITS)
+    value = (
+        wall_ms << 80
+        | 0x7 << 76
+        | (random_bits >> 62) << 64
+        | 0b10 << 62
+        | random_bits & (1 << 62) - 1
+    )
     return str(uuid.UUID(int=value))
 
 
 def parse_error(body: bytes, *, status: int) -> NoAnswer:
-    """Return what an error of the router says; without its form the outcome is unknown."""
+    """Parse an error response of the router; the outcome is unknown for any other body."""
     try:
         error = json.loads(body)["error"]
         return NoAnswer(
@@ -349,15 +357,17 @@
         return NoAnswer(code=f"status_{status}", executed=Executed.UNKNOWN)
 
 
-def _parse_whole(body: bytes, elapsed_ms: float) -> Whole:
+def _parse_complete_answer(body: bytes, elapsed_ms: float) -> CompleteAnswer:
     answer = json.loads(body)
     text = answer["choices"][0]["message"]["content"]
-    return _make_whole(text, answer.get("usage") or {}, elapsed_ms, elapsed_ms)
+    return _make_complete_answer(text, answer.get("usage") or {}, elapsed_ms, elapsed_ms)
 
 
-def _make_whole(text: str, usage: dict[str, Any], first_ms: float, answer_ms: float) -> Whole:
+def _make_complete_answer(
+    text: str, usage: dict[str, Any], first_ms: float, answer_ms: float
+) -> CompleteAnswer:
     details = usage.get("prompt_tokens_details") or {}
-    return Whole(
+    return CompleteAnswer(
         text=text,
         tokens=int(usage.get("completion_tokens", 0)),
         prompt_tokens=int(usage.get("prompt_tokens", 0)),
--- a/tests/bench/test_bench_compare.py
+++ b/tests/bench/test_bench_compare.py
@@ -11,8 +11,8 @@
 def test_all_variants_replay_the_same_requests() -> None:
     load = PlainLoad(offered_load=0.85, upstreams=2)
     results = compare(DECISIONS["plain"], load, 1)
-    assert len({tallies[0].asked for tallies in results.values()}) == 1
-    assert all(tally.asked for tallies in results.values() for tally in tallies)
+    assert len({tallies[0].requests for tallies in results.values()}) == 1
+    assert all(tally.requests for tallies in results.values() for tally in tallies)
 
 
 def test_replay_is_deterministic_for_a_seed() -> None:
@@ -21,7 +21,7 @@
 
 
 def test_win_share_compares_credit_by_seed() -> None:
-    better, worse = Tally(asked=4, in_time=3), Tally(asked=4, in_time=1, late=3)
+    better, worse = Tally(requests=4, in_time=3), Tally(requests=4, in_time=1, late=3)
     results = {"one": [better, worse], "other": [worse, worse]}
     assert get_win_share(results, "one") == 1.0
     assert get_win_share(results, "other") == 0.5
