--- a/bench/config.py
+++ b/bench/config.py
@@ -1,4 +1,4 @@
-"""How fast a configuration of the two-year size is in force everywhere, and what that costs."""
+"""Benchmark of configuration changes: time until in force in every process, and their cost."""
 
 from __future__ import annotations
 
@@ -12,136 +12,151 @@
 from msgspec import Struct, field
 
 from bench.config_fleet import ChangeCost, ConfigFleet, async_start_fleet
-from bench.in_force import Events, count_reverted, find_in_force, get_median, measure_delays
-from bench.members import Spread, async_measure_spread
+from bench.in_force import Events, count_rollbacks, get_in_force_ms, get_median, measure_delays
+from bench.members import Propagation, async_measure_propagation
 from bench.report import Value, print_machine, print_result, print_table
-from bench.two_year import PROCESSES
+from bench.target_scale import PROCESSES
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.standins import OutageKind
 
-NEWS_LEAD_S: Final = 0.25
+OUTAGE_DELAY_S: Final = 0.25
 OUTAGE_S: Final = 6.0
-PAUSED_S: Final = 6.0
+SUSPEND_S: Final = 6.0
 STALE_SHARE: Final = 0.5
-PAUSE_S: Final = 1.5
+CHANGE_INTERVAL_S: Final = 1.5
 MEMBER_CHANGES: Final = 6
-MEMBER_PAUSE_S: Final = 3.0
-NOT_DONE: Final = -1.0
+MEMBER_CHANGE_INTERVAL_S: Final = 3.0
+NOT_MEASURED: Final = -1.0
 
 
-class Story(Struct, kw_only=True):
-    """What one run of the real processes showed; versions by the part of the run."""
+class RunResult(Struct, kw_only=True):
+    """Results of a run with real processes.
+
+    `normal`, `outage` and `stale` list the versions published in each phase.
+    """
 
     normal: list[int] = field(default_factory=list)
     outage: list[int] = field(default_factory=list)
     stale: list[int] = field(default_factory=list)
-    cost: ChangeCost = field(default_factory=ChangeCost)
-    idle_pauses: dict[Role, dict[str, float]] = field(default_factory=dict)
-    pauses: dict[Role, dict[str, float]] = field(default_factory=dict)
-    woken_s: float = NOT_DONE
-    start_normal_s: float = NOT_DONE
-    start_outage_s: float = NOT_DONE
+    change_cost: ChangeCost = field(default_factory=ChangeCost)
+    idle_lags: dict[Role, dict[str, float]] = field(default_factory=dict)
+    lags: dict[Role, dict[str, float]] = field(default_factory=dict)
+    resumed_s: float = NOT_MEASURED
+    start_normal_s: float = NOT_MEASURED
+    start_outage_s: float = NOT_MEASURED
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench config")
     parser.add_argument("--routers", type=int, default=3)
     parser.add_argument("--sides", type=int, default=21)
     parser.add_argument("--changes", type=int, default=8)
-    parser.add_argument("--no-members", action="store_true", help="without the 1,260 light ones")
+    parser.add_argument(
+        "--no-members", action="store_true", help="skip the run with 1,260 lightweight processes"
+    )
     options = parser.parse_args(argv)
     print_machine()
     return asyncio.run(async_run(options))
 
 
 async def async_run(options: argparse.Namespace) -> int:
-    """Measure and print."""
+    """Run all measurements and print the results."""
     async with AsyncExitStack() as stack:
         fleet = await async_start_fleet(
-            stack, routers=options.routers, sides=options.sides, spare=2
+            stack, routers=options.routers, sides=options.sides, spare_sides=2
         )
-        story = await async_play(fleet, changes=options.changes)
+        result = await async_run_phases(fleet, changes=options.changes)
         events = fleet.read_events()
         accepted_ms = fleet.accepted_ms
-    spread = None
+    propagation = None
     if not options.no_members:
-        spread = await async_measure_spread(changes=MEMBER_CHANGES, pause_s=MEMBER_PAUSE_S)
-    report(story, events, accepted_ms, spread)
+        propagation = await async_measure_propagation(
+            changes=MEMBER_CHANGES, interval_s=MEMBER_CHANGE_INTERVAL_S
+        )
+    report(result, events, accepted_ms, propagation)
     return 0
 
 
-async def async_play(fleet: ConfigFleet, *, changes: int) -> Story:
-    """Go through all parts of the run."""
-    story = Story()
-    await fleet.async_take_pauses()
+async def async_run_phases(fleet: ConfigFleet, *, changes: int) -> RunResult:
+    """Run all phases."""
+    result = RunResult()
+    await fleet.async_pop_lags()
     await asyncio.sleep(2.0)
-    story.idle_pauses = await fleet.async_take_pauses()
+    result.idle_lags = await fleet.async_pop_lags()
     before = fleet.platform.configuration.version
-    story.cost = await fleet.async_measure_changes(changes=changes, pause_s=PAUSE_S)
-    story.normal = list(range(before + 1, fleet.platform.configuration.version + 1))
-    story.pauses = await fleet.async_take_pauses()
-    await fleet.async_start_another()
-    story.start_normal_s = fleet.started_s[-1]
-    await async_play_outage(fleet, story)
-    await async_play_stale(fleet, story)
-    story.woken_s = await async_play_pause(fleet)
-    return story
-
-
-async def async_play_outage(fleet: ConfigFleet, story: Story) -> None:
-    """Have the service fail in the middle of a change, and publish another one meanwhile."""
+    result.change_cost = await fleet.async_measure_changes(
+        changes=changes, interval_s=CHANGE_INTERVAL_S
+    )
+    result.normal = list(range(before + 1, fleet.platform.configuration.version + 1))
+    result.lags = await fleet.async_pop_lags()
+    await fleet.async_start_spare_side()
+    result.start_normal_s = fleet.start_times_s[-1]
+    await async_run_outage(fleet, result)
+    await async_run_stale_reads(fleet, result)
+    result.resumed_s = await async_run_suspension(fleet)
+    return result
+
+
+async def async_run_outage(fleet: ConfigFleet, result: RunResult) -> None:
+    """Make the configuration service fail during a change, and publish another one meanwhile."""
     service = fleet.platform.configuration
-    story.outage.append(fleet.publish())
-    await asyncio.sleep(NEWS_LEAD_S)
+    result.outage.append(fleet.publish())
+    await asyncio.sleep(OUTAGE_DELAY_S)
     await service.async_set_outage(OutageKind.REFUSE)
-    await fleet.async_start_another()
-    story.start_outage_s = fleet.started_s[-1]
+    await fleet.async_start_spare_side()
+    result.start_outage_s = fleet.start_times_s[-1]
     await asyncio.sleep(OUTAGE_S)
     version = fleet.publish()
-    story.outage.append(version)
+    result.outage.append(version)
     await asyncio.sleep(1.0)
     await service.async_set_outage(OutageKind.NONE)
-    # Nobody could read it before.
+    # No process could read the version during the outage.
     fleet.accepted_ms[version] = time.time_ns() // 1_000_000
     await fleet.async_wait_in_force(version)
 
 
-async def async_play_stale(fleet: ConfigFleet, story: Story) -> None:
-    """Have half of the answers come from a replica that has stood still."""
+async def async_run_stale_reads(fleet: ConfigFleet, result: RunResult) -> None:
+    """Publish changes while half of the reads are answered by a stale replica."""
     service = fleet.platform.configuration
     service.serve_stale(service.version, share=STALE_SHARE)
     for _ in range(3):
-        story.stale.append(fleet.publish())
-        await asyncio.sleep(PAUSE_S)
-    await fleet.async_wait_in_force(story.stale[-1])
+        result.stale.append(fleet.publish())
+        await asyncio.sleep(CHANGE_INTERVAL_S)
+    await fleet.async_wait_in_force(result.stale[-1])
     service.serve_stale(None)
 
 
-async def async_play_pause(fleet: ConfigFleet) -> float:
-    """Stop a process, publish a change, and return how long it takes once it goes on."""
+async def async_run_suspension(fleet: ConfigFleet) -> float:
+    """Suspend a process during a change; return the seconds from resuming it until in force."""
     process = next(iter(fleet.rig.sides.values()))
     process.send_signal(signal.SIGSTOP)
     version = fleet.publish()
-    await asyncio.sleep(PAUSED_S)
-    woken_ms = time.time_ns() // 1_000_000
+    await asyncio.sleep(SUSPEND_S)
+    resumed_ms = time.time_ns() // 1_000_000
     process.send_signal(signal.SIGCONT)
     await fleet.async_wait_in_force(version)
-    return (find_in_force(fleet.read_events()[process.name], version) - woken_ms) / MS_PER_S
+    return (get_in_force_ms(fleet.read_events()[process.name], version) - resumed_ms) / MS_PER_S
 
 
 def report(
-    story: Story, events: Events, accepted_ms: dict[int, int], spread: Spread | None
+    result: RunResult, events: Events, accepted_ms: dict[int, int], propagation: Propagation | None
 ) -> None:
-    """Print the tables and the last line."""
-    parts = {"normal": story.normal, "outage": story.outage, "stale answers": story.stale}
+    """Print the tables and the JSON result."""
+    versions_by_phase = {
+        "normal": result.normal,
+        "outage": result.outage,
+        "stale answers": result.stale,
+    }
     delays = {
-        name: measure_delays(_list_present(events, accepted_ms, versions), accepted_ms, versions)
-        for name, versions in parts.items()
+        name: measure_delays(
+            _select_started_before(events, accepted_ms, versions), accepted_ms, versions
+        )
+        for name, versions in versions_by_phase.items()
     }
-    if spread is not None:
-        delays[f"{spread.members} light processes"] = spread.delays_s
-        delays[f"{spread.members} light, outage"] = spread.outage_delays_s
+    if propagation is not None:
+        delays[f"{propagation.members} lightweight processes"] = propagation.delays_s
+        delays[f"{propagation.members} lightweight, outage"] = propagation.outage_delays_s
     print_table(
         title=f"seconds from acceptance until in force; {len(events)} real processes",
         columns=("part", "values", "p50", "max"),
@@ -149,12 +164,14 @@
             (name, len(values), get_median(values), max(values)) for name, values in delays.items()
         ],
     )
-    _print_costs(story)
-    print_result(_make_figures(story, events, delays, spread))
+    _print_costs(result)
+    print_result(_make_figures(result, events, delays, propagation))
 
 
-def _list_present(events: Events, accepted_ms: dict[int, int], versions: list[int]) -> Events:
-    """Return the processes that were there when the first of some versions was accepted."""
+def _select_started_before(
+    events: Events, accepted_ms: dict[int, int], versions: list[int]
+) -> Events:
+    """Return the processes that were running when the first of the versions was accepted."""
     began_ms = accepted_ms[versions[0]]
     return {
         name: in_force
@@ -163,58 +180,65 @@
     }
 
 
-def _print_costs(story: Story) -> None:
-    cost = story.cost
+def _print_costs(result: RunResult) -> None:
+    cost = result.change_cost
     print_table(
         title="one change of one workspace out of 9,500",
         columns=("process", "bytes", "processor ms"),
         rows=[
-            (f"watches ({cost.watchers})", cost.watcher_bytes, cost.watcher_cpu_s * MS_PER_S),
+            (f"watchers ({cost.watchers})", cost.watcher_bytes, cost.watcher_cpu_s * MS_PER_S),
             ("others", cost.other_bytes, cost.other_cpu_s * MS_PER_S),
         ],
     )
     print_table(
-        title="longest pause of the loop, ms",
+        title="longest delay of the event loop, ms",
         columns=("role", "idle, clock", "idle, processor", "changes, clock", "changes, processor"),
         rows=[
             (
                 role,
-                story.idle_pauses[role]["wall_ms"],
-                story.idle_pauses[role]["cpu_ms"],
-                taken["wall_ms"],
-                taken["cpu_ms"],
+                result.idle_lags[role]["wall_ms"],
+                result.idle_lags[role]["cpu_ms"],
+                lags["wall_ms"],
+                lags["cpu_ms"],
             )
-            for role, taken in story.pauses.items()
+            for role, lags in result.lags.items()
         ],
     )
 
 
 def _make_figures(
-    story: Story, events: Events, delays: dict[str, list[float]], spread: Spread | None
+    result: RunResult,
+    events: Events,
+    delays: dict[str, list[float]],
+    propagation: Propagation | None,
 ) -> dict[str, Value]:
-    cost = story.cost
+    cost = result.change_cost
     every = [value for values in delays.values() for value in values]
-    reverted = count_reverted(events) + (spread.reverted if spread else 0)
+    reverted = count_rollbacks(events) + (propagation.reverted if propagation else 0)
     return {
         "in_force_s_p50": round(get_median(delays["normal"]), 3),
         "in_force_s_max": round(max(every), 3),
         "in_force_s_max_normal": round(max(delays["normal"]), 3),
         "in_force_s_max_outage": round(max(delays["outage"]), 3),
         "in_force_s_max_stale": round(max(delays["stale answers"]), 3),
-        "in_force_s_max_at_1260": round(max(spread.delays_s), 3) if spread else None,
-        "in_force_s_max_outage_at_1260": round(max(spread.outage_delays_s), 3) if spread else None,
-        "in_force_s_p50_at_1260": round(get_median(spread.delays_s), 3) if spread else None,
+        "in_force_s_max_at_1260": round(max(propagation.delays_s), 3) if propagation else None,
+        "in_force_s_max_outage_at_1260": (
+            round(max(propagation.outage_delays_s), 3) if propagation else None
+        ),
+        "in_force_s_p50_at_1260": (
+            round(get_median(propagation.delays_s), 3) if propagation else None
+        ),
         "reverted": reverted,
-        "reads_s_at_1260": round(spread.reads_s, 1) if spread else None,
-        "members": spread.members if spread else None,
+        "reads_s_at_1260": round(propagation.reads_s, 1) if propagation else None,
+        "members": propagation.members if propagation else None,
         "bytes_per_change_at_9500_workspaces": round(cost.other_bytes),
         "watcher_bytes_per_change": round(cost.watcher_bytes),
-        "loop_pause_ms_max": round(max(p["wall_ms"] for p in story.pauses.values()), 1),
-        "loop_pause_cpu_ms_max": round(max(p["cpu_ms"] for p in story.pauses.values()), 1),
-        "start_to_serving_s_max": round(max(story.start_normal_s, story.start_outage_s), 2),
-        "start_to_serving_s_normal": round(story.start_normal_s, 2),
-        "start_to_serving_s_outage": round(story.start_outage_s, 2),
-        "woken_in_force_s": round(story.woken_s, 2),
+        "loop_pause_ms_max": round(max(p["wall_ms"] for p in result.lags.values()), 1),
+        "loop_pause_cpu_ms_max": round(max(p["cpu_ms"] for p in result.lags.values()), 1),
+        "start_to_serving_s_max": round(max(result.start_normal_s, result.start_outage_s), 2),
+        "start_to_serving_s_normal": round(result.start_normal_s, 2),
+        "start_to_serving_s_outage": round(result.start_outage_s, 2),
+        "woken_in_force_s": round(result.resumed_s, 2),
         "processes": len(events),
         "two_year_processes": PROCESSES,
     }
--- a/bench/probe_host.py
+++ b/bench/probe_host.py
@@ -1,4 +1,4 @@
-"""A process of the product that also measures how long its event loop stands still."""
+"""A router or side process that also measures the delays of its event loop."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class LoopProbe:
-    """The longest time between two turns of the loop, by the clock and in processor time.
+    """Longest delay of the event loop, in wall time and in processor time.
 
-    Processor time is that of the loop's thread, so that a busy machine does not count.
+    Processor time is that of the thread of the loop, so it is independent of other processes.
     """
 
     def __init__(self) -> None:
@@ -37,15 +37,15 @@
             self.wall_ms = max(self.wall_ms, (time.perf_counter() - wall_s) * MS_PER_S - TICK_MS)
             self.cpu_ms = max(self.cpu_ms, (time.thread_time() - cpu_s) * MS_PER_S)
 
-    def take(self) -> dict[str, float]:
-        """Return the longest times since the last call."""
-        taken = {"wall_ms": self.wall_ms, "cpu_ms": self.cpu_ms}
+    def pop_longest(self) -> dict[str, float]:
+        """Return the longest delays since the last call."""
+        longest = {"wall_ms": self.wall_ms, "cpu_ms": self.cpu_ms}
         self.wall_ms = self.cpu_ms = 0.0
-        return taken
+        return longest
 
 
 class ProbedProcess:
-    """The parent's end."""
+    """Parent side: controls the process."""
 
     def __init__(self, *, role: Role, settings: dict[str, Any]) -> None:
         self.role = role
@@ -57,18 +57,18 @@
         """Start the process."""
         self.link = parse_address(await self._child.async_start())
 
-    async def async_take(self) -> dict[str, float]:
-        """Return the longest pauses since the last call."""
-        taken: dict[str, float] = await self._child.async_command()
-        return taken
+    async def async_pop_longest(self) -> dict[str, float]:
+        """Return the longest delays of the event loop since the last call."""
+        longest: dict[str, float] = await self._child.async_command()
+        return longest
 
     async def async_stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         await self._child.async_stop()
 
 
 async def async_host(plan: Command) -> None:
-    """Run the product and the probe until the standard input ends."""
+    """Run the instance and the probe until the end of standard input."""
     document = plan["settings"].encode()
     product = await async_setup(
         settings=check_linked_settings(role=Role(plan["role"]), document=document)
@@ -77,10 +77,10 @@
     probe = LoopProbe()
     task = asyncio.create_task(probe.async_run())
 
-    async def async_take(_command: Command) -> dict[str, float]:
-        return probe.take()
+    async def async_handle_command(_command: Command) -> dict[str, float]:
+        return probe.pop_longest()
 
-    await async_serve(str(product.addresses[ADDRESS_LINK]), async_take)
+    await async_serve(str(product.addresses[ADDRESS_LINK]), async_handle_command)
     task.cancel()
     await product.app.async_stop()
 
--- a/bench/role_slopes.py
+++ b/bench/role_slopes.py
@@ -1,4 +1,4 @@
-"""What one role spends on each thing, from the stages that it went through."""
+"""Marginal cost of each resource for a role, derived from the stages of a measurement."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from bench.config_fleet import ChangeCost
 from bench.costs import RequestCost
 from bench.full_size import LIST_CHANGES
-from bench.ledger import KIND_STATUS, Spent
+from bench.ledger import KIND_STATUS, AverageUsage
 from bench.paced_engine import HOLD_GAP_MS
-from bench.slope_math import spread_over_day
+from bench.slope_math import get_mean_rate
 from bench.stages import (
     STAGE_BASE,
     STAGE_CONFIGURATION,
@@ -24,7 +24,7 @@
     STAGE_STATUSES,
     FullSize,
 )
-from bench.two_year import CHANGES_A_DAY, LIST_CHANGES_A_DAY, PROCESSES, WORKSPACES
+from bench.target_scale import CHANGES_PER_DAY, LIST_CHANGES_PER_DAY, PROCESSES, WORKSPACES
 from gypsumrouter.const import MS_PER_S
 
 MB: Final = 1_000_000
@@ -33,7 +33,10 @@
 
 
 class RoleSlopes(Struct, frozen=True, kw_only=True):
-    """What one role spends on each thing; memory in bytes, processor time in microseconds."""
+    """Marginal costs of a role.
+
+    Memory is in bytes, processor time in microseconds, and a core share is a fraction of a core.
+    """
 
     base_rss: float
     rss_per_list_entry: float
@@ -51,9 +54,9 @@
 
 
 def derive_slopes(
-    stages: Mapping[str, Spent], change: ChangeCost, request: RequestCost, *, streams: int
+    stages: Mapping[str, AverageUsage], change: ChangeCost, request: RequestCost, *, streams: int
 ) -> RoleSlopes:
-    """Return the slopes that the stages of one role show."""
+    """Return the marginal costs derived from the stages of a role."""
     base, listed, changed = stages[STAGE_BASE], stages[STAGE_LIST], stages[STAGE_LIST_CHANGES]
     configured, linked, held = (
         stages[STAGE_CONFIGURATION],
@@ -61,11 +64,11 @@
         stages[STAGE_HOLD],
     )
     list_read_s = (changed.core_share - listed.core_share) * changed.seconds / LIST_CHANGES
-    # A held stream still gives a token now and then, which is no control.
+    # Held streams still send a few tokens, whose cost is not control overhead.
     token_share = streams * MS_PER_S / HOLD_GAP_MS * request.token_us / US_PER_S
     steady = held.core_share - token_share
-    changes = spread_over_day(change.other_cpu_s, times=CHANGES_A_DAY)
-    lists = spread_over_day(list_read_s, times=LIST_CHANGES_A_DAY)
+    changes = get_mean_rate(change.other_cpu_s, times=CHANGES_PER_DAY)
+    lists = get_mean_rate(list_read_s, times=LIST_CHANGES_PER_DAY)
     return RoleSlopes(
         base_rss=base.rss_bytes,
         rss_per_list_entry=(changed.rss_bytes - base.rss_bytes) / PROCESSES,
@@ -83,17 +86,17 @@
     )
 
 
-def measure_status_us(stages: Mapping[str, Spent], *, frame_bytes: float) -> float:
-    """Return the processor time of one status that comes in, from two rates of them."""
+def measure_status_us(stages: Mapping[str, AverageUsage], *, frame_bytes: float) -> float:
+    """Return the processor time of a received status, derived from two status rates."""
     slow, fast = stages[STAGE_LINKS], stages[STAGE_STATUSES]
     more = (fast.rates[KIND_STATUS] - slow.rates[KIND_STATUS]) / frame_bytes
     return (fast.core_share - slow.core_share) / more * US_PER_S
 
 
 def measure_spread_token_us(full: FullSize, router: RoleSlopes) -> float:
-    """Return what a token costs a router where its streams are spread over all of its links.
+    """Return the cost of a token for a router whose streams are spread over all its links.
 
-    It costs more there than over a few links, since fewer tokens share a turn of the loop.
+    It is higher than with a few links, as fewer tokens share an iteration of the event loop.
     """
     requests = full.load_requests_s * router.request.request_us / US_PER_S
     share = full.router[STAGE_LOAD].core_share - router.control_core_share - requests
@@ -102,15 +105,15 @@
 
 SLOPES: Final[tuple[tuple[str, Callable[[RoleSlopes], float]], ...]] = (
     ("resident at the start, MB", lambda role: role.base_rss / MB),
-    ("resident a list entry, bytes", lambda role: role.rss_per_list_entry),
-    ("resident 1,000 workspaces, KB", lambda role: role.rss_per_1000_workspaces / KB),
-    ("resident a link, bytes", lambda role: role.rss_per_link),
-    ("resident an open stream, bytes", lambda role: role.rss_per_stream),
-    ("list read, us an entry", lambda role: role.list_read_us_per_entry),
+    ("resident per list entry, bytes", lambda role: role.rss_per_list_entry),
+    ("resident per 1,000 workspaces, KB", lambda role: role.rss_per_1000_workspaces / KB),
+    ("resident per link, bytes", lambda role: role.rss_per_link),
+    ("resident per open stream, bytes", lambda role: role.rss_per_stream),
+    ("list read, us per entry", lambda role: role.list_read_us_per_entry),
     ("configuration change, us", lambda role: role.change_us),
     ("request, us", lambda role: role.request.request_us),
     ("token, us", lambda role: role.request.token_us),
-    ("core share at rest", lambda role: role.idle_core_share),
-    ("core share with links at rest", lambda role: role.links_core_share),
-    ("core share with streams held", lambda role: role.held_core_share),
+    ("core share when idle", lambda role: role.idle_core_share),
+    ("core share with idle links", lambda role: role.links_core_share),
+    ("core share with open streams", lambda role: role.held_core_share),
 )
--- a/bench/stages.py
+++ b/bench/stages.py
@@ -1,4 +1,4 @@
-"""The stages of the measurement at full size, and what the router and the side spent in each."""
+"""Stages of the full-size measurement, and the resource usage of router and side in each."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from bench.ledger import Spent
+from bench.ledger import AverageUsage
 
 STAGE_BASE: Final = "base"
 STAGE_LIST: Final = "list"
@@ -19,10 +19,10 @@
 
 
 class FullSize(Struct, kw_only=True):
-    """What the router and the side spent, by stage; each stage adds to the one before."""
+    """Resource usage of the router and the side by stage; each stage adds load to the previous."""
 
-    router: dict[str, Spent] = field(default_factory=dict)
-    side: dict[str, Spent] = field(default_factory=dict)
+    router: dict[str, AverageUsage] = field(default_factory=dict)
+    side: dict[str, AverageUsage] = field(default_factory=dict)
     list_change_bytes: float = 0.0
     document_bytes: int = 0
     side_status_bytes_s: float = 0.0
--- a/bench/two_year.py
+++ b/bench/target_scale.py
@@ -1,4 +1,4 @@
-"""The size that the fleet is designed for, and figures that follow from it alone."""
+"""Target scale of a fleet ("two-year" in result keys), and figures derived from it."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
 CHATS: Final = 6_700_000
 REGIONS: Final = 3
 DATA_CENTRES: Final = 9
-CHANGES_A_DAY: Final = 3_500
-FAILURES_A_DAY: Final = 11
-REPLACED_A_DAY: Final = 82
-S_A_DAY: Final = 86_400
+CHANGES_PER_DAY: Final = 3_500
+FAILURES_PER_DAY: Final = 11
+REPLACED_PER_DAY: Final = 82
+S_PER_DAY: Final = 86_400
 
 CORE_SHARE_MAX: Final = 0.043
 CONTROL_RSS_MB_MAX: Final = 64
 CONTROL_BYTES_S_MAX: Final = 6_144
 
-TOKENS_A_REQUEST: Final = TOKENS_S // REQUESTS_S
-ANSWER_MS: Final = TOKENS_A_REQUEST * GAP_MS
+TOKENS_PER_REQUEST: Final = TOKENS_S // REQUESTS_S
+ANSWER_MS: Final = TOKENS_PER_REQUEST * GAP_MS
 STREAMS: Final = REQUESTS_S * ANSWER_MS / 1_000
-STREAMS_A_PAIR: Final = STREAMS / ROUTERS / SIDES
-REQUESTS_S_A_PAIR: Final = REQUESTS_S / ROUTERS / SIDES
+STREAMS_PER_PAIR: Final = STREAMS / ROUTERS / SIDES
+REQUESTS_S_PER_PAIR: Final = REQUESTS_S / ROUTERS / SIDES
 
-# A replaced instance leaves, goes and comes back under another name; a failed one only goes and
-# comes back.
-LIST_CHANGES_A_DAY: Final = 3 * REPLACED_A_DAY + 2 * FAILURES_A_DAY
+# A replaced instance drains, is removed and is added under another name; a failed one is removed
+# and added again.
+LIST_CHANGES_PER_DAY: Final = 3 * REPLACED_PER_DAY + 2 * FAILURES_PER_DAY
 
-Place = tuple[str, str, str]
+Location = tuple[str, str, str]
 
-WIDE: Final = 4_096
-KEY_WORKSPACES: Final = 10
+UNLIMITED_SLOTS: Final = 4_096
+FEW_WORKSPACES: Final = 10
 
 
-def list_places(role: Role, count: int, *, regions: int) -> list[Place]:
-    """Return names with their data centre and region, spread over all of them in turn."""
+def list_locations(role: Role, count: int, *, regions: int) -> list[Location]:
+    """Return instance names with data centre and region, distributed round robin."""
     own = kotlovnica().region
     names = [own, *(f"region-{number}" for number in range(2, regions + 1))]
     centres = DATA_CENTRES // regions
@@ -69,23 +69,23 @@
 
 
 def make_deployment() -> Deployment:
-    """Return a deployment whose engines are started by the bench itself."""
+    """Return a deployment without engines; benchmarks start their own."""
     return replace(kotlovnica(), engines=0, services=0)
 
 
 def make_configuration(
     deployment: Deployment, *, version: int, workspaces: int, changed: int = 0
 ) -> Configuration:
-    """Return a document whose pool never refuses at the load of a bench.
+    """Return a configuration with a pool limit that benchmarks do not reach.
 
-    The share of one workspace follows from `changed`, as a day's ordinary change.
+    `changed` selects a workspace and its new share; 0 changes none.
     """
     plans = list(deployment.workspaces)
     plans += [WorkspacePlan(name=f"office-{n:05}") for n in range(workspaces - len(plans))]
     entries = [_make_workspace(plan) for plan in plans]
     if changed:
-        place = changed * 7919 % len(entries)
-        entries[place] = replace(entries[place], share=1.0 + changed / 100)
+        index = changed * 7919 % len(entries)
+        entries[index] = replace(entries[index], share=1.0 + changed / 100)
     return Configuration(
         version=version,
         workspaces=tuple(entries),
@@ -103,18 +103,18 @@
 
 
 def make_pool(deployment: Deployment) -> Pool:
-    """Return a pool that never refuses."""
+    """Return a pool with a limit that benchmarks do not reach."""
     return Pool(
         name=deployment.engine_pool,
         kind=UpstreamKind.ENGINE,
         models=(deployment.model,),
-        slots=WIDE,
-        floor=WIDE,
+        slots=UNLIMITED_SLOTS,
+        floor=UNLIMITED_SLOTS,
     )
 
 
 def get_class(deployment: Deployment) -> CallerClass:
-    """Return the class of most callers."""
+    """Return the class used for callers."""
     return deployment.interactive[0]
 
 
--- a/gypsumrouter/configuration/conditions.py
+++ b/gypsumrouter/configuration/conditions.py
@@ -1,4 +1,4 @@
-"""The conditions of a rule in one normal form, to find rules that can never match."""
+"""Rule conditions in a normal form, used to find rules that can never match."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Conditions(Struct, frozen=True, kw_only=True):
-    """What a rule asks for; None stands for anything, `minutes` has a bit for each minute."""
+    """Normalised conditions; None matches anything, `minutes` has one bit per minute of the day."""
 
     kinds: frozenset[UpstreamKind]
     workspace: frozenset[str] | None
@@ -36,7 +36,7 @@
 
 
 def build_conditions(rule: Rule, kind: UpstreamKind | None) -> Conditions:
-    """Return the conditions of a rule; `kind` is that of the pool that the rule leads to."""
+    """Return the conditions of a rule; `kind` is the kind of its target pool, if it has one."""
     when = rule.when
     return Conditions(
         kinds=_list_kinds(when, kind),
@@ -50,13 +50,13 @@
         returning=when.returning,
         min_bytes=when.min_bytes or 0,
         max_bytes=when.max_bytes,
-        minutes=_list_minutes(when),
+        minutes=_build_minutes_mask(when),
         weekdays=_ALL_DAYS if when.weekdays is None else frozenset(when.weekdays),
     )
 
 
 def normalise_prefix(prefix: str) -> str:
-    """Return the beginning of a path in normal form, without a slash at its end."""
+    """Return a path prefix in normal form, without a trailing slash."""
     return normalise_path(prefix).rstrip("/") if prefix else ""
 
 
@@ -80,9 +80,9 @@
 
 
 def is_in_window(when: When, minute: int) -> bool:
-    """Return whether a minute of the day lies in the window, which may pass midnight.
+    """Return whether a minute of the day lies in the window, which may span midnight.
 
-    The first minute belongs to the window and the last one does not.
+    `from_minute` is inclusive and `to_minute` is exclusive.
     """
     first = when.from_minute or 0
     last = MINUTES_IN_DAY if when.to_minute is None else when.to_minute
@@ -100,15 +100,15 @@
     return kinds
 
 
-def _list_minutes(when: When) -> int:
+def _build_minutes_mask(when: When) -> int:
     first = when.from_minute or 0
     last = MINUTES_IN_DAY if when.to_minute is None else when.to_minute
     if first <= last:
-        return _list_first(last) & ~_list_first(first)
-    return _list_first(MINUTES_IN_DAY) & ~_list_first(first) | _list_first(last)
+        return _mask_before(last) & ~_mask_before(first)
+    return _mask_before(MINUTES_IN_DAY) & ~_mask_before(first) | _mask_before(last)
 
 
-def _list_first(minutes: int) -> int:
+def _mask_before(minutes: int) -> int:
     return (1 << minutes) - 1
 
 
--- a/gypsumrouter/exchange/deadline.py
+++ b/gypsumrouter/exchange/deadline.py
@@ -1,4 +1,4 @@
-"""The time that is left of a request."""
+"""Tracking of a request's deadline."""
 
 from __future__ import annotations
 
@@ -9,29 +9,32 @@
 
 
 class Deadline:
-    """The end of a request's time; a request says how much was left when it came."""
+    """Deadline of a request, counted from its arrival.
 
-    __slots__ = ("_began_ms", "_clock", "_request")
+    A request carries the time that remained when its sender sent it, not an absolute time.
+    """
+
+    __slots__ = ("_clock", "_received_ms", "_request")
 
     def __init__(self, *, clock: Clock, request: Open) -> None:
         self._clock = clock
         self._request = request
-        self._began_ms = clock.now_ms()
+        self._received_ms = clock.now_ms()
 
-    def left_ms(self) -> int:
-        """Return the milliseconds that are left, 0 when there are none."""
-        return max(0, self._request.deadline_ms - self._passed_ms())
+    def remaining_ms(self) -> int:
+        """Return the remaining time, 0 if the deadline has passed."""
+        return max(0, self._request.deadline_ms - self._elapsed_ms())
 
     def update(self, request: Open) -> Open:
-        """Return the request with the time that has passed since it came."""
-        passed_ms = self._passed_ms()
-        if passed_ms == 0:
+        """Return the request with its remaining and waited time adjusted to now."""
+        elapsed_ms = self._elapsed_ms()
+        if elapsed_ms == 0:
             return request
         return replace(
             request,
-            deadline_ms=self.left_ms(),
-            waited_ms=self._request.waited_ms + passed_ms,
+            deadline_ms=self.remaining_ms(),
+            waited_ms=self._request.waited_ms + elapsed_ms,
         )
 
-    def _passed_ms(self) -> int:
-        return self._clock.now_ms() - self._began_ms
+    def _elapsed_ms(self) -> int:
+        return self._clock.now_ms() - self._received_ms
--- a/gypsumrouter/forwarding/suspects.py
+++ b/gypsumrouter/forwarding/suspects.py
@@ -81,7 +81,7 @@
 def make_digest(request: CallerRequest) -> int:
     """Return a hash of a request's method, path, key and body."""
     hashed = xxhash.xxh3_64()
-    for part in (request.method, request.path, request.key or ""):
+    for part in (request.method, request.path, request.api_key or ""):
         hashed.update(part.encode("utf-8", "surrogateescape"))
         hashed.update(b"\0")
     hashed.update(request.body)
--- a/gypsumrouter/orders/orders.py
+++ b/gypsumrouter/orders/orders.py
@@ -104,7 +104,7 @@
         self._planner = Planner(name=app.name, table=self._table)
         self._lease = OrderLease(app=app, settings=settings.platform, pool=pool)
         fleet.on_list(self._handle_list)
-        fleet.on_fresh(self._lease.renew)
+        fleet.on_confirmed(self._lease.renew)
         self._load_scheduler = LoadScheduler(
             app=app, lease=self._lease, retries=self._retries, table=self._table
         )
--- a/gypsumrouter/orders/ports.py
+++ b/gypsumrouter/orders/ports.py
@@ -19,7 +19,7 @@
     def on_list(self, listener: Callable[[InstanceList], None]) -> Remove:
         """Register a listener for every accepted list, in order."""
 
-    def on_fresh(self, listener: Callable[[int], None]) -> Remove:
+    def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
         """Register a listener for the time at which the list was still unchanged."""
 
 
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -237,7 +237,7 @@
             address=self._routers.own_address,
             routers=self._list_routers(known),
             routing_version=self._routing.version,
-            list_revision=self._directory.newest,
+            list_revision=self._directory.applied_revision,
             evacuations=encode_evacuations(self._evacuations),
             data_centre=self._app.data_centre,
         )
--- a/gypsumrouter/suspect_gossip.py
+++ b/gypsumrouter/suspect_gossip.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Callable, Collection
 
-from gypsumrouter.configuration.neighbours import list_routes
+from gypsumrouter.configuration.neighbours import list_ring_neighbours
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Fleet, Instance
 from gypsumrouter.link import LinkPool
 from gypsumrouter.link.models import SuspectNews
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 
 ListNames = Callable[[], Collection[str]]
 SendTo = Callable[[Collection[str], SuspectNews], None]
@@ -32,7 +32,7 @@
         app: Application,
         fleet: Fleet,
         links: LinkPool,
-        suspicion: Suspicion,
+        suspicion: SuspectTracker,
         list_affected: ListNames,
         send_to: SendTo,
     ) -> None:
@@ -41,7 +41,7 @@
         self._links = links
         self._list_affected = list_affected
         self._send_to = send_to
-        suspicion.on_news(self._forward)
+        suspicion.on_new_strike(self._forward)
 
     def _forward(self, report: SuspectNews) -> None:
         # Evaluated here and not in the task, because the failed exchanges are still tracked now.
@@ -52,7 +52,7 @@
         self._app.async_create_task(self._async_forward(report, direct), "suspect gossip")
 
     async def _async_forward(self, report: SuspectNews, direct: list[tuple[Instance]]) -> None:
-        routes = list_routes(self._app.name, self._fleet.peers())
+        routes = list_ring_neighbours(self._app.name, self._fleet.peers())
         await asyncio.gather(*(self._async_send(route, report) for route in (*direct, *routes)))
 
     async def _async_send(self, route: tuple[Instance, ...], report: SuspectNews) -> None:
--- a/tests/forwarding/test_forwarding_placer.py
+++ b/tests/forwarding/test_forwarding_placer.py
@@ -8,7 +8,7 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations, Record
-from gypsumrouter.directory.evacuations import YOUNG_MS
+from gypsumrouter.directory.evacuations import STARTUP_MS
 from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.eligibility import PlacementRefusal
 from gypsumrouter.forwarding.health import HealthTracker
@@ -110,7 +110,7 @@
 def test_prompts_are_copied_from_an_evacuated_data_centre_only_at_the_beginning() -> None:
     clock = ManualClock(now_ms=100_000)
     router = Router(clock, random.Random(3))
-    clock.advance(YOUNG_MS)
+    clock.advance(STARTUP_MS)
     prompt = make_prompt(1)
     holder = router.place(1)
     router.placer.note_cached(part=1, upstream=holder)
