--- a/bench/client_host.py
+++ b/bench/client_host.py
@@ -1,4 +1,4 @@
-"""A process of its own for many streaming callers: counts tokens and first-token times."""
+"""Process that runs many streaming callers and measures tokens and times to first token."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 from gypsumrouter.const import ENV_IO_URING, HEADER_CHAT, IO_URING_OFF, MS_PER_S, PATH_CHAT
 
-EVENT_MARK: Final = b'"content"'
-DONE_MARK: Final = b"[DONE]"
+TOKEN_MARKER: Final = b'"content"'
+DONE_MARKER: Final = b"[DONE]"
 HTTP_OK: Final = 200
 
 
 class ClientPlan(Struct, frozen=True, kw_only=True):
-    """What one process of callers does; `origins` are taken in turn, times are seconds."""
+    """Load of one caller process; callers use `origins` round-robin, times are seconds."""
 
     origins: tuple[str, ...]
     key: str
@@ -34,7 +34,7 @@
 
 
 class ClientResult(Struct, kw_only=True):
-    """What the callers of one process saw while measured; times in milliseconds."""
+    """Results of one caller process in the measured period; times in milliseconds."""
 
     tokens: int = 0
     whole: int = 0
@@ -44,7 +44,7 @@
 
 
 async def async_run_clients(plan: ClientPlan) -> ClientResult:
-    """Run callers in a process of its own and return what they saw."""
+    """Run callers in a separate process and return their result."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -58,7 +58,7 @@
 
 
 class StreamCallers:
-    """Callers that each ask again as soon as their stream has ended."""
+    """Callers that each send the next request when their stream ends."""
 
     def __init__(self, *, plan: ClientPlan, session: aiohttp.ClientSession) -> None:
         self.plan = plan
@@ -69,17 +69,17 @@
         self.until_s = self.measure_from_s + plan.measure_s
 
     async def async_call_repeatedly(self, number: int) -> None:
-        """Play one caller until the time is over."""
-        turn = 0
-        # Spread the callers over the length of one answer, so that they do not run in step.
+        """Run one caller until the end of the measurement."""
+        request_number = 0
+        # Stagger the starts, so that the callers do not run in lockstep.
         await asyncio.sleep((number % 97) / 97 * min(self.plan.warm_s, 1.0))
         while time.monotonic() < self.until_s:
-            await self._async_call(number, turn)
-            turn += 1
+            await self._async_call(number, request_number)
+            request_number += 1
 
-    async def _async_call(self, number: int, turn: int) -> None:
+    async def _async_call(self, number: int, request_number: int) -> None:
         origin = self.plan.origins[number % len(self.plan.origins)]
-        chat = f"chat-{self.plan.seed}-{number}-{turn}"
+        chat = f"chat-{self.plan.seed}-{number}-{request_number}"
         payload = {
             "model": self.plan.model,
             "stream": True,
@@ -97,22 +97,22 @@
 
     async def _async_count(self, answer: aiohttp.ClientResponse, began_s: float) -> None:
         last_s = 0.0
-        ending = b""
+        last_chunk = b""
         async for chunk in answer.content.iter_any():
             now_s = time.monotonic()
-            tokens = chunk.count(EVENT_MARK)
-            ending = chunk
+            tokens = chunk.count(TOKEN_MARKER)
+            last_chunk = chunk
             if tokens == 0:
                 continue
             if self.measure_from_s <= now_s < self.until_s:
-                self._note(tokens, now_s, began_s, last_s)
+                self._record(tokens, now_s, began_s, last_s)
             last_s = now_s
-        if DONE_MARK in ending:
+        if DONE_MARKER in last_chunk:
             self.result.whole += 1
         else:
             self.result.broken += 1
 
-    def _note(self, tokens: int, now_s: float, began_s: float, last_s: float) -> None:
+    def _record(self, tokens: int, now_s: float, began_s: float, last_s: float) -> None:
         self.result.tokens += tokens
         if last_s == 0.0:
             self.result.first_ms.append((now_s - began_s) * MS_PER_S)
--- a/bench/member_host.py
+++ b/bench/member_host.py
@@ -1,4 +1,4 @@
-"""Many light processes in one: the list, the links and the configuration, without any requests."""
+"""A process with many lightweight members: instance list, links and configuration only."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from typing import Final
 
 from bench.child import Child, Command, async_serve
-from bench.two_year import Place
-from gypsumrouter.configuration import ConfigurationSpread, ConfigurationStore
+from bench.target_scale import Location
+from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.configuration.models import Configuration
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.core import Application
@@ -25,10 +25,10 @@
 
 
 class LightMember:
-    """One instance of the fleet that only keeps its configuration in step."""
+    """An instance that only replicates the configuration."""
 
-    def __init__(self, *, place: Place, role: Role, key: bytes) -> None:
-        name, data_centre, region = place
+    def __init__(self, *, location: Location, role: Role, key: bytes) -> None:
+        name, data_centre, region = location
         self.app = Application(name=name, role=role, data_centre=data_centre, region=region)
         self.in_force: list[tuple[int, int]] = []
         self._notices = NoticeHub(app=self.app)
@@ -43,18 +43,18 @@
         )
 
     async def async_listen(self) -> Address:
-        """Listen for links and return the address."""
+        """Start the link listener and return its address."""
         self.app.async_start()
         return await self._server.async_start()
 
     async def async_join(self, platform: Platform) -> None:
-        """Begin to read the platform and to talk to neighbours."""
+        """Start reading the platform and replicating the configuration."""
         source = HttpInstanceListSource(app=self.app, settings=platform)
         fleet = Fleet(app=self.app, settings=platform, source=source)
-        self._pool.on_contact(fleet.note_contact)
+        self._pool.on_contact(fleet.record_contact)
         store = ConfigurationStore(app=self.app)
-        store.on_change(self._note)
-        spread = ConfigurationSpread(
+        store.on_change(self._record_version)
+        replicator = ConfigurationReplicator(
             app=self.app,
             settings=platform,
             store=store,
@@ -63,29 +63,29 @@
             notices=self._notices,
         )
         await fleet.async_start()
-        await spread.async_start()
+        await replicator.async_start()
         self.app.async_started()
 
-    def _note(self, configuration: Configuration) -> None:
+    def _record_version(self, configuration: Configuration) -> None:
         self.in_force.append((configuration.version, self.app.clock.wall_ms()))
 
 
 class MemberHost:
-    """The parent's end of one process of light members."""
+    """Parent side: controls one process of lightweight members."""
 
-    def __init__(self, *, role: Role, places: list[Place], key: str) -> None:
+    def __init__(self, *, role: Role, locations: list[Location], key: str) -> None:
         self._role = role
-        self._places = places
-        plan = {"role": role, "places": places, "key": key}
+        self._locations = locations
+        plan = {"role": role, "places": locations, "key": key}
         self._child = Child(module="bench.member_host", plan=plan)
 
     @property
     def pid(self) -> int:
-        """Return the id of the process."""
+        """Return the process id."""
         return self._child.pid
 
     async def async_start(self) -> list[Instance]:
-        """Start the process and return its members as the list should name them."""
+        """Start the process and return the instance list entries of its members."""
         ports: list[int] = await self._child.async_start()
         return [
             Instance(
@@ -95,36 +95,36 @@
                 data_centre=data_centre,
                 region=region,
             )
-            for (name, data_centre, region), port in zip(self._places, ports, strict=True)
+            for (name, data_centre, region), port in zip(self._locations, ports, strict=True)
         ]
 
     async def async_join(self, *, platform: dict[str, list[str]], spacing_ms: float) -> None:
-        """Have all members join, one after the other."""
+        """Make all members join one after another."""
         await self._child.async_command(platform=platform, join_ms=spacing_ms)
 
-    async def async_read(self) -> Events:
-        """Return which versions came into force when, by member."""
+    async def async_get_events(self) -> Events:
+        """Return the versions and the times at which they came into force, by member."""
         events: Events = await self._child.async_command()
         return events
 
     async def async_stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         await self._child.async_stop()
 
 
 async def async_host(plan: Command) -> None:
-    """Run the members until the standard input ends."""
+    """Run the members until the end of standard input."""
     members = [
         LightMember(
-            place=tuple(place),
+            location=tuple(location),
             role=Role(plan["role"]),
             key=plan["key"].encode(),
         )
-        for place in plan["places"]
+        for location in plan["places"]
     ]
     addresses = [await member.async_listen() for member in members]
 
-    async def async_follow(command: Command) -> object:
+    async def async_handle_command(command: Command) -> object:
         if "join_ms" in command:
             platform = Platform(
                 configuration=tuple(command["platform"]["configuration"]),
@@ -136,12 +136,12 @@
             return {}
         return {member.app.name: member.in_force for member in members}
 
-    await async_serve([address.port for address in addresses], async_follow)
-    # Everything here is in memory, so there is nothing to release member by member.
+    await async_serve([address.port for address in addresses], async_handle_command)
+    # Exit without stopping each member: nothing outside the process has to be released.
     os._exit(0)
 
 
 if __name__ == "__main__":
     logging.disable(logging.CRITICAL)
-    # Not uvloop: with this many connections timing out at once it has aborted the process.
+    # Not uvloop: it aborts the process when this many connections time out at once.
     asyncio.run(async_host(json.loads(sys.argv[1])))
--- a/bench/placement_load.py
+++ b/bench/placement_load.py
@@ -1,4 +1,4 @@
-"""Loads for the replay of placement: kinds of requests with shared prompts, as recorded."""
+"""Request loads of the placement replay, modelled on a recorded load with shared prompts."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
 
 MS_PER_S: Final = 1_000
 MODEL: Final = "m"
-# The longest of a kind's prompts, as a multiple of their mean.
-LONGEST: Final = 3.0
+# Upper bound of a size, as a multiple of the mean.
+MAX_SIZE_FACTOR: Final = 3.0
 
 
 class Tokens(Struct, frozen=True, kw_only=True):
-    """Sizes with a mean and the spread of their logarithm."""
+    """Log-normal distribution of sizes; `spread` is the standard deviation of the logarithm."""
 
     mean: float
     spread: float
 
     def draw(self, rng: random.Random) -> int:
-        """Return one size."""
+        """Return a random size."""
         centre = math.log(self.mean) - self.spread**2 / 2
-        return max(1, int(min(LONGEST * self.mean, rng.lognormvariate(centre, self.spread))))
+        return max(
+            1, int(min(MAX_SIZE_FACTOR * self.mean, rng.lognormvariate(centre, self.spread)))
+        )
 
 
-class Kind(Struct, frozen=True, kw_only=True):
+class RequestKind(Struct, frozen=True, kw_only=True):
     """One kind of request.
 
-    Its prompts begin with one of `roots` parts, go on with one of `prompts` parts, asked for by
-    Zipf's law with the exponent `skew`, and end with a part of the request's own.
+    A prompt consists of one of `roots` root parts, one of `prompts` prompt parts, chosen by Zipf's
+    law with the exponent `skew`, and a part that is unique to the request.
     """
 
     name: str
@@ -48,11 +50,11 @@
 
 
 class Load(Struct, frozen=True, kw_only=True):
-    """What the routers meet.
+    """A load of the routers, and the engines that serve it.
 
-    From `hot_from_ms` to `hot_to_ms` a share of `hot_share` of the requests asks for the most
-    popular prompt of its kind. At `lost_at_ms` a share of `lost_share` of the engines is replaced
-    by empty ones. A third of the engines is slower, by `slow_factor`.
+    From `hot_from_ms` to `hot_to_ms`, the fraction `hot_share` of the requests uses the most
+    popular prompt of its kind. At `lost_at_ms`, the fraction `lost_share` of the engines is
+    replaced by engines with empty caches. Every third engine is slower by `slow_factor`.
     """
 
     name: str
@@ -60,7 +62,7 @@
     engines: int
     engine_tokens: int
     slots: int
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     duration_ms: int
     hot_from_ms: int
     hot_to_ms: int
@@ -71,7 +73,7 @@
 
 
 class Arrival(Struct, frozen=True, kw_only=True):
-    """One request at one router."""
+    """Arrival of one request at a router."""
 
     at_ms: int
     router: int
@@ -79,42 +81,47 @@
     prompt: Prompt
 
 
-def make_kinds(*, share: float, prompts: tuple[int, int, int], stride: float) -> tuple[Kind, ...]:
-    """Return the three recorded kinds at a share of the full rate; `stride` scales their output."""
+def make_kinds(
+    *, rate_share: float, prompts: tuple[int, int, int], output_scale: float
+) -> tuple[RequestKind, ...]:
+    """Return the three recorded kinds.
+
+    `rate_share` scales their rates and `output_scale` their output tokens.
+    """
     long, chat, short = prompts
     return (
-        Kind(
+        RequestKind(
             name="long",
-            per_s=72 * share,
+            per_s=72 * rate_share,
             roots=1,
             root=Tokens(mean=512, spread=0.4),
             prompts=long,
             prompt=Tokens(mean=10_000, spread=0.7),
             skew=0.3,
             own=Tokens(mean=1_300, spread=1.4),
-            output=Tokens(mean=54.6 * stride, spread=0.44),
+            output=Tokens(mean=54.6 * output_scale, spread=0.44),
         ),
-        Kind(
+        RequestKind(
             name="chat",
-            per_s=107 * share,
+            per_s=107 * rate_share,
             roots=80,
             root=Tokens(mean=119, spread=0.4),
             prompts=chat,
             prompt=Tokens(mean=580, spread=0.7),
             skew=0.3,
             own=Tokens(mean=130, spread=1.0),
-            output=Tokens(mean=41.6 * stride, spread=0.69),
+            output=Tokens(mean=41.6 * output_scale, spread=0.69),
         ),
-        Kind(
+        RequestKind(
             name="short",
-            per_s=117 * share,
+            per_s=117 * rate_share,
             roots=16,
             root=Tokens(mean=341, spread=0.4),
             prompts=short,
             prompt=Tokens(mean=1_700, spread=0.7),
             skew=0.3,
             own=Tokens(mean=360, spread=1.3),
-            output=Tokens(mean=3.2 * stride, spread=1.4),
+            output=Tokens(mean=3.2 * output_scale, spread=1.4),
         ),
     )
 
@@ -125,7 +132,7 @@
     engines=6,
     engine_tokens=655_000,
     slots=64,
-    kinds=make_kinds(share=0.2, prompts=(76, 60, 60), stride=9.8),
+    kinds=make_kinds(rate_share=0.2, prompts=(76, 60, 60), output_scale=9.8),
     duration_ms=34_000,
     hot_from_ms=7_000,
     hot_to_ms=13_000,
@@ -139,7 +146,7 @@
     engines=28,
     engine_tokens=360_594,
     slots=64,
-    kinds=make_kinds(share=1.0, prompts=(348, 223, 248), stride=7.0),
+    kinds=make_kinds(rate_share=1.0, prompts=(348, 223, 248), output_scale=7.0),
     duration_ms=34_000,
     hot_from_ms=7_000,
     hot_to_ms=13_000,
@@ -150,14 +157,14 @@
 
 
 def make_arrivals(load: Load, *, seed: int) -> Iterator[Arrival]:
-    """Return the requests of a load in order of time; the same ones for the same seed."""
+    """Return the requests of a load in order of time; deterministic for a seed."""
     rng = random.Random(seed)
-    streams = [_make_kind(load, number, rng) for number in range(len(load.kinds))]
+    streams = [_generate_arrivals(load, number, rng) for number in range(len(load.kinds))]
     arrivals = [arrival for stream in streams for arrival in stream]
     return iter(sorted(arrivals, key=lambda arrival: arrival.at_ms))
 
 
-def _make_kind(load: Load, number: int, rng: random.Random) -> Iterator[Arrival]:
+def _generate_arrivals(load: Load, number: int, rng: random.Random) -> Iterator[Arrival]:
     kind = load.kinds[number]
     roots = [_make_part(number, 1, at, kind.root.draw(rng)) for at in range(kind.roots)]
     prompts = [_make_part(number, 2, at, kind.prompt.draw(rng)) for at in range(kind.prompts)]
--- a/bench/placement_strategies.py
+++ b/bench/placement_strategies.py
@@ -1,4 +1,4 @@
-"""Ways to choose an engine for the replay of placement: the product's own and its baselines."""
+"""Placement strategies of the replay: that of the router and its baselines."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 
 
 class Choice(Struct, frozen=True, kw_only=True):
-    """The engine for a request, and one to copy its prompt from."""
+    """The engine for a request, and the engine to copy its cached prompt from, if any."""
 
     engine: str
     source: str | None = None
 
 
 class Strategy(Protocol):
-    """Chooses engines for all routers; `first` and `end` tell how a request went on."""
+    """Chooses engines for all routers; is notified of the progress of requests."""
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return where a request goes; `number` is its own."""
+        """Return the engine for a request; `number` identifies the request."""
 
-    def first(self, arrival: Arrival, number: int) -> None:
-        """Note the first event of a request."""
+    def record_first_event(self, arrival: Arrival, number: int) -> None:
+        """Record the first event of a request."""
 
-    def end(self, arrival: Arrival, number: int) -> None:
-        """Note the end of a request."""
+    def record_end(self, arrival: Arrival, number: int) -> None:
+        """Record the end of a request."""
 
-    def tick(self, now_ms: int) -> None:
-        """Move time on."""
+    def advance(self, now_ms: int) -> None:
+        """Advance the time."""
 
-    def replace(self, lost: str, new: str) -> None:
-        """Note that an engine is lost and an empty one is there."""
+    def replace_engine(self, lost: str, new: str) -> None:
+        """Replace a lost engine by one with an empty cache."""
 
 
 class RoundRobin:
-    """Each router goes through the engines in turn."""
+    """Each router uses the engines in turn."""
 
     def __init__(self, load: Load) -> None:
         self._names = list_engines(load)
@@ -68,22 +68,22 @@
         self._next[arrival.router] = (at + 1) % len(self._names)
         return Choice(engine=self._names[at])
 
-    def first(self, arrival: Arrival, number: int) -> None:
-        """Take no note."""
+    def record_first_event(self, arrival: Arrival, number: int) -> None:
+        """Do nothing."""
 
-    def end(self, arrival: Arrival, number: int) -> None:
-        """Take no note."""
+    def record_end(self, arrival: Arrival, number: int) -> None:
+        """Do nothing."""
 
-    def tick(self, now_ms: int) -> None:
-        """Take no note."""
+    def advance(self, now_ms: int) -> None:
+        """Do nothing."""
 
-    def replace(self, lost: str, new: str) -> None:
-        """Go to the new engine instead."""
+    def replace_engine(self, lost: str, new: str) -> None:
+        """Use the new engine instead."""
         self._names[self._names.index(lost)] = new
 
 
 class LeastLoaded(RoundRobin):
-    """Each router goes to the engine where it has the fewest requests itself."""
+    """Each router chooses the engine with the fewest of its own running requests."""
 
     def __init__(self, load: Load) -> None:
         super().__init__(load)
@@ -91,41 +91,41 @@
         self._engines: dict[int, str] = {}
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return the engine with the fewest."""
+        """Return the engine with the fewest running requests."""
         running = self._running[arrival.router]
         at = number % len(self._names)
-        # Equals are taken in turn, so that routers do not all begin with the same engine.
+        # Break ties in turn, so that routers do not all start with the same engine.
         engine = min(self._names[at:] + self._names[:at], key=running.__getitem__)
         running[engine] += 1
         self._engines[number] = engine
         return Choice(engine=engine)
 
-    def end(self, arrival: Arrival, number: int) -> None:
-        """Count a request out."""
+    def record_end(self, arrival: Arrival, number: int) -> None:
+        """Decrement the count of running requests."""
         engine = self._engines.pop(number)
         if engine in self._running[arrival.router]:
             self._running[arrival.router][engine] -= 1
 
-    def replace(self, lost: str, new: str) -> None:
-        """Begin to count for the new engine."""
-        super().replace(lost, new)
+    def replace_engine(self, lost: str, new: str) -> None:
+        """Start counting for the new engine at 0."""
+        super().replace_engine(lost, new)
         for running in self._running:
             del running[lost]
             running[new] = 0
 
 
 class Hashing(RoundRobin):
-    """Each prompt goes to the first engine of its stable order, whatever the load."""
+    """Chooses the first engine in the affinity order of the prompt, regardless of load."""
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return the first of the order."""
+        """Return the first engine in the affinity order."""
         shared = arrival.prompt.shared[-1].part
         affinity = xxhash.xxh3_64_intdigest(shared.to_bytes(8, "little"))
         return Choice(engine=order_by_affinity(self._names, affinity=affinity)[0])
 
 
-class Product:
-    """The product's placement: one placer a router, and their news after its usual pause."""
+class ProductPlacement:
+    """The placement of the router: one placer per router, and periodic updates between them."""
 
     def __init__(self, load: Load) -> None:
         self._clock = ManualClock()
@@ -134,14 +134,16 @@
         self._directories: list[Directory] = []
         self._placers = [self._make_placer(load, number) for number in range(load.routers)]
         self._period_ms = UPDATE_INTERVAL_MS + UPDATE_INTERVAL_MS_PER_PEER * (load.routers - 1)
-        self._news: list[list[tuple[int, str]]] = [[] for _ in self._placers]
-        self._told_ms = [number * self._period_ms // load.routers for number in range(load.routers)]
+        self._pending_updates: list[list[tuple[int, str]]] = [[] for _ in self._placers]
+        self._last_update_ms = [
+            number * self._period_ms // load.routers for number in range(load.routers)
+        ]
         self._sent: dict[int, SentRequest] = {}
         for number, placer in enumerate(self._placers):
             placer.on_placed(self._make_listener(number))
 
     def choose(self, arrival: Arrival, number: int) -> Choice:
-        """Return what the router's placer says."""
+        """Return the choice of the router's placer."""
         placer = self._placers[arrival.router]
         placed = placer.place(service=SERVICE, prompt=arrival.prompt, excluded=())
         assert isinstance(placed, Placement)
@@ -151,47 +153,47 @@
             engine=placed.entry.upstream, source=None if source is None else source.upstream
         )
 
-    def first(self, arrival: Arrival, number: int) -> None:
-        """Tell the placer that the prompt was read."""
+    def record_first_event(self, arrival: Arrival, number: int) -> None:
+        """Record in the placer that the prompt was prefilled."""
         sent = self._sent[number]
         self._placers[arrival.router].note_prefilled(sent)
         self._placers[arrival.router].note_first_event(sent)
 
-    def end(self, arrival: Arrival, number: int) -> None:
-        """Tell the placer that a request is over."""
+    def record_end(self, arrival: Arrival, number: int) -> None:
+        """Record in the placer that the request ended."""
         self._placers[arrival.router].loads.end(self._sent.pop(number).upstream)
 
-    def tick(self, now_ms: int) -> None:
-        """Move the clock on and pass on the news that are due."""
+    def advance(self, now_ms: int) -> None:
+        """Advance the clock and send the updates that are due."""
         self._clock.advance(now_ms - self._clock.now_ms())
-        for number, told_ms in enumerate(self._told_ms):
-            if now_ms - told_ms >= self._period_ms:
-                self._told_ms[number] = now_ms
-                self._tell(number, now_ms)
+        for number, last_update_ms in enumerate(self._last_update_ms):
+            if now_ms - last_update_ms >= self._period_ms:
+                self._last_update_ms[number] = now_ms
+                self._send_update(number, now_ms)
 
-    def replace(self, lost: str, new: str) -> None:
-        """Tell every router at once, as the published list does."""
+    def replace_engine(self, lost: str, new: str) -> None:
+        """Replace the engine in the directories of all routers at once."""
         self._revision += 1
         for directory in self._directories:
-            gone = Entry(upstream=lost, state=EntryState.GONE)
-            directory.merge(Record(revision=self._revision, entry=gone), source="replay")
-            self._list(directory, new)
+            removed = Entry(upstream=lost, state=EntryState.GONE)
+            directory.merge(Record(revision=self._revision, entry=removed), source="replay")
+            self._add_entry(directory, new)
 
-    def _tell(self, number: int, now_ms: int) -> None:
-        news, self._news[number] = self._news[number], []
+    def _send_update(self, number: int, now_ms: int) -> None:
+        update, self._pending_updates[number] = self._pending_updates[number], []
         loads = PeerLoads(received_ms=now_ms, loads=self._placers[number].loads.get_own_loads())
         for other, placer in enumerate(self._placers):
             if other == number:
                 continue
             placer.loads.set_peer_loads(f"router-{number}", loads)
-            for part, upstream in news:
+            for part, upstream in update:
                 placer.cache_index.note(part=part, upstream=upstream, now_ms=now_ms)
 
     def _make_listener(self, number: int) -> Callable[[int, str], None]:
-        def note(part: int, upstream: str) -> None:
-            self._news[number].append((part, upstream))
+        def add_to_update(part: int, upstream: str) -> None:
+            self._pending_updates[number].append((part, upstream))
 
-        return note
+        return add_to_update
 
     def _make_placer(self, load: Load, number: int) -> Placer:
         app = Application(
@@ -215,10 +217,10 @@
         )
         self._directories.append(directory)
         for name in list_engines(load):
-            self._list(directory, name)
+            self._add_entry(directory, name)
         return placer
 
-    def _list(self, directory: Directory, engine: str) -> None:
+    def _add_entry(self, directory: Directory, engine: str) -> None:
         number = int(engine.rpartition("-")[2])
         entry = Entry(
             upstream=engine,
@@ -235,10 +237,10 @@
     "round robin": RoundRobin,
     "least loaded": LeastLoaded,
     "hashing": Hashing,
-    "gypsumrouter": Product,
+    "gypsumrouter": ProductPlacement,
 }
 
 
 def list_engines(load: Load) -> list[str]:
-    """Return the names of a load's first engines."""
+    """Return the names of the initial engines of a load."""
     return [f"engine-{number}" for number in range(load.engines)]
--- a/bench/planned.py
+++ b/bench/planned_chats.py
@@ -1,4 +1,4 @@
-"""Chats whose turns come at planned times, so that every policy meets the same arrivals."""
+"""Chats whose turns start at planned times, so that every policy gets the same arrivals."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from msgspec import Struct, field
 
 from bench.accounts import Account
-from bench.load import CallerContext, ChatCaller, ChatShape, NoAnswer, Whole
+from bench.load import CallerContext, ChatCaller, ChatShape, CompleteAnswer, NoAnswer
 from bench.tally import Tally
 from gypsumrouter.standins.tokens import (
     BYTES_PER_TOKEN,
@@ -20,11 +20,11 @@
     render_prompt,
 )
 
-WORD_BYTES: Final = 8
+BYTES_PER_WORD: Final = 8
 
 
 class PlannedTurn(Struct, frozen=True, kw_only=True):
-    """One turn: when it comes (ms from the begin), what the user says, tokens of the answer."""
+    """One turn: start in ms from the start of the run, user message, output tokens."""
 
     at_ms: int
     content: str
@@ -32,7 +32,7 @@
 
 
 class PlannedChat(Struct, frozen=True, kw_only=True):
-    """One chat of one account, with all of its turns."""
+    """One chat of an account with all its turns."""
 
     name: str
     account: Account
@@ -40,7 +40,7 @@
 
 
 class TurnResult(Struct, kw_only=True):
-    """What became of one turn; times in milliseconds from its arrival."""
+    """Outcome of one turn; times in milliseconds from its planned start."""
 
     account: Account
     at_ms: int
@@ -53,26 +53,26 @@
     cached_tokens: int = 0
 
 
-class Play(Struct, kw_only=True):
-    """What the callers of one run share: when it began, and the results so far."""
+class ChatRun(Struct, kw_only=True):
+    """State shared by the callers of a run: start time, options, and the results so far."""
 
     began_ms: int
-    brings_hint: bool
+    sends_hint: bool
     results: list[TurnResult] = field(default_factory=list)
 
 
 class PlannedCaller(ChatCaller):
-    """Plays one planned chat: a turn begins at its time, or as soon as the one before has ended.
+    """Runs one planned chat; a turn starts at its time, or when the one before has ended.
 
-    The answers are functions of the requests, so the transcript goes on as planned even where a
-    turn got no answer.
+    Answers are deterministic functions of requests, so the transcript stays as planned even if a
+    turn failed.
     """
 
     def __init__(
         self,
         *,
         context: CallerContext,
-        play: Play,
+        run: ChatRun,
         chat: PlannedChat,
         model: str,
         seed: int,
@@ -86,21 +86,21 @@
             model=model,
             shape=ChatShape(stream=stream),
         )
-        self.play = play
+        self.run = run
         self.plan = chat
 
-    async def async_play(self) -> None:
-        """Play all turns."""
+    async def async_run_chat(self) -> None:
+        """Run all turns."""
         for turn in self.plan.turns:
-            due_ms = self.play.began_ms + turn.at_ms
+            due_ms = self.run.began_ms + turn.at_ms
             await self.clock.async_sleep(max(0, due_ms - self.clock.now_ms()))
-            await self._async_play_turn(turn)
+            await self._async_run_turn(turn)
 
-    async def _async_play_turn(self, turn: PlannedTurn) -> None:
+    async def _async_run_turn(self, turn: PlannedTurn) -> None:
         self.messages.append(Message(role="user", content=turn.content))
         result = TurnResult(account=self.account, at_ms=turn.at_ms)
-        self.play.results.append(result)
-        answer = await self.async_try_until_answered(lambda: self._async_count_try(turn, result))
+        self.run.results.append(result)
+        answer = await self.async_try_until_answered(lambda: self._async_attempt(turn, result))
         if answer is not None and self._check(answer, turn.tokens):
             result.served = True
             result.prompt_tokens = answer.prompt_tokens
@@ -108,9 +108,11 @@
             return
         self.messages.append(make_answer(self.messages, model=self.model, tokens=turn.tokens))
 
-    async def _async_count_try(self, turn: PlannedTurn, result: TurnResult) -> Whole | NoAnswer:
-        waited_ms = self.clock.now_ms() - self.play.began_ms - turn.at_ms
-        if not self.play.brings_hint:
+    async def _async_attempt(
+        self, turn: PlannedTurn, result: TurnResult
+    ) -> CompleteAnswer | NoAnswer:
+        waited_ms = self.clock.now_ms() - self.run.began_ms - turn.at_ms
+        if not self.run.sends_hint:
             self.hint = ""
         result.tries += 1
         outcome = await self._async_try(turn.tokens)
@@ -122,28 +124,28 @@
         return outcome
 
 
-async def async_play_chats(
+async def async_run_chats(
     chats: tuple[PlannedChat, ...], *, make_caller: Callable[[int, PlannedChat], PlannedCaller]
 ) -> None:
-    """Play all chats to their end."""
+    """Run all chats until they end."""
     callers = [make_caller(number, chat) for number, chat in enumerate(chats)]
-    await asyncio.gather(*(caller.async_play() for caller in callers))
+    await asyncio.gather(*(caller.async_run_chat() for caller in callers))
 
 
 def make_answer(messages: list[Message], *, model: str, tokens: int) -> Message:
-    """Return the answer that a chat gets, whoever gives it."""
+    """Return the answer to a transcript; every engine returns the same one."""
     digest = digest_prompt(render_prompt(messages), model=model)
     return Message(role="assistant", content=make_text(digest, tokens))
 
 
-def write_words(randomness: random.Random, *, tokens: int) -> str:
-    """Return text that costs about a number of tokens."""
-    words = tokens * BYTES_PER_TOKEN // WORD_BYTES
+def make_prompt_text(randomness: random.Random, *, tokens: int) -> str:
+    """Return random text of about `tokens` tokens."""
+    words = tokens * BYTES_PER_TOKEN // BYTES_PER_WORD
     return " ".join(f"{randomness.getrandbits(28):07x}" for _ in range(max(1, words)))
 
 
-def merge_outcomes(tally: Tally) -> dict[str, int]:
-    """Return what must be nothing: answers lost or wrong, whatever the policy is."""
+def count_violations(tally: Tally) -> dict[str, int]:
+    """Return counts of lost or wrong answers, which must be 0 under every policy."""
     return {
         "lost": tally.lost,
         "doubled": tally.doubled,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""What each thing costs a process, and what a router and a side need at the two-year size."""
+"""Benchmark of marginal costs, and of the control overhead at the target size."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 from bench.config_fleet import ChangeCost, async_start_fleet
 from bench.control import (
-    CHANGE_PAUSE_S,
+    CHANGE_INTERVAL_S,
     CHANGES,
-    HOLDING_ROUTERS,
-    HOLDING_SIDES,
+    CONFIG_FLEET_ROUTERS,
+    CONFIG_FLEET_SIDES,
     RoleControl,
     summarize,
 )
 from bench.costs import (
     async_measure_requests,
-    measure_call_bytes,
+    measure_record_bytes,
     measure_sticky_chat_bytes,
 )
 from bench.full_size import ROUTER_STREAMS, SIDE_STREAMS, TOKENS, FullSizeFleet
@@ -35,7 +35,7 @@
     measure_status_us,
 )
 from bench.stages import STAGE_LOAD, FullSize
-from bench.two_year import (
+from bench.target_scale import (
     CONTROL_BYTES_S_MAX,
     CONTROL_RSS_MB_MAX,
     CORE_SHARE_MAX,
@@ -46,28 +46,31 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench slopes")
     parser.add_argument("--seconds", type=float, default=SECONDS)
     parser.add_argument(
-        "--tokens", type=int, default=TOKENS, help="in each answer under load; 220 in two years"
+        "--tokens",
+        type=int,
+        default=TOKENS,
+        help="tokens per answer under load; 220 at the target scale",
     )
-    parser.add_argument("--plot", type=Path, help="where to write a picture of the figures")
+    parser.add_argument("--plot", type=Path, help="file for a bar chart of the results")
     options = parser.parse_args(argv)
     print_machine()
     return asyncio.run(async_run(options))
 
 
 async def async_run(options: argparse.Namespace) -> int:
-    """Measure and print."""
+    """Run all measurements and print the results."""
     full = await FullSizeFleet(seconds=options.seconds, tokens=options.tokens).async_run(
         with_costs=True
     )
     async with AsyncExitStack() as stack:
         fleet = await async_start_fleet(
-            stack, routers=HOLDING_ROUTERS, sides=HOLDING_SIDES, probes=False
+            stack, routers=CONFIG_FLEET_ROUTERS, sides=CONFIG_FLEET_SIDES, probes=False
         )
-        change = await fleet.async_measure_changes(changes=CHANGES, pause_s=CHANGE_PAUSE_S)
+        change = await fleet.async_measure_changes(changes=CHANGES, interval_s=CHANGE_INTERVAL_S)
     costs = await async_measure_requests()
     controls = summarize([], full, change)
     router = derive_slopes(full.router, change, costs[0], streams=ROUTER_STREAMS)
@@ -86,10 +89,10 @@
     roles: Mapping[str, RoleSlopes],
     controls: tuple[RoleControl, RoleControl],
 ) -> None:
-    """Print every slope."""
+    """Print the tables of stages, marginal costs and control traffic."""
     for name, stages in (("router", full.router), ("side", full.side)):
         print_table(
-            title=f"{name}, stage by stage: each adds to the one before",
+            title=f"{name} by stage; each stage adds to the one before",
             columns=("stage", "core share", "resident MB", "links", "control bytes/s"),
             rows=[
                 (
@@ -97,7 +100,7 @@
                     spent.core_share,
                     spent.rss_bytes / MB,
                     spent.links,
-                    spent.sum_control(),
+                    spent.sum_control_rates(),
                 )
                 for stage, spent in stages.items()
             ],
@@ -117,23 +120,23 @@
                 measure_status_us(full.router, frame_bytes=frame_bytes),
             ),
             ("token of the load on all links, us", measure_spread_token_us(full, roles["router"])),
-            ("tokens a second of that load", full.load_tokens_s),
+            ("tokens per second of that load", full.load_tokens_s),
             ("status frame, bytes", frame_bytes),
             ("handshake, bytes", full.handshake_bytes),
             ("list read of 1,260, bytes", full.list_change_bytes),
             ("document of 9,500 workspaces, bytes", full.document_bytes),
-            ("change, bytes, few that watch", change.watcher_bytes),
+            ("change, bytes, watchers", change.watcher_bytes),
             ("change, bytes, others", change.other_bytes),
-            ("change, ms, few that watch", change.watcher_cpu_s * MS_PER_S),
+            ("change, ms, watchers", change.watcher_cpu_s * MS_PER_S),
             ("change, ms, others", change.other_cpu_s * MS_PER_S),
-            ("remembered call, bytes", measure_call_bytes()),
+            ("idempotency record, bytes", measure_record_bytes()),
             ("chat of the sticky baseline, bytes", measure_sticky_chat_bytes()),
         ],
     )
     for name, control in zip(roles, controls, strict=True):
         rows = sorted(control.rates.items(), key=lambda item: -item[1])
         print_table(
-            title=f"{name}: control bytes a second at 330 x 930",
+            title=f"{name}: control bytes per second at 330 x 930",
             columns=("kind", "bytes/s"),
             rows=[row for row in rows if row[1] > 0],
         )
@@ -146,9 +149,9 @@
         bar
         for (name, role), control in zip(roles.items(), controls, strict=True)
         for bar in (
-            Bar(name=f"{name}\ncore share", value=role.control_core_share, aim=CORE_SHARE_MAX),
-            Bar(name=f"{name}\nresident MB", value=role.control_rss / MB, aim=CONTROL_RSS_MB_MAX),
-            Bar(name=f"{name}\nbytes/s", value=control.total, aim=CONTROL_BYTES_S_MAX),
+            Bar(name=f"{name}\ncore share", value=role.control_core_share, limit=CORE_SHARE_MAX),
+            Bar(name=f"{name}\nresident MB", value=role.control_rss / MB, limit=CONTROL_RSS_MB_MAX),
+            Bar(name=f"{name}\nbytes/s", value=control.total, limit=CONTROL_BYTES_S_MAX),
         )
     ]
 
--- a/gypsumrouter/bootstrap_followers.py
+++ b/gypsumrouter/bootstrap_followers.py
@@ -23,11 +23,11 @@
     StoreClient,
     decode_configuration,
     decode_entry,
-    read_evacuated,
+    read_evacuated_data_centre,
     read_upstream_id,
 )
 from gypsumrouter.platform.names import KEY_CONFIGURATION, PREFIX_OPERATOR, PREFIX_SERVERS
-from gypsumrouter.published import Follower, Item, Listed, WatchState
+from gypsumrouter.published import Follower, Item, ItemBatch, WatchState
 from gypsumrouter.routing import RoutingStore
 from gypsumrouter.settings import ForwarderSettings
 
@@ -58,8 +58,8 @@
         name="configuration",
         store=StoreClient(address=address, prefix=PREFIX_OPERATOR),
         state=routing_state,
-        take_all=partial(_replace_operator_items, routing, evacuations),
-        take_changes=partial(_apply_operator_changes, routing, evacuations),
+        handle_all=partial(_replace_operator_items, routing, evacuations),
+        handle_changes=partial(_apply_operator_changes, routing, evacuations),
         count_peers=count_peers,
         count_watchers=count_watchers,
         is_watcher=is_watcher,
@@ -70,10 +70,10 @@
         name="upstreams",
         store=StoreClient(address=address, prefix=PREFIX_SERVERS),
         state=upstreams_state,
-        take_all=partial(_replace_entries, directory),
-        take_changes=partial(_apply_entry_changes, directory),
+        handle_all=partial(_replace_entries, directory),
+        handle_changes=partial(_apply_entry_changes, directory),
         on_lost=directory.note_outage,
-        on_regained=directory.note_return,
+        on_regained=directory.note_recovered,
         count_peers=count_peers,
         count_watchers=count_watchers,
         is_watcher=is_watcher,
@@ -82,7 +82,7 @@
 
 
 def _replace_operator_items(
-    routing: RoutingStore, evacuations: Evacuations, listed: Listed
+    routing: RoutingStore, evacuations: Evacuations, listed: ItemBatch
 ) -> None:
     """Replace the operator's items.
 
@@ -94,7 +94,7 @@
 
 
 def _apply_operator_changes(
-    routing: RoutingStore, evacuations: Evacuations, listed: Listed
+    routing: RoutingStore, evacuations: Evacuations, listed: ItemBatch
 ) -> None:
     for evacuation in read_evacuations(listed.items):
         evacuations.merge(evacuation, source=SOURCE_PLATFORM)
@@ -104,13 +104,13 @@
 def read_evacuations(items: tuple[Item, ...]) -> Iterator[Evacuation]:
     """Return the evacuations among items; a removed item is an evacuation that has ended."""
     for item in items:
-        data_centre = read_evacuated(item.key)
+        data_centre = read_evacuated_data_centre(item.key)
         if data_centre is not None:
             active = item.value is not None
             yield Evacuation(data_centre=data_centre, revision=item.revision, active=active)
 
 
-def _apply_configuration(routing: RoutingStore, listed: Listed) -> None:
+def _apply_configuration(routing: RoutingStore, listed: ItemBatch) -> None:
     for item in listed.items:
         if item.key != KEY_CONFIGURATION or item.value is None:
             continue
@@ -125,15 +125,15 @@
         routing.offer(configuration, source=SOURCE_PLATFORM)
 
 
-def _replace_entries(directory: Directory, listed: Listed) -> None:
+def _replace_entries(directory: Directory, listed: ItemBatch) -> None:
     records = read_records(listed.items)
     directory.replace_all(records, revision=listed.as_of, source=SOURCE_PLATFORM)
 
 
-def _apply_entry_changes(directory: Directory, listed: Listed) -> None:
+def _apply_entry_changes(directory: Directory, listed: ItemBatch) -> None:
     for record in read_records(listed.items):
         directory.merge(record, source=SOURCE_PLATFORM)
-    directory.note_revision(listed.as_of)
+    directory.note_read_revision(listed.as_of)
 
 
 def read_records(items: tuple[Item, ...]) -> Iterator[Record]:
--- a/gypsumrouter/configuration/assembly.py
+++ b/gypsumrouter/configuration/assembly.py
@@ -1,4 +1,4 @@
-"""A configuration put together from parts, of which only the unknown ones are read and checked."""
+"""Build a configuration from parts; only parts that are not in force yet are parsed and checked."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class Assembled(Struct, frozen=True, kw_only=True):
-    """A configuration that passed the check, with its parts."""
+    """A validated configuration with its parts."""
 
     configuration: Configuration
     parts: PartSet
 
 
 def assemble(
-    *, version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes], known: PartSet
+    *, version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes], existing: PartSet
 ) -> Sliced[Assembled | None]:
-    """Check the parts of a version in slices; return None where anything is wrong with them.
+    """Validate the parts of a version in slices; return None if any part is invalid.
 
-    Each element and all references pass the same checks as a whole document. What is wrong is
-    not said: the document has to be joined and checked whole for that.
+    Elements and references pass the same checks as in a whole document. Errors are not reported
+    here: the caller joins the document and validates it as a whole to get them.
     """
     parts: dict[int, Part] = {}
     for count, digest in enumerate(manifest, start=1):
-        part = known.parts.get(digest)
+        part = existing.parts.get(digest)
         if part is None:
             part = yield from _read_part(digest, bodies[digest])
         if part is None:
@@ -56,9 +56,9 @@
 
 
 def build_from_parts(found: PartSet) -> Sliced[Configuration | None]:
-    """Return the configuration that parts make up, or None if a field is missing or double.
+    """Return the configuration built from parts, or None unless it has exactly one default class.
 
-    It shares its elements with the parts.
+    The elements are shared with the parts, not copied.
     """
     values: dict[str, list[object]] = {}
     for digest in found.manifest:
@@ -80,13 +80,13 @@
     if unpacked is None or unpacked[0] != digest:
         return None
     try:
-        reading = yield from read_elements(unpacked[1])
+        parsed = yield from read_elements(unpacked[1])
     except DocumentInvalid:
         return None
-    reading.members[FIELD_VERSION] = 1
-    if check_members(reading) is None or reading.errors:
+    parsed.members[FIELD_VERSION] = 1
+    if check_members(parsed) is None or parsed.errors:
         return None
-    filled = [(section, found) for section, found in reading.entries.items() if found]
+    filled = [(section, found) for section, found in parsed.entries.items() if found]
     if len(filled) != 1:
         return None
     section, entries = filled[0]
--- a/gypsumrouter/configuration/parts.py
+++ b/gypsumrouter/configuration/parts.py
@@ -1,8 +1,8 @@
-"""A configuration cut into parts by its content, so that a change moves only what changed.
+"""Content-addressed parts of a configuration, so that a change transfers only changed parts.
 
-Each part is a canonical JSON object with one section, or a piece of one, and is named by the
-XXH3-64 digest of it. Workspaces are put into buckets by the digest of their names, so a changed
-workspace changes one part. The manifest is the list of the parts' digests in order.
+Each part is a canonical JSON object with one section or a piece of one, and is identified by its
+XXH3-64 digest. Workspaces are assigned to buckets by the digest of their names, so a changed
+workspace changes one part. The manifest is the ordered list of the digests of the parts.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from gypsumrouter.configuration.const import (
     FIELD_DEFAULT_CLASS,
     FIELD_VERSION,
-    ITEMS_IN_PART,
+    ITEMS_PER_PART,
     MAX_CANONICAL_BYTES,
-    MAX_MANIFEST,
+    MAX_MANIFEST_ENTRIES,
     SECTION_CLASSES,
     SECTION_POOLS,
     SECTION_RULES,
@@ -39,7 +39,7 @@
 
 
 class Part(Struct, frozen=True, kw_only=True):
-    """One part: its compressed body, and the checked elements that it holds."""
+    """One part: its compressed body and its validated elements."""
 
     section: str
     body: bytes
@@ -47,7 +47,7 @@
 
 
 class PartSet(Struct, frozen=True, kw_only=True):
-    """All parts of one version; `digest` names the version together with its content."""
+    """All parts of one version; `digest` identifies the version and its content."""
 
     version: int
     digest: int
@@ -58,19 +58,19 @@
 EMPTY_PARTS: Final = PartSet(version=0, digest=0, manifest=(), parts={})
 
 
-def cut_into_parts(document: CheckedDocument, known: PartSet = EMPTY_PARTS) -> Sliced[PartSet]:
-    """Return the parts of a checked document, in slices of bounded work.
+def split_into_parts(document: CheckedDocument, existing: PartSet = EMPTY_PARTS) -> Sliced[PartSet]:
+    """Return the parts of a validated document, in slices of bounded work.
 
-    Those that `known` holds already are taken from there.
+    Parts that `existing` already contains are reused.
     """
     manifest: list[int] = []
     parts: dict[int, Part] = {}
     buckets = yield from _fill_buckets(document)
-    for count, (section, entries) in enumerate(_list_pieces(document, buckets), start=1):
+    for count, (section, entries) in enumerate(_list_part_entries(document, buckets), start=1):
         content = _build_content(section, entries)
         digest = xxhash.xxh3_64_intdigest(content)
         manifest.append(digest)
-        parts[digest] = known.parts.get(digest) or Part(
+        parts[digest] = existing.parts.get(digest) or Part(
             section=section,
             body=zlib.compress(content, _COMPRESSION),
             values=tuple(entry.value for entry in entries),
@@ -87,20 +87,20 @@
 
 
 def digest_manifest(version: int, manifest: Iterable[int]) -> int:
-    """Return the digest that names a version together with its content."""
+    """Return the digest that identifies a version and its content."""
     numbers = (version, *manifest)
     return xxhash.xxh3_64_intdigest(
         b"".join(number.to_bytes(_NUMBER_BYTES, "big") for number in numbers)
     )
 
 
-def is_manifest(version: int, manifest: tuple[int, ...], digest: int) -> bool:
-    """Return whether a manifest is the one that `digest` names."""
-    return len(manifest) <= MAX_MANIFEST and digest_manifest(version, manifest) == digest
+def matches_manifest_digest(version: int, manifest: tuple[int, ...], digest: int) -> bool:
+    """Return whether a manifest has the given digest and does not exceed the size limit."""
+    return len(manifest) <= MAX_MANIFEST_ENTRIES and digest_manifest(version, manifest) == digest
 
 
 def unpack_part(body: bytes) -> tuple[int, bytes] | None:
-    """Return the digest and the content of a compressed part, or None if it is damaged."""
+    """Return the digest and the content of a compressed part, or None if it is corrupt."""
     try:
         reader = zlib.decompressobj()
         content = reader.decompress(body, MAX_CANONICAL_BYTES)
@@ -114,7 +114,7 @@
 def join_parts(
     version: int, manifest: tuple[int, ...], bodies: Mapping[int, bytes]
 ) -> Sliced[bytes | None]:
-    """Return the canonical document that the parts make up, or None if a part is damaged."""
+    """Return the canonical document joined from the parts, or None if a part is corrupt."""
     pieces: dict[str, list[bytes]] = {}
     for count, digest in enumerate(manifest, start=1):
         unpacked = unpack_part(bodies[digest])
@@ -147,15 +147,15 @@
     return buckets
 
 
-def _list_pieces(
+def _list_part_entries(
     document: CheckedDocument, buckets: list[list[Entry]]
 ) -> Iterator[tuple[str, list[Entry]]]:
     if FIELD_DEFAULT_CLASS in document.entries:
         yield FIELD_DEFAULT_CLASS, document.entries[FIELD_DEFAULT_CLASS]
     for section in (SECTION_CLASSES, SECTION_POOLS, SECTION_RULES):
         entries = document.entries[section]
-        for start in range(0, len(entries), ITEMS_IN_PART):
-            yield section, entries[start : start + ITEMS_IN_PART]
+        for start in range(0, len(entries), ITEMS_PER_PART):
+            yield section, entries[start : start + ITEMS_PER_PART]
     for bucket in buckets:
         if bucket:
             yield SECTION_WORKSPACES, bucket
--- a/gypsumrouter/forwarding/slow_start.py
+++ b/gypsumrouter/forwarding/slow_start.py
@@ -16,14 +16,14 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.directory import Entry, EntryState
-from gypsumrouter.forwarding.const import CONNECT_MS
+from gypsumrouter.forwarding.const import CONNECT_TIMEOUT_MS
 from gypsumrouter.journal import Journal, UpstreamWarming
 from gypsumrouter.routing import RoutingTable, SlowStart
 from gypsumrouter.util.clock import Clock
 
 # Length of the rate window. It exceeds a second by the connection timeout, so that requests with
 # different connection times still keep the bound in each second of arrival.
-WINDOW_MS: Final = MS_PER_S + CONNECT_MS
+WINDOW_MS: Final = MS_PER_S + CONNECT_TIMEOUT_MS
 # Share of the bound that is divided among the routers. The remainder allows for routers whose views
 # of the fleet differ.
 BOUND_SHARE: Final = 0.5
@@ -181,8 +181,8 @@
         if entry.state is EntryState.GONE:
             self._warming.pop(entry.incarnation, None)
             self._windows.pop(entry.incarnation, None)
-        elif entry.cold_ms > 0:
-            self._start_warming(entry, entry.cold_ms, REASON_LISTED)
+        elif entry.warm_up_ms > 0:
+            self._start_warming(entry, entry.warm_up_ms, REASON_LISTED)
 
     def note_refused(self, entry: Entry) -> None:
         """Treat an upstream that refused a connection as restarting."""
--- a/gypsumrouter/orders/own.py
+++ b/gypsumrouter/orders/local_engine.py
@@ -1,4 +1,4 @@
-"""What this side knows and tells of its own engine."""
+"""State of the local engine, and the holding that is published for it."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 from gypsumrouter.link.models import HeldModel, Holding
 from gypsumrouter.orders.demand import Demand
+from gypsumrouter.orders.gossip import has_changed
 from gypsumrouter.orders.models import Change, EngineState, OrderKind
-from gypsumrouter.orders.news import differs
 from gypsumrouter.orders.retries import Retries
 from gypsumrouter.util.clock import Clock
 
+# Published loads are multiples of 1 / LOAD_STEPS.
 LOAD_STEPS = 4
 
 
-class OwnEngine:
-    """The last state of the engine, the change under way, and the load that is tried again."""
+class LocalEngine:
+    """The last state read from the engine, the change in progress, and the load being retried."""
 
     __slots__ = (
         "_clock",
@@ -26,7 +27,7 @@
         "change",
         "confirmed",
         "holding",
-        "retried",
+        "retrying",
         "state",
     )
 
@@ -39,38 +40,38 @@
         self.state: EngineState | None = None
         self.change: Change | None = None
         self.confirmed = False
-        self.retried: Change | None = None
+        self.retrying: Change | None = None
         self.holding = Holding(name=name, stamp_ms=0, engine="", up=False)
 
     @property
-    def turned_away(self) -> frozenset[str]:
-        """Return the models for which no new requests may be taken."""
+    def rejected_models(self) -> frozenset[str]:
+        """Return the models for which new requests are rejected."""
         return self._get_withdrawn() if self.confirmed else frozenset()
 
     def begin(self, change: Change) -> None:
-        """Announce a change; requests are turned away once it is confirmed."""
+        """Announce a change; requests are rejected once it is confirmed."""
         self.change = change
         self.confirmed = False
 
     def end(self) -> None:
-        """Note that no change is under way any more."""
+        """Clear the change in progress."""
         self.change = None
 
     def is_loading(self, change: Change) -> bool:
-        """Return whether the engine loads now what a change is about."""
+        """Return whether the engine is loading the model version of a change."""
         state = self.state
         if state is None or change.kind is not OrderKind.LOAD:
             return False
         return state.pending.get(change.name) == change.version
 
-    def restamp(self, *, due_ms: int) -> bool:
-        """Bring the holding up to date; return whether others must hear of it at once.
+    def refresh(self, *, due_ms: int) -> bool:
+        """Update the holding; return whether it has changed and must be announced.
 
-        Without a difference it is stamped anew once it is older than `due_ms`.
+        An unchanged holding gets a new stamp once it is older than `due_ms`.
         """
         now_ms = self._clock.wall_ms()
         made = self._make(max(now_ms, self.holding.stamp_ms + 1))
-        changed = differs(self.holding, made)
+        changed = has_changed(self.holding, made)
         if changed or now_ms - self.holding.stamp_ms >= due_ms:
             self.holding = made
         return changed
@@ -93,9 +94,9 @@
         dropped = () if change is None else change.drops
         withdrawn = self._get_withdrawn()
         loading = dict(state.pending)
-        for begun in (self.retried, change):
-            if begun is not None and begun.kind is OrderKind.LOAD:
-                loading[begun.name] = begun.version
+        for unfinished in (self.retrying, change):
+            if unfinished is not None and unfinished.kind is OrderKind.LOAD:
+                loading[unfinished.name] = unfinished.version
         for name in sorted(state.models.keys() | loading.keys()):
             if name in dropped:
                 continue
@@ -113,5 +114,5 @@
 
 
 def _round(load: float) -> float:
-    """Return a load that is the same number after its way over a link."""
+    """Return a load rounded to a value that is exact after encoding for a link."""
     return round(load * LOAD_STEPS) / LOAD_STEPS
--- a/gypsumrouter/prefixes/moved.py
+++ b/gypsumrouter/prefixes/moved.py
@@ -1,4 +1,4 @@
-"""Where chats of this side's own order were served last, when it was not here."""
+"""Locations of chats that belong to this side and were last served by another one."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 
 from msgspec import Struct
 
-from gypsumrouter.prefixes.const import MOVED_CHATS
+from gypsumrouter.prefixes.const import MAX_MOVED_CHATS
 
 
-class Moved(Struct, frozen=True, kw_only=True):
-    """The instance that served a chat elsewhere, and how long its prompt was."""
+class ChatLocation(Struct, frozen=True, kw_only=True):
+    """The instance that last served a chat, and the length of the prompt."""
 
     name: str
     prompt_bytes: int
 
 
 class MovedChats:
-    """The last news of each chat, by the digest of its name; bounded, the oldest go."""
+    """The last known location of each chat, by the digest of its name; a bounded LRU table."""
 
     __slots__ = ("_moved",)
 
     def __init__(self) -> None:
-        self._moved: OrderedDict[int, Moved] = OrderedDict()
+        self._moved: OrderedDict[int, ChatLocation] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._moved)
 
-    def note(self, chat: int, moved: Moved) -> None:
-        """Take in that a chat was served elsewhere."""
+    def record(self, chat: int, moved: ChatLocation) -> None:
+        """Record that a chat was served by another instance."""
         self._moved[chat] = moved
         self._moved.move_to_end(chat)
-        if len(self._moved) > MOVED_CHATS:
+        if len(self._moved) > MAX_MOVED_CHATS:
             self._moved.popitem(last=False)
 
-    def find(self, chat: int) -> Moved | None:
-        """Return who served a chat last, None if it was this side or nothing is known."""
+    def get(self, chat: int) -> ChatLocation | None:
+        """Return the location of a chat; None if it is here or unknown."""
         return self._moved.get(chat)
 
     def forget(self, chat: int) -> None:
-        """Forget a chat that was served here again."""
+        """Remove a chat that was served here again."""
         self._moved.pop(chat, None)
--- a/gypsumrouter/suspicion/places.py
+++ b/gypsumrouter/suspicion/isolation.py
@@ -1,4 +1,4 @@
-"""Which instances of a pool run suspects."""
+"""Selection of the instances of a pool that run suspects."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import xxhash
 
 from gypsumrouter.fleet import Instance
-from gypsumrouter.suspicion.const import INSTANCES_PER_PLACE
+from gypsumrouter.suspicion.const import INSTANCES_PER_ISOLATION_INSTANCE
 
 _SEPARATOR: Final = "\0"
 
 
-def find_isolation_places(pool: str, instances: Iterable[Instance]) -> tuple[Instance, ...]:
-    """Return the instances that run the suspects of a pool, the same for equal views."""
+def select_isolation_instances(pool: str, instances: Iterable[Instance]) -> tuple[Instance, ...]:
+    """Return the instances that run the suspects of a pool, chosen by hash from its members."""
     members = sorted(instances, key=lambda instance: _get_rank(pool, instance.name))
-    count = max(1, len(members) // INSTANCES_PER_PLACE)
+    count = max(1, len(members) // INSTANCES_PER_ISOLATION_INSTANCE)
     return tuple(members[:count])
 
 
--- a/gypsumrouter/upstream/engine.py
+++ b/gypsumrouter/upstream/engine.py
@@ -1,4 +1,4 @@
-"""Requests at a model engine: streams that can be resumed and cancelled."""
+"""Client for model engines, whose streams can be resumed and cancelled."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     make_unreachable,
 )
 from gypsumrouter.upstream.const import (
-    CANCEL_MS,
+    CANCEL_TIMEOUT_MS,
     HEADER_PRIORITY,
     HTTP_NOT_FOUND,
     HTTP_OK,
-    MAX_OPENS,
+    MAX_RESUME_ATTEMPTS,
+    MAX_SENDS,
     PATH_STREAMS,
     RESUME_PAUSE_MS,
-    RESUME_TRIES,
 )
 from gypsumrouter.upstream.headers import select_request_headers
 from gypsumrouter.upstream.models import ConnectionBroken
 from gypsumrouter.upstream.run import Run
-from gypsumrouter.upstream.transport import Unreached
+from gypsumrouter.upstream.transport import ConnectFailed
 
 _LOGGER = logging.getLogger(__name__)
 
@@ -37,66 +37,66 @@
 
 
 class EngineClient(BaseClient):
-    """Run requests at an engine.
+    """Send requests to an engine.
 
-    An engine may be silent for long before its first token. So a silent connection is not taken
-    for a dead one: the stream is taken over on a new connection, from the byte after the last,
-    and the engine says whether it still has it.
+    An engine may send nothing for a long time before its first token, so an idle connection is not
+    treated as failed. Instead the stream is resumed on a new connection at the current offset, and
+    the engine responds whether it still has the stream.
     """
 
     __slots__ = ()
 
     async def _async_drive(self, run: Run) -> Failure | None:
         try:
-            failure = await self._async_follow(run)
+            failure = await self._async_run_attempts(run)
         except BaseException:
-            self._begin_cancel(run)
+            self._start_cancel(run)
             raise
         if failure is None:
             return None
-        if failure.reason is Reason.CANCELLED and run.handed:
-            # Whoever gets the slot next should find the engine free.
+        if failure.reason is Reason.CANCELLED and run.was_handed_over:
+            # Wait for the cancellation, so that the slot is free at the engine for the next run.
             await self._async_cancel_stream(run.stream_id)
         else:
-            self._begin_cancel(run)
+            self._start_cancel(run)
         return failure
 
-    async def _async_follow(self, run: Run) -> Failure | None:
+    async def _async_run_attempts(self, run: Run) -> Failure | None:
         attempt = await self._async_attempt(run, self._async_open_stream)
-        tries = 0
+        resumes = 0
         was_silent = False
         while True:
             match attempt:
-                case Attempt.WHOLE:
-                    return run.check_whole()
+                case Attempt.COMPLETE:
+                    return run.check_complete()
                 case Attempt.CANCELLED:
                     return _fail(Reason.CANCELLED, "the request was cancelled")
-                case Attempt.UNREACHED if not run.handed:
+                case Attempt.CONNECT_FAILED if not run.was_handed_over:
                     return make_unreachable()
-                case Attempt.LOST if was_silent and self._may_open_again(run):
-                    attempt = await self._async_open_again(run)
+                case Attempt.LOST if was_silent and self._may_resend(run):
+                    attempt = await self._async_resend(run)
                     continue
                 case Attempt.LOST:
                     return _fail(Reason.UPSTREAM_LOST, "the upstream lost the answer")
             was_silent = attempt is Attempt.SILENT
-            tries += 1
-            if tries > RESUME_TRIES:
-                return _give_reason(was_silent)
-            if await self._async_has_died(run, attempt):
+            resumes += 1
+            if resumes > MAX_RESUME_ATTEMPTS:
+                return _make_failure(was_silent)
+            if await self._async_has_crashed(run, attempt):
                 return _fail(Reason.UPSTREAM_LOST, "the upstream died")
-            mark = (run.offset, run.heads)
-            attempt = await self._async_attempt(run, _Resume(client=self, pause=tries - 1))
-            if _has_moved(run, mark, attempt):
-                tries = 0
+            before = (run.offset, run.heads)
+            attempt = await self._async_attempt(run, _Resume(client=self, pause=resumes - 1))
+            if _has_progressed(run, before, attempt):
+                resumes = 0
 
-    async def _async_has_died(self, run: Run, attempt: Attempt) -> bool:
-        """Return whether a new connection shows that the upstream is gone."""
+    async def _async_has_crashed(self, run: Run, attempt: Attempt) -> bool:
+        """Return whether a probe after a broken connection shows that the upstream crashed."""
         if attempt is not Attempt.BROKEN:
             return False
-        return await self._health.async_note_broken(run.generation)
+        return await self._health.async_check_crash(run.generation)
 
     async def _async_open_stream(self, run: Run) -> aiohttp.ClientResponse:
-        run.opens += 1
+        run.sends += 1
         run.watch.reading = True
         headers = [
             (name, value)
@@ -117,7 +117,11 @@
         )
 
     async def async_resume_stream(self, run: Run) -> aiohttp.ClientResponse:
-        """Return the answer from the first byte that is missing; raises StreamLost."""
+        """Resume the response at the current offset.
+
+        Raises StreamLost if the engine no longer has the stream, and ConnectionBroken for any
+        other status.
+        """
         run.watch.reading = True
         response = await self._transport.async_open(
             method="POST", path=f"{_make_path(run.stream_id)}/resume?offset={run.offset}"
@@ -128,44 +132,47 @@
         response.close()
         if response.status == HTTP_NOT_FOUND:
             raise StreamLost
-        raise ConnectionBroken(f"status {response.status}")
+        raise ConnectionBroken(f"resume of a stream: expected status 200, got {response.status}")
 
     async def async_pause(self, pause_ms: int) -> None:
-        """Wait before the next try to resume."""
+        """Wait before the next attempt to resume."""
         await self._app.clock.async_sleep(pause_ms)
 
-    def _may_open_again(self, run: Run) -> bool:
-        """Return whether the request may be sent again: it can be repeated and nothing came."""
+    def _may_resend(self, run: Run) -> bool:
+        """Return whether the request may be sent again: no idempotency key and no head yet."""
         if run.request.idempotency_key or run.head_sent:
             return False
-        return run.opens < MAX_OPENS
+        return run.sends < MAX_SENDS
 
-    async def _async_open_again(self, run: Run) -> Attempt:
-        """Send the request once more, under a new id, so that two answers can't be mixed."""
-        _LOGGER.debug("Request %s never reached the upstream", run.request.request_id)
+    async def _async_resend(self, run: Run) -> Attempt:
+        """Send the request again under a new stream id, so that two responses can't be mixed."""
+        _LOGGER.debug(
+            "Request %s did not reach the upstream; sending it again with a new stream id",
+            run.request.request_id,
+        )
         await self._async_cancel_stream(run.stream_id)
         run.stream_id = self._make_stream_id(run.request)
         return await self._async_attempt(run, self._async_open_stream)
 
-    def _begin_cancel(self, run: Run) -> None:
-        """Tell the engine that nobody wants the stream any more, without waiting for it."""
-        if not run.handed:
+    def _start_cancel(self, run: Run) -> None:
+        """Start to cancel the stream at the engine without waiting for the response."""
+        if not run.was_handed_over:
             return
         self._app.async_create_task(self._async_cancel_stream(run.stream_id), "upstream cancel")
 
     async def _async_cancel_stream(self, stream_id: str) -> None:
         try:
-            async with asyncio.timeout(CANCEL_MS / MS_PER_S):
+            async with asyncio.timeout(CANCEL_TIMEOUT_MS / MS_PER_S):
                 response = await self._transport.async_open(
                     method="DELETE", path=_make_path(stream_id)
                 )
                 response.close()
-        except (Unreached, ConnectionBroken, TimeoutError) as error:
-            _LOGGER.debug("Cancel of stream %s failed: %s", stream_id, error)
+        except (ConnectFailed, ConnectionBroken, TimeoutError) as error:
+            _LOGGER.debug("Failed to cancel stream %s at the engine: %s", stream_id, error)
 
 
 class _Resume:
-    """Open a stream again, after a pause that grows with the tries before."""
+    """Resume a stream after a pause that grows with the number of previous attempts."""
 
     __slots__ = ("_client", "_pause")
 
@@ -179,9 +186,9 @@
         return await self._client.async_resume_stream(run)
 
 
-def _has_moved(run: Run, mark: tuple[int, int], attempt: Attempt) -> bool:
-    """Return whether a resumed stream is a living one: more bytes, or a head and then silence."""
-    offset, heads = mark
+def _has_progressed(run: Run, before: tuple[int, int], attempt: Attempt) -> bool:
+    """Return whether a resumed stream made progress: more bytes, or a head before going idle."""
+    offset, heads = before
     if run.offset > offset:
         return True
     return attempt is Attempt.SILENT and run.heads > heads
@@ -191,7 +198,7 @@
     return PATH_STREAMS + quote(stream_id, safe="")
 
 
-def _give_reason(was_silent: bool) -> Failed:
+def _make_failure(was_silent: bool) -> Failed:
     if was_silent:
         return _fail(Reason.UPSTREAM_SILENT, "the upstream is silent")
     return _fail(Reason.UPSTREAM_LOST, "the connection to the upstream broke")
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -215,7 +215,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(peer_inventory, "NON_SEED_TIMEOUT_MS", FOREVER_MS)
-    monkeypatch.setattr(handler, "START_WAIT_MS", FOREVER_MS)
+    monkeypatch.setattr(handler, "STARTUP_WAIT_MS", FOREVER_MS)
     monkeypatch.setattr(cache_index, "COPY_READY_MS", 0)
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
--- a/tests/orders/conftest.py
+++ b/tests/orders/conftest.py
@@ -1,17 +1,17 @@
-"""Fixtures of orders to engines."""
+"""Fixtures for the tests of orders."""
 
 from __future__ import annotations
 
 from collections.abc import AsyncIterator
 
 import pytest
-from orders_world import World
+from orders_fakes import Cluster
 
 
 @pytest.fixture
-async def world() -> AsyncIterator[World]:
-    """Return a world without sides and engines; its weight store runs."""
-    world = World()
-    await world.weights.async_start()
-    yield world
-    await world.async_stop()
+async def cluster() -> AsyncIterator[Cluster]:
+    """Return a cluster without sides and engines and with a running weight store."""
+    cluster = Cluster()
+    await cluster.weights.async_start()
+    yield cluster
+    await cluster.async_stop()
--- a/tests/peers/memory_store.py
+++ b/tests/peers/memory_store.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from gypsumrouter.directory import EntryState
-from gypsumrouter.published import HistoryLost, Item, Listed
+from gypsumrouter.published import HistoryLost, Item, ItemBatch
 from gypsumrouter.util.clock import ManualClock
 from gypsumrouter.util.revisions import get_epoch, get_number, make_revision
 
@@ -49,23 +49,23 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def list(self) -> Listed:
+    def list(self) -> ItemBatch:
         """Return the newest item of each key."""
         self.calls += 1
         newest = {item.key: item for item in self.items}
         return self._make_listed(tuple(newest.values()))
 
-    def _make_listed(self, items: tuple[Item, ...]) -> Listed:
+    def _make_listed(self, items: tuple[Item, ...]) -> ItemBatch:
         """Return items with the epoch in their revisions, as the store client does."""
         items_with_epoch = tuple(
             replace(i, revision=self._make_revision(i.revision)) for i in items
         )
-        return Listed(items=items_with_epoch, as_of=self.as_of)
+        return ItemBatch(items=items_with_epoch, as_of=self.as_of)
 
     def _make_revision(self, number: int) -> int:
         return make_revision(epoch=self.epoch, number=number)
 
-    async def async_watch(self, after: int, wait_ms: int) -> Listed | HistoryLost:
+    async def async_watch(self, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
         """Return the changes after a revision, or none after `wait_ms`."""
         self.calls += 1
         epoch = self.epoch
