--- a/bench/journal_cost.py
+++ b/bench/journal_cost.py
@@ -16,7 +16,7 @@
 from bench.report import print_machine, print_result, print_table
 from gypsumrouter.const import EXIT_OK, Role
 from gypsumrouter.core import Application
-from gypsumrouter.helpers.logs import MAX_WAITING_LINES, configure_logging
+from gypsumrouter.helpers.logs import MAX_QUEUED_LINES, configure_logging
 from gypsumrouter.journal import Journal, RequestPlaced
 from gypsumrouter.journal.journal import LINES_PER_S
 from gypsumrouter.settings import Log, LogFormat, LogLevel
@@ -93,7 +93,7 @@
     stream = os.fdopen(writing, "w")
     clock, journal, remove = _start(LogLevel.INFO, stream)
     tracemalloc.start()
-    _write(clock, journal, 2 * MAX_WAITING_LINES)
+    _write(clock, journal, 2 * MAX_QUEUED_LINES)
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     threading.Thread(target=_drain, args=(reading,), daemon=True).start()
--- a/bench/probe_host.py
+++ b/bench/probe_host.py
@@ -14,7 +14,7 @@
 from gypsumrouter.const import MS_PER_S, Role
 from gypsumrouter.helpers.settings_file import check_linked_settings
 from gypsumrouter.instances import Address, parse_address
-from gypsumrouter.service import settle_process
+from gypsumrouter.service import freeze_heap_when_configured
 
 TICK_MS: Final = 1.0
 
@@ -73,7 +73,7 @@
     product = await async_setup(
         settings=check_linked_settings(role=Role(plan["role"]), document=document)
     )
-    settle_process(product)
+    freeze_heap_when_configured(product)
     probe = LoopProbe()
     task = asyncio.create_task(probe.async_run())
 
--- a/gypsumrouter/bootstrap_forwarder.py
+++ b/gypsumrouter/bootstrap_forwarder.py
@@ -18,7 +18,7 @@
 )
 from gypsumrouter.forwarding import Forwarder
 from gypsumrouter.helpers.logs import set_instance
-from gypsumrouter.helpers.settings_watch import Apply, SettingsWatch
+from gypsumrouter.helpers.settings_watcher import Apply, SettingsWatcher
 from gypsumrouter.instances import Address, parse_address
 from gypsumrouter.journal import (
     Journal,
@@ -152,8 +152,8 @@
 
 def _watch_settings(
     app: Application, journal: Journal, settings: ForwarderSettings, path: Path, apply: Apply
-) -> SettingsWatch:
-    watch = SettingsWatch(
+) -> SettingsWatcher:
+    watch = SettingsWatcher(
         app=app,
         journal=journal,
         path=path,
--- a/gypsumrouter/cli/config.py
+++ b/gypsumrouter/cli/config.py
@@ -73,12 +73,12 @@
     with 1 where a process cannot be reached or the processes differ.
     """
     results = asyncio.run(async_fetch_dumps(addresses, read_token(token_file)))
-    rows = [_describe(result) for result in results]
+    rows = [_make_row(result) for result in results]
     if as_json:
         click.echo(json.dumps(rows, indent=2))
     else:
         _print_table(rows)
-    sys.exit(EXIT_OK if _agree(rows) else EXIT_FAILED)
+    sys.exit(EXIT_OK if _have_same_version(rows) else EXIT_FAILED)
 
 
 @config_group.command("schema")
@@ -114,7 +114,7 @@
             return f"~ {name}{field}: {change.before} -> {change.after}"
 
 
-def _describe(result: DumpResult) -> dict[str, Any]:
+def _make_row(result: DumpResult) -> dict[str, Any]:
     if result.dump is None:
         return {"address": result.address, "error": result.error}
     section = get_section(result.dump, DUMP_SECTION)
@@ -162,7 +162,7 @@
         )
 
 
-def _agree(rows: list[dict[str, Any]]) -> bool:
+def _have_same_version(rows: list[dict[str, Any]]) -> bool:
     versions = {
         (in_force.get("version"), in_force.get("digest"))
         for row in rows
--- a/gypsumrouter/cli/explain.py
+++ b/gypsumrouter/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells one request's story from the logs of several processes."""
+"""The command that tells one request's selected from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from msgspec import Struct
 
 # Fields that head each printed line.
-HEADING: Final = frozenset({"time", "level", "instance", "event", "request_id", "logger"})
+HEADER_FIELDS: Final = frozenset({"time", "level", "instance", "event", "request_id", "logger"})
 # Events that are no request's own and change what happens to it.
-BELIEFS: Final = frozenset(
+CONTEXT_EVENTS: Final = frozenset(
     {"upstream_changed", "upstream_health", "dependency_lost", "dependency_regained"}
 )
-EXIT_UNKNOWN: Final = 1
+EXIT_NOT_FOUND: Final = 1
 
 
-class Line(Struct, frozen=True, kw_only=True):
+class JournalLine(Struct, frozen=True, kw_only=True):
     """One line of a journal."""
 
     time: str
@@ -37,20 +37,20 @@
 @click.argument("request_id")
 @click.argument("files", nargs=-1, type=click.File(errors="replace"))
 def explain_command(request_id: str, files: tuple[TextIO, ...]) -> None:
-    """Tell the story of REQUEST_ID from the logs in FILES, or from standard input.
+    """Tell the selected of REQUEST_ID from the logs in FILES, or from standard input.
 
     What stands before the JSON of a line, such as a time or an instance's name, is passed over.
     """
     lines = [line for file in files or (sys.stdin,) for line in read_lines(file)]
-    story = tell_story(lines, request_id)
-    if not story:
+    selected = select_lines(lines, request_id)
+    if not selected:
         click.echo(f"No line names request {request_id}", err=True)
-        sys.exit(EXIT_UNKNOWN)
-    for line in story:
+        sys.exit(EXIT_NOT_FOUND)
+    for line in selected:
         click.echo(format_line(line, request_id))
 
 
-def read_lines(file: Iterable[str]) -> Iterator[Line]:
+def read_lines(file: Iterable[str]) -> Iterator[JournalLine]:
     """Return the journal lines of a log; other lines are passed over."""
     for text in file:
         start = text.find("{")
@@ -63,7 +63,7 @@
         if not isinstance(fields, dict) or "time" not in fields:
             continue
         event = fields.get("event", fields.get("message", ""))
-        yield Line(
+        yield JournalLine(
             time=str(fields["time"]),
             instance=str(fields.get("instance", "")),
             event=str(event),
@@ -71,7 +71,7 @@
         )
 
 
-def tell_story(lines: list[Line], request_id: str) -> list[Line]:
+def select_lines(lines: list[JournalLine], request_id: str) -> list[JournalLine]:
     """Return a request's lines by time, with what its routers believed of its upstreams."""
     own = [line for line in lines if line.request_id == request_id]
     if not own:
@@ -80,27 +80,27 @@
     instances = {line.instance for line in own}
     first = min(line.time for line in own)
     last = max(line.time for line in own)
-    beliefs = [
+    context = [
         line
         for line in lines
-        if line.event in BELIEFS
+        if line.event in CONTEXT_EVENTS
         and line.instance in instances
         and line.request_id != request_id
         and line.time <= last
-        and _concerns(line, upstreams)
+        and _affects_any(line, upstreams)
     ]
-    before = {(b.instance, b.event, b.fields.get("upstream")): b for b in beliefs if b.time < first}
-    during = [belief for belief in beliefs if belief.time >= first]
+    before = {(b.instance, b.event, b.fields.get("upstream")): b for b in context if b.time < first}
+    during = [entry for entry in context if entry.time >= first]
     return sorted((*before.values(), *during, *own), key=lambda line: line.time)
 
 
-def format_line(line: Line, request_id: str) -> str:
+def format_line(line: JournalLine, request_id: str) -> str:
     """Return a line for people; what is not the request's own is indented."""
-    values = " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in HEADING)
+    values = " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in HEADER_FIELDS)
     mark = "" if line.request_id == request_id else "    "
     return f"{line.time} {line.instance} {mark}{line.event} {values}"
 
 
-def _concerns(line: Line, upstreams: set[Any]) -> bool:
+def _affects_any(line: JournalLine, upstreams: set[Any]) -> bool:
     upstream = line.fields.get("upstream")
     return upstream is None or upstream in upstreams
--- a/gypsumrouter/cli/orders.py
+++ b/gypsumrouter/cli/orders.py
@@ -54,7 +54,7 @@
         wished=_format_models(section.get("wished")),
         held=_format_models(held.get("models")),
         pending=_format_pending(section.get("pending"), held.get("loading")),
-        reason=_explain(section),
+        reason=_get_reason(section),
     )
 
 
@@ -74,7 +74,7 @@
     return f"{change['order']} {target}{source}"
 
 
-def _explain(section: dict[str, Any]) -> str:
+def _get_reason(section: dict[str, Any]) -> str:
     """Return why the engine changes, or why it does not change yet."""
     change = section.get("pending")
     if change is not None:
--- a/gypsumrouter/cli/settings.py
+++ b/gypsumrouter/cli/settings.py
@@ -18,7 +18,7 @@
 from gypsumrouter.helpers.settings_file import check_settings, read_settings_file
 from gypsumrouter.settings import ForwarderSettings, RouterSettings, SideSettings
 
-NEEDED: Final = "<needed>"
+REQUIRED_MARK: Final = "<needed>"
 _F = TypeVar("_F", bound=Callable[..., Any])
 
 
@@ -74,4 +74,4 @@
         return msgspec.to_builtins(item.default, enc_hook=str)
     if item.default_factory is not NODEFAULT:
         return msgspec.to_builtins(item.default_factory(), enc_hook=str)
-    return NEEDED
+    return REQUIRED_MARK
--- a/gypsumrouter/const.py
+++ b/gypsumrouter/const.py
@@ -33,7 +33,7 @@
 EXIT_SETTINGS: Final = 2
 
 
-def make_engine_chat(workspace: str, chat: str) -> str:
+def make_engine_chat_id(workspace: str, chat: str) -> str:
     """Return the name by which engines know a chat; no two workspaces share one."""
     return f"{workspace}/{chat}"
 
--- a/gypsumrouter/daemon.py
+++ b/gypsumrouter/daemon.py
@@ -14,12 +14,12 @@
 import gc
 import sys
 
-from gypsumrouter.helpers.listening import listen_early
+from gypsumrouter.helpers.listening import open_early_listener
 
 if __name__ == "__main__":
     # Nothing of what is imported is garbage: looking for it takes a tenth of the start.
     gc.disable()
-    listen_early(sys.argv[1:])
+    open_early_listener(sys.argv[1:])
 
 from functools import partial
 from pathlib import Path
--- a/gypsumrouter/forwarding/attempt.py
+++ b/gypsumrouter/forwarding/attempt.py
@@ -23,10 +23,10 @@
     Whole,
 )
 from gypsumrouter.helpers.http_connection import (
-    Answer,
     ConnectFailed,
     ConnectionBroken,
     HttpConnection,
+    HttpResponse,
 )
 
 STATUS_OK: Final = 200
@@ -98,7 +98,7 @@
             return NotReached(reason="there is no connection")
         data = self._dialect.write_request(request=self._request, sending=self.sending)
         try:
-            connection.begin(method=self._request.method, data=data)
+            connection.send_request(method=self._request.method, data=data)
         except ConnectionBroken as error:
             return NotReached(reason=str(error))
         self.sent = True
@@ -117,7 +117,7 @@
         if connection is None:
             return
         if self.facts is not None:
-            connection.keep_ms = self.facts.keep_ms
+            connection.keep_alive_ms = self.facts.keep_ms
         self._connections.give_back(self.entry, connection)
 
     def close(self) -> None:
@@ -148,10 +148,10 @@
             return Lost(reason=f"status {answer.status} without the word that it was not run")
         return Whole(answer=answer, status=answer.status, signed=facts.signed, body=body)
 
-    async def _async_read_own(self, connection: HttpConnection) -> Answer:
+    async def _async_read_own(self, connection: HttpConnection) -> HttpResponse:
         """Return the answer to this request; others that come first belong to nobody."""
         while True:
-            answer = await connection.async_read_answer()
+            answer = await connection.async_read_response()
             facts = self._dialect.read_answer(answer)
             # Whomever an answer is for, it is from this upstream, unless another one is there now.
             if answer.status != STATUS_MISDIRECTED:
@@ -165,14 +165,14 @@
                 raise ConnectionBroken("an answer that names no request")
             await answer.body.read()
 
-    def _finish_unless_closing(self, answer: Answer) -> None:
+    def _finish_unless_closing(self, answer: HttpResponse) -> None:
         if answer.message.should_close:
             self.close()
         else:
             self.finish()
 
 
-async def _async_read_held(answer: Answer) -> tuple[bytes, bool]:
+async def _async_read_held(answer: HttpResponse) -> tuple[bytes, bool]:
     """Return a body as far as it may be held back, and whether that is all of it."""
     parts: list[bytes] = []
     size = 0
--- a/gypsumrouter/forwarding/connections.py
+++ b/gypsumrouter/forwarding/connections.py
@@ -99,5 +99,5 @@
 
 
 def _is_usable(connection: HttpConnection, now_ms: int, *, repeatable: bool = True) -> bool:
-    max_idle_ms = get_max_idle_ms(connection.keep_ms, repeatable=repeatable)
+    max_idle_ms = get_max_idle_ms(connection.keep_alive_ms, repeatable=repeatable)
     return connection.reusable and now_ms - connection.idle_since_ms < max_idle_ms
--- a/gypsumrouter/forwarding/models.py
+++ b/gypsumrouter/forwarding/models.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from gypsumrouter.helpers.http_connection import Answer
+from gypsumrouter.helpers.http_connection import HttpResponse
 from gypsumrouter.instances import Address
 
 Headers = tuple[tuple[str, str], ...]
@@ -101,10 +101,10 @@
     def write_request(self, *, request: CallerRequest, sending: Sending) -> bytes:
         """Return the bytes of a request for an upstream."""
 
-    def read_answer(self, answer: Answer) -> AnswerFacts:
+    def read_answer(self, answer: HttpResponse) -> AnswerFacts:
         """Return what an answer's head says."""
 
-    def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
+    def select_headers(self, answer: HttpResponse) -> list[tuple[str, str]]:
         """Return the headers of an answer that go on to the caller."""
 
     def format_retry_after(self, retry_after_ms: int) -> str:
@@ -131,7 +131,7 @@
 class Whole(Struct, frozen=True, kw_only=True):
     """A whole answer, held back until now."""
 
-    answer: Answer
+    answer: HttpResponse
     status: int
     signed: bool
     body: bytes
@@ -143,7 +143,7 @@
     `events` says that the body is a series of events.
     """
 
-    answer: Answer
+    answer: HttpResponse
     status: int
     events: bool
     first: bytes = b""
--- a/gypsumrouter/helpers/heap.py
+++ b/gypsumrouter/helpers/heap.py
@@ -8,7 +8,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-def settle_heap() -> None:
+def freeze_heap() -> None:
     """Collect once, never look again at what is left, and collect as usual from then on.
 
     A full collection stops the loop for a time that grows with the heap. Most of the heap of a
--- a/gypsumrouter/helpers/http_connection.py
+++ b/gypsumrouter/helpers/http_connection.py
@@ -18,7 +18,7 @@
 from aiohttp.streams import StreamReader
 
 from gypsumrouter.const import MS_PER_S
-from gypsumrouter.helpers.silence import set_silence_limits
+from gypsumrouter.helpers.keepalive import set_keepalive_options
 from gypsumrouter.instances import Address
 
 READ_BUFFER_BYTES: Final = 64 * 1024
@@ -47,7 +47,7 @@
     """The connection broke off, or carried what is no answer."""
 
 
-class Answer:
+class HttpResponse:
     """The head of an answer and the reader of its body."""
 
     __slots__ = ("body", "message")
@@ -67,18 +67,18 @@
 
 
 class HttpConnection(BaseProtocol):
-    """One connection; after `begin` the answers come from `async_read_answer` in their order."""
+    """One connection; after `begin` the answers come from `async_read_response` in their order."""
 
     __slots__ = (
-        "_answers",
         "_body",
         "_broken",
         "_parsing",
+        "_responses",
         "_waiter",
         "address",
         "exchanges",
         "idle_since_ms",
-        "keep_ms",
+        "keep_alive_ms",
     )
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop, address: Address) -> None:
@@ -87,8 +87,8 @@
         self.exchanges = 0
         self.idle_since_ms = 0
         # How long the peer keeps an idle connection, where it said so.
-        self.keep_ms: int | None = None
-        self._answers: deque[Answer] = deque()
+        self.keep_alive_ms: int | None = None
+        self._responses: deque[HttpResponse] = deque()
         self._body: StreamReader | None = None
         self._broken: str | None = None
         self._parsing = False
@@ -101,7 +101,7 @@
             self._broken is None
             and self.transport is not None
             and not self.transport.is_closing()
-            and not self._answers
+            and not self._responses
             and (self._body is None or self._body.is_eof())
             and self.transport.get_write_buffer_size() == 0
         )
@@ -111,9 +111,9 @@
         super().connection_made(transport)
         connection = transport.get_extra_info("socket")
         if connection is not None:
-            set_silence_limits(connection)
+            set_keepalive_options(connection)
 
-    def begin(self, *, method: str, data: bytes) -> None:
+    def send_request(self, *, method: str, data: bytes) -> None:
         """Write a whole request; raises ConnectionBroken when nothing can be written."""
         transport = self.transport
         if self._broken is not None or transport is None or transport.is_closing():
@@ -133,11 +133,11 @@
         self._body = None
         transport.write(data)
 
-    async def async_read_answer(self) -> Answer:
+    async def async_read_response(self) -> HttpResponse:
         """Return the next answer; raises ConnectionBroken. Interim answers are passed over."""
         while True:
-            while self._answers:
-                answer = self._answers.popleft()
+            while self._responses:
+                answer = self._responses.popleft()
                 if not STATUS_CONTINUE <= answer.status < STATUS_SUCCESS:
                     return answer
             if self._broken is not None:
@@ -155,7 +155,7 @@
 
     def close(self) -> None:
         """Close the connection; nothing of it can be used any more."""
-        self._break("closed")
+        self._mark_broken("closed")
         if self.transport is not None:
             self.transport.abort()
 
@@ -163,21 +163,21 @@
         """Parse what arrives; bytes that belong to no exchange spoil the connection."""
         if not self._parsing or self._parser is None:
             if data:
-                self._spoil("bytes that belong to no request")
+                self._invalidate("bytes that belong to no request")
             return
         try:
             messages, upgraded, tail = self._parser.feed_data(data)
         except HttpProcessingError as error:
-            self._spoil(f"no HTTP: {type(error).__name__}")
+            self._invalidate(f"no HTTP: {type(error).__name__}")
             return
         except Exception as error:  # the parser reports a wrong body through its own errors
-            self._spoil(f"no HTTP: {error!r}")
+            self._invalidate(f"no HTTP: {error!r}")
             return
         for message, body in messages:
-            self._answers.append(Answer(message=message, body=body))
+            self._responses.append(HttpResponse(message=message, body=body))
             self._body = body
         if upgraded or tail:
-            self._spoil("bytes after the answer")
+            self._invalidate("bytes after the answer")
             return
         if messages:
             self._wake()
@@ -196,7 +196,7 @@
             return
         connection = self.transport.get_extra_info("socket")
         if connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._spoil("reset after its end")
+            self._invalidate("reset after its end")
             return
         self.transport.close()
 
@@ -204,7 +204,7 @@
         """End or break off the body that is being read."""
         super().connection_lost(None)
         self._end_body(exc)
-        self._break("closed by the peer" if exc is None else f"reset: {type(exc).__name__}")
+        self._mark_broken("closed by the peer" if exc is None else f"reset: {type(exc).__name__}")
 
     def _end_body(self, exc: BaseException | None) -> None:
         body = self._body
@@ -220,15 +220,15 @@
                 return
         body.set_exception(ConnectionBroken("broken off"))
 
-    def _spoil(self, reason: str) -> None:
+    def _invalidate(self, reason: str) -> None:
         body = self._body
         if body is not None and not body.is_eof() and body.exception() is None:
             body.set_exception(ConnectionBroken(reason))
-        self._break(reason)
+        self._mark_broken(reason)
         if self.transport is not None:
             self.transport.abort()
 
-    def _break(self, reason: str) -> None:
+    def _mark_broken(self, reason: str) -> None:
         if self._broken is None:
             self._broken = reason
         self._wake()
@@ -246,30 +246,30 @@
     closes a descriptor twice where a connect is cancelled half-way.
     """
     loop = asyncio.get_running_loop()
-    dialing = loop.create_task(_async_dial(loop, address))
+    connecting = loop.create_task(_async_open(loop, address))
     try:
-        done, _ = await asyncio.wait((dialing,), timeout=timeout_ms / MS_PER_S)
+        done, _ = await asyncio.wait((connecting,), timeout=timeout_ms / MS_PER_S)
     except asyncio.CancelledError:
-        dialing.add_done_callback(_close_unused)
+        connecting.add_done_callback(_close_unused)
         raise
     if not done:
-        dialing.add_done_callback(_close_unused)
+        connecting.add_done_callback(_close_unused)
         raise ConnectFailed(f"no connection within {timeout_ms} ms")
-    error = dialing.exception()
+    error = connecting.exception()
     if error is not None:
         refused = isinstance(error, ConnectionRefusedError)
         raise ConnectFailed(type(error).__name__, refused=refused) from error
-    return dialing.result()
+    return connecting.result()
 
 
-async def _async_dial(loop: asyncio.AbstractEventLoop, address: Address) -> HttpConnection:
+async def _async_open(loop: asyncio.AbstractEventLoop, address: Address) -> HttpConnection:
     _, connection = await loop.create_connection(
         lambda: HttpConnection(loop=loop, address=address), address.host, address.port
     )
     return connection
 
 
-def _close_unused(dialing: asyncio.Task[HttpConnection]) -> None:
-    if dialing.cancelled() or dialing.exception() is not None:
+def _close_unused(connecting: asyncio.Task[HttpConnection]) -> None:
+    if connecting.cancelled() or connecting.exception() is not None:
         return
-    dialing.result().close()
+    connecting.result().close()
--- a/gypsumrouter/helpers/silence.py
+++ b/gypsumrouter/helpers/keepalive.py
@@ -9,13 +9,13 @@
 KEEPALIVE_IDLE_S: Final = 1
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
-UNACKNOWLEDGED_MS: Final = 2_500
+USER_TIMEOUT_MS: Final = 2_500
 
 
-def set_silence_limits(connection: socket.socket) -> None:
+def set_keepalive_options(connection: socket.socket) -> None:
     """Bound how long a connection may be dead without the process noticing."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/gypsumrouter/helpers/listening.py
+++ b/gypsumrouter/helpers/listening.py
@@ -20,10 +20,10 @@
 KEEPALIVE_PROBES: Final = 2
 
 # Loading takes 0.9 s at this share; callers of plain services leave after 0.6 s and more.
-MIN_EARLY_CORES: Final = 0.6
-ENV_CERTIFICATES: Final = "SSL_CERT_FILE"
+MIN_CORES_FOR_EARLY_LISTENER: Final = 0.6
+ENV_CERTIFICATES_FILE: Final = "SSL_CERT_FILE"
 
-_early: dict[tuple[str, int], socket.socket] = {}
+_early_sockets: dict[tuple[str, int], socket.socket] = {}
 
 
 def make_listening_socket(*, host: str, port: int) -> socket.socket:
@@ -31,28 +31,28 @@
 
     A socket that was opened early for the same address is returned in place of a new one.
     """
-    early = _early.pop((host, port), None)
-    if early is not None:
-        return early
+    early_socket = _early_sockets.pop((host, port), None)
+    if early_socket is not None:
+        return early_socket
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    listening = socket.socket(family, socket.SOCK_STREAM)
-    listening.setblocking(False)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-    listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    listener = socket.socket(family, socket.SOCK_STREAM)
+    listener.setblocking(False)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     try:
-        listening.bind((host, port))
+        listener.bind((host, port))
     except OSError:
-        listening.close()
+        listener.close()
         raise
-    return listening
+    return listener
 
 
-def listen_early(arguments: Sequence[str]) -> None:
+def open_early_listener(arguments: Sequence[str]) -> None:
     """Listen for callers as a forwarder's settings file says, before anything checks that file.
 
     What is wrong with the file or the address is found, and told, by the regular start.
@@ -63,23 +63,23 @@
     try:
         with open(path, encoding="utf-8") as file:
             settings = json.load(file)
-        _skip_certificates(settings)
+        _disable_system_certificates(settings)
         host, _, port = settings["callers"].rpartition(":")
         processor = settings.get("processor", {})
         cores = processor.get("share", 1.0) * processor.get("speed", 1.0)
-        if int(port) == 0 or cores < MIN_EARLY_CORES:
+        if int(port) == 0 or cores < MIN_CORES_FOR_EARLY_LISTENER:
             return
-        listening = make_listening_socket(host=host, port=int(port))
-        listening.listen(BACKLOG)
+        listener = make_listening_socket(host=host, port=int(port))
+        listener.listen(BACKLOG)
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
         return
-    _early[(host, int(port))] = listening
+    _early_sockets[(host, int(port))] = listener
 
 
-def _skip_certificates(settings: dict[str, Any]) -> None:
+def _disable_system_certificates(settings: dict[str, Any]) -> None:
     """Keep the HTTP library from loading the system's certificates where no link uses TLS.
 
     It loads them at its import, used or not, which a start on a small core waits for.
     """
     if settings.get("link", {}).get("tls") is None:
-        os.environ.setdefault(ENV_CERTIFICATES, os.devnull)
+        os.environ.setdefault(ENV_CERTIFICATES_FILE, os.devnull)
--- a/gypsumrouter/helpers/logs.py
+++ b/gypsumrouter/helpers/logs.py
@@ -14,14 +14,14 @@
 
 from gypsumrouter.settings import Log, LogFormat
 
-MAX_WAITING_LINES: Final = 10_000
+MAX_QUEUED_LINES: Final = 10_000
 # What a process waits at its end for a reader of its log; 10,000 lines take 0.1 s to write.
-STOP_S: Final = 0.5
+FLUSH_TIMEOUT_S: Final = 0.5
 NO_VALUE: Final = "-"
 TEXT_FORMAT: Final = (
     "%(asctime)s %(levelname)s [%(instance)s] [%(request_id)s] %(name)s: %(message)s"
 )
-NOISY_LOGGERS: Final = ("aiohttp.access", "asyncio")
+QUIET_LOGGERS: Final = ("aiohttp.access", "asyncio")
 
 _instance: ContextVar[str] = ContextVar("instance", default=NO_VALUE)
 _request_id: ContextVar[str] = ContextVar("request_id", default=NO_VALUE)
@@ -74,21 +74,21 @@
         return json.dumps(line, ensure_ascii=False)
 
 
-class LossyQueueHandler(logging.handlers.QueueHandler):
+class DroppingQueueHandler(logging.handlers.QueueHandler):
     """Hands records to the writing thread; a reader that stalls costs lines, never the loop."""
 
-    lost = 0
+    dropped = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
         """Return the record as it is: the queue stays inside the process."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue the record, or count it as lost."""
+        """Queue the record, or count it as dropped."""
         try:
             self.queue.put_nowait(record)
         except queue.Full:
-            self.lost += 1
+            self.dropped += 1
 
 
 class BoundedQueueListener(logging.handlers.QueueListener):
@@ -111,12 +111,12 @@
                 return
 
     def stop(self) -> None:
-        """Write what is left within `STOP_S`; what nobody reads by then is lost."""
+        """Write what is left within `FLUSH_TIMEOUT_S`; what nobody reads by then is dropped."""
         thread, self._thread = self._thread, None
         if thread is None:
             return
         self.enqueue_sentinel()
-        thread.join(STOP_S)
+        thread.join(FLUSH_TIMEOUT_S)
 
 
 def make_formatter(log_format: LogFormat) -> logging.Formatter:
@@ -138,8 +138,8 @@
     set_instance(instance)
     output = logging.StreamHandler(stream or sys.stderr)
     output.setFormatter(make_formatter(settings.format))
-    records: queue.Queue[logging.LogRecord | None] = queue.Queue(MAX_WAITING_LINES)
-    handler = LossyQueueHandler(records)
+    records: queue.Queue[logging.LogRecord | None] = queue.Queue(MAX_QUEUED_LINES)
+    handler = DroppingQueueHandler(records)
     handler.addFilter(ContextFilter())
     listener = BoundedQueueListener(records, output)
     root = logging.getLogger()
@@ -147,7 +147,7 @@
         root.removeHandler(earlier)
     root.addHandler(handler)
     root.setLevel(settings.level.value.upper())
-    for name in NOISY_LOGGERS:
+    for name in QUIET_LOGGERS:
         logging.getLogger(name).setLevel(logging.WARNING)
     listener.start()
 
--- a/gypsumrouter/helpers/metrics.py
+++ b/gypsumrouter/helpers/metrics.py
@@ -48,30 +48,34 @@
 class MetricRegistry:
     """Every metric of one process."""
 
-    __slots__ = ("_counters", "_gauges", "_library", "_names")
+    __slots__ = ("_counters", "_gauges", "_names", "_registry")
 
     def __init__(self) -> None:
-        self._library = aioprometheus.Registry()
+        self._registry = aioprometheus.Registry()
         self._names: set[str] = set()
         self._counters: list[tuple[aioprometheus.Counter, Counter]] = []
         self._gauges: list[tuple[aioprometheus.Gauge, ReadGauge]] = []
 
     def counter(self, name: str, documentation: str) -> Counter:
         """Register a counter; names end in `_total`."""
-        metric = aioprometheus.Counter(self._claim(name), documentation, registry=self._library)
+        metric = aioprometheus.Counter(
+            self._reserve_name(name), documentation, registry=self._registry
+        )
         counter = Counter()
         self._counters.append((metric, counter))
         return counter
 
     def gauge(self, name: str, documentation: str, read: ReadGauge) -> None:
         """Register a gauge that is read when the metrics are scraped."""
-        metric = aioprometheus.Gauge(self._claim(name), documentation, registry=self._library)
+        metric = aioprometheus.Gauge(
+            self._reserve_name(name), documentation, registry=self._registry
+        )
         self._gauges.append((metric, read))
 
     def histogram(self, name: str, documentation: str, buckets: list[float]) -> Histogram:
         """Register a histogram with the upper bounds of its buckets."""
         metric = aioprometheus.Histogram(
-            self._claim(name), documentation, buckets=buckets, registry=self._library
+            self._reserve_name(name), documentation, buckets=buckets, registry=self._registry
         )
         return Histogram(metric)
 
@@ -83,9 +87,9 @@
         for gauge, read in self._gauges:
             for labels, value in read().items():
                 gauge.set(dict(labels), value)
-        return bytes(text.TextFormatter().marshall(self._library))
+        return bytes(text.TextFormatter().marshall(self._registry))
 
-    def _claim(self, name: str) -> str:
+    def _reserve_name(self, name: str) -> str:
         if name in self._names:
             raise InvariantBroken(f"metric {name} registered twice")
         self._names.add(name)
--- a/gypsumrouter/helpers/settings_watch.py
+++ b/gypsumrouter/helpers/settings_watcher.py
@@ -15,20 +15,20 @@
 from gypsumrouter.settings import ForwarderSettings
 
 # One look at the file's times, some ten microseconds; a change holds as soon as a configuration.
-LOOK_MS: Final = 1_000
+POLL_INTERVAL_MS: Final = 1_000
 
 Check = Callable[[bytes], ForwarderSettings]
 Apply = Callable[[ForwarderSettings], tuple[str, ...]]
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Reads the file again after a change and hands the settings to `apply`.
 
     `apply` returns the sections that hold at once; the others hold from the next start on. A file
     that is unreadable or wrong changes nothing.
     """
 
-    __slots__ = ("_app", "_apply", "_check", "_journal", "_path", "_seen", "_settings")
+    __slots__ = ("_app", "_apply", "_check", "_file_state", "_journal", "_path", "_settings")
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._settings = settings
         self._check = check
         self._apply = apply
-        self._seen = self._look()
+        self._file_state = self._read_file_state()
 
     def async_start(self) -> None:
         """Begin to look for changes that no signal tells of."""
@@ -54,7 +54,7 @@
 
     def reload(self) -> None:
         """Read the file now and journal what differs."""
-        self._seen = self._look()
+        self._file_state = self._read_file_state()
         try:
             settings = self._check(read_settings_file(self._path))
         except SettingsInvalid as invalid:
@@ -75,7 +75,7 @@
         names = (field.name for field in fields(settings))
         return tuple(n for n in names if getattr(settings, n) != getattr(self._settings, n))
 
-    def _look(self) -> tuple[int, int, int] | None:
+    def _read_file_state(self) -> tuple[int, int, int] | None:
         """Return what changes with the file; None while it cannot be seen."""
         try:
             status = self._path.stat()
@@ -86,6 +86,6 @@
 
     async def _async_watch(self) -> None:
         while True:
-            await self._app.clock.async_sleep(LOOK_MS)
-            if self._look() != self._seen:
+            await self._app.clock.async_sleep(POLL_INTERVAL_MS)
+            if self._read_file_state() != self._file_state:
                 self.reload()
--- a/gypsumrouter/helpers/tls.py
+++ b/gypsumrouter/helpers/tls.py
@@ -17,7 +17,7 @@
 DEFAULT_RELOAD_MS: Final = 5_000
 _FIELD_TLS: Final = "$.tls"
 
-Stamp = tuple[tuple[int, int], ...]
+FilesState = tuple[tuple[int, int], ...]
 
 
 def make_server_context(tls: Tls) -> ssl.SSLContext:
@@ -54,7 +54,7 @@
     trusted until the process is replaced.
     """
 
-    __slots__ = ("_app", "_context", "_reload_ms", "_stamp", "_tls")
+    __slots__ = ("_app", "_context", "_files_state", "_reload_ms", "_tls")
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._tls = tls
         self._context = context
         self._reload_ms = reload_ms
-        self._stamp = read_stamp(tls)
+        self._files_state = read_files_state(tls)
 
     def async_start(self) -> None:
         """Look at the files from time to time until the application stops."""
@@ -79,8 +79,8 @@
 
         Files that are wrong, such as half of a pair, leave the old chain in force.
         """
-        stamp = read_stamp(self._tls)
-        if stamp == self._stamp:
+        files_state = read_files_state(self._tls)
+        if files_state == self._files_state:
             return False
         try:
             # A wrong pair would leave the context half changed, so it is tried on another one.
@@ -89,7 +89,7 @@
         except SettingsInvalid as error:
             _LOGGER.warning("Changed TLS files are not taken: %s", error)
             return False
-        self._stamp = stamp
+        self._files_state = files_state
         _LOGGER.info("TLS files were read again")
         return True
 
@@ -104,13 +104,13 @@
             await asyncio.to_thread(self.refresh)
 
 
-def read_stamp(tls: Tls) -> Stamp:
+def read_files_state(tls: Tls) -> FilesState:
     """Return what changes when one of the files is written; blocks for a moment."""
     paths = (tls.certificate_file, tls.key_file, tls.ca_file, tls.client_ca_file)
-    return tuple(_read_file_stamp(path) for path in paths if path is not None)
+    return tuple(_read_file_state(path) for path in paths if path is not None)
 
 
-def _read_file_stamp(path: str) -> tuple[int, int]:
+def _read_file_state(path: str) -> tuple[int, int]:
     try:
         stat = Path(path).stat()
     except OSError:
--- a/gypsumrouter/link/connection.py
+++ b/gypsumrouter/link/connection.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Protocol, cast
 
-from gypsumrouter.helpers.silence import set_silence_limits
+from gypsumrouter.helpers.keepalive import set_keepalive_options
 from gypsumrouter.link.codec import encode_goodbye
 from gypsumrouter.link.const import (
     FLAG_NONE,
@@ -144,7 +144,7 @@
         self._transport.set_write_buffer_limits(high=HIGH_WATER_BYTES, low=LOW_WATER_BYTES)
         connection = transport.get_extra_info("socket")
         if connection is not None:
-            set_silence_limits(connection)
+            set_keepalive_options(connection)
 
     def data_received(self, data: bytes) -> None:
         """Cut what arrived into frames and wake the reading task."""
--- a/gypsumrouter/operators/access.py
+++ b/gypsumrouter/operators/access.py
@@ -29,8 +29,8 @@
             return True
         if not authorization.startswith(BEARER):
             return False
-        shown = authorization[len(BEARER) :].encode("utf-8", "surrogateescape")
-        return hmac.compare_digest(shown, self._token)
+        presented = authorization[len(BEARER) :].encode("utf-8", "surrogateescape")
+        return hmac.compare_digest(presented, self._token)
 
 
 def check_access(settings: Operators) -> Access:
--- a/gypsumrouter/operators/probes.py
+++ b/gypsumrouter/operators/probes.py
@@ -39,8 +39,8 @@
         runner = web.AppRunner(routes, access_log=None, handle_signals=False)
         await runner.setup()
         self._app.on_stop(runner.cleanup)
-        wanted = parse_address(endpoint)
-        site = web.TCPSite(runner, wanted.host, wanted.port)
+        requested = parse_address(endpoint)
+        site = web.TCPSite(runner, requested.host, requested.port)
         await site.start()
         host, port = runner.addresses[0][:2]
         return Address(host=host, port=port)
--- a/gypsumrouter/operators/server.py
+++ b/gypsumrouter/operators/server.py
@@ -25,7 +25,7 @@
 
 _LOGGER = logging.getLogger(__name__)
 
-ReadReady = Callable[[], bool]
+IsReady = Callable[[], bool]
 
 
 class OperatorsServer:
@@ -34,7 +34,7 @@
     __slots__ = ("_access", "_app", "_is_ready", "_runner", "_settings")
 
     def __init__(
-        self, *, app: Application, settings: Operators, access: Access, is_ready: ReadReady
+        self, *, app: Application, settings: Operators, access: Access, is_ready: IsReady
     ) -> None:
         self._app = app
         self._settings = settings
--- a/gypsumrouter/platform/answers.py
+++ b/gypsumrouter/platform/answers.py
@@ -7,7 +7,7 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.forwarding.models import AnswerFacts, CallerRequest, Sending
-from gypsumrouter.helpers.http_connection import Answer
+from gypsumrouter.helpers.http_connection import HttpResponse
 from gypsumrouter.platform import names
 from gypsumrouter.platform.requests import write_request
 
@@ -27,7 +27,7 @@
         """Return the bytes of a request for an upstream."""
         return write_request(request=request, sending=sending)
 
-    def read_answer(self, answer: Answer) -> AnswerFacts:
+    def read_answer(self, answer: HttpResponse) -> AnswerFacts:
         """Return what an answer's head says."""
         encoding = answer.get("Content-Encoding")
         return AnswerFacts(
@@ -41,7 +41,7 @@
             keep_ms=_read_keep_ms(answer.get("Keep-Alive")),
         )
 
-    def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
+    def select_headers(self, answer: HttpResponse) -> list[tuple[str, str]]:
         """Return the headers of an answer that go on to the caller."""
         return [
             (name, value)
@@ -54,7 +54,7 @@
         return f"{retry_after_ms / MS_PER_S:.3f}"
 
 
-def _read_rest_ms(answer: Answer) -> int | None:
+def _read_rest_ms(answer: HttpResponse) -> int | None:
     """Return for how long an upstream that turned a request away wants nothing."""
     if answer.status != names.STATUS_UNAVAILABLE:
         return None
--- a/gypsumrouter/platform/engines.py
+++ b/gypsumrouter/platform/engines.py
@@ -12,8 +12,8 @@
 async def async_list_held(connection: HttpConnection) -> CacheListing:
     """Return what an engine's cache holds; raises ConnectionBroken for anything that is no list."""
     head = f"GET {names.CALL_HELD} HTTP/1.1\r\nHost: {connection.address}\r\n\r\n"
-    connection.begin(method="GET", data=head.encode())
-    answer = await connection.async_read_answer()
+    connection.send_request(method="GET", data=head.encode())
+    answer = await connection.async_read_response()
     body = await answer.body.read()
     if answer.status != names.STATUS_OK:
         raise ConnectionBroken(f"status {answer.status}")
--- a/gypsumrouter/platform/store.py
+++ b/gypsumrouter/platform/store.py
@@ -145,8 +145,8 @@
             connection = await async_connect(address=self._address, timeout_ms=CONNECT_MS)
             self._connection = connection
         head = f"GET {target} HTTP/1.1\r\nHost: {self._address}\r\n\r\n"
-        connection.begin(method="GET", data=head.encode())
-        answer = await connection.async_read_answer()
+        connection.send_request(method="GET", data=head.encode())
+        answer = await connection.async_read_response()
         body = await answer.body.read()
         connection.finish()
         if answer.message.should_close:
--- a/gypsumrouter/prefixes/prefixes.py
+++ b/gypsumrouter/prefixes/prefixes.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from gypsumrouter.const import MS_PER_S, Role, make_engine_chat
+from gypsumrouter.const import MS_PER_S, Role, make_engine_chat_id
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Instance
 from gypsumrouter.link import Answer, ExchangeHandler, NoticeHub, Peer, PrefixNews
@@ -110,7 +110,7 @@
         """Bring the prefix of a request here where that costs less than computing it."""
         if not request.chat:
             return
-        chat = make_engine_chat(request.workspace, request.chat)
+        chat = make_engine_chat_id(request.workspace, request.chat)
         self._busy[chat] = self._busy.get(chat, 0) + 1
         missing = request.prompt_bytes - self._held.get(chat)
         if not request.holders or missing < const.MIN_FETCH_BYTES:
@@ -126,7 +126,7 @@
         """Note that the engine ran a request, to its end if it was `whole`."""
         if not whole or not request.chat:
             return
-        chat = make_engine_chat(request.workspace, request.chat)
+        chat = make_engine_chat_id(request.workspace, request.chat)
         self._held.note(chat, request.prompt_bytes)
         self._moved.forget(digest_chat(chat))
         home = self._find_other(request.holders[0]) if request.holders else None
@@ -138,7 +138,7 @@
         """Note the end of a run that began with a fetch."""
         if not request.chat:
             return
-        chat = make_engine_chat(request.workspace, request.chat)
+        chat = make_engine_chat_id(request.workspace, request.chat)
         running = self._busy.pop(chat, 1) - 1
         if running > 0:
             self._busy[chat] = running
--- a/gypsumrouter/service.py
+++ b/gypsumrouter/service.py
@@ -1,4 +1,4 @@
-"""One process of the product as a service: its start, its signals and its end."""
+"""One process of the process as a service: its start, its signals and its end."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from gypsumrouter.const import EXIT_FAILED, EXIT_OK
 from gypsumrouter.exceptions import ErrorCode, GypsumError
-from gypsumrouter.helpers.heap import settle_heap
+from gypsumrouter.helpers.heap import freeze_heap
 from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import ForwarderSettings, Settings
 
@@ -25,21 +25,21 @@
 
 # A forwarder must be gone at the end of its stop: what is left is cut and the process ends within
 # this time.
-STOP_MARGIN_MS: Final = 500
+EXIT_MARGIN_MS: Final = 500
 
 Setup = Callable[[], Awaitable[RunningProcess]]
 
 
 class DaemonService(aiomisc.Service):
-    """Runs the product of one process until a signal or a broken invariant ends it."""
+    """Runs the process of one process until a signal or a broken invariant ends it."""
 
     def __init__(self, *, settings: Settings, announce: bool, setup: Setup) -> None:
         super().__init__()
         self._setup = setup
         self._settings = settings
         self._announce = announce
-        self._product: RunningProcess | None = None
-        self._stop_asked = asyncio.Event()
+        self._process: RunningProcess | None = None
+        self._stop_requested = asyncio.Event()
         self._stop_forced = asyncio.Event()
         self._exit_code = EXIT_OK
 
@@ -49,78 +49,78 @@
             self.loop.add_signal_handler(number, self._handle_stop_signal, number)
         self.loop.add_signal_handler(signal.SIGHUP, self._handle_reload_signal)
         try:
-            self._product = await self._setup()
+            self._process = await self._setup()
         except GypsumError as error:
             self._fail(error.code, str(error))
             return
         except OSError as error:
             self._fail(ErrorCode.NOT_READY, str(error))
             return
-        settle_process(self._product)
-        self._report_addresses(self._product)
+        freeze_heap_when_configured(self._process)
+        self._report_addresses(self._process)
 
     async def async_wait(self) -> int:
         """Wait for the end of the process, finish what runs, and return the exit code."""
-        product = self._product
-        if product is None:
+        process = self._process
+        if process is None:
             return self._exit_code
-        await self._wait_for_stop(product)
-        if product.app.fatal is None:
-            await self._drain(product)
-        if product.app.fatal is not None:
-            code = getattr(product.app.fatal, "code", ErrorCode.INVARIANT_BROKEN)
-            self._fail(code, str(product.app.fatal))
+        await self._wait_for_stop(process)
+        if process.app.fatal is None:
+            await self._drain(process)
+        if process.app.fatal is not None:
+            code = getattr(process.app.fatal, "code", ErrorCode.INVARIANT_BROKEN)
+            self._fail(code, str(process.app.fatal))
         return self._exit_code
 
     async def stop(self, exception: Exception | None = None) -> None:
         """Release everything."""
-        if self._product is not None:
-            await self._product.app.async_stop()
+        if self._process is not None:
+            await self._process.app.async_stop()
             _LOGGER.info("Stopped with exit code %d", self._exit_code)
 
-    async def _wait_for_stop(self, product: RunningProcess) -> None:
+    async def _wait_for_stop(self, process: RunningProcess) -> None:
         waits = (
-            asyncio.ensure_future(self._stop_asked.wait()),
-            asyncio.ensure_future(product.app.stopping.wait()),
+            asyncio.ensure_future(self._stop_requested.wait()),
+            asyncio.ensure_future(process.app.stopping.wait()),
         )
         await _wait_for_first(*waits)
 
-    async def _drain(self, product: RunningProcess) -> None:
-        _LOGGER.info("Stopping: finishing %d requests", len(product.list_running()))
-        limit_ms = get_stop_ms(self._settings)
-        drained = asyncio.ensure_future(product.app.async_drain())
+    async def _drain(self, process: RunningProcess) -> None:
+        _LOGGER.info("Stopping: finishing %d requests", len(process.list_running()))
+        limit_ms = get_drain_timeout_ms(self._settings)
+        drained = asyncio.ensure_future(process.app.async_drain())
         await _wait_for_first(
             drained,
             asyncio.ensure_future(self._stop_forced.wait()),
-            asyncio.ensure_future(product.app.clock.async_sleep(limit_ms)),
+            asyncio.ensure_future(process.app.clock.async_sleep(limit_ms)),
         )
         if not drained.cancelled() and drained.exception() is None:
             return
-        running = product.list_running()
+        running = process.list_running()
         self._exit_code = EXIT_FAILED
         _LOGGER.error("Cut %d requests: %s", len(running), ", ".join(running))
 
     def _handle_stop_signal(self, number: int) -> None:
-        if self._stop_asked.is_set():
+        if self._stop_requested.is_set():
             _LOGGER.warning("Second stop signal (%s), ending now", signal.Signals(number).name)
             self._stop_forced.set()
             return
         _LOGGER.info("Stop signal (%s)", signal.Signals(number).name)
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     def _handle_reload_signal(self) -> None:
-        if self._product is not None and self._product.reload is not None:
-            self._product.reload()
+        if self._process is not None and self._process.reload is not None:
+            self._process.reload()
 
-    def _report_addresses(self, product: RunningProcess) -> None:
-        addresses = {name: str(address) for name, address in product.addresses.items()}
-        _LOGGER.info("Started as %s on %s", product.app.role.value, addresses)
+    def _report_addresses(self, process: RunningProcess) -> None:
+        addresses = {name: str(address) for name, address in process.addresses.items()}
+        _LOGGER.info("Started as %s on %s", process.app.role.value, addresses)
         if not self._announce:
             return
         announcement = {
-            "instance": product.app.name,
-            "role": product.app.role.value,
-            "incarnation": product.app.incarnation,
+            "instance": process.app.name,
+            "role": process.app.role.value,
+            "incarnation": process.app.incarnation,
             "pid": os.getpid(),
             "addresses": addresses,
         }
@@ -131,11 +131,11 @@
         _LOGGER.error("Stopped with %s: %s", code.value, message)
 
 
-def get_stop_ms(settings: Settings) -> int:
+def get_drain_timeout_ms(settings: Settings) -> int:
     """Return how long a planned stop may take to finish what runs."""
     match settings:
         case ForwarderSettings():
-            return settings.bounds.stop_ms - STOP_MARGIN_MS
+            return settings.bounds.stop_ms - EXIT_MARGIN_MS
         case _:
             return settings.limits.drain_ms
 
@@ -148,17 +148,17 @@
     await asyncio.gather(*waits, return_exceptions=True)
 
 
-def settle_process(product: RunningProcess) -> None:
+def freeze_heap_when_configured(process: RunningProcess) -> None:
     """Settle the heap of a process now and once more with its first configuration.
 
     No work is taken before that. Later versions share with the first what did not change.
     """
-    settle_heap()
-    if product.store.ready.is_set():
+    freeze_heap()
+    if process.store.ready.is_set():
         return
 
-    def settle(_configuration: object) -> None:
+    def freeze(_configuration: object) -> None:
         remove()
-        settle_heap()
+        freeze_heap()
 
-    remove = product.store.on_change(settle)
+    remove = process.store.on_change(freeze)
--- a/gypsumrouter/upstream/engine.py
+++ b/gypsumrouter/upstream/engine.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from gypsumrouter.const import HEADER_CHAT, HEADER_REQUEST_ID, MS_PER_S, make_engine_chat
+from gypsumrouter.const import HEADER_CHAT, HEADER_REQUEST_ID, MS_PER_S, make_engine_chat_id
 from gypsumrouter.outcomes import Failed, Failure, Reason
 from gypsumrouter.upstream.client import (
     Attempt,
@@ -106,7 +106,7 @@
         headers.append((HEADER_REQUEST_ID, run.stream_id))
         headers.append((HEADER_PRIORITY, str(run.priority)))
         if run.request.chat:
-            chat = make_engine_chat(run.request.workspace, run.request.chat)
+            chat = make_engine_chat_id(run.request.workspace, run.request.chat)
             headers.append((HEADER_CHAT, chat))
         return await self._transport.async_open(
             method=run.request.method,
--- a/tests/forwarding/test_forwarding_next_step.py
+++ b/tests/forwarding/test_forwarding_next_step.py
@@ -16,7 +16,7 @@
     decide_after_run,
 )
 from gypsumrouter.forwarding.progress import Progress
-from gypsumrouter.helpers.http_connection import Answer
+from gypsumrouter.helpers.http_connection import HttpResponse
 from gypsumrouter.outcomes import Reason
 
 LOST = Lost(reason="silent")
@@ -25,7 +25,7 @@
 
 
 def make_whole(status: int) -> Whole:
-    return Whole(answer=cast(Answer, None), status=status, signed=True, body=b"")
+    return Whole(answer=cast(HttpResponse, None), status=status, signed=True, body=b"")
 
 
 def make_progress(*, ran: int = 0, not_reached: int = 0, turned_away: int = 0) -> Progress:
--- a/tests/forwarding/test_forwarding_settings.py
+++ b/tests/forwarding/test_forwarding_settings.py
@@ -17,7 +17,7 @@
 from gypsumrouter.settings import check_forwarder_settings
 from gypsumrouter.util.clock import SystemClock
 
-LOOK_MS = "gypsumrouter.helpers.settings_watch.LOOK_MS"
+POLL_INTERVAL_MS = "gypsumrouter.helpers.settings_watcher.POLL_INTERVAL_MS"
 
 
 def write_settings(path: Path, world: ForwardingWorld, **more: Any) -> None:
@@ -58,7 +58,7 @@
 ) -> None:
     path = tmp_path / "settings.json"
     write_settings(path, world)
-    with patch(LOOK_MS, 10):
+    with patch(POLL_INTERVAL_MS, 10):
         product = await async_start(world, path)
         assert list_routers(product) == {}
         seed = str(world.product.addresses["link"])
--- a/tests/helpers/test_heap.py
+++ b/tests/helpers/test_heap.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gypsumrouter.helpers.heap import settle_heap
+from gypsumrouter.helpers.heap import freeze_heap
 
 
 class Node:
@@ -28,7 +28,7 @@
     lost.other, kept.other = lost, kept
     watched = weakref.ref(lost)
     del lost
-    settle_heap()
+    freeze_heap()
     assert watched() is None
     assert gc.get_freeze_count() > 0
     assert not any(item is kept for item in gc.get_objects())
@@ -37,6 +37,6 @@
 def test_what_is_no_cycle_is_still_freed_after_the_heap_was_settled() -> None:
     node = Node()
     watched = weakref.ref(node)
-    settle_heap()
+    freeze_heap()
     del node
     assert watched() is None
--- a/tests/helpers/test_http_connection.py
+++ b/tests/helpers/test_http_connection.py
@@ -64,8 +64,8 @@
         reset(writer)
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
-    answer = await connection.async_read_answer()
+    connection.send_request(method="GET", data=REQUEST)
+    answer = await connection.async_read_response()
     with pytest.raises(ConnectionBroken):
         await answer.body.read()
 
@@ -76,8 +76,8 @@
         writer.close()
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
-    answer = await connection.async_read_answer()
+    connection.send_request(method="GET", data=REQUEST)
+    answer = await connection.async_read_response()
     assert await answer.body.read() == b"all of it"
 
 
@@ -87,8 +87,8 @@
         writer.close()
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
-    answer = await connection.async_read_answer()
+    connection.send_request(method="GET", data=REQUEST)
+    answer = await connection.async_read_response()
     with pytest.raises(ConnectionBroken):
         await answer.body.read()
 
@@ -99,8 +99,8 @@
         writer.close()
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
-    answer = await connection.async_read_answer()
+    connection.send_request(method="GET", data=REQUEST)
+    answer = await connection.async_read_response()
     with pytest.raises(ConnectionBroken):
         await answer.body.read()
 
@@ -112,8 +112,8 @@
         await writer.drain()
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
-    answer = await connection.async_read_answer()
+    connection.send_request(method="GET", data=REQUEST)
+    answer = await connection.async_read_response()
     assert await answer.body.read() == b"ok"
     connection.finish()
     assert not connection.reusable
@@ -130,15 +130,15 @@
         await writer.drain()
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
-    await (await connection.async_read_answer()).body.read()
+    connection.send_request(method="GET", data=REQUEST)
+    await (await connection.async_read_response()).body.read()
     connection.finish()
     assert connection.reusable
     go.set()
     while connection.reusable:
         await asyncio.get_running_loop().run_in_executor(None, lambda: None)
     with pytest.raises(ConnectionBroken):
-        connection.begin(method="GET", data=REQUEST)
+        connection.send_request(method="GET", data=REQUEST)
 
 
 async def test_interim_answers_are_passed_over(connect: Connect) -> None:
@@ -147,8 +147,8 @@
         await writer.drain()
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
-    assert (await connection.async_read_answer()).status == 204
+    connection.send_request(method="GET", data=REQUEST)
+    assert (await connection.async_read_response()).status == 204
 
 
 @pytest.mark.parametrize("bytes_sent", [b"no http at all\r\n\r\n", b"HTTP/1.1 200\r\nbad\r\n\r\n"])
@@ -160,9 +160,9 @@
         await writer.drain()
 
     connection = await connect(script)
-    connection.begin(method="GET", data=REQUEST)
+    connection.send_request(method="GET", data=REQUEST)
     with pytest.raises(ConnectionBroken):
-        await connection.async_read_answer()
+        await connection.async_read_response()
 
 
 async def test_a_connect_to_a_port_without_listener_fails() -> None:
--- a/tests/journal/test_journal_lines.py
+++ b/tests/journal/test_journal_lines.py
@@ -14,7 +14,7 @@
 
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application
-from gypsumrouter.helpers.logs import LossyQueueHandler, configure_logging
+from gypsumrouter.helpers.logs import DroppingQueueHandler, configure_logging
 from gypsumrouter.journal import EVENTS, DependencyLost, Journal, PeerNews
 from gypsumrouter.journal.journal import BURST_LINES, LINES_PER_S
 from gypsumrouter.settings import Log, LogFormat
@@ -97,11 +97,11 @@
         for _ in range(200):
             journal.record(make_event())
         clock.advance(1_000)
-    # Removal waits at most STOP_S. The writer thread continues until everything is read, so the
-    # pipe is drained in a daemon thread.
+    # Removal waits at most FLUSH_TIMEOUT_S. The writer thread continues until everything is read,
+    # so the pipe is drained in a daemon thread.
     threading.Thread(target=_drain, args=(reading,), daemon=True).start()
     remove()
-    assert not any(isinstance(h, LossyQueueHandler) for h in logging.getLogger().handlers)
+    assert not any(isinstance(h, DroppingQueueHandler) for h in logging.getLogger().handlers)
 
 
 def _drain(descriptor: int) -> None:
--- a/tests/prefixes/prefixes_fakes.py
+++ b/tests/prefixes/prefixes_fakes.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from gypsumrouter.const import Role, UpstreamKind, make_engine_chat
+from gypsumrouter.const import Role, UpstreamKind, make_engine_chat_id
 from gypsumrouter.core import Application
 from gypsumrouter.instances import Address, Instance
 from gypsumrouter.link import Answer, NoticeHub, Peer
@@ -127,7 +127,7 @@
     async def async_serve(self, request: Open) -> None:
         """Do what the exchange does around a run, and what the engine does in it."""
         await self.prefixes.async_fetch(request)
-        self.engine.cache.store(chat=make_engine_chat(WORKSPACE, request.chat), blocks=BLOCKS)
+        self.engine.cache.store(chat=make_engine_chat_id(WORKSPACE, request.chat), blocks=BLOCKS)
         self.prefixes.note_served(request, whole=True)
         self.prefixes.note_ended(request)
         await asyncio.sleep(0)
--- a/tests/prefixes/test_prefixes.py
+++ b/tests/prefixes/test_prefixes.py
@@ -12,13 +12,13 @@
     make_request,
 )
 
-from gypsumrouter.const import Role, make_engine_chat
+from gypsumrouter.const import Role, make_engine_chat_id
 from gypsumrouter.link.models import Hello
 from gypsumrouter.standins.tokens import TOKENS_PER_BLOCK
 
 Sides = tuple[Side, Side, Side]
 WHOLE = len(BLOCKS) * TOKENS_PER_BLOCK
-ENGINE_CHAT = make_engine_chat(WORKSPACE, CHAT)
+ENGINE_CHAT = make_engine_chat_id(WORKSPACE, CHAT)
 EXPORT = "/v1/cache/export"
 
 
@@ -132,4 +132,4 @@
 
 
 def test_no_two_workspaces_share_the_name_of_a_chat() -> None:
-    assert make_engine_chat("plant", "a") != make_engine_chat("school", "a")
+    assert make_engine_chat_id("plant", "a") != make_engine_chat_id("school", "a")
