--- a/bench/faults_callers.py
+++ b/bench/faults_callers.py
@@ -29,7 +29,12 @@
 MAX_TRIES: Final = 12
 # An answer that can't change any more; callers ask again all the same, but not for long.
 SETTLED_CODES: Final = frozenset(
-    {Reason.EARLIER_RUN_UNKNOWN, Reason.KEY_EXPIRED, Reason.ANSWER_EVICTED, Reason.HOME_TOO_YOUNG}
+    {
+        Reason.EARLIER_RUN_UNKNOWN,
+        Reason.KEY_EXPIRED,
+        Reason.ANSWER_EVICTED,
+        Reason.KEY_OWNER_TOO_RECENT,
+    }
 )
 MAX_SETTLED_TRIES: Final = 3
 SETTLED_PAUSE_MS: Final = 100
--- a/gypsumrouter/admission/refusals.py
+++ b/gypsumrouter/admission/refusals.py
@@ -24,7 +24,7 @@
 def refuse_deadline_unreachable() -> Refused:
     """Return the refusal of a request that can't be answered before its deadline."""
     return Refused(
-        reason=Reason.TARGET_HOPELESS, message="the deadline would pass before the answer"
+        reason=Reason.TARGET_UNATTAINABLE, message="the deadline would pass before the answer"
     )
 
 
--- a/gypsumrouter/callers/errors.py
+++ b/gypsumrouter/callers/errors.py
@@ -29,7 +29,7 @@
 }
 STATUS_FAILED: Final[Mapping[Reason, int]] = {
     Reason.DEADLINE: 504,
-    Reason.UPSTREAM_SILENT: 504,
+    Reason.UPSTREAM_TIMEOUT: 504,
 }
 STATUS_HEAD_TOO_LARGE: Final = 431
 DEFAULT_STATUS_REFUSED: Final = 503
@@ -40,7 +40,7 @@
     Reason.WORKSPACE_LIMIT: "A limit of the workspace is reached",
     Reason.OVER_CAP: "Every instance that could take the request is at its load limit",
     Reason.QUEUE_FULL: "Too many requests are waiting",
-    Reason.TARGET_HOPELESS: "The request could not be answered in time",
+    Reason.TARGET_UNATTAINABLE: "The request could not be answered in time",
     Reason.LEAVING: "The instance is stopping",
     Reason.NO_INSTANCE: "No instance can take the request now",
     Reason.NOT_READY: "The instance is not ready yet",
--- a/gypsumrouter/exchange/checks.py
+++ b/gypsumrouter/exchange/checks.py
@@ -70,7 +70,7 @@
         if request.model in self._client.models:
             return None
         return Refused(
-            reason=Reason.MODEL_NOT_HELD,
+            reason=Reason.MODEL_NOT_LOADED,
             message=f"model {request.model} is not held here",
             retry_after_ms=RETRY_AFTER_MS,
             elsewhere=True,
--- a/gypsumrouter/exchange/execution.py
+++ b/gypsumrouter/exchange/execution.py
@@ -17,7 +17,7 @@
 from gypsumrouter.suspicion import Suspicion
 from gypsumrouter.upstream import HandOverDenied, UpstreamClient
 
-_STOPPED = frozenset({Reason.CANCELLED, Reason.SUSPECT_BUSY})
+_STOPPED = frozenset({Reason.CANCELLED, Reason.SUSPECT_ISOLATED})
 
 
 class Try(Struct, frozen=True, kw_only=True):
--- a/gypsumrouter/exchange/once.py
+++ b/gypsumrouter/exchange/once.py
@@ -19,7 +19,7 @@
 from gypsumrouter.link.models import Head, Open
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
-_GIVEN_UP = frozenset({Reason.CANCELLED, Reason.DEADLINE, Reason.TARGET_HOPELESS})
+_GIVEN_UP = frozenset({Reason.CANCELLED, Reason.DEADLINE, Reason.TARGET_UNATTAINABLE})
 
 
 class OnceParts(Struct, frozen=True, kw_only=True):
--- a/gypsumrouter/forwarding/eligibility.py
+++ b/gypsumrouter/forwarding/eligibility.py
@@ -38,7 +38,7 @@
 def make_late_refusal(late_ms: float) -> PlacementRefusal:
     """Return the refusal of a request whose response is expected to be late by `late_ms`."""
     return PlacementRefusal(
-        reason=Reason.TARGET_HOPELESS,
+        reason=Reason.TARGET_UNATTAINABLE,
         message="The upstreams have more waiting than they serve in time",
         not_before_ms=int(late_ms),
     )
@@ -136,7 +136,7 @@
     def _make_backoff_refusal(self, in_service: tuple[Entry, ...]) -> PlacementRefusal:
         waits_ms = (self._backoffs.get_remaining_ms(entry.incarnation) for entry in in_service)
         return PlacementRefusal(
-            reason=Reason.UPSTREAMS_REST,
+            reason=Reason.UPSTREAMS_BACKING_OFF,
             message="All upstreams are full and want a rest",
             not_before_ms=min(waits_ms),
         )
--- a/gypsumrouter/forwarding/run.py
+++ b/gypsumrouter/forwarding/run.py
@@ -123,7 +123,7 @@
         while True:
             if self._is_suspect():
                 message = "Upstreams broke off while they ran the same request"
-                return self._give_up(Reason.SUSPECT_BUSY, message)
+                return self._give_up(Reason.SUSPECT_ISOLATED, message)
             placed = self._parts.placer.place(
                 service=self._service,
                 prompt=self._request.prompt,
--- a/gypsumrouter/idempotency/calls.py
+++ b/gypsumrouter/idempotency/calls.py
@@ -132,7 +132,7 @@
         next_ms = self._memory.next_drop_ms
         now_ms = self._app.clock.now_ms()
         return Refused(
-            reason=Reason.MEMORY_FULL,
+            reason=Reason.CALL_RECORDS_FULL,
             message="the memory of calls that must not be repeated is full",
             retry_after_ms=max(MEMORY_RETRY_MS, (next_ms or now_ms) - now_ms),
         )
--- a/gypsumrouter/idempotency/confirmation.py
+++ b/gypsumrouter/idempotency/confirmation.py
@@ -117,7 +117,7 @@
         if young_ms < 0:
             return None
         return Failed(
-            reason=Reason.HOME_TOO_YOUNG,
+            reason=Reason.KEY_OWNER_TOO_RECENT,
             message="an earlier instance may have run this call; a UUIDv7 as key waits less",
             retry_after_ms=young_ms + 1,
         )
@@ -134,12 +134,12 @@
 
     def _make_not_home(self) -> Refused:
         retry_after_ms = self._settings.list_poll_ms
-        return Refused(reason=Reason.NOT_HOME, retry_after_ms=retry_after_ms, elsewhere=True)
+        return Refused(reason=Reason.NOT_KEY_OWNER, retry_after_ms=retry_after_ms, elsewhere=True)
 
     def _make_unconfirmed(self, *, never_run: bool = False) -> Failure:
         kind = Refused if never_run else Failed
         return kind(
-            reason=Reason.HOME_UNCONFIRMED,
+            reason=Reason.KEY_OWNER_UNCONFIRMED,
             message="the instance list is too old to confirm the home of this call",
             retry_after_ms=self._settings.list_poll_ms,
         )
--- a/gypsumrouter/suspicion/gate.py
+++ b/gypsumrouter/suspicion/gate.py
@@ -182,7 +182,7 @@
 
 def _make_busy() -> Refused:
     return Refused(
-        reason=Reason.SUSPECT_BUSY,
+        reason=Reason.SUSPECT_ISOLATED,
         message="a request that may crash the upstream runs alone there",
         retry_after_ms=BUSY_RETRY_MS,
         elsewhere=True,
--- a/gypsumrouter/suspicion/suspicion.py
+++ b/gypsumrouter/suspicion/suspicion.py
@@ -199,7 +199,7 @@
 
 def _make_wrong_place() -> Refused:
     return Refused(
-        reason=Reason.SUSPECT_BUSY,
+        reason=Reason.SUSPECT_ISOLATED,
         message="a request that may crash the upstream runs at another instance",
         retry_after_ms=BUSY_RETRY_MS,
         elsewhere=True,
--- a/gypsumrouter/upstream/engine.py
+++ b/gypsumrouter/upstream/engine.py
@@ -193,7 +193,7 @@
 
 def _give_reason(was_silent: bool) -> Failed:
     if was_silent:
-        return _fail(Reason.UPSTREAM_SILENT, "the upstream is silent")
+        return _fail(Reason.UPSTREAM_TIMEOUT, "the upstream is silent")
     return _fail(Reason.UPSTREAM_LOST, "the connection to the upstream broke")
 
 
--- a/gypsumrouter/upstream/service.py
+++ b/gypsumrouter/upstream/service.py
@@ -45,7 +45,7 @@
             case Attempt.CANCELLED:
                 return Failed(reason=Reason.CANCELLED, message="the request was cancelled")
             case Attempt.SILENT:
-                return Failed(reason=Reason.UPSTREAM_SILENT, message="the upstream is silent")
+                return Failed(reason=Reason.UPSTREAM_TIMEOUT, message="the upstream is silent")
             case Attempt.UNREACHED if not run.handed:
                 return make_unreachable()
         await self._health.async_note_broken(run.generation)
--- a/tests/admission/test_admission_queue.py
+++ b/tests/admission/test_admission_queue.py
@@ -100,9 +100,9 @@
     running = await async_fill(harness)
     waiting = await harness.async_call(INSPECTORS, deadline_ms=200)
     await harness.async_advance(160)
-    assert waiting.refused.reason is Reason.TARGET_HOPELESS
+    assert waiting.refused.reason is Reason.TARGET_UNATTAINABLE
     assert (await harness.async_call(INSPECTORS, deadline_ms=5)).refused.reason is (
-        Reason.TARGET_HOPELESS
+        Reason.TARGET_UNATTAINABLE
     )
     await harness.async_finish(running[0])
     assert harness.admission.running == 1
--- a/tests/exchange/test_exchange_once.py
+++ b/tests/exchange/test_exchange_once.py
@@ -123,7 +123,7 @@
 
     assert not run.handed
     assert isinstance(answer.failure, Refused | Failed)
-    assert answer.failure.reason is Reason.HOME_UNCONFIRMED
+    assert answer.failure.reason is Reason.KEY_OWNER_UNCONFIRMED
 
 
 async def test_caller_that_goes_before_the_hand_over_sends_nothing(service_side: Side) -> None:
--- a/tests/exchange/test_exchange_repeatable.py
+++ b/tests/exchange/test_exchange_repeatable.py
@@ -48,7 +48,7 @@
     [
         (replace(CHAT, pool="other"), Reason.WRONG_UPSTREAM),
         (replace(CHAT, kind=UpstreamKind.SERVICE), Reason.WRONG_UPSTREAM),
-        (replace(CHAT, model="chat-small"), Reason.MODEL_NOT_HELD),
+        (replace(CHAT, model="chat-small"), Reason.MODEL_NOT_LOADED),
     ],
 )
 async def test_request_for_another_upstream_is_refused(
--- a/tests/forwarding/test_forwarding_eligibility.py
+++ b/tests/forwarding/test_forwarding_eligibility.py
@@ -211,7 +211,7 @@
         router.placer.backoffs.note(name, backoff_ms=1_000 + number * 100)
     placed = router.placer.place(service=SERVICE, prompt=PROMPT, excluded=("i-0",))
     assert isinstance(placed, PlacementRefusal)
-    assert placed.reason is Reason.UPSTREAMS_REST
+    assert placed.reason is Reason.UPSTREAMS_BACKING_OFF
     assert placed.not_before_ms == 1_100
 
 
--- a/tests/gateway/test_gateway_retries.py
+++ b/tests/gateway/test_gateway_retries.py
@@ -83,7 +83,7 @@
     isolation_instance = find_isolation_places("engines", router.fleet.members("engines"))[0].name
     strike = SuspectNews(digest=1, strike=2, alone=False)
     router.suspicion.verdict, router.suspicion.strikes = Suspect(), (strike,)
-    busy = Refused(reason=Reason.SUSPECT_BUSY, elsewhere=True, retry_after_ms=1_000)
+    busy = Refused(reason=Reason.SUSPECT_ISOLATED, elsewhere=True, retry_after_ms=1_000)
     router.links.script(*ENGINES, with_=busy)
     answer, body = await router.async_chat()
     assert (answer.status, body["error"]["code"]) == (503, "suspect_isolated")
@@ -124,7 +124,7 @@
 async def test_at_most_once_call_is_redirected_once_by_an_instance_that_is_not_the_key_owner(
     router: RouterHarness, owner_answer: Script, status: int, executed: str | None
 ) -> None:
-    not_home = Refused(reason=Reason.NOT_HOME, elsewhere=True)
+    not_home = Refused(reason=Reason.NOT_KEY_OWNER, elsewhere=True)
     for name in RECORDS:
         router.links.script(name, with_=not_home)
     await router.async_post("/services/records/defects", headers=KEY)
@@ -140,8 +140,8 @@
 @pytest.mark.parametrize(
     ("refused", "expected"),
     [
-        (Refused(reason=Reason.NOT_HOME, elsewhere=True), (502, "unknown")),
-        (Refused(reason=Reason.MEMORY_FULL), (503, "not_run")),
+        (Refused(reason=Reason.NOT_KEY_OWNER, elsewhere=True), (502, "unknown")),
+        (Refused(reason=Reason.CALL_RECORDS_FULL), (503, "not_run")),
     ],
 )
 async def test_only_a_refusal_by_the_key_owner_is_reported_as_not_run(
--- a/tests/idempotency/test_idempotency_reasons.py
+++ b/tests/idempotency/test_idempotency_reasons.py
@@ -128,7 +128,7 @@
 
 def test_nothing_runs_before_the_first_list_or_the_listener(side: Side) -> None:
     fresh = Side(name="a", address=side.address)
-    assert get_failure(begin_now(fresh)) == (Failed, Reason.HOME_UNCONFIRMED)
+    assert get_failure(begin_now(fresh)) == (Failed, Reason.KEY_OWNER_UNCONFIRMED)
 
 
 def test_other_instances_key_is_sent_elsewhere(side: Side) -> None:
@@ -143,7 +143,7 @@
         result = side.idempotency.begin(make_call(key))
         assert isinstance(result, Run if home == "a" else Refused)
         if isinstance(result, Refused):
-            assert result.reason is Reason.NOT_HOME
+            assert result.reason is Reason.NOT_KEY_OWNER
             assert result.elsewhere
 
 
@@ -158,7 +158,7 @@
     side: Side, listed: Instance
 ) -> None:
     side.read(2, listed)
-    assert get_failure(begin_now(side)) == (Refused, Reason.NOT_HOME)
+    assert get_failure(begin_now(side)) == (Refused, Reason.NOT_KEY_OWNER)
     side.read(3, get_own(side))
     assert get_failure(begin_now(side)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
@@ -167,9 +167,9 @@
     key = make_uuid7(side.clock.wall_ms())
     side.clock.advance(LEASE_MS)
     early = side.idempotency.begin(make_call(key))
-    assert get_failure(early) == (Refused, Reason.HOME_UNCONFIRMED)
+    assert get_failure(early) == (Refused, Reason.KEY_OWNER_UNCONFIRMED)
     side.clock.advance(2 * SKEW_MS + 1)
-    assert get_failure(begin_now(side)) == (Failed, Reason.HOME_UNCONFIRMED)
+    assert get_failure(begin_now(side)) == (Failed, Reason.KEY_OWNER_UNCONFIRMED)
 
 
 def test_lease_is_checked_again_at_the_hand_over(side: Side) -> None:
@@ -179,9 +179,9 @@
     side.clock.advance(LEASE_MS + 2 * SKEW_MS + 1)
     denied = run.started()
     assert denied is not None
-    assert denied.reason is Reason.HOME_UNCONFIRMED
+    assert denied.reason is Reason.KEY_OWNER_UNCONFIRMED
     side.read(2)
-    assert refused.not_run(Refused(reason=Reason.OVER_CAP)).reason is Reason.NOT_HOME
+    assert refused.not_run(Refused(reason=Reason.OVER_CAP)).reason is Reason.NOT_KEY_OWNER
 
 
 def test_key_from_before_the_tenure_is_unknown_and_a_later_one_runs(side: Side) -> None:
@@ -244,7 +244,7 @@
     call = make_call("order-4711")
     young = side.idempotency.begin(call)
     assert isinstance(young, Failed)
-    assert young.reason is Reason.HOME_TOO_YOUNG
+    assert young.reason is Reason.KEY_OWNER_TOO_RECENT
     assert young.retry_after_ms == BOUND_MS + WINDOW_MS + MAX_TRANSIT_MS + 1
     side.clock.advance(young.retry_after_ms)
     side.read(3, get_own(side))
@@ -260,7 +260,7 @@
 def test_longer_window_does_not_cover_what_was_already_forgotten(side: Side) -> None:
     side.idempotency.configure(make_pool(window_ms=2 * WINDOW_MS))
     result = side.idempotency.begin(make_call("order-4711"))
-    assert get_failure(result) == (Failed, Reason.HOME_TOO_YOUNG)
+    assert get_failure(result) == (Failed, Reason.KEY_OWNER_TOO_RECENT)
 
 
 def test_request_with_an_opaque_key_that_was_held_up_is_not_run(side: Side) -> None:
@@ -290,7 +290,7 @@
         assert run.started() is None
         run.finish(HEAD, b"")
     full = begin_now(side, number=2)
-    assert get_failure(full) == (Refused, Reason.MEMORY_FULL)
+    assert get_failure(full) == (Refused, Reason.CALL_RECORDS_FULL)
     assert isinstance(full, Refused)
     assert full.retry_after_ms
     assert isinstance(begin_now(side, number=0), Replay)
@@ -323,7 +323,7 @@
 
 def test_only_the_home_may_say_that_a_call_was_not_run() -> None:
     here = Refused(reason=Reason.OVER_CAP, retry_after_ms=5)
-    elsewhere = Refused(reason=Reason.NOT_HOME, elsewhere=True)
+    elsewhere = Refused(reason=Reason.NOT_KEY_OWNER, elsewhere=True)
     assert get_call_outcome(here, from_side=True) == here
     assert isinstance(get_call_outcome(here, from_side=False), Failed)
     assert isinstance(get_call_outcome(elsewhere, from_side=True), Failed)
--- a/tests/sessions/test_golden_sessions.py
+++ b/tests/sessions/test_golden_sessions.py
@@ -85,9 +85,7 @@
     recorder.note("no key")
     await recorder.async_request("POST", PATH_CHAT, headers=JSON, body=chat)
     recorder.note("a wrong key")
-    await recorder.async_request(
-        "POST", PATH_CHAT, headers=make_headers("wrong") | JSON, body=chat
-    )
+    await recorder.async_request("POST", PATH_CHAT, headers=make_headers("wrong") | JSON, body=chat)
     recorder.note("an unknown model")
     unknown = write_json(make_chat(model="no-such-model"))
     await recorder.async_request("POST", PATH_CHAT, headers=headers, body=unknown)
--- a/tests/suspicion/test_suspicion_gate.py
+++ b/tests/suspicion/test_suspicion_gate.py
@@ -33,7 +33,7 @@
     member.clock.advance(SHARED_WAIT_MS)
     refused = await other
     assert isinstance(refused, Refused)
-    assert (refused.reason, refused.elsewhere) == (Reason.SUSPECT_BUSY, True)
+    assert (refused.reason, refused.elsewhere) == (Reason.SUSPECT_ISOLATED, True)
 
 
 async def test_whole_run_alone_clears_and_lets_the_others_in() -> None:
@@ -89,7 +89,7 @@
     member.clock.advance(ALONE_WAIT_MS)
     refused = await waiting
     assert isinstance(refused, Refused)
-    assert refused.reason is Reason.SUSPECT_BUSY
+    assert refused.reason is Reason.SUSPECT_ISOLATED
     assert isinstance(await member.async_enter(6), Token)
 
 
--- a/tests/suspicion/test_suspicion_strikes.py
+++ b/tests/suspicion/test_suspicion_strikes.py
@@ -156,7 +156,7 @@
             assert verdict == Suspect()
         else:
             assert isinstance(verdict, Refused)
-            assert verdict.reason is Reason.SUSPECT_BUSY
+            assert verdict.reason is Reason.SUSPECT_ISOLATED
             assert verdict.elsewhere
     assert len(find_isolation_places("engines", [make_engine(f"e{n}") for n in range(930)])) == 116
 
--- a/tests/upstream/test_upstream_engine.py
+++ b/tests/upstream/test_upstream_engine.py
@@ -76,7 +76,7 @@
 
 
 async def test_denied_hand_over_sends_nothing(engine_caller: Caller, engine: Engine) -> None:
-    denial = Refused(reason=Reason.HOME_UNCONFIRMED)
+    denial = Refused(reason=Reason.KEY_OWNER_UNCONFIRMED)
 
     def deny() -> None:
         raise HandOverDenied(denial)
@@ -159,7 +159,7 @@
     outcome = await run
 
     assert isinstance(outcome, Failed)
-    assert outcome.reason is Reason.UPSTREAM_SILENT
+    assert outcome.reason is Reason.UPSTREAM_TIMEOUT
 
 
 async def test_crash_in_the_answer_is_told_once_and_ends_as_unknown(
--- a/tests/upstream/test_upstream_service.py
+++ b/tests/upstream/test_upstream_service.py
@@ -93,7 +93,7 @@
     outcome = await service_caller.async_run(make_call(key="key-1"))
 
     assert isinstance(outcome, Failed)
-    assert outcome.reason is Reason.UPSTREAM_SILENT
+    assert outcome.reason is Reason.UPSTREAM_TIMEOUT
 
 
 async def test_crash_is_told_and_ends_as_unknown(service_caller: Caller, service: Service) -> None:
