--- a/gypsumrouter/__init__.py
+++ b/gypsumrouter/__init__.py
@@ -1,1 +1,1 @@
-"""A router fleet for very many returning chats."""
+"""Distributed router between HTTP callers and model engines or plain services."""
--- a/gypsumrouter/cli/__init__.py
+++ b/gypsumrouter/cli/__init__.py
@@ -22,7 +22,7 @@
 @click.group()
 @click.version_option(VERSION)
 def main() -> None:
-    """Look after a fleet of gypsumrouter processes."""
+    """Inspect and validate a fleet of gypsumrouter processes."""
 
 
 main.add_command(config_group)
--- a/gypsumrouter/cli/client.py
+++ b/gypsumrouter/cli/client.py
@@ -1,4 +1,4 @@
-"""Read the operators' addresses of running processes."""
+"""Client of the operator endpoints of running processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DumpResult(Struct, frozen=True, kw_only=True):
-    """The dump of one address, or why there is none."""
+    """State dump of the process at an address, or the error if it could not be fetched."""
 
     address: str
     dump: dict[str, Any] | None = None
@@ -31,7 +31,7 @@
 
 
 def read_token(token_file: Path | None) -> str | None:
-    """Return the operators' token from a file or else from the environment."""
+    """Return the operator token from a file, or else from the environment."""
     if token_file is None:
         return os.environ.get(ENV_TOKEN) or None
     try:
@@ -43,7 +43,7 @@
 async def async_fetch_dump(address: str, token: str | None = None) -> dict[str, Any]:
     """Return the state dump of the process at `address`; raises Unreachable.
 
-    An address is `IP:port`, or an origin such as `https://IP:port`.
+    `address` is `IP:port`, or an origin such as `https://IP:port`.
     """
     origin = address if "://" in address else f"http://{address}"
     headers = {} if token is None else {"Authorization": f"Bearer {token}"}
@@ -54,19 +54,19 @@
             session.get(origin.rstrip("/") + PATH_DUMP) as response,
         ):
             if response.status != _STATUS_OK:
-                raise Unreachable(f"{address}: status {response.status}")
+                raise Unreachable(f"{address}: expected status {_STATUS_OK}, got {response.status}")
             dump = await response.json()
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
         raise Unreachable(f"{address}: {type(error).__name__}") from None
     if not isinstance(dump, dict):
-        raise Unreachable(f"{address}: this is no state dump")
+        raise Unreachable(f"{address}: the response is not a state dump (expected a JSON object)")
     return dump
 
 
 async def async_fetch_dumps(
     addresses: Iterable[str], token: str | None = None
 ) -> tuple[DumpResult, ...]:
-    """Return the dumps of many processes in the order of their addresses."""
+    """Return the state dumps of many processes, in the order of the addresses."""
     limit = asyncio.Semaphore(MAX_AT_ONCE)
 
     async def async_fetch(address: str) -> DumpResult:
@@ -80,7 +80,7 @@
 
 
 def get_section(dump: dict[str, Any], name: str) -> dict[str, Any]:
-    """Return a section of a dump, or an empty one where the process has none."""
+    """Return a section of a state dump; empty if the dump doesn't have it."""
     sections = dump.get(ATTR_SECTIONS)
     section = sections.get(name) if isinstance(sections, dict) else None
     return section if isinstance(section, dict) else {}
--- a/gypsumrouter/cli/config.py
+++ b/gypsumrouter/cli/config.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration of the fleet."""
+"""Commands for the configuration of the fleet."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 @click.group("config")
 def config_group() -> None:
-    """Check and compare configurations, and see which version processes have in force."""
+    """Validate and compare configurations, and show the versions that processes use."""
 
 
 @config_group.command("check")
 @click.argument("file", type=_FILE)
 def check(file: Path) -> None:
-    """Check FILE as every process does; every error is named at once."""
+    """Validate FILE as processes do, and print all errors."""
     configuration = read_configuration(file)
     click.echo(
         f"{file}: version {configuration.version} is right "
@@ -46,7 +46,7 @@
 @click.argument("after", type=_FILE)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON document.")
 def diff(before: Path, after: Path, as_json: bool) -> None:
-    """Show what changes from the file BEFORE to the file AFTER."""
+    """Show the changes between the files BEFORE and AFTER."""
     old, new = read_configuration(before), read_configuration(after)
     changes = list_changes(old, new)
     if as_json:
@@ -56,7 +56,7 @@
         click.echo(format_change(change))
     if new.version <= old.version and changes:
         click.echo(
-            f"Processes that have version {old.version} in force will not take this one: "
+            f"Processes that use version {old.version} will ignore this configuration: "
             f"its version {new.version} is not higher",
             err=True,
         )
@@ -64,13 +64,13 @@
 
 @config_group.command("status")
 @click.argument("addresses", nargs=-1, required=True, metavar="ADDRESS...")
-@click.option("--token-file", type=_FILE, help="File with the operators' token.")
+@click.option("--token-file", type=_FILE, help="File with the operator token.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON document.")
 def status(addresses: tuple[str, ...], token_file: Path | None, as_json: bool) -> None:
-    """Show the version in force, accepted and rejected at each ADDRESS.
+    """Show the active and the last rejected version of the process at each ADDRESS.
 
-    The token comes from the file or from the environment variable GYPSUMROUTER_TOKEN. Exits
-    with 1 where a process cannot be reached or the processes differ.
+    The token is read from the file or from the environment variable GYPSUMROUTER_TOKEN. Exits
+    with 1 if a process cannot be reached or the processes use different versions.
     """
     results = asyncio.run(async_fetch_dumps(addresses, read_token(token_file)))
     rows = [_make_row(result) for result in results]
@@ -83,12 +83,12 @@
 
 @config_group.command("schema")
 def schema() -> None:
-    """Print the JSON schema of the document."""
+    """Print the JSON schema of the configuration document."""
     click.echo(build_schema(), nl=False)
 
 
 def read_configuration(file: Path) -> Configuration:
-    """Return the checked configuration of a file, or print every error and exit with 2."""
+    """Return the validated configuration of a file, or print all errors and exit with 2."""
     try:
         return check_configuration(file.read_bytes())
     except OSError as error:
@@ -100,7 +100,7 @@
 
 
 def format_change(change: Change) -> str:
-    """Return one line for a change."""
+    """Return a change as one line of text."""
     name = f"{change.section} {change.name}".strip()
     match change.kind:
         case ChangeKind.ADDED:
--- a/gypsumrouter/cli/dump.py
+++ b/gypsumrouter/cli/dump.py
@@ -1,4 +1,4 @@
-"""The command that shows the state of one process."""
+"""Command that prints the state dump of a process."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @click.command("dump")
 @click.argument("address")
-@click.option("--section", default=None, help="Show one section alone.")
-@click.option("--token-file", type=click.Path(path_type=Path), help="File with the token.")
+@click.option("--section", default=None, help="Print only this section.")
+@click.option("--token-file", type=click.Path(path_type=Path), help="File with the operator token.")
 def dump_command(address: str, section: str | None, token_file: Path | None) -> None:
-    """Print the state dump of the process whose operators' address is ADDRESS, as JSON.
+    """Print the state dump of the process whose operator endpoint is at ADDRESS, as JSON.
 
-    The token comes from the file or from the environment variable GYPSUMROUTER_TOKEN.
+    The token is read from the file or from the environment variable GYPSUMROUTER_TOKEN.
     """
     try:
         dump = asyncio.run(async_fetch_dump(address, read_token(token_file)))
@@ -34,6 +34,8 @@
         return
     sections = dump.get(ATTR_SECTIONS, {})
     if section not in sections:
-        click.echo(f"{address} has no section {section}: {', '.join(sorted(sections))}", err=True)
+        click.echo(
+            f"{address} has no section {section!r}; it has {', '.join(sorted(sections))}", err=True
+        )
         sys.exit(EXIT_FAILED)
     click.echo(json.dumps(sections[section], indent=2))
--- a/gypsumrouter/cli/explain.py
+++ b/gypsumrouter/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells one request's selected from the logs of several processes."""
+"""Command that prints the journal lines of a request from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 import click
 from msgspec import Struct
 
-# Fields that head each printed line.
+# Fields that are printed in front of the other fields or not at all.
 HEADER_FIELDS: Final = frozenset({"time", "level", "instance", "event", "request_id", "logger"})
-# Events that are no request's own and change what happens to it.
+# Events without a request id that affect the routing of requests.
 CONTEXT_EVENTS: Final = frozenset(
     {"upstream_changed", "upstream_health", "dependency_lost", "dependency_regained"}
 )
@@ -20,7 +20,7 @@
 
 
 class JournalLine(Struct, frozen=True, kw_only=True):
-    """One line of a journal."""
+    """A line of a journal."""
 
     time: str
     instance: str
@@ -29,7 +29,7 @@
 
     @property
     def request_id(self) -> str:
-        """Return whose line this is, or an empty text."""
+        """Return the id of the request that the line belongs to, or an empty string."""
         return str(self.fields.get("request_id", ""))
 
 
@@ -37,21 +37,21 @@
 @click.argument("request_id")
 @click.argument("files", nargs=-1, type=click.File(errors="replace"))
 def explain_command(request_id: str, files: tuple[TextIO, ...]) -> None:
-    """Tell the selected of REQUEST_ID from the logs in FILES, or from standard input.
+    """Print the journal lines of REQUEST_ID from the logs in FILES, or from standard input.
 
-    What stands before the JSON of a line, such as a time or an instance's name, is passed over.
+    Text before the JSON of a line, such as a time or an instance name, is ignored.
     """
     lines = [line for file in files or (sys.stdin,) for line in read_lines(file)]
     selected = select_lines(lines, request_id)
     if not selected:
-        click.echo(f"No line names request {request_id}", err=True)
+        click.echo(f"No journal line has the request id {request_id}", err=True)
         sys.exit(EXIT_NOT_FOUND)
     for line in selected:
         click.echo(format_line(line, request_id))
 
 
 def read_lines(file: Iterable[str]) -> Iterator[JournalLine]:
-    """Return the journal lines of a log; other lines are passed over."""
+    """Return the journal lines of a log; other lines are skipped."""
     for text in file:
         start = text.find("{")
         if start < 0:
@@ -72,7 +72,11 @@
 
 
 def select_lines(lines: list[JournalLine], request_id: str) -> list[JournalLine]:
-    """Return a request's lines by time, with what its routers believed of its upstreams."""
+    """Return the lines of a request and of events that affected it, sorted by time.
+
+    Included are events of the same instances on the upstreams of the request: the last one of each
+    kind before its first line, and all until its last line.
+    """
     own = [line for line in lines if line.request_id == request_id]
     if not own:
         return []
@@ -95,7 +99,7 @@
 
 
 def format_line(line: JournalLine, request_id: str) -> str:
-    """Return a line for people; what is not the request's own is indented."""
+    """Return a line as text; lines that don't belong to the request are indented."""
     values = " ".join(f"{k}={v}" for k, v in line.fields.items() if k not in HEADER_FIELDS)
     mark = "" if line.request_id == request_id else "    "
     return f"{line.time} {line.instance} {mark}{line.event} {values}"
--- a/gypsumrouter/cli/key.py
+++ b/gypsumrouter/cli/key.py
@@ -1,4 +1,4 @@
-"""The command that makes an idempotency key."""
+"""Command that generates an idempotency key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @click.command("key")
 def key_command() -> None:
-    """Print a new idempotency key: a UUID of version 7, which carries its creation time."""
+    """Print a new idempotency key: a UUID of version 7, which includes its creation time."""
     click.echo(str(make_key(wall_ms=SystemClock().wall_ms())))
 
 
--- a/gypsumrouter/cli/orders.py
+++ b/gypsumrouter/cli/orders.py
@@ -1,4 +1,4 @@
-"""The command that shows what engines are to hold, hold and load."""
+"""Command that shows which models engines should hold, hold and are loading."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OrdersRow(Row, frozen=True, kw_only=True):
-    """One side: what its engine is to hold, holds and loads, and why it waits or changes."""
+    """A side: the wished and held models of its engine, the pending change and its reason."""
 
     instance: str = UNKNOWN
     wished: str = UNKNOWN
@@ -27,12 +27,12 @@
 
 @click.command("orders")
 @click.argument("addresses", nargs=-1, required=True, metavar="ADDRESS...")
-@click.option("--token-file", type=click.Path(path_type=Path), help="File with the token.")
+@click.option("--token-file", type=click.Path(path_type=Path), help="File with the operator token.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON document.")
 def orders_command(addresses: tuple[str, ...], token_file: Path | None, as_json: bool) -> None:
-    """Show the orders of the sides at the operators' addresses ADDRESS.
+    """Show the orders of the sides whose operator endpoints are at ADDRESS.
 
-    Exits with 1 where one cannot be reached.
+    Exits with 1 if a side cannot be reached.
     """
     results = asyncio.run(async_fetch_dumps(addresses, read_token(token_file)))
     rows = [make_row(result) for result in results]
@@ -40,7 +40,7 @@
 
 
 def make_row(result: DumpResult) -> OrdersRow:
-    """Return the row for one dump."""
+    """Return the row of a process."""
     if result.dump is None:
         return OrdersRow(address=result.address, error=result.error)
     instance = str(result.dump.get(ATTR_INSTANCE) or UNKNOWN)
@@ -75,7 +75,7 @@
 
 
 def _get_reason(section: dict[str, Any]) -> str:
-    """Return why the engine changes, or why it does not change yet."""
+    """Return the reason of the pending change, or why there is none."""
     change = section.get("pending")
     if change is not None:
         return str(change["reason"])
--- a/gypsumrouter/cli/rules.py
+++ b/gypsumrouter/cli/rules.py
@@ -1,4 +1,4 @@
-"""Commands on the when-then rules of a configuration."""
+"""Commands for the when-then rules of a configuration."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 @click.group("rules")
 def rules_group() -> None:
-    """See what the when-then rules of a configuration do."""
+    """Evaluate the when-then rules of a configuration."""
 
 
 @rules_group.command("explain")
 @click.option("--configuration", required=True, type=click.Path(path_type=Path))
 @click.option("--workspace", required=True)
-@click.option("--class", "caller_class", default="", help="The class that the caller asks for.")
+@click.option("--class", "caller_class", default="", help="The class that the caller requests.")
 @click.option("--model", default="", help="The model of a chat.")
-@click.option("--service", default="", help="The service of a plain call.")
+@click.option("--service", default="", help="The service of a service call.")
 @click.option("--method", default="POST", show_default=True)
-@click.option("--path", default="", help="The path below the service.")
+@click.option("--path", default="", help="The path of a service call, without the service prefix.")
 @click.option("--bytes", "size_bytes", default=0, type=click.IntRange(min=0))
-@click.option("--returning", is_flag=True, help="The chat has been here before.")
+@click.option("--returning", is_flag=True, help="The chat has had earlier requests.")
 @click.option("--data-centre", default="")
-@click.option("--at", default="", help="UTC time such as 2026-01-31T07:30; now by default.")
+@click.option("--at", default="", help="UTC time such as 2026-01-31T07:30; default: now.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON document.")
 def explain(configuration: Path, as_json: bool, **described: Any) -> None:
-    """Say which rule counts for a described request, why no earlier one, and what follows."""
+    """Show which rule applies to a request, why earlier rules don't match, and the effects."""
     checked = read_configuration(configuration)
     policy = Policy(configuration=checked)
     facts = _build_facts(described)
     if policy.get_workspace(facts.workspace) is None:
-        _fail(f"no workspace is named {facts.workspace!r}")
+        _fail(f"the configuration has no workspace {facts.workspace!r}")
     explanation = policy.explain(facts)
     if as_json:
         click.echo(json.dumps(build_report(explanation, facts, policy), indent=2))
@@ -60,7 +60,7 @@
 
 
 def list_effects(decision: Decision) -> list[tuple[str, object]]:
-    """Return what a decision means for the request, by name."""
+    """Return the effects of a decision on the request, as pairs of name and value."""
     effects: list[tuple[str, object]] = [
         ("caller_class", decision.caller_class.name),
         ("first_token_ms", decision.caller_class.first_token_ms),
@@ -82,7 +82,7 @@
 def _build_facts(described: dict[str, Any]) -> RequestFacts:
     model, service = described["model"], described["service"]
     if bool(model) == bool(service):
-        _fail("a request has either a model or a service")
+        _fail("expected exactly one of --model and --service")
     kind = UpstreamKind.ENGINE if model else UpstreamKind.SERVICE
     return RequestFacts(
         workspace=described["workspace"],
@@ -105,7 +105,7 @@
     try:
         at = datetime.fromisoformat(text)
     except ValueError:
-        _fail(f"{text!r} is no time such as 2026-01-31T07:30")
+        _fail(f"{text!r} is not a valid --at time; expected a time such as 2026-01-31T07:30")
     return int((at if at.tzinfo else at.replace(tzinfo=UTC)).timestamp() * MS_PER_S)
 
 
--- a/gypsumrouter/cli/settings.py
+++ b/gypsumrouter/cli/settings.py
@@ -1,4 +1,4 @@
-"""Commands on the settings of a process."""
+"""Commands for the settings of a process."""
 
 from __future__ import annotations
 
@@ -24,34 +24,34 @@
 
 def _role_option(command: _F) -> _F:
     choice = click.Choice([role.value for role in Role])
-    option = click.option("--role", required=True, type=choice, help="Whose settings these are.")
+    option = click.option("--role", required=True, type=choice, help="Role of the process.")
     return option(command)
 
 
 @click.group("settings")
 def settings_group() -> None:
-    """Check and show the settings of a process."""
+    """Validate the settings of a process, and show the defaults."""
 
 
 @settings_group.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 @_role_option
 def check(file: Path, role: str) -> None:
-    """Check FILE as the daemon does; every wrong field is named at once."""
+    """Validate FILE as the daemon does, and print all invalid fields."""
     try:
         check_settings(role=Role(role), document=read_settings_file(file))
     except SettingsInvalid as error:
         for field_error in error.errors:
             click.echo(str(field_error), err=True)
         sys.exit(EXIT_SETTINGS)
-    click.echo(f"{file}: these settings of a {role} are right")
+    click.echo(f"{file}: the settings of the {role} are valid")
 
 
 @settings_group.command("show")
-@click.option("--defaults", is_flag=True, required=True, help="Show what holds when left out.")
+@click.option("--defaults", is_flag=True, required=True, help="Show the default values.")
 @_role_option
 def show(defaults: bool, role: str) -> None:
-    """Show every field with its default; fields without one are marked as needed."""
+    """Show every field with its default; required fields are shown as <needed>."""
     match Role(role):
         case Role.ROUTER:
             shown = list_defaults(RouterSettings)
@@ -63,7 +63,7 @@
 
 
 def list_defaults(settings: type[msgspec.Struct]) -> dict[str, object]:
-    """Return the defaults of a class of settings as JSON data."""
+    """Return the defaults of a settings class as JSON data."""
     return {item.name: _get_default(item) for item in fields(settings)}
 
 
--- a/gypsumrouter/cli/status.py
+++ b/gypsumrouter/cli/status.py
@@ -1,4 +1,4 @@
-"""The command that shows many processes as a table."""
+"""Command that shows the status of processes as a table."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class StatusRow(Row, frozen=True, kw_only=True):
-    """One process: `version` is the configuration in force, `streams` open exchanges on links.
+    """A process: `version` is that of its configuration, `streams` the open exchanges on its links.
 
-    `load` counts what runs at or waits for an upstream, `running` what runs there, or the
-    callers' requests that a router has not answered yet.
+    For a side, `load` counts the requests that are running at or waiting for the upstream, and
+    `running` those that are running. For a router, `running` counts the open requests of callers.
     """
 
     instance: str = UNKNOWN
@@ -34,12 +34,12 @@
 
 @click.command("status")
 @click.argument("addresses", nargs=-1, required=True, metavar="ADDRESS...")
-@click.option("--token-file", type=click.Path(path_type=Path), help="File with the token.")
+@click.option("--token-file", type=click.Path(path_type=Path), help="File with the operator token.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON document.")
 def status_command(addresses: tuple[str, ...], token_file: Path | None, as_json: bool) -> None:
-    """Show the processes at the operators' addresses ADDRESS as a table.
+    """Show the status of the processes whose operator endpoints are at ADDRESS.
 
-    Exits with 1 where one cannot be reached.
+    Exits with 1 if a process cannot be reached.
     """
     results = asyncio.run(async_fetch_dumps(addresses, read_token(token_file)))
     rows = [make_row(result) for result in results]
@@ -47,7 +47,7 @@
 
 
 def make_row(result: DumpResult) -> StatusRow:
-    """Return the row for one dump."""
+    """Return the row of a process."""
     dump = result.dump
     if dump is None:
         return StatusRow(address=result.address, error=result.error)
--- a/gypsumrouter/cli/table.py
+++ b/gypsumrouter/cli/table.py
@@ -1,4 +1,4 @@
-"""Rows that commands print as a table or as JSON, and the exit code that follows."""
+"""Output of rows as a table or as JSON, and the resulting exit code."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Row(Struct, frozen=True, kw_only=True):
-    """What all rows have: the process asked, and why there is nothing to show of it."""
+    """Base of all rows: the address of the process, and the error if it could not be reached."""
 
     address: str
     error: str = ""
 
 
 def show_rows(rows: Sequence[Row], *, as_json: bool) -> int:
-    """Print the rows and return the exit code, which is not 0 where one has an error."""
+    """Print the rows; return a non-zero exit code if a row has an error."""
     if as_json:
         click.echo(json.dumps([asdict(row) for row in rows], indent=2))
     else:
@@ -32,7 +32,7 @@
 
 
 def print_table(rows: Sequence[Row]) -> None:
-    """Print one line for each row, padded to the widest cell, and below them the errors."""
+    """Print the rows as aligned columns, and the errors to standard error."""
     names = [item.name for item in fields(rows[0]) if item.name != _FIELD_ERROR]
     lines = [[name.upper() for name in names]]
     lines += [[str(getattr(row, name)) for name in names] for row in rows]
--- a/gypsumrouter/const.py
+++ b/gypsumrouter/const.py
@@ -1,4 +1,4 @@
-"""Constants that every part of the product needs to know."""
+"""Constants shared by all packages."""
 
 from __future__ import annotations
 
@@ -34,12 +34,16 @@
 
 
 def make_engine_chat_id(workspace: str, chat: str) -> str:
-    """Return the name by which engines know a chat; no two workspaces share one."""
+    """Return the chat id that engines receive; it is unique across workspaces."""
     return f"{workspace}/{chat}"
 
 
 class Role(StrEnum):
-    """What one process of the system does."""
+    """Role of a process.
+
+    A router accepts requests from callers and sends them to sides. A side is the sidecar of one
+    upstream. A forwarder is a router that sends requests directly to upstreams.
+    """
 
     ROUTER = "router"
     SIDE = "side"
@@ -47,14 +51,14 @@
 
 
 class UpstreamKind(StrEnum):
-    """What stands behind a side."""
+    """Kind of an upstream."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class InstanceState(StrEnum):
-    """What the platform's instance list says of an instance."""
+    """State of an instance in the platform's instance list."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/gypsumrouter/core.py
+++ b/gypsumrouter/core.py
@@ -1,4 +1,4 @@
-"""The application object: it owns every task and listener, and their clean-up."""
+"""Application object of one process: owns its tasks, shutdown hooks, metrics and state dump."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ApplicationState(StrEnum):
-    """Where a process stands in its life."""
+    """Lifecycle state of a process."""
 
     NOT_RUNNING = "not_running"
     STARTING = "starting"
@@ -35,9 +35,9 @@
 class Application:
     """One process of the system.
 
-    `incarnation` is a random number of 63 bits that no other process ever has. Hooks run in
-    three steps: drain hooks (first to last) finish work while everything still runs, then stop
-    hooks run last to first, then the tasks that are left are cancelled.
+    `incarnation` is a random 63-bit number that identifies this start of the process. Shutdown has
+    three steps: drain hooks complete accepted work, in order of registration; stop hooks release
+    resources, in reverse order; the remaining tasks are cancelled.
     """
 
     __slots__ = (
@@ -86,13 +86,13 @@
 
     @property
     def fatal(self) -> BaseException | None:
-        """Return the broken invariant that makes the process stop, if there is one."""
+        """Return the `InvariantBroken` error that stops the process, or None."""
         return self._fatal
 
     def async_create_task(self, target: Coroutine[Any, Any, _T], name: str) -> asyncio.Task[_T]:
-        """Start a task that the application owns and cancels at its end.
+        """Start a task that is cancelled when the application stops.
 
-        A broken invariant in a task stops the process; any other exception is logged.
+        `InvariantBroken` raised in a task stops the process; other exceptions are only logged.
         """
         task = asyncio.get_running_loop().create_task(target, name=name)
         self._tasks.add(task)
@@ -100,17 +100,17 @@
         return task
 
     def on_drain(self, hook: StopHook) -> Remove:
-        """Register a hook that finishes work when a planned stop begins."""
+        """Register a hook that completes accepted work at the start of a planned stop."""
         self._drain_hooks.append(hook)
         return lambda: _discard(self._drain_hooks, hook)
 
     def on_stop(self, hook: StopHook) -> Remove:
-        """Register a clean-up hook; hooks run in reverse order."""
+        """Register a hook that releases resources; hooks run in reverse order of registration."""
         self._stop_hooks.append(hook)
         return lambda: _discard(self._stop_hooks, hook)
 
     def add_dump_section(self, name: str, section: DumpSection) -> Remove:
-        """Register what an aggregate adds to the state dump; values must be plain JSON data."""
+        """Register a section of the state dump; `section` must return plain JSON data."""
         if name in self._dump_sections:
             raise InvariantBroken(f"dump section {name} registered twice")
         self._dump_sections[name] = section
@@ -121,26 +121,26 @@
         return remove
 
     def dump(self) -> dict[str, object]:
-        """Return the state of every aggregate as plain JSON data."""
+        """Return all sections of the state dump as plain JSON data."""
         return {name: section() for name, section in sorted(self._dump_sections.items())}
 
     def async_start(self) -> None:
-        """Mark the set-up as begun."""
+        """Set the state to STARTING."""
         self.state = ApplicationState.STARTING
 
     def async_started(self) -> None:
-        """Mark the set-up as done."""
+        """Set the state to RUNNING."""
         self.state = ApplicationState.RUNNING
 
     async def async_drain(self) -> None:
-        """Begin a planned stop: refuse new work and wait for all that was accepted."""
+        """Begin a planned stop: run the drain hooks and wait for them."""
         self.state = ApplicationState.STOPPING
         self.stopping.set()
         for hook in tuple(self._drain_hooks):
             await hook()
 
     async def async_stop(self) -> None:
-        """Release everything; safe to call more than once."""
+        """Run the stop hooks and cancel the remaining tasks; safe to call more than once."""
         if self.state is ApplicationState.FINAL:
             return
         self.state = ApplicationState.STOPPING
@@ -150,7 +150,7 @@
             try:
                 await hook()
             except Exception:
-                _LOGGER.exception("A stop hook failed")
+                _LOGGER.exception("A stop hook failed; continuing with the remaining hooks")
         await self._cancel_tasks()
         self.state = ApplicationState.FINAL
 
--- a/gypsumrouter/daemon.py
+++ b/gypsumrouter/daemon.py
@@ -6,9 +6,9 @@
 
 from gypsumrouter.const import ENV_IO_URING, IO_URING_OFF
 
-# The event loop's library reads this once, when the first loop is made.
+# libuv reads this variable once, when the first event loop is created.
 os.environ[ENV_IO_URING] = IO_URING_OFF
-# The library looks through all installed packages for plug-ins of its own; none is used here.
+# Skips aiomisc's search of all installed packages for plug-ins; none are used.
 os.environ.setdefault("AIOMISC_NO_PLUGINS", "1")
 
 import gc
@@ -17,7 +17,7 @@
 from gypsumrouter.helpers.listening import open_early_listener
 
 if __name__ == "__main__":
-    # Nothing of what is imported is garbage: looking for it takes a tenth of the start.
+    # Garbage collections during the imports free nothing and slow down the start.
     gc.disable()
     open_early_listener(sys.argv[1:])
 
@@ -40,7 +40,7 @@
 
 
 def load_settings(*, role: Role, path: Path) -> Settings:
-    """Return the checked settings, or print every wrong field and end the process."""
+    """Return the validated settings, or print every invalid field and exit."""
     try:
         return check_settings(role=role, document=read_settings_file(path))
     except SettingsInvalid as error:
@@ -52,12 +52,12 @@
 def run_daemon(
     *, settings: Settings, announce: bool, setup: Setup, log_stream: TextIO | None = None
 ) -> int:
-    """Run one process until it is stopped and return its exit code."""
+    """Run a process until it stops, and return its exit code."""
     remove_logging = configure_logging(
         settings=settings.log, instance=settings.instance.name, stream=log_stream
     )
     service = DaemonService(settings=settings, announce=announce, setup=setup)
-    # The service has signal handlers of its own: a stop waits for the answers that still run.
+    # The service installs its own signal handlers, which drain running requests before the exit.
     with aiomisc.entrypoint(
         service,
         loop_factory=uvloop.new_event_loop,
@@ -73,7 +73,7 @@
 @click.group()
 @click.version_option(VERSION)
 def main() -> None:
-    """Run one process of gypsumrouter."""
+    """Run a gypsumrouter process."""
 
 
 _SETTINGS: Final = click.option(
@@ -81,31 +81,31 @@
     "path",
     required=True,
     type=click.Path(path_type=Path),
-    help="The settings file, in JSON.",
+    help="Path of the JSON settings file.",
 )
 _ANNOUNCE: Final = click.option(
-    "--announce", is_flag=True, help="Print the bound addresses as one line of JSON."
+    "--announce", is_flag=True, help="Print the bound addresses as one JSON line."
 )
 _PLACEMENT: Final = click.option(
     "--placement",
     default="rendezvous",
     show_default=True,
-    help="How instances are chosen; all but the default are for comparisons.",
+    help="Placement strategy; all but the default are meant for comparisons.",
 )
 
 
-# A role imports only its own parts: what a process does not need costs memory all its life.
+# Each command imports only the modules of its role, to save memory and start-up time.
 @main.command(Role.ROUTER.value)
 @_SETTINGS
 @_ANNOUNCE
 @_PLACEMENT
 def run_router(path: Path, announce: bool, placement: str) -> None:
-    """Run a router on an entry instance."""
+    """Run a router, which accepts requests from callers and sends them to sides."""
     from gypsumrouter.bootstrap import async_setup
     from gypsumrouter.placement import PlacementKind
 
     if placement not in [kind.value for kind in PlacementKind]:
-        raise click.BadParameter(f"{placement} is none of {', '.join(PlacementKind)}")
+        raise click.BadParameter(f"{placement!r} is not one of {', '.join(PlacementKind)}")
     settings = cast(RouterSettings, load_settings(role=Role.ROUTER, path=path))
     kind = PlacementKind(placement)
     setup = partial(async_setup, settings=settings, placement=kind)
@@ -116,7 +116,7 @@
 @_SETTINGS
 @_ANNOUNCE
 def run_side(path: Path, announce: bool) -> None:
-    """Run a side beside an upstream."""
+    """Run a side, the sidecar process of one upstream."""
     from gypsumrouter.bootstrap import async_setup
 
     settings = cast(SideSettings, load_settings(role=Role.SIDE, path=path))
@@ -128,7 +128,7 @@
 @_SETTINGS
 @_ANNOUNCE
 def run_forwarder(path: Path, announce: bool) -> None:
-    """Run a router that reaches upstreams itself, where they have no side."""
+    """Run a forwarder, a router that sends requests directly to upstreams without sides."""
     from gypsumrouter.bootstrap_forwarder import async_setup_forwarder
 
     settings = cast(ForwarderSettings, load_settings(role=Role.FORWARDER, path=path))
--- a/gypsumrouter/exceptions.py
+++ b/gypsumrouter/exceptions.py
@@ -1,6 +1,6 @@
-"""Exceptions with stable codes, for settings, start-up and broken invariants only.
+"""Exceptions with stable codes, for settings, start-up and invariant violations.
 
-Whatever can happen to a request is a value, see :mod:`gypsumrouter.outcomes`.
+Failures of requests are values, not exceptions; see :mod:`gypsumrouter.outcomes`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ErrorCode(StrEnum):
-    """Stable codes of the errors that stop a process or a command."""
+    """Stable codes of errors that end a process or a command."""
 
     SETTINGS_INVALID = "settings_invalid"
     CONFIGURATION_INVALID = "configuration_invalid"
@@ -21,7 +21,7 @@
 
 
 class FieldError(Struct, frozen=True, kw_only=True):
-    """One wrong field: its path in the document, and what is wrong with it."""
+    """An invalid field of a document: its path and the reason."""
 
     path: str
     message: str
@@ -31,13 +31,13 @@
 
 
 class GypsumError(Exception):
-    """Base of every exception that the product raises on purpose."""
+    """Base class of all exceptions of this package that have an error code."""
 
     code: ErrorCode = ErrorCode.INVARIANT_BROKEN
 
 
 class DocumentInvalid(GypsumError):
-    """A JSON document was refused; `errors` names every wrong field at once."""
+    """A JSON document is invalid; `errors` lists every invalid field."""
 
     def __init__(self, errors: tuple[FieldError, ...]) -> None:
         super().__init__("; ".join(str(error) for error in errors))
@@ -45,30 +45,30 @@
 
 
 class SettingsInvalid(DocumentInvalid):
-    """The settings of a process are wrong."""
+    """The settings of a process are invalid."""
 
     code = ErrorCode.SETTINGS_INVALID
 
 
 class ConfigurationInvalid(DocumentInvalid):
-    """A configuration document is wrong."""
+    """A configuration document is invalid."""
 
     code = ErrorCode.CONFIGURATION_INVALID
 
 
 class NotReady(GypsumError):
-    """Something that a process needs is not there yet; trying again may help."""
+    """A prerequisite of the process is not available yet; the operation may be retried."""
 
     code = ErrorCode.NOT_READY
 
 
 class InvariantBroken(GypsumError):
-    """The program contradicts itself; the process must stop."""
+    """An internal invariant is violated; the process must stop."""
 
     code = ErrorCode.INVARIANT_BROKEN
 
 
 class Unreachable(GypsumError):
-    """A command could not reach a process."""
+    """A process could not be reached from the command line."""
 
     code = ErrorCode.UNREACHABLE
--- a/gypsumrouter/helpers/__init__.py
+++ b/gypsumrouter/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""What several aggregates share and that knows the application."""
+"""Helpers that are shared by several packages and depend on the application."""
--- a/gypsumrouter/helpers/connector.py
+++ b/gypsumrouter/helpers/connector.py
@@ -1,4 +1,4 @@
-"""Connections of the HTTP client that can be given up at any moment."""
+"""HTTP client connector whose connection attempts can be cancelled safely."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class ShieldedConnector(aiohttp.TCPConnector):
-    """Never cancel a connect half-way: it goes on alone, and its connection is closed unused.
+    """Connector that shields running connection attempts from cancellation.
 
-    Where a connect is cancelled, uvloop 0.22.1 closes the socket's descriptor, and the socket
-    object closes the same number again when it is freed. By then the number may belong to another
-    connection of the process, which then reads and writes what is not its own. `sock_connect` of
-    the session's timeout bounds a connect that goes on alone.
+    After a cancellation the attempt continues in the background and its connection is closed
+    unused. If it were cancelled, uvloop 0.22.1 would close the file descriptor of the socket twice.
+    The second close may hit another connection of the process that has been given the same
+    descriptor. Background attempts are limited by the `sock_connect` timeout of the session.
     """
 
     async def connect(
         self, req: ClientRequest, traces: list[Trace], timeout: aiohttp.ClientTimeout
     ) -> Connection:
-        """Return a connection; safe to cancel."""
+        """Return a connection; the call may be cancelled."""
         task = asyncio.ensure_future(super().connect(req, traces, timeout))
         try:
             return await asyncio.shield(task)
--- a/gypsumrouter/helpers/heap.py
+++ b/gypsumrouter/helpers/heap.py
@@ -1,4 +1,4 @@
-"""The heap of a process that has started: what will stay is left out of later collections."""
+"""Excludes long-lived objects of a started process from garbage collections."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 
 
 def freeze_heap() -> None:
-    """Collect once, never look again at what is left, and collect as usual from then on.
+    """Run a full collection, exclude the surviving objects from later ones, and enable collection.
 
-    A full collection stops the loop for a time that grows with the heap. Most of the heap of a
-    process are its modules and its configuration, which stay until they are replaced; what is no
-    cycle is still freed then.
+    A full collection blocks the event loop for a time that grows with the heap. Most of the heap
+    consists of modules and configuration, which are long-lived. Frozen objects are still freed by
+    reference counting.
     """
     gc.collect()
     gc.freeze()
     gc.enable()
-    _LOGGER.debug("%d objects are left out of collections", gc.get_freeze_count())
+    _LOGGER.debug(
+        "Froze the heap: %d objects are excluded from garbage collections", gc.get_freeze_count()
+    )
--- a/gypsumrouter/helpers/http_connection.py
+++ b/gypsumrouter/helpers/http_connection.py
@@ -1,8 +1,8 @@
-"""A client's HTTP/1.1 connection that carries one exchange at a time.
+"""HTTP/1.1 client connection that carries one exchange at a time.
 
-The HTTP library parses; what is ours is knowing what was sent, whom an answer belongs to, and
-whether the connection may be used again. The library's own client sends some requests twice by
-itself and takes bytes that were left over from one answer for the beginning of the next.
+Parsing is done by aiohttp. This module tracks what was sent, which request a response belongs to,
+and whether the connection can be reused. The client of aiohttp is not used because it retries some
+requests by itself and parses surplus bytes of one response as the start of the next.
 """
 
 from __future__ import annotations
@@ -24,18 +24,17 @@
 READ_BUFFER_BYTES: Final = 64 * 1024
 MAX_HEAD_BYTES: Final = 32 * 1024
 METHOD_HEAD: Final = "HEAD"
-# A body without a length ends with its connection. An upstream that dies on the way also closes it
-# first and resets it a moment later: 0.1 ms in 25 of 25 observed cases, 10 ms leaves room for a
-# path between data centres.
+# A body without a length ends when the connection is closed. An upstream that crashes also closes
+# its connection and resets it shortly after; only the reset shows that the body is incomplete.
 RESET_WAIT_MS: Final = 10
 STATUS_CONTINUE: Final = 100
 STATUS_SUCCESS: Final = 200
 
 
 class ConnectFailed(Exception):
-    """No connection could be made, so nothing was sent.
+    """The connection could not be established, so nothing was sent.
 
-    `refused` says that the other machine answered that nobody listens there.
+    `refused` is set if the host refused the connection because nothing listens on the port.
     """
 
     def __init__(self, message: str, *, refused: bool = False) -> None:
@@ -44,11 +43,11 @@
 
 
 class ConnectionBroken(Exception):
-    """The connection broke off, or carried what is no answer."""
+    """The connection was lost or carried a malformed response."""
 
 
 class HttpResponse:
-    """The head of an answer and the reader of its body."""
+    """Head of a response and the reader of its body."""
 
     __slots__ = ("body", "message")
 
@@ -62,12 +61,12 @@
         return int(self.message.code)
 
     def get(self, name: str) -> str | None:
-        """Return a header's value."""
+        """Return the value of a header, or None."""
         return self.message.headers.get(name)
 
 
 class HttpConnection(BaseProtocol):
-    """One connection; after `begin` the answers come from `async_read_response` in their order."""
+    """One connection; after `send_request`, `async_read_response` returns the response."""
 
     __slots__ = (
         "_body",
@@ -86,7 +85,7 @@
         self.address = address
         self.exchanges = 0
         self.idle_since_ms = 0
-        # How long the peer keeps an idle connection, where it said so.
+        # Idle timeout that the peer announced in its Keep-Alive header, if any.
         self.keep_alive_ms: int | None = None
         self._responses: deque[HttpResponse] = deque()
         self._body: StreamReader | None = None
@@ -96,7 +95,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Return whether the last exchange is over and left nothing behind."""
+        """Return whether the last exchange is complete and the connection is open and clean."""
         return (
             self._broken is None
             and self.transport is not None
@@ -107,14 +106,14 @@
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Let the kernel find a silent path by itself."""
+        """Set the keepalive options of the socket, so that the kernel detects dead peers."""
         super().connection_made(transport)
         connection = transport.get_extra_info("socket")
         if connection is not None:
             set_keepalive_options(connection)
 
     def send_request(self, *, method: str, data: bytes) -> None:
-        """Write a whole request; raises ConnectionBroken when nothing can be written."""
+        """Write a complete request; raises ConnectionBroken if the connection is closed."""
         transport = self.transport
         if self._broken is not None or transport is None or transport.is_closing():
             raise ConnectionBroken(self._broken or "the connection is closed")
@@ -134,7 +133,7 @@
         transport.write(data)
 
     async def async_read_response(self) -> HttpResponse:
-        """Return the next answer; raises ConnectionBroken. Interim answers are passed over."""
+        """Return the next final response, skipping interim ones; raises ConnectionBroken."""
         while True:
             while self._responses:
                 answer = self._responses.popleft()
@@ -149,18 +148,18 @@
                 self._waiter = None
 
     def finish(self) -> None:
-        """End an exchange whose answer was read whole; the connection may be reused."""
+        """End an exchange after its response was read completely."""
         self._parsing = False
         self._parser = None
 
     def close(self) -> None:
-        """Close the connection; nothing of it can be used any more."""
+        """Abort the connection."""
         self._mark_broken("closed")
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrives; bytes that belong to no exchange spoil the connection."""
+        """Parse received bytes; bytes outside an exchange invalidate the connection."""
         if not self._parsing or self._parser is None:
             if data:
                 self._invalidate("bytes that belong to no request")
@@ -170,7 +169,7 @@
         except HttpProcessingError as error:
             self._invalidate(f"no HTTP: {type(error).__name__}")
             return
-        except Exception as error:  # the parser reports a wrong body through its own errors
+        except Exception as error:  # the parser has no common base class for body errors
             self._invalidate(f"no HTTP: {error!r}")
             return
         for message, body in messages:
@@ -183,7 +182,7 @@
             self._wake()
 
     def eof_received(self) -> bool:
-        """Wait for a reset before a body without a length counts as whole."""
+        """Wait for a possible reset before a body without a length counts as complete."""
         body = self._body
         if body is None or body.is_eof() or not self._parsing:
             return False
@@ -191,7 +190,7 @@
         return True
 
     def _close_unless_reset(self) -> None:
-        """Take the body for whole unless a reset followed; loops that stop to read don't tell."""
+        """Complete the body unless a reset followed; the loop doesn't report one after EOF."""
         if self.transport is None:
             return
         connection = self.transport.get_extra_info("socket")
@@ -201,7 +200,7 @@
         self.transport.close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End or break off the body that is being read."""
+        """Complete or fail the body that is being read."""
         super().connection_lost(None)
         self._end_body(exc)
         self._mark_broken("closed by the peer" if exc is None else f"reset: {type(exc).__name__}")
@@ -213,7 +212,7 @@
         if exc is None and self._parser is not None:
             try:
                 self._parser.feed_eof()
-            except Exception as error:  # an answer that ends before its length
+            except Exception as error:  # the body is shorter than its length
                 body.set_exception(ConnectionBroken(f"ended early: {type(error).__name__}"))
                 return
             if body.is_eof():
@@ -242,8 +241,8 @@
 async def async_connect(*, address: Address, timeout_ms: int) -> HttpConnection:
     """Return a new connection; raises ConnectFailed.
 
-    A connect that takes too long goes on alone and is closed unused: the event loop's library
-    closes a descriptor twice where a connect is cancelled half-way.
+    After a timeout or a cancellation the attempt continues in the background and its connection is
+    closed unused, because uvloop closes a file descriptor twice if an attempt is cancelled.
     """
     loop = asyncio.get_running_loop()
     connecting = loop.create_task(_async_open(loop, address))
--- a/gypsumrouter/helpers/listening.py
+++ b/gypsumrouter/helpers/listening.py
@@ -1,8 +1,8 @@
-"""Listening sockets, also ones that are opened before the rest of a process is loaded.
+"""Listening sockets, which a forwarder can open before it has imported its other modules.
 
-Loading a process takes about 0.6 s of a core. Callers that connect meanwhile wait in the backlog
-instead of being reset, and are served when it is over. On a small share of a core they would wait
-until they give up, so that there the socket is opened at the regular start.
+The imports take about 0.6 s of CPU time. Callers that connect during that time wait in the backlog
+instead of being refused. On a small share of a core they would time out in the backlog, so the
+socket is opened later in that case.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
 
-# Loading takes 0.9 s at this share; callers of plain services leave after 0.6 s and more.
+# Below this CPU speed the imports take longer than callers of plain services wait.
 MIN_CORES_FOR_EARLY_LISTENER: Final = 0.6
 ENV_CERTIFICATES_FILE: Final = "SSL_CERT_FILE"
 
@@ -27,9 +27,9 @@
 
 
 def make_listening_socket(*, host: str, port: int) -> socket.socket:
-    """Return a bound socket; on Linux accepted connections inherit its options.
+    """Return a bound socket; accepted connections inherit its options on Linux.
 
-    A socket that was opened early for the same address is returned in place of a new one.
+    Returns the early listener of the same address if there is one.
     """
     early_socket = _early_sockets.pop((host, port), None)
     if early_socket is not None:
@@ -53,9 +53,9 @@
 
 
 def open_early_listener(arguments: Sequence[str]) -> None:
-    """Listen for callers as a forwarder's settings file says, before anything checks that file.
+    """Start to listen for callers of a forwarder, before its settings are validated.
 
-    What is wrong with the file or the address is found, and told, by the regular start.
+    Errors in the file or the address are ignored here; the regular start-up reports them.
     """
     if not arguments or arguments[0] != "forwarder" or "--settings" not in arguments[:-1]:
         return
@@ -77,9 +77,9 @@
 
 
 def _disable_system_certificates(settings: dict[str, Any]) -> None:
-    """Keep the HTTP library from loading the system's certificates where no link uses TLS.
+    """Prevent aiohttp from loading the system's certificates if the links don't use TLS.
 
-    It loads them at its import, used or not, which a start on a small core waits for.
+    aiohttp loads them when it is imported, which slows down the start.
     """
     if settings.get("link", {}).get("tls") is None:
         os.environ.setdefault(ENV_CERTIFICATES_FILE, os.devnull)
--- a/gypsumrouter/helpers/logs.py
+++ b/gypsumrouter/helpers/logs.py
@@ -1,4 +1,4 @@
-"""Log lines that carry the instance and the request id, as text or as JSON."""
+"""Logging as text or JSON lines that include the instance and the request id."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gypsumrouter.settings import Log, LogFormat
 
 MAX_QUEUED_LINES: Final = 10_000
-# What a process waits at its end for a reader of its log; 10,000 lines take 0.1 s to write.
+# Time limit for writing the queued lines when the process exits.
 FLUSH_TIMEOUT_S: Final = 0.5
 NO_VALUE: Final = "-"
 TEXT_FORMAT: Final = (
@@ -28,12 +28,12 @@
 
 
 def set_instance(name: str) -> None:
-    """Name the instance in the lines of the current task and of all that it starts."""
+    """Set the instance for log lines of the current task and the tasks that it starts."""
     _instance.set(name)
 
 
 def set_request_id(request_id: str) -> None:
-    """Name the request in the lines of the current task and of all that it starts."""
+    """Set the request id for log lines of the current task and the tasks that it starts."""
     _request_id.set(request_id)
 
 
@@ -41,7 +41,7 @@
     """Adds the instance and the request id of the current task to each record."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Keep every record; a value that the caller gave as `extra` stays."""
+        """Accept every record; values passed as `extra` are not overwritten."""
         if not hasattr(record, "instance"):
             record.instance = _instance.get()
         if not hasattr(record, "request_id"):
@@ -75,12 +75,12 @@
 
 
 class DroppingQueueHandler(logging.handlers.QueueHandler):
-    """Hands records to the writing thread; a reader that stalls costs lines, never the loop."""
+    """Queues records for the writer thread; drops records instead of blocking the event loop."""
 
     dropped = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Return the record as it is: the queue stays inside the process."""
+        """Return the record unchanged; the queue doesn't leave the process."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
@@ -92,7 +92,7 @@
 
 
 class BoundedQueueListener(logging.handlers.QueueListener):
-    """Writes the queue from a thread; a reader that stalls keeps no process from ending."""
+    """Writes queued records in a thread; a blocked output doesn't delay the exit of the process."""
 
     def __init__(
         self, records: queue.Queue[logging.LogRecord | None], output: logging.Handler
@@ -101,7 +101,7 @@
         self._records = records
 
     def enqueue_sentinel(self) -> None:
-        """Ask the thread to end, in place of the oldest line where the queue is full."""
+        """Queue the stop marker of the thread; drops the oldest records if the queue is full."""
         while True:
             try:
                 self._records.put_nowait(None)
@@ -111,7 +111,7 @@
                 return
 
     def stop(self) -> None:
-        """Write what is left within `FLUSH_TIMEOUT_S`; what nobody reads by then is dropped."""
+        """Stop the thread; records that are not written within `FLUSH_TIMEOUT_S` are dropped."""
         thread, self._thread = self._thread, None
         if thread is None:
             return
@@ -120,7 +120,7 @@
 
 
 def make_formatter(log_format: LogFormat) -> logging.Formatter:
-    """Return the formatter for a setting."""
+    """Return the formatter of a log format."""
     match log_format:
         case LogFormat.JSON:
             return JsonFormatter()
@@ -131,9 +131,9 @@
 def configure_logging(
     *, settings: Log, instance: str, stream: TextIO | None = None
 ) -> Callable[[], None]:
-    """Send all log lines to a stream, standard error by default, from a thread of its own.
+    """Write all log lines to a stream, by default standard error, in a separate thread.
 
-    Returns the function that writes what is left and ends the thread.
+    Returns a function that flushes the queue, stops the thread and removes the handler.
     """
     set_instance(instance)
     output = logging.StreamHandler(stream or sys.stderr)
--- a/gypsumrouter/helpers/metrics.py
+++ b/gypsumrouter/helpers/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one process: counted in plain numbers, rendered by a library when scraped."""
+"""Metrics of a process; counters are plain numbers that are copied to aioprometheus on a scrape."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Counter:
-    """A number that only grows, for each set of labels."""
+    """Counter with one value for each set of labels."""
 
     __slots__ = ("values",)
 
@@ -33,7 +33,7 @@
 
 
 class Histogram:
-    """Counts of observed values by bucket, for each set of labels."""
+    """Histogram with one set of buckets for each set of labels."""
 
     __slots__ = ("_metric",)
 
@@ -41,12 +41,12 @@
         self._metric = metric
 
     def observe(self, value: float, labels: Labels = NO_LABELS) -> None:
-        """Count one value."""
+        """Record a value."""
         self._metric.observe(dict(labels), value)
 
 
 class MetricRegistry:
-    """Every metric of one process."""
+    """Registry of all metrics of a process."""
 
     __slots__ = ("_counters", "_gauges", "_names", "_registry")
 
@@ -66,7 +66,7 @@
         return counter
 
     def gauge(self, name: str, documentation: str, read: ReadGauge) -> None:
-        """Register a gauge that is read when the metrics are scraped."""
+        """Register a gauge; `read` returns its values when the metrics are scraped."""
         metric = aioprometheus.Gauge(
             self._reserve_name(name), documentation, registry=self._registry
         )
@@ -80,7 +80,7 @@
         return Histogram(metric)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         for metric, counter in self._counters:
             for labels, value in counter.values.items():
                 metric.set(dict(labels), value)
--- a/gypsumrouter/helpers/settings_file.py
+++ b/gypsumrouter/helpers/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a process, read and checked whole."""
+"""Reading and validating the settings file of a process."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def read_settings_file(path: Path) -> bytes:
-    """Return the document; raises SettingsInvalid when the file cannot be read."""
+    """Return the contents of the file; raises SettingsInvalid if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError as error:
@@ -38,9 +38,9 @@
 
 
 def check_settings(*, role: Role, document: bytes) -> Settings:
-    """Return checked settings; raises SettingsInvalid with every error at once.
+    """Return the validated settings; raises SettingsInvalid with all errors.
 
-    The secrets that the settings name must be there; they are read and thrown away.
+    The secrets and TLS files that the settings refer to are read to check that they are usable.
     """
     try:
         settings = _check_fields(role, document)
@@ -55,10 +55,12 @@
 
 
 def check_linked_settings(*, role: Role, document: bytes) -> LinkedSettings:
-    """Return checked settings of a router or a side; raises SettingsInvalid."""
+    """Return the validated settings of a router or a side; raises SettingsInvalid."""
     settings = check_settings(role=role, document=document)
     if isinstance(settings, ForwarderSettings):
-        raise InvariantBroken("these are a forwarder's settings")
+        raise InvariantBroken(
+            "expected settings of a router or a side, got settings of a forwarder"
+        )
     return settings
 
 
@@ -73,7 +75,7 @@
 
 
 def _list_section_errors(document: bytes) -> tuple[FieldError, ...]:
-    """Return what is wrong with the secrets where only other fields are wrong in themselves."""
+    """Return the errors of the secrets in a document whose other sections may be invalid."""
     errors: tuple[FieldError, ...] = ()
     link = _read_section(document, "link", Link)
     if link is not None:
@@ -126,7 +128,7 @@
 
 
 def get_role(settings: Settings) -> Role:
-    """Return the role that the settings are for."""
+    """Return the role that the settings belong to."""
     match settings:
         case RouterSettings():
             return Role.ROUTER
--- a/gypsumrouter/helpers/settings_watcher.py
+++ b/gypsumrouter/helpers/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Takes over what changes in the settings file of a running process, with a signal or without."""
+"""Reloads the settings file of a running process after a signal or when the file changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,6 @@
 from gypsumrouter.journal import Journal, SettingsReloaded
 from gypsumrouter.settings import ForwarderSettings
 
-# One look at the file's times, some ten microseconds; a change holds as soon as a configuration.
 POLL_INTERVAL_MS: Final = 1_000
 
 Check = Callable[[bytes], ForwarderSettings]
@@ -22,10 +21,10 @@
 
 
 class SettingsWatcher:
-    """Reads the file again after a change and hands the settings to `apply`.
+    """Reads the file after a change and passes the settings to `apply`.
 
-    `apply` returns the sections that hold at once; the others hold from the next start on. A file
-    that is unreadable or wrong changes nothing.
+    `apply` returns the names of the sections that it applied; changes of other sections take effect
+    at the next start. An unreadable or invalid file changes nothing.
     """
 
     __slots__ = ("_app", "_apply", "_check", "_file_state", "_journal", "_path", "_settings")
@@ -49,11 +48,11 @@
         self._file_state = self._read_file_state()
 
     def async_start(self) -> None:
-        """Begin to look for changes that no signal tells of."""
+        """Start to poll the file for changes."""
         self._app.async_create_task(self._async_watch(), "settings")
 
     def reload(self) -> None:
-        """Read the file now and journal what differs."""
+        """Read the file, apply the changed settings and record the reload in the journal."""
         self._file_state = self._read_file_state()
         try:
             settings = self._check(read_settings_file(self._path))
@@ -76,11 +75,11 @@
         return tuple(n for n in names if getattr(settings, n) != getattr(self._settings, n))
 
     def _read_file_state(self) -> tuple[int, int, int] | None:
-        """Return what changes with the file; None while it cannot be seen."""
+        """Return the modification time, size and inode of the file, or None if it is missing."""
         try:
             status = self._path.stat()
         except OSError:
-            # A file that is being replaced; `reload` tells what stays wrong with it.
+            # The file may be in the middle of a replacement; `reload` reports lasting errors.
             return None
         return status.st_mtime_ns, status.st_size, status.st_ino
 
--- a/gypsumrouter/helpers/tls.py
+++ b/gypsumrouter/helpers/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings, whose key files are read again when they change."""
+"""TLS contexts that reload their certificate files when these change."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_server_context(tls: Tls) -> ssl.SSLContext:
-    """Return the context of a listener; raises SettingsInvalid when a file is wrong."""
+    """Return the TLS context of a listener; raises SettingsInvalid if a file is unusable."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     _load(context, tls, tls.client_ca_file)
@@ -31,11 +31,11 @@
 
 
 def make_client_context(tls: Tls, *, check_hostname: bool = False) -> ssl.SSLContext:
-    """Return the context of a client, which shows its own certificate when asked.
+    """Return the TLS context of a client, which presents its own certificate on request.
 
-    The server's certificate must be of `ca_file`, or of the system's authorities without it.
-    Instances are replaced at other addresses, so that names are checked only on request. Raises
-    SettingsInvalid when a file is wrong.
+    Server certificates are verified against `ca_file`, or by default against the system's
+    authorities. Host names are checked only with `check_hostname`, because instances are replaced
+    at other addresses. Raises SettingsInvalid if a file is unusable.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -48,10 +48,10 @@
 
 
 class TlsFiles:
-    """Load a certificate chain again into its context when a file changes.
+    """Reloads the certificate chain of a context when one of its files changes.
 
-    Connections made after that use it. Authorities are only added: one that was removed stays
-    trusted until the process is replaced.
+    New connections use the reloaded chain. Authorities are only added: a removed one stays trusted
+    until the process is restarted.
     """
 
     __slots__ = ("_app", "_context", "_files_state", "_reload_ms", "_tls")
@@ -71,26 +71,28 @@
         self._files_state = read_files_state(tls)
 
     def async_start(self) -> None:
-        """Look at the files from time to time until the application stops."""
+        """Start to poll the files for changes until the application stops."""
         self._app.async_create_task(self._async_watch(), "TLS files")
 
     def refresh(self) -> bool:
-        """Read the files again if they changed; return whether they were taken.
+        """Reload the files if they changed; return whether a new chain was loaded.
 
-        Files that are wrong, such as half of a pair, leave the old chain in force.
+        Unusable files, such as a certificate without its key, leave the loaded chain in use.
         """
         files_state = read_files_state(self._tls)
         if files_state == self._files_state:
             return False
         try:
-            # A wrong pair would leave the context half changed, so it is tried on another one.
+            # A mismatched pair could change part of the context, so it is tested on another one.
             _load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), self._tls, None)
             _load(self._context, self._tls, self._get_authority())
         except SettingsInvalid as error:
-            _LOGGER.warning("Changed TLS files are not taken: %s", error)
+            _LOGGER.warning(
+                "Changed TLS files are unusable (%s); keeping the loaded certificate", error
+            )
             return False
         self._files_state = files_state
-        _LOGGER.info("TLS files were read again")
+        _LOGGER.info("Reloaded the changed TLS files")
         return True
 
     def _get_authority(self) -> str | None:
@@ -105,7 +107,7 @@
 
 
 def read_files_state(tls: Tls) -> FilesState:
-    """Return what changes when one of the files is written; blocks for a moment."""
+    """Return the modification times and inodes of the files; does blocking file access."""
     paths = (tls.certificate_file, tls.key_file, tls.ca_file, tls.client_ca_file)
     return tuple(_read_file_state(path) for path in paths if path is not None)
 
--- a/gypsumrouter/operators/__init__.py
+++ b/gypsumrouter/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' address of one process."""
+"""HTTP endpoint for operators: health, metrics and the state dump."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/operators/access.py
+++ b/gypsumrouter/operators/access.py
@@ -1,4 +1,4 @@
-"""Who may read the operators' address."""
+"""Access control of the operator endpoint."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Access:
-    """Checks the token of a request; without a token everyone on loopback may read."""
+    """Checks the bearer token of requests; without a configured token all requests are allowed."""
 
     __slots__ = ("_token",)
 
@@ -24,7 +24,7 @@
         self._token = token
 
     def allows(self, authorization: str) -> bool:
-        """Return whether an `Authorization` header opens the address, in constant time."""
+        """Return whether an `Authorization` header has the token; compares in constant time."""
         if self._token is None:
             return True
         if not authorization.startswith(BEARER):
@@ -34,9 +34,9 @@
 
 
 def check_access(settings: Operators) -> Access:
-    """Return the check for the settings; raises SettingsInvalid.
+    """Return the access check for the settings; raises SettingsInvalid.
 
-    An address that is not loopback needs a token of its own file.
+    A token file is required unless the endpoint is bound to loopback.
     """
     if settings.token_file is not None:
         return Access(token=_read_token(settings.token_file))
--- a/gypsumrouter/operators/const.py
+++ b/gypsumrouter/operators/const.py
@@ -1,4 +1,4 @@
-"""Constants of the operators' address."""
+"""Constants of the operator endpoint."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/operators/diagnostics.py
+++ b/gypsumrouter/operators/diagnostics.py
@@ -1,4 +1,4 @@
-"""The versioned state dump of one process."""
+"""Versioned state dump of a process."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/operators/probes.py
+++ b/gypsumrouter/operators/probes.py
@@ -1,4 +1,4 @@
-"""A forwarder's readiness for the balancer, and its metrics and dump for operators."""
+"""Readiness probe, metrics and state dump of a forwarder."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ProbesServer:
-    """Answers on two addresses: readiness on one, metrics and the dump on the other."""
+    """Serves the readiness probe on one address, metrics and the state dump on another."""
 
     __slots__ = ("_app", "_is_ready", "_settings")
 
@@ -24,7 +24,7 @@
         self._is_ready = is_ready
 
     async def async_start(self) -> dict[str, Address]:
-        """Bind both addresses and return them; raises OSError when one is taken."""
+        """Bind both addresses and return them; raises OSError if one is in use."""
         ready = web.Application()
         ready.router.add_get(self._settings.ready_path, self._async_ready)
         metrics = web.Application()
--- a/gypsumrouter/operators/server.py
+++ b/gypsumrouter/operators/server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP address: health, metrics and the state dump."""
+"""HTTP server for operators: health, metrics and the state dump."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class OperatorsServer:
-    """Answers operators and the balancer's probes."""
+    """Serves operators and the probes of load balancers."""
 
     __slots__ = ("_access", "_app", "_is_ready", "_runner", "_settings")
 
@@ -43,7 +43,7 @@
         self._runner: web.AppRunner | None = None
 
     async def async_start(self) -> Address:
-        """Bind the address and return it; raises OSError when it is taken."""
+        """Bind the address and return it; raises OSError if it is in use."""
         routes = web.Application()
         routes.router.add_get(PATH_ALIVE, self._async_alive)
         routes.router.add_get(PATH_READY, self._async_ready)
@@ -91,7 +91,7 @@
     def _check(self, request: web.Request) -> None:
         if self._access.allows(request.headers.get("Authorization", "")):
             return
-        _LOGGER.debug("Refused a reader of %s without the token", request.path)
+        _LOGGER.debug("Rejected a request for %s: bearer token missing or wrong", request.path)
         raise web.HTTPUnauthorized(headers={"WWW-Authenticate": "Bearer"})
 
 
--- a/gypsumrouter/outcomes.py
+++ b/gypsumrouter/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request can end, as values that callers `match` on."""
+"""Failure outcomes of a request, as values for `match` statements."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class Executed(StrEnum):
-    """Whether a request that got no answer ran at an upstream."""
+    """Whether a failed request was executed by an upstream; sent to the caller."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
 
 
 class Reason(StrEnum):
-    """Stable codes of every way in which a request ends without its answer."""
+    """Stable codes of the reasons for which a request fails; sent to the caller."""
 
-    # Wrong requests: never run.
+    # Invalid requests: not run.
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
     NOT_FOUND = "not_found"
@@ -26,25 +26,30 @@
     KEY_INVALID = "idempotency_key_invalid"
     KEY_REUSED = "idempotency_key_reused"
     REFUSED_BY_RULE = "refused_by_rule"
-    # Load: never run, worth a later try.
+    # Load: not run; a later retry may succeed.
     WORKSPACE_LIMIT = "workspace_limit"
     OVER_CAP = "over_cap"
     QUEUE_FULL = "queue_full"
+    # Every eligible upstream is in a back-off period.
     UPSTREAMS_BACKING_OFF = "upstreams_rest"
+    # The request would miss its deadline while waiting.
     TARGET_UNATTAINABLE = "target_hopeless"
     RETRY_BUDGET = "retry_budget_spent"
-    # Membership: never run, worth a try elsewhere.
+    # Membership: not run; another instance may accept the request.
     LEAVING = "leaving"
     NO_INSTANCE = "no_instance"
+    # All remaining upstreams are in evacuated data centres.
     EVACUATED = "evacuated"
     WARMING_UP = "warming_up"
     NOT_READY = "not_ready"
     UNREACHABLE = "unreachable"
     WRONG_UPSTREAM = "wrong_upstream"
     MODEL_NOT_LOADED = "model_not_held"
-    # At most once.
+    # Calls that must run at most once.
     NOT_KEY_OWNER = "not_home"
+    # The owner's instance list is too old to confirm that it owns the idempotency key.
     KEY_OWNER_UNCONFIRMED = "home_unconfirmed"
+    # The key may have been used at an earlier owner.
     KEY_OWNER_TOO_RECENT = "home_too_young"
     CALL_RECORDS_FULL = "memory_full"
     KEY_EXPIRED = "idempotency_key_expired"
@@ -52,7 +57,7 @@
     # Requests that crash their upstream.
     SUSPECT = "suspect"
     SUSPECT_ISOLATED = "suspect_isolated"
-    # The outcome is unknown.
+    # Failures after which the request may have run.
     LINK_LOST = "link_lost"
     SIDE_RESTARTED = "side_restarted"
     ANSWER_EVICTED = "answer_evicted"
@@ -66,10 +71,10 @@
 
 
 class Refused(Struct, frozen=True, kw_only=True):
-    """The request was not run, and whoever says so makes sure that it never will be.
+    """The request was rejected: it has not run and will not run.
 
-    `retry_after_ms` is None where trying again does not help. `elsewhere` says that another
-    instance may take it now.
+    `retry_after_ms` is None if a retry would not help. `elsewhere` is set if another instance may
+    accept the request now.
     """
 
     reason: Reason
@@ -79,7 +84,7 @@
 
 
 class Failed(Struct, frozen=True, kw_only=True):
-    """The request ended without a whole answer, and it may have run."""
+    """The request failed without a complete answer and may have run."""
 
     reason: Reason
     message: str = ""
@@ -90,7 +95,7 @@
 
 
 def get_executed(failure: Failure) -> Executed:
-    """Return what a caller is told about whether the request ran."""
+    """Return the execution status that is reported to the caller."""
     match failure:
         case Refused():
             return Executed.NOT_RUN
--- a/gypsumrouter/service.py
+++ b/gypsumrouter/service.py
@@ -1,4 +1,4 @@
-"""One process of the process as a service: its start, its signals and its end."""
+"""Lifecycle of a process as a service: start-up, signals, draining and exit code."""
 
 from __future__ import annotations
 
@@ -23,15 +23,14 @@
 
 STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
 
-# A forwarder must be gone at the end of its stop: what is left is cut and the process ends within
-# this time.
+# Time reserved at the end of a forwarder's stop to abort the remaining requests and exit.
 EXIT_MARGIN_MS: Final = 500
 
 Setup = Callable[[], Awaitable[RunningProcess]]
 
 
 class DaemonService(aiomisc.Service):
-    """Runs the process of one process until a signal or a broken invariant ends it."""
+    """Runs the components of a process until a signal or an invariant violation."""
 
     def __init__(self, *, settings: Settings, announce: bool, setup: Setup) -> None:
         super().__init__()
@@ -44,7 +43,7 @@
         self._exit_code = EXIT_OK
 
     async def start(self) -> None:
-        """Set the process up; what stops it is logged with its code."""
+        """Set up the process; a failure is logged with its error code."""
         for number in STOP_SIGNALS:
             self.loop.add_signal_handler(number, self._handle_stop_signal, number)
         self.loop.add_signal_handler(signal.SIGHUP, self._handle_reload_signal)
@@ -60,7 +59,7 @@
         self._report_addresses(self._process)
 
     async def async_wait(self) -> int:
-        """Wait for the end of the process, finish what runs, and return the exit code."""
+        """Wait for a stop, drain the running requests, and return the exit code."""
         process = self._process
         if process is None:
             return self._exit_code
@@ -73,7 +72,7 @@
         return self._exit_code
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Release everything."""
+        """Stop the application and release its resources."""
         if self._process is not None:
             await self._process.app.async_stop()
             _LOGGER.info("Stopped with exit code %d", self._exit_code)
@@ -86,7 +85,7 @@
         await _wait_for_first(*waits)
 
     async def _drain(self, process: RunningProcess) -> None:
-        _LOGGER.info("Stopping: finishing %d requests", len(process.list_running()))
+        _LOGGER.info("Draining: waiting for %d running requests", len(process.list_running()))
         limit_ms = get_drain_timeout_ms(self._settings)
         drained = asyncio.ensure_future(process.app.async_drain())
         await _wait_for_first(
@@ -102,10 +101,13 @@
 
     def _handle_stop_signal(self, number: int) -> None:
         if self._stop_requested.is_set():
-            _LOGGER.warning("Second stop signal (%s), ending now", signal.Signals(number).name)
+            _LOGGER.warning(
+                "Second stop signal (%s): aborting the running requests",
+                signal.Signals(number).name,
+            )
             self._stop_forced.set()
             return
-        _LOGGER.info("Stop signal (%s)", signal.Signals(number).name)
+        _LOGGER.info("Received stop signal %s; starting to drain", signal.Signals(number).name)
         self._stop_requested.set()
 
     def _handle_reload_signal(self) -> None:
@@ -114,7 +116,7 @@
 
     def _report_addresses(self, process: RunningProcess) -> None:
         addresses = {name: str(address) for name, address in process.addresses.items()}
-        _LOGGER.info("Started as %s on %s", process.app.role.value, addresses)
+        _LOGGER.info("Started as %s, listening on %s", process.app.role.value, addresses)
         if not self._announce:
             return
         announcement = {
@@ -132,7 +134,7 @@
 
 
 def get_drain_timeout_ms(settings: Settings) -> int:
-    """Return how long a planned stop may take to finish what runs."""
+    """Return the time limit for draining at a planned stop."""
     match settings:
         case ForwarderSettings():
             return settings.bounds.stop_ms - EXIT_MARGIN_MS
@@ -141,7 +143,7 @@
 
 
 async def _wait_for_first(*waits: asyncio.Future[Any]) -> None:
-    """Wait until one is done and cancel the others."""
+    """Wait until one future is done and cancel the others."""
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
         wait.cancel()
@@ -149,9 +151,10 @@
 
 
 def freeze_heap_when_configured(process: RunningProcess) -> None:
-    """Settle the heap of a process now and once more with its first configuration.
+    """Freeze the heap now and again after the first configuration was loaded.
 
-    No work is taken before that. Later versions share with the first what did not change.
+    The process accepts no requests before that. Later configuration versions share the unchanged
+    objects of the first one.
     """
     freeze_heap()
     if process.store.ready.is_set():
--- a/gypsumrouter/settings.py
+++ b/gypsumrouter/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process: a JSON document, checked whole before anything starts."""
+"""Settings of a process: a JSON document that is validated completely before start-up."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 class LogFormat(StrEnum):
-    """How log lines are written."""
+    """Format of log lines."""
 
     JSON = "json"
     TEXT = "text"
 
 
 class LogLevel(StrEnum):
-    """The least severe level that is written."""
+    """Lowest severity that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -50,9 +50,9 @@
 
 
 class Tls(Checked, frozen=True, kw_only=True):
-    """Key files of one listener or link; they are read again when they change.
+    """TLS files of a listener or link, as PEM; they are reloaded when they change.
 
-    With `client_ca_file` a listener asks its peers for a certificate of that authority.
+    With `client_ca_file`, a listener requires client certificates of that authority.
     """
 
     certificate_file: str
@@ -62,7 +62,7 @@
 
 
 class Listener(Checked, frozen=True, kw_only=True):
-    """Where a listener is bound; port 0 takes any free one."""
+    """Address of a listener; with port 0 the system chooses a free port."""
 
     host: str = LOOPBACK
     port: Port = 0
@@ -73,7 +73,7 @@
 
 
 class Operators(Checked, frozen=True, kw_only=True):
-    """The operators' address; a token is needed unless it is bound to loopback."""
+    """Operator endpoint; a token is required unless it is bound to loopback."""
 
     host: str = LOOPBACK
     port: Port = 0
@@ -85,7 +85,7 @@
 
 
 class Identity(Checked, frozen=True, kw_only=True):
-    """What this process is called and where it stands."""
+    """Name and location of this process."""
 
     name: Name
     data_centre: Name
@@ -93,11 +93,11 @@
 
 
 class Link(Checked, frozen=True, kw_only=True):
-    """The listener and the shared key of the links between processes.
+    """Listener and shared key of the links between processes.
 
-    The key comes from `key_file` or from the environment variable named by `key_env`. `host` and
-    `port` are where this process listens. `advertised_host` and `advertised_port` are what the
-    instance list says of it where that differs. Times are in milliseconds, sizes in bytes.
+    The key is read from `key_file` or from the environment variable named by `key_env`. The
+    process listens on `host` and `port`; `advertised_host` and `advertised_port` are its address
+    in the instance list if that differs. Times are in milliseconds, sizes in bytes.
     """
 
     host: str = LOOPBACK
@@ -119,10 +119,10 @@
 
 
 class Platform(Checked, frozen=True, kw_only=True):
-    """Where the platform publishes the configuration and the instance list, as HTTP origins.
+    """HTTP origins at which the platform publishes the configuration and the instance list.
 
-    `list_lease_ms` is how old the list may be for a side to run calls that must not be repeated,
-    `clock_skew_ms` how far any two wall clocks may differ.
+    A side runs at-most-once calls only while its list is younger than `list_lease_ms`.
+    `clock_skew_ms` is the largest difference between the wall clocks of two processes.
     """
 
     configuration: tuple[HttpOrigin, ...] = ()
@@ -133,7 +133,7 @@
 
 
 class Upstream(Checked, frozen=True, kw_only=True):
-    """The upstream beside a side; `silence_ms` bounds its pauses while an answer runs."""
+    """The upstream of a side; `silence_ms` is the timeout between parts of an answer."""
 
     pool: Name
     kind: UpstreamKind
@@ -150,7 +150,7 @@
 
 
 class Limits(Checked, frozen=True, kw_only=True):
-    """Bounds of one process; times are in milliseconds, sizes in bytes."""
+    """Resource limits of a process; times are in milliseconds, sizes in bytes."""
 
     max_head_bytes: PositiveInt = MAX_HEAD_BYTES
     max_body_bytes: PositiveInt = MAX_REQUEST_BODY_BYTES
@@ -164,7 +164,7 @@
 
 
 class Log(Checked, frozen=True, kw_only=True):
-    """What is logged, and how."""
+    """Log level and format."""
 
     level: LogLevel = LogLevel.INFO
     format: LogFormat = LogFormat.TEXT
@@ -195,9 +195,9 @@
 
 
 class Probes(Checked, frozen=True, kw_only=True):
-    """Where the balancer asks whether this process may get new connections, and for metrics.
+    """Addresses of the readiness probe for load balancers and of the metrics endpoint.
 
-    Everyone who reaches `metrics` may read it; it holds no secrets.
+    The metrics endpoint requires no token; it exposes no secrets.
     """
 
     ready: Endpoint = "127.0.0.1:0"
@@ -206,20 +206,20 @@
 
 
 class Processor(Checked, frozen=True, kw_only=True):
-    """The share of a core that a process has, and how fast that core is against a usual one."""
+    """CPU of a process: its share of a core, and the core's speed relative to a reference core."""
 
     share: PositiveFloat = 1.0
     speed: PositiveFloat = 1.0
 
 
 class Bounds(Checked, frozen=True, kw_only=True):
-    """What a forwarder must keep towards upstreams and callers; times in milliseconds.
+    """Limits that a forwarder observes towards upstreams and callers; times are in milliseconds.
 
-    An upstream holds at most `cap_factor` times the mean of its service and `cap_slack` requests.
-    All forwarders together may send `retry_ratio` of the requests again within any
-    `retry_window_ms`, and `retry_slack` more. An upstream that warms up gets at most
-    `warm_up_factor` times its published rate of requests in a second, and `warm_up_slack` more. An
-    evacuated data centre gets nothing any more after `evacuation_ms`. A stop lasts at most
+    An upstream gets at most `cap_factor` times the mean load of its service plus `cap_slack`
+    concurrent requests. All forwarders together retry at most the share `retry_ratio` of the
+    requests within any `retry_window_ms`, plus `retry_slack` requests. A warming upstream gets at
+    most `warm_up_factor` times its published request rate per second plus `warm_up_slack`
+    requests. An evacuated data centre gets no requests after `evacuation_ms`. A stop takes at most
     `stop_ms`.
     """
 
@@ -237,9 +237,10 @@
 class ForwarderSettings(Checked, frozen=True, kw_only=True):
     """Settings of a forwarder; addresses are IP:PORT.
 
-    `callers` and `link_address` are where it listens (the latter goes before what `link` says),
-    `seeds` the links of up to a few other forwarders, `store` is the platform's store. `without`
-    switches mechanisms off for a measurement.
+    `callers` and `link_address` are listen addresses; `link_address` overrides the one in `link`.
+    `seeds` are link addresses of a few other forwarders, `store` is the platform's store.
+    `first_start` skips reading the cache inventory of the upstreams. `without` disables mechanisms
+    for a measurement.
     """
 
     instance: Identity
@@ -262,7 +263,7 @@
 
 
 def check_forwarder_settings(document: bytes | str) -> ForwarderSettings:
-    """Return checked settings of a forwarder; raises SettingsInvalid."""
+    """Return the validated settings of a forwarder; raises SettingsInvalid."""
     try:
         return check_json(kind=ForwarderSettings, document=document)
     except DocumentInvalid as error:
@@ -270,7 +271,7 @@
 
 
 def check_router_settings(document: bytes | str) -> RouterSettings:
-    """Return checked settings of a router; raises SettingsInvalid."""
+    """Return the validated settings of a router; raises SettingsInvalid."""
     try:
         return check_json(kind=RouterSettings, document=document)
     except DocumentInvalid as error:
@@ -278,7 +279,7 @@
 
 
 def check_side_settings(document: bytes | str) -> SideSettings:
-    """Return checked settings of a side; raises SettingsInvalid."""
+    """Return the validated settings of a side; raises SettingsInvalid."""
     try:
         return check_json(kind=SideSettings, document=document)
     except DocumentInvalid as error:
@@ -286,7 +287,7 @@
 
 
 def read_link_key(link: Link) -> bytes:
-    """Return the shared key of the links; raises SettingsInvalid when there is none."""
+    """Return the shared key of the links; raises SettingsInvalid if it is missing or too short."""
     if link.key_file is not None:
         return _check_link_key(_read_secret_file(link.key_file, "$.link.key_file"))
     if link.key_env is not None:
