--- a/tests/chat_client.py
+++ b/tests/chat_client.py
@@ -1,4 +1,4 @@
-"""What tests use as callers: plain HTTP, as any client would send it."""
+"""HTTP requests that tests send as callers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def open_stream(
     router: Address, *, key: str, tokens: int, content: str = "May vessel 7 be closed?"
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Open a streamed chat and return its answer after its head."""
+    """Open a streamed chat and yield the response once its head has arrived."""
     timeout = aiohttp.ClientTimeout(total=60)
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
@@ -43,7 +43,7 @@
 
 
 def count_tokens(events: bytes) -> int:
-    """Return how many events of a stream carry a token."""
+    """Return the number of events of a stream that contain a token."""
     count = 0
     for line in events.splitlines():
         if not line.startswith(b"data: ") or line == DONE:
--- a/tests/cli/test_cli_config.py
+++ b/tests/cli/test_cli_config.py
@@ -1,4 +1,4 @@
-"""The commands on configurations and rules, as an operator runs them."""
+"""Commands for configurations and rules."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_cli_explain.py
+++ b/tests/cli/test_cli_explain.py
@@ -1,4 +1,4 @@
-"""One request's story from the logs of several processes."""
+"""Selection of the journal lines of a request from the logs of several processes."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_cli_orders.py
+++ b/tests/cli/test_cli_orders.py
@@ -1,4 +1,4 @@
-"""The tool's table of orders."""
+"""Table of the command `orders`."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_cli_shell.py
+++ b/tests/cli/test_cli_shell.py
@@ -1,4 +1,4 @@
-"""The tool's commands on settings and on running processes."""
+"""Commands for settings and for running processes."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The shared fixture: a whole running product on port 0, with stand-ins, in the test's process."""
+"""Shared fixtures: routers and sides with stand-in upstreams, running in the test's process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--write-golden", action="store_true", help="Write the golden files anew.")
+    parser.addoption("--write-golden", action="store_true", help="Rewrite the golden files.")
 
 
 @pytest.fixture
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 async def start_local_fleet() -> AsyncIterator[StartLocalFleet]:
-    """Start a whole product with the deployment, engines and settings that a test wants."""
+    """Return a function that starts a fleet with the given deployment, engines and settings."""
     fleets: list[LocalFleet] = []
 
     async def async_start(
@@ -56,5 +56,5 @@
 
 @pytest.fixture
 async def local_fleet(start_local_fleet: StartLocalFleet) -> LocalFleet:
-    """One router, two engines and two services with their sides, all of them ready."""
+    """One router, two engines and two services with their sides; all are ready."""
     return await start_local_fleet()
--- a/tests/daemon/daemon_fleet.py
+++ b/tests/daemon/daemon_fleet.py
@@ -20,7 +20,7 @@
 
 
 class DaemonFleet:
-    """Real processes of one router and of all sides, with stand-ins in the test's process."""
+    """Runs one router and all sides as separate processes, and stand-ins in the test's process."""
 
     def __init__(self, *, platform: StandinPlatform, folder: Path, drain_ms: int) -> None:
         self.platform = platform
@@ -71,7 +71,7 @@
 
 
 async def async_wait_until_ready(daemon: DaemonProcess, expected: bool) -> None:
-    """Poll the readiness of a process as a balancer does, until it is as expected."""
+    """Poll the readiness probe of a process until it has the expected result."""
     url = f"http://{daemon.addresses[ADDRESS_OPERATORS]}{PATH_READY}"
     async with asyncio.timeout(20), aiohttp.ClientSession() as session:
         while True:
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -1,4 +1,4 @@
-"""Real processes of both roles: what they hold, how they refuse settings, how they stop."""
+"""Daemon processes: system resources, invalid settings, draining and exit codes."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_daemon_imports.py
+++ b/tests/daemon/test_daemon_imports.py
@@ -1,4 +1,4 @@
-"""What a forwarder loads at its start, which is most of the time until it serves."""
+"""Limits the modules that a forwarder imports, as imports take most of its start-up time."""
 
 from __future__ import annotations
 
@@ -6,9 +6,8 @@
 import subprocess
 import sys
 
-# 582 with the libraries that are pinned; a tenth more is a new library or a role's parts too many.
 MAX_MODULES = 640
-# Slow to load, and replaced: a model library that compiles its validators at each start.
+# Libraries that compile validators when they are imported.
 FORBIDDEN = ("pydantic", "pydantic_core")
 
 LIST_LOADED = """
@@ -31,5 +30,5 @@
     loaded = json.loads(printed)
     assert len(loaded["modules"]) <= MAX_MODULES
     assert not set(FORBIDDEN) & set(loaded["modules"])
-    # A data class of the standard library is generated and compiled at each start.
+    # Standard-library dataclasses compile generated code when they are imported.
     assert loaded["generated"] == []
--- a/tests/helpers/test_connector.py
+++ b/tests/helpers/test_connector.py
@@ -1,4 +1,4 @@
-"""Requests that are cancelled while they connect, on the daemon's event loop."""
+"""Cancelling a connecting request must not close the sockets of other connections under uvloop."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from gypsumrouter.helpers.connector import ShieldedConnector
 
 ROUNDS = 20
-# A connect takes a few iterations of the loop: the request is cancelled after each number of them.
+# The request is cancelled after each number of loop iterations, at every stage of the connect.
 LOOP_ITERATIONS = 10
 LATER_CONNECTIONS = 3
 
@@ -30,7 +30,7 @@
 
 
 async def async_cancel(port: int, iterations: int) -> bool:
-    """Cancel a request; return whether connections that were made after it are still intact."""
+    """Cancel a request; return whether connections that were opened after it are intact."""
     async with aiohttp.ClientSession(connector=ShieldedConnector()) as session:
         task = asyncio.ensure_future(session.get(f"http://127.0.0.1:{port}/"))
         for _ in range(iterations):
@@ -38,7 +38,7 @@
         task.cancel()
         await asyncio.wait({task})
         later = [await async_connect(port) for _ in range(LATER_CONNECTIONS)]
-        # The socket of the connect is freed with the task that holds its traceback.
+        # Frees the socket of the connect, which the traceback of the task refers to.
         del task
         await asyncio.sleep(0)
     intact = all(is_same_socket(descriptor, inode) for _, descriptor, inode in later)
--- a/tests/helpers/test_heap.py
+++ b/tests/helpers/test_heap.py
@@ -10,7 +10,7 @@
 
 
 class Node:
-    """Something that may point at itself."""
+    """An object that can form a reference cycle with itself."""
 
     def __init__(self) -> None:
         self.other: Node | None = None
--- a/tests/helpers/test_http_connection.py
+++ b/tests/helpers/test_http_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection against a server that sends whatever a test wants."""
+"""HTTP client connection against a server with scripted responses."""
 
 from __future__ import annotations
 
--- a/tests/helpers/test_logs.py
+++ b/tests/helpers/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines name the instance and the request, in both formats."""
+"""Log lines include the instance and the request id of their task, in both formats."""
 
 from __future__ import annotations
 
--- a/tests/helpers/test_tls_links.py
+++ b/tests/helpers/test_tls_links.py
@@ -1,4 +1,4 @@
-"""Links over TLS, with key files that change while the processes run."""
+"""Links over TLS: certificate verification, and reloading of changed certificate files."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def install(directory: Path, name: str) -> Tls:
-    """Copy a certificate and its key to where settings point, and return the settings."""
+    """Copy a certificate and its key to a directory, and return TLS settings for them."""
     directory.mkdir(exist_ok=True)
     for suffix in (".pem", ".key"):
         target = directory / f"own{suffix}"
@@ -49,7 +49,7 @@
 
 
 async def async_can_connect(server_tls: Tls | None, client_tls: Tls | None) -> bool:
-    """Return whether a notice gets from one process to another."""
+    """Return whether a notice can be sent from one process to another."""
     server_app, pool_app = make_app("side-1"), make_app("side-2")
     server = LinkServer(
         app=server_app,
@@ -77,7 +77,7 @@
 
 
 async def async_read_certificate(address: Address) -> bytes:
-    """Return the certificate that a listener shows."""
+    """Return the certificate that a listener presents."""
     tls = Tls(
         certificate_file=str(FILES / "first.pem"),
         key_file=str(FILES / "first.key"),
@@ -140,7 +140,7 @@
         try:
             presented = await async_read_certificate(address)
         except ConnectionError:
-            # The server drops a handshake that lasts for seconds of its clock.
+            # Advancing the clock can exceed the server's handshake timeout.
             continue
         if presented != before:
             break
--- a/tests/integration/integration_fleet.py
+++ b/tests/integration/integration_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes behind fault proxies, and callers that check each answer."""
+"""Small fleet of separate processes behind fault proxies, and callers that check each answer."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from gypsumrouter.util.clock import SystemClock
 
 CRASH_MARKER = "crash-the-engine"
-# Short times make the tests fast; none of them is what a test asserts.
+# Short timeouts make the tests fast; no test asserts them.
 FAST_SETTINGS = {
     "platform": {"list_lease_ms": 800, "clock_skew_ms": 20, "list_poll_ms": 50},
     "link": {"heartbeat_ms": 200, "silence_ms": 800, "connect_ms": 500, "resume_ms": 1_500},
@@ -39,7 +39,7 @@
 
 
 class IntegrationFleet:
-    """One router in each group, sides in both, stand-ins in the test's process."""
+    """Runs one router in each group, sides in both, and stand-ins in the test's process."""
 
     def __init__(self, *, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -66,7 +66,7 @@
         await self.rig.async_stop()
 
     def get_router(self, group: Group) -> Address:
-        """Return where the router of a group takes callers."""
+        """Return the caller address of the router of a group."""
         return self._find_router(group).addresses[ADDRESS_CALLERS]
 
     def _find_router(self, group: Group) -> DaemonProcess:
@@ -77,7 +77,7 @@
         raise LookupError(group)
 
     def list_service_sides(self, group: Group | None = None) -> list[str]:
-        """Return the sides of the service, of both groups or of one."""
+        """Return the names of the sides of the service pool, in both groups or in one."""
         return [
             name
             for name in sorted(self.rig.sides)
@@ -86,33 +86,33 @@
         ]
 
     def list_engines(self) -> list[str]:
-        """Return the sides of the engines."""
+        """Return the names of the sides of the engines."""
         pool = self.deployment.engine_pool
         return [
             name for name in sorted(self.rig.sides) if self.platform.get_plan(name).pool == pool
         ]
 
     def find_busy_side(self) -> str:
-        """Return the side of the only engine that runs anything."""
+        """Return the side of the only engine that has requests."""
         busy = [name for name, engine in self.platform.engines.items() if engine.load]
         assert len(busy) == 1
         return busy[0]
 
     async def async_wait_until_new_calls_run(self) -> None:
-        """Wait until every owner runs new calls."""
+        """Wait until every side of the service runs calls with new keys."""
         for name in self.list_service_sides():
             await self.async_run_new_call(Group.LEFT, name)
 
     async def async_restart_side(self, name: str) -> None:
-        """Kill a side and start another process of its name; return once it is ready."""
+        """Kill a side and start a process with the same name; return when it is ready."""
         await self.rig.sides.pop(name).async_kill()
         await self.rig.async_start_side(name)
         await self.rig.async_wait_ready()
 
-    # Calls that must not be repeated
+    # At-most-once calls
 
     def make_key(self, owner: str) -> str:
-        """Return a new key whose owner by the left list is the named side."""
+        """Return a new key that belongs to the side `owner` according to the left instance list."""
         listed = [self.platform.instances.get(name) for name in self.rig.sides]
         instances = [instance for instance in listed if instance is not None]
         while True:
@@ -122,7 +122,7 @@
                 return key
 
     async def async_call(self, group: Group, key: str, *, deadline_ms: int = DEADLINE_MS) -> Answer:
-        """Make one call through the router of a group."""
+        """Send a call through the router of a group."""
         path = self.deployment.at_most_once[0]
         url = f"http://{self.get_router(group)}{PATH_SERVICES}{self.deployment.service_pool}{path}"
         headers = {**self.make_account().make_headers(), HEADER_IDEMPOTENCY_KEY: key}
@@ -139,9 +139,9 @@
         return (await self._async_call_until_answered(group, lambda: key))[1]
 
     async def async_run_new_call(self, group: Group, owner: str) -> tuple[str, dict[str, Any]]:
-        """Make calls, each with a new key, until the owner runs one; returns its key and answer.
+        """Send calls with new keys until the owner runs one; return its key and answer.
 
-        An owner that is new refuses for good what may be older than itself.
+        A restarted owner permanently rejects keys that may have been created before its start.
         """
         return await self._async_call_until_answered(group, lambda: self.make_key(owner))
 
@@ -162,7 +162,7 @@
         return answers[0]
 
     def count_executions(self, key: str) -> int:
-        """Return how often a call has run, at all upstreams together."""
+        """Return how often a call has run, summed over all upstreams."""
         return sum(service.executions_by_key[key] for service in self.platform.services.values())
 
     # Chats
@@ -182,9 +182,9 @@
         seed: int | None = None,
         tries: int = 1,
     ) -> Tally:
-        """Play one chat through the routers of some groups; its tally says how it went.
+        """Run a chat through the routers of some groups and return the tally of its answers.
 
-        The same seed and prefix make the same requests.
+        Chats with the same seed and prefix send the same requests.
         """
         chat_seed = self.random.getrandbits(32) if seed is None else seed
         tally = Tally()
@@ -209,17 +209,17 @@
         return tally
 
     async def async_start_long_chat(self, group: Group, *, tokens: int) -> asyncio.Task[Tally]:
-        """Begin a chat while nothing else runs, and return once its engine works on it."""
+        """Start a chat on an idle fleet and return when an engine runs it."""
         task = asyncio.ensure_future(self.async_chat(group, tokens=tokens))
         await async_wait_until(lambda: any(item.load for item in self.platform.engines.values()))
         return task
 
     def publish(self, version: int) -> None:
-        """Publish the same configuration under another version."""
+        """Publish the same configuration with another version."""
         self.platform.publish(make_configuration(self.deployment, version=version))
 
     async def async_read_versions(self) -> set[int]:
-        """Return the versions of the configuration that are in force at all processes."""
+        """Return the configuration versions that the processes use."""
         processes = (*self.rig.sides.values(), *self.rig.routers.values())
         dumps = [await self.rig.async_dump(process) for process in processes]
         return {dump["configuration"]["in_force"]["version"] for dump in dumps}
@@ -231,7 +231,7 @@
 
 
 def assert_all_complete(*tallies: Tally) -> None:
-    """Check that every request was answered with its own, whole and right answer."""
+    """Assert that every request got its complete and correct answer."""
     for tally in tallies:
         assert tally.requests > 0
         assert tally.whole == tally.requests, tally
@@ -243,7 +243,7 @@
 
 
 async def async_wait_until(condition: Callable[[], bool | Awaitable[bool]]) -> None:
-    """Wait for a condition; raises TimeoutError after a generous time."""
+    """Wait for a condition; raises TimeoutError after `WAIT_TIMEOUT_S`."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
             result = condition()
--- a/tests/integration/test_integration_at_most_once.py
+++ b/tests/integration/test_integration_at_most_once.py
@@ -1,4 +1,4 @@
-"""Calls that must not be repeated, while processes, views and the network fail."""
+"""Calls run at most once while processes, instance lists and the network fail."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ) -> None:
     owner = fleet.list_service_sides()[0]
     key, _ = await fleet.async_run_new_call(Group.LEFT, owner)
-    # From here on the right router goes on with the list of now.
+    # From now on the right router gets a stale instance list.
     fleet.platform.lists[Group.RIGHT].serve_stale(fleet.clock.wall_ms())
     await fleet.rig.sides.pop(owner).async_kill()
     fleet.platform.remove_listed(owner)
@@ -84,7 +84,7 @@
         fleet.rig.partition.unblock([Group.LEFT], [Group.RIGHT])
     for answer in others:
         assert_unknown(answer)
-    # After the partition the other router gets the answer of the one run.
+    # After the partition, the other router gets the answer of the first run.
     for group, (key, answer) in runs.items():
         assert await fleet.async_call_until_answered(group.other, key) == answer
         assert fleet.count_executions(key) == 1
@@ -100,7 +100,7 @@
     await fleet.rig.sides.pop(owner).async_kill()
     for group in BOTH:
         assert_unknown(await fleet.async_call(group, key, deadline_ms=SHORT_MS))
-    # The list comes back with the killed owner on it, at its new address.
+    # The list service recovers; it lists the killed owner, at its new address.
     for service in fleet.platform.lists.values():
         await service.async_set_outage(OutageKind.NONE)
     await fleet.rig.async_start_side(owner)
--- a/tests/integration/test_integration_connections.py
+++ b/tests/integration/test_integration_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent, several faults at once, and a platform that is down or stale."""
+"""Stalled connections, simultaneous faults, and an unavailable or stale platform."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     fleet.rig.proxies[name].cut()
     fleet.rig.upstream_proxies[name].silence()
     assert_all_complete(await answer)
-    # It was resumed and not run again.
+    # The answer was resumed, not generated again.
     assert engine.requests == before
 
 
@@ -48,13 +48,13 @@
     service = fleet.platform.configuration
     old = service.version
     await service.async_set_outage(OutageKind.REFUSE)
-    # A process that starts while the service is down gets the configuration from its peers.
+    # A process that starts during the outage gets the configuration from its peers.
     await fleet.async_restart_side(fleet.list_engines()[0])
     assert_all_complete(*[await fleet.async_chat(group) for group in BOTH])
     fleet.publish(old + 1)
     await service.async_set_outage(OutageKind.NONE)
     await async_wait_until(lambda: _async_has_version(fleet, old + 1))
-    # Whoever starts now is told the old version by the service, and the new one by its peers.
+    # A process that starts now gets the old version from the service and the new one from peers.
     service.serve_stale(old)
     await fleet.async_restart_side(fleet.list_engines()[0])
     await async_wait_until(lambda: _async_has_version(fleet, old + 1))
--- a/tests/integration/test_integration_membership.py
+++ b/tests/integration/test_integration_membership.py
@@ -1,4 +1,4 @@
-"""Engines that join, leave and flap, a surge, and a request that crashes its engine."""
+"""Joining, draining and flapping engines, a load surge, and a request that crashes engines."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 SURGE_TOKENS = 96
 BUSY_LOAD = 36
 TRIES = 12
-# A chat that the cap refuses is asked again as often as it takes; a lost answer would end it.
+# Enough retries for chats that are rejected at the load cap; a lost answer is not retried.
 MANY_TRIES = 60
 MAX_UPSTREAMS_LOST = 2
 
@@ -49,7 +49,7 @@
     assert not answer.done()
     assert_all_complete(await answer)
     assert await side.process.wait() == 0
-    # What leaves by the list is taken off it, and what joins takes its part of the work.
+    # The drained engine is removed from the list; after it joins again it receives requests.
     fleet.platform.remove_listed(name)
     await fleet.rig.async_start_side(name)
     await fleet.rig.async_wait_ready()
@@ -86,9 +86,9 @@
     waiting = sum(not chat.done() for chat in surge)
     tallies = await asyncio.gather(*surge)
     assert_all_complete(other)
-    # It did not wait behind the surge.
+    # The other workspace did not wait for the surge to end.
     assert waiting > SURGE_CHATS / 4
-    # Each request of the surge was answered whole, or truly refused: none hangs, none is unknown.
+    # Each request of the surge was answered completely or rejected without running.
     assert sum(tally.whole + tally.not_run for tally in tallies) == SURGE_CHATS
     assert not any(tally.unknown for tally in tallies)
 
@@ -109,7 +109,7 @@
         return codes[-1] == Reason.SUSPECT
 
     await async_wait_until(async_is_suspect)
-    # It stays refused, also by the other router.
+    # Both routers keep rejecting the request.
     for _ in BOTH:
         assert await async_is_suspect()
     crashes = sum(engine.crashes for engine in fleet.platform.engines.values())
--- a/tests/operators/test_operators_server.py
+++ b/tests/operators/test_operators_server.py
@@ -1,4 +1,4 @@
-"""The operators' address: health for balancers, metrics and dump for those who may read them."""
+"""Operator endpoint: health probes are open, metrics and state dump require the token."""
 
 from __future__ import annotations
 
--- a/tests/sessions/golden_session.py
+++ b/tests/sessions/golden_session.py
@@ -1,4 +1,4 @@
-"""Records whole sessions as plain text, with what changes from run to run normalised."""
+"""Transcripts of HTTP sessions as plain text, with values that differ between runs masked."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Recorder:
-    """Sends requests to one router and writes down both directions."""
+    """Sends requests to a router and records requests and responses."""
 
     def __init__(self, *, router: Address, session: aiohttp.ClientSession) -> None:
         self._origin = f"http://{router}"
@@ -31,13 +31,13 @@
         self._names: dict[str, str] = {}
 
     def note(self, text: str) -> None:
-        """Write down what happens besides the requests."""
+        """Add a comment to the transcript."""
         self._lines += [f"# {text}", ""]
 
     async def async_send(
         self, method: str, path: str, *, headers: Mapping[str, str], body: bytes = b""
     ) -> aiohttp.ClientResponse:
-        """Send a request and return its answer after the head."""
+        """Send a request and return the response once its head has arrived."""
         self._lines.append(f"> {method} {path}")
         self._lines += [f"> {name}: {value}" for name, value in headers.items()]
         if body:
@@ -49,7 +49,7 @@
         )
 
     async def async_read(self, response: aiohttp.ClientResponse) -> bytes:
-        """Read the rest of an answer, write it down and return the body."""
+        """Read the body of a response, record the response and return the body."""
         body = await response.read()
         self._lines.append(f"< {response.status} {response.reason}")
         for name, value in response.headers.items():
@@ -62,12 +62,12 @@
     async def async_request(
         self, method: str, path: str, *, headers: Mapping[str, str], body: bytes = b""
     ) -> bytes:
-        """Send a request and read its whole answer."""
+        """Send a request and return the body of its response."""
         response = await self.async_send(method, path, headers=headers, body=body)
         return await self.async_read(response)
 
     def make_transcript(self) -> str:
-        """Return the session, with a number for each id in the order of its appearance."""
+        """Return the transcript, with ids numbered in the order of their appearance."""
         text = "\n".join(self._lines).rstrip() + "\n"
         text = UUID.sub(lambda match: self._get_placeholder("key", match[0]), text)
         text = REQUEST_ID.sub(lambda match: self._get_placeholder("request", match[0]), text)
@@ -82,7 +82,7 @@
 
 
 def check_golden(name: str, text: str, *, write: bool) -> None:
-    """Compare a session with its golden file, or write the file."""
+    """Compare a transcript with its golden file, or rewrite the file."""
     file = GOLDEN / f"{name}.txt"
     if write:
         file.write_text(text)
--- a/tests/sessions/test_crashing_requests.py
+++ b/tests/sessions/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes each upstream that runs it, sent again and again by its caller."""
+"""A request that crashes its upstreams is rejected after two crashes, although it is retried."""
 
 from __future__ import annotations
 
--- a/tests/sessions/test_golden_sessions.py
+++ b/tests/sessions/test_golden_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions: what callers send and what they get, word for word."""
+"""Requests and responses of complete sessions, compared with golden files."""
 
 from __future__ import annotations
 
@@ -125,6 +125,6 @@
 
 
 async def async_wait_until_new_keys_are_accepted(local_fleet: LocalFleet) -> None:
-    """Wait until keys that are made now can't have been run by an earlier home."""
+    """Wait until sides accept new keys, because no earlier owner can have run them."""
     clock = next(iter(local_fleet.sides.values())).app.clock
     await clock.async_sleep(LIST_LEASE_MS + MARGIN_MS)
--- a/tests/sessions/test_openai_client.py
+++ b/tests/sessions/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The router as callers' own client library sees it."""
+"""The router is compatible with the OpenAI client library."""
 
 from __future__ import annotations
 
--- a/tests/small_deployment.py
+++ b/tests/small_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests, and settings that make its processes ready soon."""
+"""Small deployment for tests, and settings with which its processes become ready quickly."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 StartLocalFleet = Callable[..., Awaitable[LocalFleet]]
 
-# One machine, one clock: new sides may run keyed calls after this lease.
+# New sides accept calls with idempotency keys after this lease, as all clocks are the same.
 LIST_LEASE_MS = 500
 FAST_SETTINGS: dict[str, Any] = {
     "platform": {"list_lease_ms": LIST_LEASE_MS, "clock_skew_ms": 0, "list_poll_ms": 50},
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""What the README shows works as it is shown."""
+"""The examples in the README are valid and work."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 async def async_wait_for_version(fleet: LocalFleet, version: int) -> None:
-    """Wait until a version is in force everywhere and keys that are made now are taken."""
+    """Wait until all processes use a version and accept new idempotency keys."""
     processes = (*fleet.routers.values(), *fleet.sides.values())
     for process in processes:
         while get_version(process.app.dump()) < version:
@@ -72,7 +72,7 @@
 
 
 async def async_run_curl(fleet: LocalFleet, line: str) -> str:
-    """Run a line of the README against the router of the test."""
+    """Run a command of the README against the router of the test; return its output."""
     line = line.replace("127.0.0.1:8080", str(fleet.list_callers()[0]))
     line = line.replace(".venv/bin/gypsumrouter", f"{sys.executable} -m gypsumrouter.cli")
     process = await asyncio.create_subprocess_exec(
