--- a/gypsumrouter/cli/client.py
+++ b/gypsumrouter/cli/client.py
@@ -18,7 +18,7 @@
 PATH_DUMP: Final = "/dump"
 ATTR_SECTIONS: Final = "sections"
 TIMEOUT_S: Final = 5.0
-MAX_AT_ONCE: Final = 32
+MAX_CONCURRENT: Final = 32
 _STATUS_OK: Final = 200
 
 
@@ -67,7 +67,7 @@
     addresses: Iterable[str], token: str | None = None
 ) -> tuple[DumpResult, ...]:
     """Return the state dumps of many processes, in the order of the addresses."""
-    limit = asyncio.Semaphore(MAX_AT_ONCE)
+    limit = asyncio.Semaphore(MAX_CONCURRENT)
 
     async def async_fetch(address: str) -> DumpResult:
         async with limit:
--- a/gypsumrouter/cli/rules.py
+++ b/gypsumrouter/cli/rules.py
@@ -35,11 +35,11 @@
 @click.option("--data-centre", default="")
 @click.option("--at", default="", help="UTC time such as 2026-01-31T07:30; default: now.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON document.")
-def explain(configuration: Path, as_json: bool, **described: Any) -> None:
+def explain(configuration: Path, as_json: bool, **options: Any) -> None:
     """Show which rule applies to a request, why earlier rules don't match, and the effects."""
     checked = read_configuration(configuration)
     policy = Policy(configuration=checked)
-    facts = _build_facts(described)
+    facts = _build_facts(options)
     if policy.get_workspace(facts.workspace) is None:
         _fail(f"the configuration has no workspace {facts.workspace!r}")
     explanation = policy.explain(facts)
@@ -79,23 +79,23 @@
     return [(name, value) for name, value in effects if value is not None]
 
 
-def _build_facts(described: dict[str, Any]) -> RequestFacts:
-    model, service = described["model"], described["service"]
+def _build_facts(options: dict[str, Any]) -> RequestFacts:
+    model, service = options["model"], options["service"]
     if bool(model) == bool(service):
         _fail("expected exactly one of --model and --service")
     kind = UpstreamKind.ENGINE if model else UpstreamKind.SERVICE
     return RequestFacts(
-        workspace=described["workspace"],
+        workspace=options["workspace"],
         kind=kind,
-        wall_ms=_read_time(described["at"]),
-        caller_class=described["caller_class"],
+        wall_ms=_read_time(options["at"]),
+        caller_class=options["caller_class"],
         model=model,
         service=service,
-        method=described["method"].upper(),
-        path=described["path"] or (PATH_CHAT if model else "/"),
-        size_bytes=described["size_bytes"],
-        returning=described["returning"],
-        data_centre=described["data_centre"],
+        method=options["method"].upper(),
+        path=options["path"] or (PATH_CHAT if model else "/"),
+        size_bytes=options["size_bytes"],
+        returning=options["returning"],
+        data_centre=options["data_centre"],
     )
 
 
--- a/gypsumrouter/helpers/http_connection.py
+++ b/gypsumrouter/helpers/http_connection.py
@@ -169,7 +169,7 @@
         except HttpProcessingError as error:
             self._invalidate(f"no HTTP: {type(error).__name__}")
             return
-        except Exception as error:  # the parser has no common base class for body errors
+        except Exception as error:  # the parser raises various errors for a malformed body
             self._invalidate(f"no HTTP: {error!r}")
             return
         for message, body in messages:
@@ -190,7 +190,7 @@
         return True
 
     def _close_unless_reset(self) -> None:
-        """Complete the body unless a reset followed; the loop doesn't report one after EOF."""
+        """Complete the body unless a reset followed; a loop that stops reading doesn't report it."""
         if self.transport is None:
             return
         connection = self.transport.get_extra_info("socket")
--- a/gypsumrouter/operators/access.py
+++ b/gypsumrouter/operators/access.py
@@ -42,7 +42,7 @@
         return Access(token=_read_token(settings.token_file))
     if ipaddress.ip_address(settings.host).is_loopback:
         return Access(token=None)
-    message = "a token is needed where the operators' address is not loopback"
+    message = "a token is needed unless the operator endpoint is bound to loopback"
     raise SettingsInvalid((FieldError(path=TOKEN_PATH, message=message),))
 
 
--- a/tests/cli/test_cli_config.py
+++ b/tests/cli/test_cli_config.py
@@ -70,8 +70,8 @@
 
 
 def test_check_reports_all_errors_and_exits_with_2(tmp_path: Path) -> None:
-    wrong = {**DOCUMENT, "default_class": "x", "pools": DOCUMENT["pools"] * 2}
-    result = run("check", write(tmp_path / "c.json", wrong))
+    invalid = {**DOCUMENT, "default_class": "x", "pools": DOCUMENT["pools"] * 2}
+    result = run("check", write(tmp_path / "c.json", invalid))
     assert result.exit_code == 2
     for path in ("$.default_class", "$.pools[2].name", "$.pools[3].name"):
         assert path in result.output
@@ -148,18 +148,16 @@
 
 def test_explain_reports_the_matching_rule_and_earlier_mismatches(tmp_path: Path) -> None:
     file = write(tmp_path / "c.json", DOCUMENT)
-    described = ("explain", "--configuration", file, "--workspace", "schools")
-    output = run(*described, "--model", "sizing", "--bytes", "5").output
+    options = ("explain", "--configuration", file, "--workspace", "schools")
+    output = run(*options, "--model", "sizing", "--bytes", "5").output
     assert "utility-only: not matched, workspace is schools, needed: utility" in output
     assert "Rule small counts" in output
     assert "max_output_tokens  10" in output
-    report = json.loads(
-        run(*described, "--service", "dispatch", "--path", "/Stock", "--json").output
-    )
+    report = json.loads(run(*options, "--service", "dispatch", "--path", "/Stock", "--json").output)
     assert report["rule"] == "small"
     assert report["must_not_repeat"] is True
     assert report["follows"]["pool"] == "dispatch"
-    assert "No rule matches" in run(*described, "--model", "sizing", "--bytes", "200").output
+    assert "No rule matches" in run(*options, "--model", "sizing", "--bytes", "200").output
 
 
 @pytest.mark.parametrize(
--- a/tests/cli/test_cli_shell.py
+++ b/tests/cli/test_cli_shell.py
@@ -44,8 +44,8 @@
 
 async def test_dump_prints_all_sections_or_one(local_fleet: LocalFleet) -> None:
     address = list_addresses(local_fleet)[1]
-    whole = json.loads((await async_run("dump", address)).stdout)
-    assert {"admission", "exchange", "fleet", "link", "upstream"} <= whole["sections"].keys()
+    dump = json.loads((await async_run("dump", address)).stdout)
+    assert {"admission", "exchange", "fleet", "link", "upstream"} <= dump["sections"].keys()
     section = json.loads((await async_run("dump", address, "--section", "admission")).stdout)
     assert section["running"] == 0
     unknown = await async_run("dump", address, "--section", "nothing")
@@ -72,13 +72,15 @@
     role: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("LINK_KEY", "0123456789abcdef")
-    shown = json.loads((await async_run("settings", "show", "--defaults", "--role", role)).stdout)
-    shown["instance"] = {"name": "n", "data_centre": "a", "region": "r"}
-    shown["link"]["key_env"] = "LINK_KEY"
+    defaults = json.loads(
+        (await async_run("settings", "show", "--defaults", "--role", role)).stdout
+    )
+    defaults["instance"] = {"name": "n", "data_centre": "a", "region": "r"}
+    defaults["link"]["key_env"] = "LINK_KEY"
     if role == "side":
-        shown["upstream"] |= {"pool": "models", "kind": "engine", "port": 8000}
+        defaults["upstream"] |= {"pool": "models", "kind": "engine", "port": 8000}
     file = tmp_path / "settings.json"
-    file.write_text(json.dumps(shown))
+    file.write_text(json.dumps(defaults))
     result = await async_run("settings", "check", str(file), "--role", role)
     assert result.exit_code == EXIT_OK, result.stderr
 
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -91,10 +91,10 @@
 
 
 async def test_address_in_use_exits_with_1(daemons: DaemonFleet) -> None:
-    taken = daemons.router.addresses[ADDRESS_CALLERS]
+    in_use = daemons.router.addresses[ADDRESS_CALLERS]
     file = daemons.folder / "second.json"
     settings = json.loads((daemons.folder / f"{ROUTER}.json").read_text())
-    settings["callers"] = {"port": taken.port}
+    settings["callers"] = {"port": in_use.port}
     file.write_text(json.dumps(settings))
     code, errors = await async_run_daemon("router", str(file))
     assert code == EXIT_FAILED
--- a/tests/sessions/golden_session.py
+++ b/tests/sessions/golden_session.py
@@ -30,7 +30,7 @@
         self._lines: list[str] = []
         self._names: dict[str, str] = {}
 
-    def note(self, text: str) -> None:
+    def add_comment(self, text: str) -> None:
         """Add a comment to the transcript."""
         self._lines += [f"# {text}", ""]
 
@@ -41,8 +41,8 @@
         self._lines.append(f"> {method} {path}")
         self._lines += [f"> {name}: {value}" for name, value in headers.items()]
         if body:
-            shown = body if len(body) <= MAX_BODY_IN_TRANSCRIPT else b"(%d bytes)" % len(body)
-            self._lines += [">", f"> {shown.decode()}"]
+            displayed = body if len(body) <= MAX_BODY_IN_TRANSCRIPT else b"(%d bytes)" % len(body)
+            self._lines += [">", f"> {displayed.decode()}"]
         self._lines.append("")
         return await self._session.request(
             method, self._origin + path, headers=headers, data=body or None
--- a/tests/sessions/test_openai_client.py
+++ b/tests/sessions/test_openai_client.py
@@ -41,14 +41,14 @@
 
 
 async def test_streamed_answer_equals_the_non_streamed_one(client: openai.AsyncOpenAI) -> None:
-    whole = await client.chat.completions.create(
+    complete = await client.chat.completions.create(
         model=MODEL, messages=[{"role": "user", "content": QUESTION}], max_tokens=5
     )
     stream = await client.chat.completions.create(
         model=MODEL, messages=[{"role": "user", "content": QUESTION}], max_tokens=5, stream=True
     )
     parts = [chunk.choices[0].delta.content or "" async for chunk in stream if chunk.choices]
-    assert "".join(parts) == whole.choices[0].message.content
+    assert "".join(parts) == complete.choices[0].message.content
 
 
 async def test_refusal_is_marked_as_not_run(client: openai.AsyncOpenAI) -> None:
