--- a/gypsumrouter/helpers/http_connection.py
+++ b/gypsumrouter/helpers/http_connection.py
@@ -136,9 +136,9 @@
         """Return the next final response, skipping interim ones; raises ConnectionBroken."""
         while True:
             while self._responses:
-                answer = self._responses.popleft()
-                if not STATUS_CONTINUE <= answer.status < STATUS_SUCCESS:
-                    return answer
+                response = self._responses.popleft()
+                if not STATUS_CONTINUE <= response.status < STATUS_SUCCESS:
+                    return response
             if self._broken is not None:
                 raise ConnectionBroken(self._broken)
             self._waiter = self._loop.create_future()
@@ -190,7 +190,7 @@
         return True
 
     def _close_unless_reset(self) -> None:
-        """Complete the body unless a reset followed; a loop that stops reading doesn't report it."""
+        """Complete the body unless a reset followed; after EOF the loop may not report resets."""
         if self.transport is None:
             return
         connection = self.transport.get_extra_info("socket")
