--- a/bench/churn.py
+++ b/bench/churn.py
@@ -1,7 +1,7 @@
 """Cache reuse while instances are replaced, listings flap and routers are replaced.
 
-Every policy gets the same chats at the same times, before real routers and sides with stand-in
-engines. Chats hold about as many tokens as all engines together and many more than one.
+Every policy serves the same chats at the same times, with router and side processes and stand-in
+engines. The caches of all engines together hold all chats, the cache of one engine does not.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 import uvloop
 from msgspec import Struct
 
+from bench.both_deployments import add_common_options, async_run_deployments
 from bench.churn_faults import Churn, ChurnCounts
 from bench.churn_plan import (
     STEP_MS,
@@ -22,9 +23,8 @@
     plan_chats,
     sum_chat_tokens,
 )
-from bench.duo import add_common_options, async_run_deployments
-from bench.planned import PlannedChat, TurnResult, merge_outcomes
-from bench.policies import OURS, OURS_WITH_HINT, BenchPolicy, choose_policies, list_baselines
+from bench.planned_chats import PlannedChat, TurnResult, count_violations
+from bench.policies import PRODUCT, PRODUCT_WITH_HINT, BenchPolicy, list_baselines, select_policies
 from bench.report import Value, print_machine, print_result, print_table
 from bench.stage import Stage, get_deployment, open_stage
 from bench.tally import Tally
@@ -37,7 +37,7 @@
 
 
 class Scenario(Struct, frozen=True, kw_only=True):
-    """What every policy of a run goes through."""
+    """Load and churn, identical for all policies of a run."""
 
     deployment: Deployment
     chats: tuple[PlannedChat, ...]
@@ -50,7 +50,7 @@
 
 
 class Outcome(Struct, frozen=True, kw_only=True):
-    """What one policy gave."""
+    """Results of one policy."""
 
     policy: str
     results: list[TurnResult]
@@ -59,17 +59,25 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the bench and return its exit code."""
     parser = argparse.ArgumentParser(prog="bench churn")
     add_common_options(parser)
     parser.add_argument("--warm-s", type=float, default=5.0)
     parser.add_argument("--churn-s", type=float, default=10.0)
     parser.add_argument("--after-s", type=float, default=4.0)
-    parser.add_argument("--every-s", type=float, default=10.0, help="one instance replaced in each")
-    parser.add_argument("--period-s", type=float, default=2.0, help="a chat comes back after")
-    parser.add_argument("--mean-load", type=float, default=8.0, help="of an engine")
-    parser.add_argument("--renames", action="store_true", help="a new instance has a new name")
-    parser.add_argument("--calm", action="store_true", help="nothing is replaced")
+    parser.add_argument(
+        "--every-s", type=float, default=10.0, help="seconds between replacements of an instance"
+    )
+    parser.add_argument(
+        "--period-s", type=float, default=2.0, help="mean seconds between turns of a chat"
+    )
+    parser.add_argument(
+        "--mean-load", type=float, default=8.0, help="mean running requests of an engine"
+    )
+    parser.add_argument(
+        "--renames", action="store_true", help="give replacement instances new names"
+    )
+    parser.add_argument("--calm", action="store_true", help="replace nothing")
     options = parser.parse_args(argv)
     if options.deployment is None:
         return asyncio.run(async_run_deployments("churn", argv))
@@ -100,8 +108,8 @@
         calm=options.calm,
     )
     ideal = compute_ideal(chats, model=deployment.model, memory_tokens=memory, times=times)
-    policies = choose_policies(
-        [OURS, OURS_WITH_HINT, *list_baselines(first_come=False)], options.policies
+    policies = select_policies(
+        [PRODUCT, PRODUCT_WITH_HINT, *list_baselines(fifo=False)], options.policies
     )
     outcomes = [await async_measure_policy(policy, scenario) for policy in policies]
     report(scenario, ideal, outcomes)
@@ -121,9 +129,9 @@
         tries=TRIES,
     ) as stage:
         churn = Churn(stage=stage, renames=scenario.renames, seed=scenario.seed)
-        disturbing = asyncio.create_task(async_disturb(stage, churn, scenario))
+        churn_task = asyncio.create_task(async_run_churn(stage, churn, scenario))
         await stage.async_play(scenario.chats, seed=scenario.seed, stream=False)
-        await disturbing
+        await churn_task
         return Outcome(
             policy=policy.name,
             results=stage.play.results,
@@ -132,8 +140,8 @@
         )
 
 
-async def async_disturb(stage: Stage, churn: Churn, scenario: Scenario) -> None:
-    """Let the callers warm up, churn, and replace all routers at the end of it."""
+async def async_run_churn(stage: Stage, churn: Churn, scenario: Scenario) -> None:
+    """Wait for the warm-up, run the churn, then replace all routers."""
     times = scenario.times
     if scenario.calm:
         return
@@ -149,18 +157,18 @@
 
 
 def report(scenario: Scenario, ideal: IdealReuse, outcomes: list[Outcome]) -> None:
-    """Print the table and the last line."""
+    """Print the table and the figures."""
     times = scenario.times
     reuse: dict[str, Value] = {}
-    after: dict[str, Value] = {}
-    wrong: dict[str, Value] = {}
+    reuse_after: dict[str, Value] = {}
+    lost_or_wrong: dict[str, Value] = {}
     rows: list[list[object]] = []
     for outcome in outcomes:
         churned = [item for item in outcome.results if times.is_churn(item.at_ms)]
         later = [item for item in outcome.results if times.is_after(item.at_ms)]
         reuse[outcome.policy] = round(get_reuse(churned), 4)
-        after[outcome.policy] = round(get_reuse(later), 4)
-        wrong[outcome.policy] = sum(merge_outcomes(outcome.tally).values())
+        reuse_after[outcome.policy] = round(get_reuse(later), 4)
+        lost_or_wrong[outcome.policy] = sum(count_violations(outcome.tally).values())
         rows.append(
             [
                 outcome.policy,
@@ -170,7 +178,7 @@
                 len(churned),
                 sum(not item.served for item in outcome.results),
                 sum(item.refused for item in outcome.results) / max(1, outcome.tally.tries),
-                wrong[outcome.policy],
+                lost_or_wrong[outcome.policy],
                 f"{outcome.counts.instances}/{outcome.counts.routers}/{outcome.counts.flaps}",
             ]
         )
@@ -197,16 +205,16 @@
     baselines = [
         round(get_reuse([item for item in outcome.results if times.is_churn(item.at_ms)]), 4)
         for outcome in outcomes
-        if outcome.policy not in (OURS.name, OURS_WITH_HINT.name)
+        if outcome.policy not in (PRODUCT.name, PRODUCT_WITH_HINT.name)
     ]
     print_result(
         {
             "reuse": reuse,
             "reuse_ideal": round(ideal.churn, 4),
-            "reuse_after_replacing_all_routers": after,
+            "reuse_after_replacing_all_routers": reuse_after,
             "reuse_ideal_after": round(ideal.after, 4),
             "best_baseline": max(baselines, default=None),
-            "lost_or_wrong": wrong,
+            "lost_or_wrong": lost_or_wrong,
             "every_s": scenario.every_s,
             "engines": deployment.engines,
         }
--- a/gypsumrouter/configuration/elements.py
+++ b/gypsumrouter/configuration/elements.py
@@ -1,4 +1,4 @@
-"""Elements of the document: read from JSON, checked one by one, kept with their canonical form."""
+"""Parsing and validation of the elements of a document, kept with their canonical JSON."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from gypsumrouter.configuration.scanner import Element, Member, scan_document
 from gypsumrouter.configuration.slices import Sliced
 from gypsumrouter.exceptions import DocumentInvalid, FieldError
-from gypsumrouter.util.checked import ROOT, Checked, check_value
+from gypsumrouter.util.validation import ROOT, DocumentStruct, validate_value
 
-_KINDS: Final[dict[str, type[Checked]]] = {
+_KINDS: Final[dict[str, type[DocumentStruct]]] = {
     SECTION_WORKSPACES: Workspace,
     SECTION_CLASSES: CallerClass,
     SECTION_POOLS: Pool,
@@ -32,14 +32,14 @@
 
 
 class Entry(NamedTuple):
-    """A checked element and its canonical JSON."""
+    """A validated element and its canonical JSON."""
 
     value: object
     body: bytes
 
 
-class Reading(Struct, kw_only=True):
-    """What was read of a document: checked elements, other fields as they came, and errors."""
+class ParsedDocument(Struct, kw_only=True):
+    """A parsed document: validated elements, raw values of the other fields, and errors."""
 
     entries: dict[str, list[Entry]] = field(
         default_factory=lambda: {section: [] for section in SECTIONS}
@@ -48,58 +48,58 @@
     errors: list[FieldError] = field(default_factory=list)
 
 
-def read_elements(document: bytes) -> Sliced[Reading]:
-    """Read and check every element, in slices; raises DocumentInvalid if it is no JSON object."""
-    reading = Reading()
+def read_elements(document: bytes) -> Sliced[ParsedDocument]:
+    """Parse and validate all elements in slices; raises DocumentInvalid if it is no JSON object."""
+    parsed = ParsedDocument()
     for count, item in enumerate(scan_document(document), start=1):
         match item:
             case Member(name=name, value=value):
-                reading.members[name] = value
+                parsed.members[name] = value
             case Element():
-                _check_element(item, reading)
+                _check_element(item, parsed)
         if count % SLICE_ITEMS == 0:
             yield
-    return reading
+    return parsed
 
 
-def check_members(reading: Reading) -> Configuration | None:
-    """Check the other fields; return a configuration of these alone, or None and the errors."""
+def check_members(parsed: ParsedDocument) -> Configuration | None:
+    """Validate the other fields; return a configuration of them, or None after adding errors."""
     try:
-        # Text that is no Unicode is found where it is written.
-        _ENCODER.encode(reading.members).encode()
-        header = check_value(kind=Configuration, value=reading.members)
+        # Encoding fails for lone surrogates, which JSON escapes allow but UTF-8 does not.
+        _ENCODER.encode(parsed.members).encode()
+        header = validate_value(kind=Configuration, value=parsed.members)
     except UnicodeEncodeError:
-        reading.errors.append(FieldError(path=ROOT, message="not valid Unicode"))
+        parsed.errors.append(FieldError(path=ROOT, message="not valid Unicode"))
         return None
     except DocumentInvalid as error:
-        reading.errors.extend(error.errors)
+        parsed.errors.extend(error.errors)
         return None
     if header.default_class is not None:
-        reading.entries[FIELD_DEFAULT_CLASS] = [make_default_class(header.default_class)]
+        parsed.entries[FIELD_DEFAULT_CLASS] = [make_default_class(header.default_class)]
     return header
 
 
 def make_default_class(name: str) -> Entry:
-    """Return the entry of the default class."""
+    """Return the default class as an entry, which is transferred as a part of its own."""
     return Entry(value=name, body=_ENCODER.encode(name).encode())
 
 
-def _check_element(element: Element, reading: Reading) -> None:
+def _check_element(element: Element, parsed: ParsedDocument) -> None:
     path = f"{ROOT}.{element.section}[{element.index}]"
     try:
         body = _ENCODER.encode(element.value).encode()
     except UnicodeEncodeError:
-        reading.errors.append(FieldError(path=path, message="not valid Unicode"))
+        parsed.errors.append(FieldError(path=path, message="not valid Unicode"))
         return
     try:
-        value = check_value(kind=_KINDS[element.section], value=element.value)
+        value = validate_value(kind=_KINDS[element.section], value=element.value)
     except DocumentInvalid as error:
-        reading.errors.extend(_place_errors(error, path))
+        parsed.errors.extend(_prefix_errors(error, path))
         return
-    reading.entries[element.section].append(Entry(value, body))
+    parsed.entries[element.section].append(Entry(value, body))
 
 
-def _place_errors(error: DocumentInvalid, path: str) -> list[FieldError]:
+def _prefix_errors(error: DocumentInvalid, path: str) -> list[FieldError]:
     return [
         FieldError(path=path + found.path.removeprefix(ROOT), message=found.message)
         for found in error.errors
--- a/gypsumrouter/configuration/neighbours.py
+++ b/gypsumrouter/configuration/neighbours.py
@@ -1,4 +1,4 @@
-"""Which processes exchange news of the configuration, and which ones watch the platform."""
+"""Neighbours for gossip between processes, and the processes that watch the platform."""
 
 from __future__ import annotations
 
@@ -6,61 +6,62 @@
 
 import xxhash
 
-from gypsumrouter.configuration.const import RING_ATTEMPTS, RINGS, WATCHERS_IN_REGION
+from gypsumrouter.configuration.const import RING_ATTEMPTS, RINGS, WATCHERS_PER_REGION
 from gypsumrouter.instances import Instance
 
-Route = tuple[Instance, ...]
+RingNeighbours = tuple[Instance, ...]
 
 
-def list_routes(name: str, peers: Iterable[Instance]) -> tuple[Route, ...]:
-    """Return the instances to tell news to: one route for each direction of each ring.
+def list_ring_neighbours(name: str, peers: Iterable[Instance]) -> tuple[RingNeighbours, ...]:
+    """Return the gossip neighbours of a process, one entry per ring and direction.
 
-    Every process puts all names on the same rings, in the order of their digests, and talks to
-    the next one and the one before on each. The union of a few such rings is connected, has a
-    diameter that grows with the logarithm of the fleet, and gives each process the same few
-    neighbours. A route goes on along its ring for when the first instance cannot be reached.
+    Every process sorts all names by digest on the same hash rings, and its neighbours are its
+    successor and predecessor on each. The union of a few such rings is connected, has a diameter
+    that grows with the logarithm of the fleet, and gives each process a constant number of
+    neighbours. Each entry lists further instances along the ring, to use if the first is
+    unreachable.
     """
-    known = tuple(peer for peer in peers if peer.name != name)
-    routes: list[Route] = []
+    others = tuple(peer for peer in peers if peer.name != name)
+    neighbours: list[RingNeighbours] = []
     for ring in range(RINGS):
-        routes += _list_ring_routes(ring, name, known)
-    return tuple(routes)
+        neighbours += _list_on_ring(ring, name, others)
+    return tuple(neighbours)
 
 
-def list_watchers(members: Iterable[Instance], region: str, turn: int) -> frozenset[str]:
-    """Return the names of those that watch the platform for a region in one turn.
+def list_watchers(members: Iterable[Instance], region: str, rotation: int) -> frozenset[str]:
+    """Return the names of the instances that watch the platform for a region in one rotation.
 
-    The first by rank of each data centre of the region, filled up to a few by rank. Each change
-    costs a watcher the whole document, so ranks differ from turn to turn and all take their
-    share.
+    These are the first by rank of each data centre of the region, filled up by rank to
+    WATCHERS_PER_REGION. A watcher downloads the whole document on each change, so ranks differ
+    between rotations to distribute that load.
     """
     ranked = sorted(
         (member for member in members if member.region == region),
-        key=lambda member: (_rank(f"watch/{turn}", member.name), member.name),
+        key=lambda member: (_rank(f"watch/{rotation}", member.name), member.name),
     )
     first: dict[str, str] = {}
     for member in ranked:
         first.setdefault(member.data_centre, member.name)
     chosen = list(first.values())
     for member in ranked:
-        if len(chosen) >= WATCHERS_IN_REGION:
+        if len(chosen) >= WATCHERS_PER_REGION:
             break
         if member.name not in chosen:
             chosen.append(member.name)
     return frozenset(chosen)
 
 
-def _list_ring_routes(ring: int, name: str, peers: tuple[Instance, ...]) -> Iterator[Route]:
-    here = (_rank(str(ring), name), name)
+def _list_on_ring(ring: int, name: str, peers: tuple[Instance, ...]) -> Iterator[RingNeighbours]:
+    own_position = (_rank(str(ring), name), name)
     ranked = [((_rank(str(ring), peer.name), peer.name), peer) for peer in peers]
-    order = sorted(ranked, key=lambda entry: entry[0])
-    places = [place for place, _ in order]
-    start = sum(1 for place in places if place < here)
-    ahead = [peer for _, peer in order[start:] + order[:start]]
-    if not ahead:
+    ring_order = sorted(ranked, key=lambda entry: entry[0])
+    positions = [position for position, _ in ring_order]
+    start = sum(1 for position in positions if position < own_position)
+    successors = [peer for _, peer in ring_order[start:] + ring_order[:start]]
+    if not successors:
         return
-    yield tuple(ahead[:RING_ATTEMPTS])
-    yield tuple(reversed(ahead[-RING_ATTEMPTS:]))
+    yield tuple(successors[:RING_ATTEMPTS])
+    yield tuple(reversed(successors[-RING_ATTEMPTS:]))
 
 
 def _rank(purpose: str, name: str) -> int:
--- a/gypsumrouter/exchange/runner.py
+++ b/gypsumrouter/exchange/runner.py
@@ -1,4 +1,4 @@
-"""One request from the link to the upstream and back, in the order that the promises need."""
+"""Entry point for the requests that a side receives over its link."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from gypsumrouter.configuration import ConfigurationStore
 from gypsumrouter.configuration.models import Configuration
 from gypsumrouter.core import Application, Remove
-from gypsumrouter.exchange.checks import Checks
+from gypsumrouter.exchange.at_most_once import AtMostOnceContext, AtMostOnceExchange
+from gypsumrouter.exchange.checks import RequestChecks
 from gypsumrouter.exchange.execution import Execution
 from gypsumrouter.exchange.metrics import ExchangeMetrics
-from gypsumrouter.exchange.once import OnceExchange, OnceParts
-from gypsumrouter.exchange.ports import NoPrefixes, PrefixMoves
+from gypsumrouter.exchange.ports import NoPrefixTransfers, PrefixTransfers
 from gypsumrouter.exchange.repeatable import RepeatableExchange
 from gypsumrouter.idempotency import Idempotency
 from gypsumrouter.link import Answer
 from gypsumrouter.link.models import Hello, Open, Status
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 from gypsumrouter.settings import SideSettings
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import UpstreamClient
 
 _LOGGER = logging.getLogger(__name__)
@@ -30,16 +30,18 @@
 
 
 class ExchangeRunner:
-    """Run every request of a side.
+    """Runs all requests of a side.
 
-    The order is: pool, memory of calls that must not be repeated, leaving and readiness, model,
-    suspicion, admission, upstream. All before the hand-over may refuse, nothing after it.
+    The steps are, in this order: check the target pool, look up stored at-most-once calls, check
+    draining, readiness and the model, check for requests suspected of crashing the upstream, queue
+    for admission, and send to the upstream. A request can be refused until it is sent.
     """
 
     __slots__ = (
         "_active",
         "_admission",
         "_app",
+        "_at_most_once_context",
         "_checks",
         "_client",
         "_execution",
@@ -47,12 +49,11 @@
         "_idle",
         "_listeners",
         "_metrics",
-        "_once",
         "_prefixes",
         "_settings",
         "_store",
         "_suspicion",
-        "leaving",
+        "draining",
     )
 
     def __init__(
@@ -64,11 +65,11 @@
         admission: Admission,
         upstream: UpstreamClient,
         idempotency: Idempotency,
-        suspicion: Suspicion,
-        prefixes: PrefixMoves | None = None,
+        suspicion: SuspectTracker,
+        prefixes: PrefixTransfers | None = None,
     ) -> None:
         self._app = app
-        self._prefixes = prefixes or NoPrefixes()
+        self._prefixes = prefixes or NoPrefixTransfers()
         self._settings = settings
         self._store = store
         self._admission = admission
@@ -80,29 +81,29 @@
         self._idle.set()
         self._listeners: list[Callable[[], None]] = []
         self._metrics = ExchangeMetrics(registry=app.metrics)
-        self._checks = Checks(settings=settings.upstream, store=store, client=upstream)
+        self._checks = RequestChecks(settings=settings.upstream, store=store, client=upstream)
         self._execution = Execution(app=app, client=upstream, suspicion=suspicion)
-        self._once = OnceParts(
+        self._at_most_once_context = AtMostOnceContext(
             app=app,
             admission=admission,
             execution=self._execution,
             idempotency=idempotency,
-            limit_ms=settings.limits.default_deadline_ms,
-            vet=self._vet,
-            count_run=self._count,
+            max_detached_ms=settings.limits.default_deadline_ms,
+            check=self._check,
+            count_active=self._count_active,
         )
-        self.leaving = False
+        self.draining = False
 
     @property
     def active(self) -> int:
-        """Return how many exchanges and runs have not ended."""
+        """Return the number of requests and detached runs in progress."""
         return self._active
 
     async def async_start(self) -> None:
-        """Follow the configuration and the upstream, and take part in a planned stop."""
+        """Subscribe to configuration and upstream changes, and register the drain hook."""
         self._configure(self._store.current)
         self._store.on_change(self._configure)
-        self._client.on_died(self._note_upstream_died)
+        self._client.on_died(self._handle_upstream_crash)
         self._client.on_up(lambda _up: self._notify())
         self._client.on_models(self._notify)
         self._admission.on_change(self._notify)
@@ -110,38 +111,38 @@
         self._app.add_dump_section(DUMP_SECTION, self._dump)
 
     def on_status(self, listener: Callable[[], None]) -> Remove:
-        """Register a listener for each change of what `make_status` returns."""
+        """Register a listener for changes of the status."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
     def make_status(self) -> Status:
-        """Return what this side says of itself now."""
+        """Return the current status that is sent to routers."""
         return Status(
             load=self._admission.load,
             running=self._admission.running,
             weight=self._settings.upstream.weight,
-            leaving=self.leaving,
-            ready=not self.leaving and self._checks.ready,
+            leaving=self.draining,
+            ready=not self.draining and self._checks.ready,
             models=self._client.models,
             batch_waiting=self._admission.batch_waiting,
         )
 
-    def begin_leaving(self) -> None:
-        """Refuse all new and waiting work from now on; what runs goes on."""
-        if self.leaving:
+    def begin_drain(self) -> None:
+        """Refuse new and queued requests from now on; running ones continue."""
+        if self.draining:
             return
-        self.leaving = True
-        _LOGGER.info("Leaving: new work is refused")
+        self.draining = True
+        _LOGGER.info("Draining: refusing new and queued requests, running requests continue")
         self._admission.stop()
         self._notify()
 
     async def async_handle(self, hello: Hello, request: Open, answer: Answer) -> None:
-        """Run one request and end its answer."""
-        self._count(1)
+        """Run one request and complete its answer."""
+        self._count_active(1)
         try:
             failure = await self._async_run(request, answer)
         finally:
-            self._count(-1)
+            self._count_active(-1)
         if failure is None and answer.cancelled.is_set():
             failure = Failed(reason=Reason.CANCELLED, message="the caller is gone")
         self._metrics.count(failure)
@@ -152,14 +153,16 @@
             answer.fail(failure)
 
     async def _async_run(self, request: Open, answer: Answer) -> Failure | None:
-        refused = self._checks.find_wrong_upstream(request)
+        refused = self._checks.check_target(request)
         if refused is not None:
             return refused
         if request.idempotency_key:
-            # What is remembered is told in any case, so memory comes before what may refuse.
-            once = OnceExchange(parts=self._once, request=request, answer=answer)
-            return await once.async_run()
-        refused = self._vet(request)
+            # Stored outcomes are returned even while draining or not ready.
+            exchange = AtMostOnceExchange(
+                context=self._at_most_once_context, request=request, answer=answer
+            )
+            return await exchange.async_run()
+        refused = self._check(request)
         if refused is not None:
             return refused
         repeatable = RepeatableExchange(
@@ -172,11 +175,11 @@
         )
         return await repeatable.async_run()
 
-    def _vet(self, request: Open) -> Refused | None:
-        """Return why a request can't run here now, by all but admission."""
-        if self.leaving:
+    def _check(self, request: Open) -> Refused | None:
+        """Return a refusal if a request cannot be queued for admission, else None."""
+        if self.draining:
             return Refused(reason=Reason.LEAVING, message="this side is leaving", elsewhere=True)
-        refused = self._checks.find_refusal(request)
+        refused = self._checks.check_request(request)
         if refused is not None:
             return refused
         verdict = self._suspicion.check(request.digest)
@@ -193,12 +196,12 @@
             self._idempotency.configure(pool)
         self._notify()
 
-    def _note_upstream_died(self) -> None:
-        self._metrics.deaths.inc()
-        self._suspicion.note_upstream_died()
+    def _handle_upstream_crash(self) -> None:
+        self._metrics.crashes.inc()
+        self._suspicion.handle_upstream_crash()
         self._prefixes.note_engine_died()
 
-    def _count(self, change: int) -> None:
+    def _count_active(self, change: int) -> None:
         self._active += change
         if self._active == 0:
             self._idle.set()
@@ -210,20 +213,20 @@
             listener()
 
     async def _async_drain(self) -> None:
-        self.begin_leaving()
+        self.begin_drain()
         await self._idle.wait()
 
     def _dump(self) -> dict[str, object]:
         return {
             "active": self._active,
-            "leaving": self.leaving,
+            "leaving": self.draining,
             "ready": self._checks.ready,
             "outcomes": self._metrics.dump(),
         }
 
 
 def _log(hello: Hello, request: Open, failure: Failure | None) -> None:
-    outcome = "whole" if failure is None else failure.reason.value
+    outcome = "complete" if failure is None else failure.reason.value
     _LOGGER.debug(
         "Request %s from %s, attempt %s: %s",
         request.request_id,
--- a/gypsumrouter/forwarding/events.py
+++ b/gypsumrouter/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a stream: whole ones only, each with its id."""
+"""Splitting of a byte stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -6,59 +6,62 @@
 
 from gypsumrouter.forwarding.const import MAX_EVENT_BYTES
 
-EVENT_END: Final = b"\n\n"
+EVENT_SEPARATOR: Final = b"\n\n"
 ID_FIELD: Final = b"id:"
 
 
 class EventTooLong(Exception):
-    """What came is no series of events."""
+    """An event exceeds the maximum size, so the data is not a valid event stream."""
 
 
-class EventCutter:
-    """Cuts a stream of bytes after whole events and knows the id of the last one.
+class EventSplitter:
+    """Splits a byte stream after complete events and tracks the id of the last one.
 
-    An upstream may stop in the middle of an event; another one that goes on after the last whole
-    event must not have half of it doubled.
+    An upstream may fail in the middle of an event. Only complete events are returned, so that a
+    stream that is resumed on another upstream does not repeat a part of one.
     """
 
-    __slots__ = ("_tail", "last_id")
+    __slots__ = ("_partial", "last_event_id")
 
     def __init__(self) -> None:
-        self._tail = b""
-        self.last_id: str | None = None
-
-    def cut(self, data: bytes) -> bytes:
-        """Return everything up to the end of the last whole event; raises EventTooLong."""
-        if self._tail:
-            data = self._tail + data
-        end = data.rfind(EVENT_END)
+        self._partial = b""
+        self.last_event_id: str | None = None
+
+    def feed(self, data: bytes) -> bytes:
+        """Add data and return all complete events that have not been returned yet.
+
+        Raises EventTooLong if an incomplete event exceeds the maximum size.
+        """
+        if self._partial:
+            data = self._partial + data
+        end = data.rfind(EVENT_SEPARATOR)
         if end < 0:
             if len(data) > MAX_EVENT_BYTES:
                 raise EventTooLong
-            self._tail = data
+            self._partial = data
             return b""
-        end += len(EVENT_END)
-        self._tail = data[end:]
-        whole = data[:end]
-        self._note_id(whole)
-        return whole
-
-    def drop_tail(self) -> None:
-        """Forget an event that was broken off."""
-        self._tail = b""
-
-    def take_tail(self) -> bytes:
-        """Return what follows the last whole event at the regular end of a stream."""
-        tail, self._tail = self._tail, b""
-        return tail
-
-    def _note_id(self, whole: bytes) -> None:
-        start = whole.rfind(b"\n" + ID_FIELD)
+        end += len(EVENT_SEPARATOR)
+        self._partial = data[end:]
+        complete = data[:end]
+        self._update_last_event_id(complete)
+        return complete
+
+    def discard_partial(self) -> None:
+        """Discard an incomplete event."""
+        self._partial = b""
+
+    def flush(self) -> bytes:
+        """Return the data after the last complete event, at the regular end of a stream."""
+        partial, self._partial = self._partial, b""
+        return partial
+
+    def _update_last_event_id(self, complete: bytes) -> None:
+        start = complete.rfind(b"\n" + ID_FIELD)
         if start >= 0:
             start += 1
-        elif whole.startswith(ID_FIELD):
+        elif complete.startswith(ID_FIELD):
             start = 0
         else:
             return
-        value = whole[start + len(ID_FIELD) : whole.find(b"\n", start)]
-        self.last_id = value.strip().decode("latin-1")
+        value = complete[start + len(ID_FIELD) : complete.find(b"\n", start)]
+        self.last_event_id = value.strip().decode("latin-1")
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -22,8 +22,8 @@
     Evacuations,
     name_incarnation,
 )
-from gypsumrouter.forwarding.connections import UpstreamConnections
-from gypsumrouter.forwarding.const import SOURCE_ANSWER
+from gypsumrouter.forwarding.connections import ConnectionPool
+from gypsumrouter.forwarding.const import SOURCE_RESPONSE
 from gypsumrouter.forwarding.placer import Placer
 from gypsumrouter.helpers.http_connection import ConnectFailed, ConnectionBroken, HttpConnection
 from gypsumrouter.routing import RoutingStore
@@ -50,13 +50,13 @@
 class CacheListing(Struct, frozen=True, kw_only=True):
     """The prompt parts in the cache of an engine.
 
-    `started_ms` is when the engine was started (Unix time; 0 if not reported); `leaving` is set if
-    the engine is shutting down.
+    `started_ms` is when the engine was started (Unix time; 0 if not reported); `draining` is true
+    if the engine is shutting down.
     """
 
     parts: tuple[CachedPart, ...]
     started_ms: int = 0
-    leaving: bool = False
+    draining: bool = False
 
 
 class FetchCacheListing(Protocol):
@@ -98,12 +98,12 @@
 
     __slots__ = (
         "_app",
-        "_connections",
         "_directory",
         "_evacuations",
         "_fetch_listing",
         "_peers",
         "_placer",
+        "_pool",
         "_reported",
         "_routing",
         "done",
@@ -117,7 +117,7 @@
         evacuations: Evacuations,
         routing: RoutingStore,
         placer: Placer,
-        connections: UpstreamConnections,
+        pool: ConnectionPool,
         fetch_listing: FetchCacheListing,
     ) -> None:
         self._app = app
@@ -125,7 +125,7 @@
         self._evacuations = evacuations
         self._routing = routing
         self._placer = placer
-        self._connections = connections
+        self._pool = pool
         self._fetch_listing = fetch_listing
         self._peers: InventoryPeers | None = None
         self._reported: dict[str, asyncio.Event] = {}
@@ -223,25 +223,23 @@
             )
             return
         # The engine may have restarted before the directory shows it; the listing names its start.
-        started_ms = listing.started_ms or entry.born_ms
-        incarnation = name_incarnation(upstream=entry.upstream, born_ms=started_ms)
+        started_ms = listing.started_ms or entry.started_ms
+        incarnation = name_incarnation(upstream=entry.upstream, started_ms=started_ms)
         parts = tuple(part.part for part in listing.parts if part.tokens >= MIN_PART_TOKENS)
         for part in parts:
             self._placer.note_cached(part=part, upstream=incarnation)
-        if listing.leaving:
-            self._directory.note_leaving(incarnation, source=SOURCE_ANSWER)
+        if listing.draining:
+            self._directory.note_leaving(incarnation, source=SOURCE_RESPONSE)
         _LOGGER.info("Upstream %s listed %d cached prompt parts", incarnation, len(listing.parts))
         if self._peers is not None:
             await self._peers.async_share_listing(incarnation, parts)
 
     async def _async_fetch(self, entry: Entry) -> CacheListing:
-        leased = await self._connections.async_lease(
-            entry, repeatable=True, timeout_ms=LIST_TIMEOUT_MS
-        )
+        pooled = await self._pool.async_acquire(entry, repeatable=True, timeout_ms=LIST_TIMEOUT_MS)
         try:
-            listing = await self._fetch_listing(leased.connection)
+            listing = await self._fetch_listing(pooled.connection)
         except BaseException:
-            leased.connection.close()
+            pooled.connection.close()
             raise
-        self._connections.give_back(entry, leased.connection)
+        self._pool.release(entry, pooled.connection)
         return listing
--- a/gypsumrouter/peers/catch_up.py
+++ b/gypsumrouter/peers/catch_up.py
@@ -97,7 +97,7 @@
         """
         now_ms = self._app.clock.now_ms()
         routing = routing_version > self._routing.version
-        upstreams = list_revision > self._directory.newest
+        upstreams = list_revision > self._directory.applied_revision
         self._behind_routing_ms = _get_behind_since(self._behind_routing_ms, routing, now_ms)
         self._behind_list_ms = _get_behind_since(self._behind_list_ms, upstreams, now_ms)
         if now_ms - self._last_request_ms < CATCH_UP_INTERVAL_MS:
@@ -144,7 +144,7 @@
         return True
 
     def _get_list_as_of(self) -> int:
-        return self._directory.limit_to_acted_on(self._list_state.as_of or 0)
+        return self._directory.limit_to_applied(self._list_state.as_of or 0)
 
     def _is_overdue(self, since_ms: int | None, now_ms: int) -> bool:
         """Return whether to request now; without any configuration or list there is no delay."""
@@ -204,9 +204,9 @@
                     "Ignoring an invalid upstream entry from peer %s: %s", peer.hello.name, error
                 )
                 continue
-            merged += self._directory.merge(record, source=peer.hello.name, settled=True)
+            merged += self._directory.merge(record, source=peer.hello.name, confirmed=True)
         self._list_state.advance(message.as_of)
-        self._directory.note_told()
+        self._directory.note_peer_synced()
         if message.entries:
             self._journal.record(
                 PeerNews(
@@ -237,8 +237,8 @@
         address="" if entry.address is None else str(entry.address),
         data_centre=entry.data_centre,
         slots=entry.slots,
-        born_ms=entry.born_ms,
-        cold_ms=entry.cold_ms,
+        born_ms=entry.started_ms,
+        cold_ms=entry.warm_up_ms,
     )
 
 
@@ -252,7 +252,7 @@
             address=parse_address(entry.address) if entry.address else None,
             data_centre=entry.data_centre,
             slots=entry.slots,
-            born_ms=entry.born_ms,
-            cold_ms=entry.cold_ms,
+            started_ms=entry.born_ms,
+            warm_up_ms=entry.cold_ms,
         ),
     )
--- a/gypsumrouter/peers/watchers.py
+++ b/gypsumrouter/peers/watchers.py
@@ -86,8 +86,8 @@
     def async_start(self) -> None:
         """Start announcing; if other routers are known, wait for announcements before watching."""
         if len(self._routers):
-            self._routing.wait_for_peers()
-            self._list.wait_for_peers()
+            self._routing.defer_to_peers()
+            self._list.defer_to_peers()
         self._app.async_create_task(self._async_announce(), "announce store changes")
 
     def count_watchers(self) -> int:
@@ -127,8 +127,8 @@
         return StoreWatched(
             routing_version=self._routing_store.version,
             routing_as_of=_get_current_revision(self._routing),
-            list_newest=self._directory.newest,
-            list_as_of=self._directory.limit_to_acted_on(_get_current_revision(self._list)),
+            list_newest=self._directory.applied_revision,
+            list_as_of=self._directory.limit_to_applied(_get_current_revision(self._list)),
             evacuations=encode_evacuations(self._evacuations),
         )
 
@@ -140,9 +140,9 @@
         if self.is_watcher():
             return
         if announcement.routing_as_of:
-            self._routing.note_vouched()
+            self._routing.note_peer_watching()
         if announcement.list_as_of:
-            self._list.note_vouched()
+            self._list.note_peer_watching()
         self._catch_up.handle_announcement(peer, announcement)
 
 
--- a/gypsumrouter/published/__init__.py
+++ b/gypsumrouter/published/__init__.py
@@ -1,4 +1,4 @@
-"""Published: following what the platform publishes, through its outages."""
+"""Client side of the platform's store: reading, watching, and handling its outages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from gypsumrouter.published.models import (
     HistoryLost,
     Item,
-    Listed,
+    ItemBatch,
     PublishedStore,
     StoreUnavailable,
 )
@@ -16,7 +16,7 @@
     "Follower",
     "HistoryLost",
     "Item",
-    "Listed",
+    "ItemBatch",
     "PublishedStore",
     "StoreUnavailable",
     "WatchState",
--- a/tests/gateway/test_gateway_retries.py
+++ b/tests/gateway/test_gateway_retries.py
@@ -7,7 +7,7 @@
 
 from gypsumrouter.link.models import Data, SuspectNews
 from gypsumrouter.outcomes import Failed, Reason, Refused
-from gypsumrouter.suspicion import Suspect, find_isolation_places
+from gypsumrouter.suspicion import Suspect, select_isolation_instances
 
 LOST = Failed(reason=Reason.LINK_LOST)
 OVER_CAP = Refused(reason=Reason.OVER_CAP, retry_after_ms=300, elsewhere=True)
@@ -80,7 +80,9 @@
 async def test_suspect_is_sent_first_to_its_isolation_instance_after_its_strikes(
     router: RouterHarness,
 ) -> None:
-    isolation_instance = find_isolation_places("engines", router.fleet.members("engines"))[0].name
+    isolation_instance = select_isolation_instances("engines", router.fleet.members("engines"))[
+        0
+    ].name
     strike = SuspectNews(digest=1, strike=2, alone=False)
     router.suspicion.verdict, router.suspicion.strikes = Suspect(), (strike,)
     busy = Refused(reason=Reason.SUSPECT_ISOLATED, elsewhere=True, retry_after_ms=1_000)
