--- a/gypsumrouter/orders/planner.py
+++ b/gypsumrouter/orders/planner.py
@@ -1,4 +1,4 @@
-"""What the engine of this side is to hold, worked out anew from all that is known now."""
+"""The desired state of the local engine, computed from the plan of the pool."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 
 class Planner:
-    """Keep the plan's part for this side.
+    """Compute the plan and keep the part for this side.
 
-    `wished` is the version of each model and adapter that the engine is to hold, None while too
-    little is known. `counts` is how many engines the plan gives to each model.
+    `desired` has the version of each model and adapter that the engine should hold; it is None
+    while holdings are missing. `counts` is the number of engines that the plan assigns to each
+    model.
     """
 
-    __slots__ = ("_name", "_table", "counts", "demand", "wished")
+    __slots__ = ("_name", "_table", "counts", "demand", "desired")
 
     def __init__(self, *, name: str, table: HoldingTable) -> None:
         self._name = name
         self._table = table
-        self.wished: Mapping[str, str] | None = None
+        self.desired: Mapping[str, str] | None = None
         self.counts: Mapping[str, int] = {}
         self.demand: Mapping[str, float] = {}
 
-    def forget(self) -> None:
-        """Wish nothing, because too little is known or nothing is configured."""
-        self.wished = None
+    def reset(self) -> None:
+        """Clear the plan, because holdings are missing or nothing is configured."""
+        self.desired = None
         self.counts = {}
         self.demand = {}
 
     def update(self, pool: Pool, orders: PoolOrders) -> None:
-        """Work the plan out."""
-        holdings = self._table.list_answering()
-        if self._table.list_awaited() or all(item.name != self._name for item in holdings):
-            self.forget()
+        """Compute the plan from the current holdings."""
+        holdings = self._table.list_available()
+        if self._table.list_unreported() or all(item.name != self._name for item in holdings):
+            self.reset()
             return
         self.demand = sum_demand(orders, holdings)
         plan = plan_models(
@@ -48,11 +49,11 @@
             slots=pool.slots,
         )
         self.counts = Counter(name for models in plan.values() for name in models)
-        self.wished = list_targets(orders, plan[self._name])
+        self.desired = list_targets(orders, plan[self._name])
 
 
 def sum_demand(orders: PoolOrders, holdings: Iterable[Holding]) -> dict[str, float]:
-    """Return the requests in hand for each model; those for adapters count for their model."""
+    """Return the number of requests of each model, including those for its adapters."""
     bases = {model.name: model.name for model in orders.models}
     for model in orders.models:
         bases |= {adapter.name: model.name for adapter in model.adapters}
--- a/gypsumrouter/upstream/budget.py
+++ b/gypsumrouter/upstream/budget.py
@@ -1,25 +1,25 @@
-"""A budget for requests that are sent a second time, so that a slow upstream isn't multiplied."""
+"""Retry budget that limits the additional load which hedged requests cause at a slow upstream."""
 
 from __future__ import annotations
 
-from gypsumrouter.upstream.const import REOPEN_BURST, REOPEN_SHARE
+from gypsumrouter.upstream.const import RETRY_BUDGET_BURST, RETRY_BUDGET_SHARE
 
 
-class Budget:
-    """Allow a second try for a fixed share of the runs, and a small burst."""
+class RetryBudget:
+    """Token bucket that allows retries for a fixed share of the requests, plus a burst."""
 
-    __slots__ = ("_left",)
+    __slots__ = ("_tokens",)
 
     def __init__(self) -> None:
-        self._left = REOPEN_BURST
+        self._tokens = RETRY_BUDGET_BURST
 
-    def note_run(self) -> None:
-        """Count one run."""
-        self._left = min(REOPEN_BURST, self._left + REOPEN_SHARE)
+    def record_run(self) -> None:
+        """Add the share of a token that one request earns."""
+        self._tokens = min(RETRY_BUDGET_BURST, self._tokens + RETRY_BUDGET_SHARE)
 
-    def take(self) -> bool:
-        """Take one second try; False if the budget is spent."""
-        if self._left < 1:
+    def try_acquire(self) -> bool:
+        """Take a token for one retry; return False if the budget is exhausted."""
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
--- a/gypsumrouter/upstream/const.py
+++ b/gypsumrouter/upstream/const.py
@@ -1,4 +1,4 @@
-"""Constants of the HTTP side towards an upstream."""
+"""Constants of the HTTP clients for upstreams."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 PATH_SERVICE_LOAD: Final = "/load"
 PATH_STREAMS: Final = "/v1/streams/"
 
+# The last event of a complete stream, and the number of last bytes kept to find it.
 STREAM_END: Final = b"data: [DONE]"
 STREAM_TAIL_BYTES: Final = 32
 CONTENT_TYPE_EVENTS: Final = "text/event-stream"
@@ -20,20 +21,25 @@
 HTTP_NOT_MODIFIED: Final = 304
 HTTP_NOT_FOUND: Final = 404
 
-PROBE_MS: Final = 1_000
-CANCEL_MS: Final = 1_000
-RESUME_TRIES: Final = 4
+PROBE_TIMEOUT_MS: Final = 1_000
+CANCEL_TIMEOUT_MS: Final = 1_000
+MAX_RESUME_ATTEMPTS: Final = 4
 PROBE_PAUSE_MS: Final = 100
-PROBE_TRIES: Final = 3
+MAX_FAILED_PROBES: Final = 3
 RESUME_PAUSE_MS: Final = 200
-MAX_OPENS: Final = 2
+# Maximum number of connections on which one request is sent to an engine.
+MAX_SENDS: Final = 2
 RETRY_AFTER_MS: Final = 500
+# Number of checks for idle runs within silence_ms.
 SWEEPS_PER_SILENCE: Final = 8
-FAILED_POLLS_DOWN: Final = 3
+# Consecutive failed polls after which the upstream is down.
+MAX_FAILED_POLLS: Final = 3
 
+# TCP keepalive of connections to the upstream.
 KEEPALIVE_IDLE_S: Final = 1
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
 
-REOPEN_SHARE: Final = 0.1
-REOPEN_BURST: Final = 5.0
+# Tokens of the retry budget that each request adds, and the size of the bucket.
+RETRY_BUDGET_SHARE: Final = 0.1
+RETRY_BUDGET_BURST: Final = 5.0
--- a/tests/exchange/exchange_fakes.py
+++ b/tests/exchange/exchange_fakes.py
@@ -153,7 +153,7 @@
         for listener in self._crash_listeners:
             listener()
 
-    def on_died(self, listener: Callable[[], None]) -> Remove:
+    def on_crash(self, listener: Callable[[], None]) -> Remove:
         self._crash_listeners.append(listener)
         return lambda: self._crash_listeners.remove(listener)
 
--- a/tests/orders/orders_world.py
+++ b/tests/orders/orders_fakes.py
@@ -1,4 +1,4 @@
-"""Sides with stand-in engines in one process: their own clock, list, links and configuration."""
+"""A cluster of sides with stand-in engines in one process, with a manual clock and fake links."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 STORE_PER_S = 2.0
 STEP_MS = 25
 STEPS_MAX = 4_000
-LOOPS_A_STEP = 12
+LOOPS_PER_STEP = 12
 
 
 def make_orders(**changes: Any) -> PoolOrders:
@@ -58,8 +58,8 @@
     )
 
 
-class ScriptedLists:
-    """The instance list as one side reads it."""
+class FakeInstanceList:
+    """The instance list as read by one side."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -85,12 +85,12 @@
             for fresh in self._fresh:
                 fresh(listed.as_of_ms)
             return
-        for told in self._lists:
-            told(listed)
+        for listener in self._lists:
+            listener(listed)
 
 
-class OfferedModels:
-    """What a side takes requests for."""
+class ServedModels:
+    """The models for which a side accepts requests."""
 
     def __init__(self, engine: Engine) -> None:
         self._engine = engine
@@ -105,13 +105,13 @@
 
 
 class Side:
-    """One side with its engine; `reads_list` is cleared where the list is out of its reach."""
+    """One side with its engine; `reads_list` is False while it can't reach the instance list."""
 
     def __init__(
-        self, world: World, *, name: str, engine: Engine, address: Address, incarnation: int
+        self, cluster: Cluster, *, name: str, engine: Engine, address: Address, incarnation: int
     ) -> None:
         self.name = name
-        self.world = world
+        self.cluster = cluster
         self.engine = engine
         self.address = address
         self.reads_list = True
@@ -120,13 +120,13 @@
             role=Role.SIDE,
             data_centre="dc",
             region="r",
-            clock=world.clock,
+            clock=cluster.clock,
             incarnation=incarnation,
         )
-        self.lists = ScriptedLists(name)
+        self.lists = FakeInstanceList(name)
         self.notices = NoticeHub()
         self.store = ConfigurationStore(app=self.app)
-        self.offered = OfferedModels(engine)
+        self.offered = ServedModels(engine)
         settings = SideSettings(
             instance=Identity(name=name, data_centre="dc", region="r"),
             link=Link(),
@@ -144,13 +144,13 @@
         )
 
     async def async_start(self) -> None:
-        await self.store.async_offer(self.world.document)
-        self.orders.note_listening(self.address)
+        await self.store.async_offer(self.cluster.document)
+        self.orders.set_advertised_address(self.address)
         await self.orders.async_start()
 
     async def async_send(self, *, instance: Instance, notice: Notice) -> bool:
-        receiver = self.world.sides.get(instance.name)
-        if receiver is None or instance.name in self.world.cut or self.name in self.world.cut:
+        receiver = self.cluster.sides.get(instance.name)
+        if receiver is None or instance.name in self.cluster.cut or self.name in self.cluster.cut:
             return False
         hello = Hello(name=self.name, role=Role.SIDE, incarnation=self.app.incarnation)
         peer = Peer(hello=hello, connection=cast(Any, None), dialed=False)
@@ -171,8 +171,11 @@
         return name in self.engine.orders.models and name not in self.offered.withdrawn
 
 
-class World:
-    """All sides, their engines, the weight store, and the platform's services."""
+class Cluster:
+    """All sides, their engines, the weight store and the instance list.
+
+    `min_serving` records, for each model that is a key, the lowest number of serving sides seen.
+    """
 
     def __init__(self) -> None:
         self.clock = ManualClock(now_ms=1_000)
@@ -190,10 +193,10 @@
         self._revision = 1
         self._listed: tuple[Instance, ...] = ()
         self._made = 0
-        self.least_serving: dict[str, int] = {}
+        self.min_serving: dict[str, int] = {}
 
-    def publish_to_new(self, orders: PoolOrders | None) -> None:
-        """Set the configuration that sides start with."""
+    def set_configuration(self, orders: PoolOrders | None) -> None:
+        """Set the configuration for sides that are started later."""
         models = () if orders is None else _list_names(orders)
         pool = Pool(
             name=POOL, kind=UpstreamKind.ENGINE, models=models or (CHAT,), slots=4, orders=orders
@@ -204,8 +207,8 @@
         self.document = msgspec.json.encode(self.configuration)
 
     async def async_publish(self, orders: PoolOrders | None) -> None:
-        """Put a configuration in force in all sides."""
-        self.publish_to_new(orders)
+        """Set the configuration and apply it at all running sides."""
+        self.set_configuration(orders)
         for side in self.sides.values():
             await side.store.async_offer(self.document)
 
@@ -221,7 +224,7 @@
         return engine
 
     async def async_add_side(self, name: str, engine: Engine) -> Side:
-        """Start a process; one of the same name is replaced in the list and lives on."""
+        """Start a side; one of the same name is replaced in the list but keeps running."""
         self._made += 1
         address = Address(host="127.0.0.1", port=20_000 + self._made)
         side = Side(self, name=name, engine=engine, address=address, incarnation=self._made)
@@ -236,7 +239,7 @@
         return await self.async_add_side(name, await self.async_add_engine(*models, **settings))
 
     def list_sides(self, *, without: Iterable[str] = ()) -> None:
-        """Publish the list of the sides that run now."""
+        """Publish a list of the current sides."""
         self._revision += 1
         left = set(without)
         self._listed = tuple(
@@ -244,23 +247,23 @@
             for side in self.sides.values()
             if side.name not in left
         )
-        self._tell_list()
+        self._deliver_list()
 
     async def async_run(self, duration_ms: int) -> None:
-        """Let time pass, with all that comes due in it."""
+        """Advance the clock in steps and run the event loop after each."""
         for _ in range(duration_ms // STEP_MS):
             await self._async_step()
 
     async def async_run_until(self, condition: Callable[[], bool]) -> None:
-        """Let time pass until a condition holds."""
+        """Advance the clock until a condition is true."""
         for _ in range(STEPS_MAX):
             if condition():
                 return
             await self._async_step()
-        raise AssertionError("it did not come about")
+        raise AssertionError(f"condition is still false after {STEPS_MAX} steps of {STEP_MS} ms")
 
     def records(self, side: Side, *, kind: OrderKind | None = None) -> list[OrderRecord]:
-        """Return the orders that an engine got."""
+        """Return the orders that the engine of a side received."""
         return [
             record
             for record in side.engine.orders.records
@@ -268,7 +271,7 @@
         ]
 
     def count_loads(self) -> int:
-        """Return how many loads all engines have carried out."""
+        """Return the number of loads completed by all engines."""
         return sum(
             record.order.kind is OrderKind.LOAD and record.state is OrderState.APPLIED
             for engine in self.engines
@@ -284,15 +287,15 @@
 
     async def _async_step(self) -> None:
         self.clock.advance(STEP_MS)
-        self._tell_list()
-        # Calls to engines go over real sockets; each gets some turns of the loop to come back.
-        for _ in range(LOOPS_A_STEP):
+        self._deliver_list()
+        # Calls to engines use real sockets and need several iterations of the event loop.
+        for _ in range(LOOPS_PER_STEP):
             await asyncio.sleep(0)
-        for name in self.least_serving:
+        for name in self.min_serving:
             serving = sum(side.is_serving(name) for side in self.sides.values())
-            self.least_serving[name] = min(self.least_serving[name], serving)
+            self.min_serving[name] = min(self.min_serving[name], serving)
 
-    def _tell_list(self) -> None:
+    def _deliver_list(self) -> None:
         listed = InstanceList(
             revision=self._revision, as_of_ms=self.clock.wall_ms(), instances=self._listed
         )
