--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -20,22 +20,22 @@
 from gypsumrouter.const import EXIT_FAILED, EXIT_OK
 from gypsumrouter.exceptions import DocumentInvalid, SettingsInvalid
 from gypsumrouter.link import (
-    CatchUp,
+    CatchUpRequest,
     DataCentreLoads,
-    DataCentreNews,
-    EvacuationTold,
-    HeldAt,
-    HeldNews,
+    DataCentreUpdate,
+    EngineListing,
+    EvacuationState,
+    InventoryUpdate,
     ListedUpstream,
     ListedUpstreams,
     Notice,
     PlacedPart,
-    RelayedNews,
-    RouterAt,
+    RelayedUpdate,
+    RouterAddress,
     RouterLoad,
-    RouterNews,
+    RouterUpdate,
     RoutingDocument,
-    StoreWatched,
+    StoreUpdate,
     Strike,
 )
 from gypsumrouter.link.frames import FrameError
@@ -52,14 +52,14 @@
 PIECES: Final = (b"\x00", b"\xff", b"\xff\xff\xff\xff", b'"', b"{", b"[", b"null", b"-1", b"1e400")
 MAX_CHANGES: Final = 4
 
-EVACUATION: Final = EvacuationTold(data_centre="dc-a", revision=7, active=True)
+EVACUATION: Final = EvacuationState(data_centre="dc-a", revision=7, active=True)
 LOADS: Final = (RouterLoad(upstream="i-1", running=3, pending_tokens=900),)
 PLACED: Final = (PlacedPart(part=1 << 60, upstream="i-1"),)
 STRIKES: Final = (Strike(digest=1 << 63, upstream="i-2"),)
 NOTICES: Final[tuple[Notice, ...]] = (
-    RouterNews(
+    RouterUpdate(
         address="10.0.0.1:80",
-        routers=(RouterAt(address="10.0.0.2:80", data_centre="dc-a"),),
+        routers=(RouterAddress(address="10.0.0.2:80", data_centre="dc-a"),),
         routing_version=3,
         list_revision=900,
         loads=LOADS,
@@ -69,7 +69,7 @@
         refused=("i-3",),
         data_centre="dc-a",
     ),
-    DataCentreNews(
+    DataCentreUpdate(
         address="10.0.0.1:80",
         loads=DataCentreLoads(data_centre="dc-b", alive=4, routers=("10.0.0.3:80",), loads=LOADS),
         routing_version=3,
@@ -79,20 +79,20 @@
         evacuations=(EVACUATION,),
         refused=("i-3",),
     ),
-    RelayedNews(
+    RelayedUpdate(
         loads=(DataCentreLoads(data_centre="dc-b", alive=4, routers=(), loads=LOADS),),
         placed=PLACED,
         strikes=STRIKES,
         refused=("i-3",),
     ),
-    StoreWatched(
+    StoreUpdate(
         routing_version=3,
         routing_as_of=900,
         list_newest=880,
         list_as_of=900,
         evacuations=(EVACUATION,),
     ),
-    CatchUp(routing=True, upstreams=True, since=70),
+    CatchUpRequest(routing=True, upstreams=True, since=70),
     RoutingDocument(version=3, document=b"{}" * 40, evacuations=(EVACUATION,)),
     ListedUpstreams(
         entries=(
@@ -110,7 +110,7 @@
         ),
         as_of=900,
     ),
-    HeldNews(complete=True, engines=(HeldAt(upstream="i-1", parts=(1, 2, 3)),)),
+    InventoryUpdate(complete=True, engines=(EngineListing(upstream="i-1", parts=(1, 2, 3)),)),
 )
 ENTRY: Final = {
     "service": "models",
--- a/bench/light_peers.py
+++ b/bench/light_peers.py
@@ -13,7 +13,8 @@
 from gypsumrouter.instances import Address, Instance
 from gypsumrouter.link import (
     Answer,
-    ConfigurationNews,
+    ConfigurationAnnouncement,
+    ConfigurationPartsRequest,
     Data,
     End,
     Head,
@@ -22,7 +23,6 @@
     LinkServer,
     NoticeHub,
     Open,
-    PartsRequest,
     Peer,
     Status,
 )
@@ -52,9 +52,9 @@
             answer_memory_bytes=ANSWER_MEMORY_BYTES,
         )
         self.load = 0
-        self._news = ConfigurationNews(version=0, digest=0)
-        self.notices.subscribe(ConfigurationNews, self._take_news)
-        self.notices.subscribe(PartsRequest, self._answer_request)
+        self._news = ConfigurationAnnouncement(version=0, digest=0)
+        self.notices.subscribe(ConfigurationAnnouncement, self._take_news)
+        self.notices.subscribe(ConfigurationPartsRequest, self._answer_request)
 
     async def async_start(self) -> Address:
         """Listen and return the address."""
@@ -89,11 +89,11 @@
             self.load -= 1
         answer.end()
 
-    def _take_news(self, _peer: Peer, news: ConfigurationNews) -> None:
+    def _take_news(self, _peer: Peer, news: ConfigurationAnnouncement) -> None:
         if news.version > self._news.version:
             self._news = news
 
-    def _answer_request(self, peer: Peer, _request: PartsRequest) -> None:
+    def _answer_request(self, peer: Peer, _request: ConfigurationPartsRequest) -> None:
         peer.send(self._news)
 
 
@@ -119,7 +119,9 @@
     async def async_link(self) -> None:
         """Open the link of each router."""
         for peer in self._peers:
-            await peer.pool.async_send(instance=self._target, notice=PartsRequest(version=0))
+            await peer.pool.async_send(
+                instance=self._target, notice=ConfigurationPartsRequest(version=0)
+            )
 
     def send(self, *, count: int, tokens: int) -> None:
         """Begin a number of requests now, each from another router."""
--- a/gypsumrouter/configuration/fetch.py
+++ b/gypsumrouter/configuration/fetch.py
@@ -15,7 +15,13 @@
 from gypsumrouter.configuration.parts import is_manifest, unpack_part
 from gypsumrouter.configuration.store import ConfigurationStore
 from gypsumrouter.configuration.waiting import async_wait
-from gypsumrouter.link.models import ConfigurationNews, Hello, Notice, Parts, PartsRequest
+from gypsumrouter.link.models import (
+    ConfigurationAnnouncement,
+    ConfigurationParts,
+    ConfigurationPartsRequest,
+    Hello,
+    Notice,
+)
 
 if TYPE_CHECKING:
     from gypsumrouter.core import Application
@@ -56,7 +62,7 @@
     def __init__(self, *, app: Application, store: ConfigurationStore) -> None:
         self._app = app
         self._store = store
-        self._newest: ConfigurationNews | None = None
+        self._newest: ConfigurationAnnouncement | None = None
         self._sources: dict[str, Sender] = {}
         self._received = asyncio.Event()
         self._manifest: tuple[int, ...] = ()
@@ -66,7 +72,7 @@
         self.fetched = 0
         self.received_bytes = 0
 
-    def offer(self, peer: Sender, news: ConfigurationNews) -> None:
+    def offer(self, peer: Sender, news: ConfigurationAnnouncement) -> None:
         """Note that a peer has a version; fetch it if it is newer than what is in force."""
         if news.version <= self._store.current.version or news.digest in self._refused:
             return
@@ -82,7 +88,7 @@
             self._running = True
             self._app.async_create_task(self._async_fetch_all(), "configuration fetch")
 
-    def take(self, parts: Parts) -> None:
+    def take(self, parts: ConfigurationParts) -> None:
         """Keep what a peer sent of the version that is fetched now."""
         newest = self._newest
         if newest is None or parts.version != newest.version:
@@ -106,7 +112,7 @@
         finally:
             self._running = False
 
-    async def _async_fetch(self, news: ConfigurationNews) -> bool:
+    async def _async_fetch(self, news: ConfigurationAnnouncement) -> bool:
         """Fetch one version from the peers that have it; return whether that is settled."""
         self._manifest = ()
         while self._newest is news and self._sources:
@@ -118,18 +124,20 @@
                 return True
         return False
 
-    async def _async_fetch_from(self, peer: Sender, news: ConfigurationNews) -> bool:
+    async def _async_fetch_from(self, peer: Sender, news: ConfigurationAnnouncement) -> bool:
         while self._newest is news:
             wanted = self._list_missing()
             if self._manifest and not wanted:
                 return True
-            request = PartsRequest(version=news.version, parts=wanted[:MAX_PARTS_IN_REQUEST])
+            request = ConfigurationPartsRequest(
+                version=news.version, parts=wanted[:MAX_PARTS_IN_REQUEST]
+            )
             if not await self._async_ask(peer, request):
                 _LOGGER.debug("Peer %s did not hand on the configuration", peer.hello.name)
                 return False
         return False
 
-    async def _async_ask(self, peer: Sender, request: PartsRequest) -> bool:
+    async def _async_ask(self, peer: Sender, request: ConfigurationPartsRequest) -> bool:
         """Ask for parts and wait; return whether anything that was missing has come."""
         before = (bool(self._manifest), len(self._bodies))
         self._received.clear()
@@ -138,7 +146,7 @@
         await async_wait(self._received, clock=self._app.clock, timeout_ms=FETCH_WAIT_MS)
         return (bool(self._manifest), len(self._bodies)) != before
 
-    async def _async_apply(self, news: ConfigurationNews) -> bool:
+    async def _async_apply(self, news: ConfigurationAnnouncement) -> bool:
         outcome = await self._store.async_offer_parts(
             version=news.version, manifest=self._manifest, bodies=self._bodies
         )
@@ -172,8 +180,8 @@
 
 
 def answer_parts_request(
-    store: ConfigurationStore, request: PartsRequest
-) -> ConfigurationNews | Parts:
+    store: ConfigurationStore, request: ConfigurationPartsRequest
+) -> ConfigurationAnnouncement | ConfigurationParts:
     """Return what was asked for, as far as it is held and one message may carry.
 
     A request for another version than the one in force, or for version 0, is answered with the
@@ -181,9 +189,9 @@
     """
     held = store.parts
     if request.version != held.version or held.version == 0:
-        return ConfigurationNews(version=held.version, digest=held.digest)
+        return ConfigurationAnnouncement(version=held.version, digest=held.digest)
     if not request.parts:
-        return Parts(version=held.version, manifest=held.manifest)
+        return ConfigurationParts(version=held.version, manifest=held.manifest)
     bodies: list[bytes] = []
     size = 0
     for digest in request.parts[:MAX_PARTS_IN_REQUEST]:
@@ -194,4 +202,4 @@
         if bodies and size > MAX_PARTS_BYTES:
             break
         bodies.append(part.body)
-    return Parts(version=held.version, parts=tuple(bodies))
+    return ConfigurationParts(version=held.version, parts=tuple(bodies))
--- a/gypsumrouter/configuration/spread.py
+++ b/gypsumrouter/configuration/spread.py
@@ -19,7 +19,11 @@
 from gypsumrouter.configuration.reader import PlatformReader
 from gypsumrouter.configuration.source import ConfigurationSource, HttpConfigurationSource
 from gypsumrouter.configuration.store import ConfigurationStore
-from gypsumrouter.link.models import ConfigurationNews, Parts, PartsRequest
+from gypsumrouter.link.models import (
+    ConfigurationAnnouncement,
+    ConfigurationParts,
+    ConfigurationPartsRequest,
+)
 
 if TYPE_CHECKING:
     from gypsumrouter.core import Application
@@ -30,7 +34,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 DUMP_SECTION: Final = "configuration_spread"
-ASK_VERSION: Final = PartsRequest(version=0)
+ASK_VERSION: Final = ConfigurationPartsRequest(version=0)
 
 
 class ConfigurationSpread:
@@ -92,9 +96,9 @@
 
     async def async_start(self) -> None:
         """Begin to ask peers and the platform; the store's `ready` says when one has answered."""
-        self._notices.subscribe(ConfigurationNews, self._take_news)
-        self._notices.subscribe(PartsRequest, self._answer_request)
-        self._notices.subscribe(Parts, self._take_parts)
+        self._notices.subscribe(ConfigurationAnnouncement, self._take_news)
+        self._notices.subscribe(ConfigurationPartsRequest, self._answer_request)
+        self._notices.subscribe(ConfigurationParts, self._take_parts)
         self._store.on_change(self._announce)
         self._fleet.on_change(self._forget_routes)
         self._app.add_dump_section(DUMP_SECTION, self._dump)
@@ -102,7 +106,7 @@
         self._app.async_create_task(self._async_keep_in_step(), "configuration anti-entropy")
         self._reader.async_start()
 
-    def _take_news(self, peer: Sender, news: ConfigurationNews) -> None:
+    def _take_news(self, peer: Sender, news: ConfigurationAnnouncement) -> None:
         self._reader.note_contact()
         mine = self._store.parts
         self._told[peer.hello.name] = max(news.version, mine.version)
@@ -113,15 +117,15 @@
         elif news.digest != mine.digest:
             self._note_conflict(peer, news)
 
-    def _answer_request(self, peer: Sender, request: PartsRequest) -> None:
+    def _answer_request(self, peer: Sender, request: ConfigurationPartsRequest) -> None:
         self._reader.note_contact()
         peer.send(answer_parts_request(self._store, request))
 
-    def _take_parts(self, peer: Sender, parts: Parts) -> None:
+    def _take_parts(self, peer: Sender, parts: ConfigurationParts) -> None:
         self._reader.note_contact()
         self._fetcher.take(parts)
 
-    def _note_conflict(self, peer: Sender, news: ConfigurationNews) -> None:
+    def _note_conflict(self, peer: Sender, news: ConfigurationAnnouncement) -> None:
         self._conflicts += 1
         if news.version == self._conflict_version:
             return
@@ -137,7 +141,7 @@
         sends = [self._async_tell(route, self._get_news()) for route in self._get_routes()]
         await asyncio.gather(*sends)
 
-    async def _async_tell(self, route: Route, news: ConfigurationNews) -> None:
+    async def _async_tell(self, route: Route, news: ConfigurationAnnouncement) -> None:
         """Tell the first instance of a route that can be reached and does not know yet."""
         for instance in route:
             if self._told.get(instance.name, 0) >= news.version:
@@ -185,8 +189,10 @@
             if await self._pool.async_send(instance=instance, notice=ASK_VERSION):
                 return
 
-    def _get_news(self) -> ConfigurationNews:
-        return ConfigurationNews(version=self._store.parts.version, digest=self._store.parts.digest)
+    def _get_news(self) -> ConfigurationAnnouncement:
+        return ConfigurationAnnouncement(
+            version=self._store.parts.version, digest=self._store.parts.digest
+        )
 
     def _get_routes(self) -> tuple[Route, ...]:
         if self._routes is None:
--- a/gypsumrouter/gateway/dispatch.py
+++ b/gypsumrouter/gateway/dispatch.py
@@ -137,7 +137,7 @@
                         exchange.cancel()
                         return Failed(reason=Reason.UPSTREAM_PROTOCOL)
                     begun = True
-                    exchange.hand_to(reply.take_now)
+                    exchange.set_consumer(reply.take_now)
                 case End():
                     if not begun:
                         return Failed(reason=Reason.CORRUPTED)
--- a/gypsumrouter/link/answer.py
+++ b/gypsumrouter/link/answer.py
@@ -142,7 +142,7 @@
         del self._buffer[:freed]
         self._base = offset
         self._wake()
-        self._memory.give_back(freed)
+        self._memory.release(freed)
 
     def drop(self) -> None:
         """Forget everything, and stop the work if it still runs."""
@@ -181,14 +181,14 @@
     async def _async_wait(self) -> None:
         self._waiter = asyncio.get_running_loop().create_future()
         if len(self._buffer) < self._window_bytes:
-            self._memory.wait(self._waiter)
+            self._memory.add_waiter(self._waiter)
         await self._waiter
 
     def _append(self, part: bytes) -> None:
         self._buffer += part
         self._length += len(part)
         self._hash.update(part)
-        self._memory.take(len(part))
+        self._memory.reserve(len(part))
         self._mark()
 
     def _finish(self, kind: Kind, body: bytes) -> None:
--- a/gypsumrouter/link/codec.py
+++ b/gypsumrouter/link/codec.py
@@ -9,7 +9,7 @@
 from gypsumrouter.const import Role, UpstreamKind
 from gypsumrouter.link.const import Kind
 from gypsumrouter.link.models import End, Head, Headers, Hello, Open
-from gypsumrouter.link.schema import SCHEMA, read_pool_load, reading, set_pool_load, to_bytes
+from gypsumrouter.link.schema import SCHEMA, open_message, read_pool_load, set_pool_load, to_bytes
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
 _NO_RETRY: Final = -1
@@ -54,7 +54,7 @@
 
 def decode_greeting(body: bytes) -> Greeting:
     """Return a HELLO body's content; raises FrameError."""
-    with reading(SCHEMA.Hello, body) as message:
+    with open_message(SCHEMA.Hello, body) as message:
         hello = Hello(name=message.name, role=Role(message.role), incarnation=message.incarnation)
         return Greeting(
             version=message.version,
@@ -72,7 +72,7 @@
 
 def decode_proof(body: bytes) -> bytes:
     """Return the code of a PROOF body; raises FrameError."""
-    with reading(SCHEMA.Proof, body) as message:
+    with open_message(SCHEMA.Proof, body) as message:
         return bytes(message.mac)
 
 
@@ -83,7 +83,7 @@
 
 def decode_goodbye(body: bytes) -> str:
     """Return the text of a GOODBYE body; raises FrameError."""
-    with reading(SCHEMA.Goodbye, body) as message:
+    with open_message(SCHEMA.Goodbye, body) as message:
         return str(message.message)
 
 
@@ -119,7 +119,7 @@
 
 def decode_open(body: bytes, sequence: int) -> Open:
     """Return an OPEN body's content; raises FrameError."""
-    with reading(SCHEMA.Open, body) as message:
+    with open_message(SCHEMA.Open, body) as message:
         return Open(
             sequence=sequence,
             request_id=message.requestId,
@@ -159,7 +159,7 @@
 
 def decode_head(body: bytes) -> Head:
     """Return a HEAD body's content; raises FrameError."""
-    with reading(SCHEMA.Head, body) as message:
+    with open_message(SCHEMA.Head, body) as message:
         return Head(
             status=message.status,
             headers=_read_headers(message.headers),
@@ -174,7 +174,7 @@
 
 def decode_end(body: bytes) -> End:
     """Return an END body's content; raises FrameError."""
-    with reading(SCHEMA.End, body) as message:
+    with open_message(SCHEMA.End, body) as message:
         return End(length=message.length, checksum=message.checksum)
 
 
@@ -195,7 +195,7 @@
 
 def decode_failure(kind: int, body: bytes) -> Failure:
     """Return the content of a REFUSED or a FAILED body; raises FrameError."""
-    with reading(SCHEMA.Failure, body) as message:
+    with open_message(SCHEMA.Failure, body) as message:
         reason = _read_reason(kind, message.reason)
         after = message.retryAfterMs
         retry_after_ms = None if after == _NO_RETRY else after
@@ -216,7 +216,7 @@
 
 def decode_confirm(body: bytes) -> int:
     """Return the offset of a CONFIRM body; raises FrameError."""
-    with reading(SCHEMA.Confirm, body) as message:
+    with open_message(SCHEMA.Confirm, body) as message:
         return int(message.offset)
 
 
@@ -231,7 +231,7 @@
 
 def decode_resume(body: bytes) -> Resume:
     """Return a RESUME body's content; raises FrameError."""
-    with reading(SCHEMA.Resume, body) as message:
+    with open_message(SCHEMA.Resume, body) as message:
         return Resume(offset=message.offset, has_head=message.hasHead, age_ms=message.ageMs)
 
 
--- a/gypsumrouter/link/connection.py
+++ b/gypsumrouter/link/connection.py
@@ -17,7 +17,7 @@
     MAX_FRAME_BYTES,
     MAX_HANDSHAKE_FRAME_BYTES,
     MAX_HANDSHAKE_FRAMES,
-    MAX_LOAD_MARK,
+    MAX_REPORTED_LOAD,
     Kind,
 )
 from gypsumrouter.link.counts import ByteCounts
@@ -36,7 +36,7 @@
 _DATA_OVERHEAD = HEADER_BYTES + OFFSET_BYTES
 
 
-class LoadMark:
+class ReportedLoad:
     """The load that a server's answers carry: one more than it is, 0 while it is not known."""
 
     __slots__ = ("value",)
@@ -46,10 +46,10 @@
 
     def set(self, load: int) -> None:
         """Set the load of the upstream, in requests."""
-        self.value = min(load + 1, MAX_LOAD_MARK)
+        self.value = min(load + 1, MAX_REPORTED_LOAD)
 
 
-class Source(Protocol):
+class FrameSource(Protocol):
     """Something that has frames for a connection and makes them when there is room."""
 
     def pump(self, connection: Connection) -> None:
@@ -59,7 +59,7 @@
 class Connection(asyncio.Protocol):
     """Both ends' view of one connection; exactly one task reads its frames.
 
-    Frames that are too long or unknown end it with a GOODBYE that says why; the reading task
+    Frames that are too long or unknown end it with a GOODBYE that says why; the open_message task
     then gets a FrameError.
     """
 
@@ -69,38 +69,38 @@
         "_error",
         "_flush_scheduled",
         "_frames",
-        "_load_mark",
         "_loop",
         "_out",
         "_out_bytes",
         "_paused",
         "_reader",
         "_ready",
+        "_reported_load",
         "_transport",
         "_waiter",
         "_writable",
         "busy_since_ms",
         "clock",
-        "echo_asked_ms",
-        "last_heard_ms",
+        "echo_requested_ms",
+        "last_received_ms",
         "last_sent_ms",
         "last_used_ms",
         "opened_ms",
     )
 
     def __init__(
-        self, *, clock: Clock, counts: ByteCounts, load_mark: LoadMark | None = None
+        self, *, clock: Clock, counts: ByteCounts, reported_load: ReportedLoad | None = None
     ) -> None:
         now_ms = clock.now_ms()
         self.clock = clock
         self.opened_ms = now_ms
-        self.last_heard_ms = now_ms
+        self.last_received_ms = now_ms
         self.last_sent_ms = now_ms
         self.last_used_ms = now_ms
         self.busy_since_ms: int | None = None
-        self.echo_asked_ms: int | None = None
+        self.echo_requested_ms: int | None = None
         self._counts = counts
-        self._load_mark = load_mark
+        self._reported_load = reported_load
         self._loop = asyncio.get_running_loop()
         self._reader = FrameReader(limit=MAX_HANDSHAKE_FRAME_BYTES)
         self._frames: deque[Frame] = deque()
@@ -110,7 +110,7 @@
         self._transport: asyncio.Transport | None = None
         self._out: list[bytes] = []
         self._out_bytes = 0
-        self._ready: dict[Source, None] = {}
+        self._ready: dict[FrameSource, None] = {}
         self._flush_scheduled = False
         self._paused = False
         self._closed = False
@@ -147,15 +147,15 @@
             set_silence_limits(connection)
 
     def data_received(self, data: bytes) -> None:
-        """Cut what arrived into frames and wake the reading task."""
+        """Parse received bytes into frames and wake the reading task."""
         if self._closed:
             return
-        self.last_heard_ms = self.clock.now_ms()
+        self.last_received_ms = self.clock.now_ms()
         try:
             frames = self._reader.feed(data)
         except FrameError as error:
             self._error = error
-            self.end(str(error))
+            self.close_with_goodbye(str(error))
             return
         if not frames:
             return
@@ -165,7 +165,7 @@
         self._frames.extend(frames)
         if self._reader.limit != MAX_FRAME_BYTES and len(self._frames) > MAX_HANDSHAKE_FRAMES:
             self._error = FrameError("too many frames before the end of the handshake")
-            self.end(str(self._error))
+            self.close_with_goodbye(str(self._error))
         self._wake()
 
     def eof_received(self) -> bool | None:
@@ -174,7 +174,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Wake whoever waits; frames that have arrived are still read."""
-        self._shut()
+        self._mark_closed()
 
     def pause_writing(self) -> None:
         """Stop making frames while the transport's buffer is full."""
@@ -187,7 +187,7 @@
             self._writable.set_result(None)
         self._schedule_flush()
 
-    def lift_limit(self) -> None:
+    def raise_frame_limit(self) -> None:
         """Allow frames of full length, once the peer has proved itself."""
         self._reader.limit = MAX_FRAME_BYTES
 
@@ -221,8 +221,8 @@
         if self._closed:
             return
         load = 0
-        if self._load_mark is not None and kind in LOAD_KINDS:
-            load = self._load_mark.value
+        if self._reported_load is not None and kind in LOAD_KINDS:
+            load = self._reported_load.value
         frame = pack_frame(kind, flags, stream, body, load)
         self._counts.sent[kind] += len(frame)
         self._out.append(frame)
@@ -237,7 +237,7 @@
         self._out.append(body)
         self._out_bytes += _DATA_OVERHEAD + size
 
-    def mark_ready(self, source: Source) -> None:
+    def mark_ready(self, source: FrameSource) -> None:
         """Ask for frames from `source` at the end of this turn, or as soon as there is room."""
         if self._closed:
             return
@@ -251,7 +251,7 @@
             self._pump()
             self._write()
 
-    def end(self, message: str) -> None:
+    def close_with_goodbye(self, message: str) -> None:
         """Close because of what the peer sent, and tell it."""
         self.send(Kind.GOODBYE, body=encode_goodbye(message))
         self.close()
@@ -261,14 +261,14 @@
         if self._closed:
             return
         self.flush()
-        self._shut()
+        self._mark_closed()
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
         """Close at once; nothing more is read."""
         self._frames.clear()
-        self._shut()
+        self._mark_closed()
         if self._transport is not None:
             self._transport.abort()
 
@@ -294,7 +294,7 @@
         self._flush_scheduled = True
         self._loop.call_soon(self.flush)
 
-    def _shut(self) -> None:
+    def _mark_closed(self) -> None:
         self._closed = True
         self._ready.clear()
         self._out.clear()
--- a/gypsumrouter/link/const.py
+++ b/gypsumrouter/link/const.py
@@ -22,31 +22,31 @@
 TICKS_PER_HEARTBEAT: Final = 4
 TICKS_PER_IDLE_CHECK: Final = 8
 # The dialer's own sign of life only keeps the server from giving its exchanges up.
-DIALER_PATIENCE: Final = 4
+DIALER_INTERVAL_FACTOR: Final = 4
 IDLE_FACTOR: Final = 2
-CONFIRM_SHARE: Final = 4
-PRESS_INTERVAL_MS: Final = 50
+CONFIRMS_PER_WINDOW: Final = 4
+CONFIRM_REQUEST_INTERVAL_MS: Final = 50
 
 STATUS_INTERVAL_MS: Final = 100
 STATUS_BYTES_S: Final = 2_048
 # Where a server has many links its peers have too, and each hears from as many servers.
-STATUS_SQUARE_BYTES_S: Final = 120_000
-STATUS_KEPT_MS: Final = 600_000
+STATUS_MESH_BYTES_S: Final = 120_000
+STATUS_RETENTION_MS: Final = 600_000
 
 BACKOFF_FIRST_MS: Final = 20
 BACKOFF_MAX_MS: Final = 500
 
-FORGET_ROUTER_MS: Final = 600_000
+ROUTER_RETENTION_MS: Final = 600_000
 MAX_ROUTERS: Final = 4_096
 AGE_MARGIN_MS: Final = 1_000
 MAX_LOGGED_PEERS: Final = 1_024
 
 FLAG_NONE: Final = 0
 FLAG_FINAL: Final = 1
-FLAG_PRESS: Final = 1
-FLAG_ECHO_ASKED: Final = 2
-FLAG_ECHO: Final = 4
-MAX_LOAD_MARK: Final = 0xFFFF
+FLAG_CONFIRM_REQUEST: Final = 1
+FLAG_ECHO_REQUEST: Final = 2
+FLAG_ECHO_REPLY: Final = 4
+MAX_REPORTED_LOAD: Final = 0xFFFF
 
 
 class Kind(IntEnum):
--- a/gypsumrouter/link/dialer.py
+++ b/gypsumrouter/link/dialer.py
@@ -18,7 +18,7 @@
 from gypsumrouter.link.const import (
     BACKOFF_FIRST_MS,
     BACKOFF_MAX_MS,
-    DIALER_PATIENCE,
+    DIALER_INTERVAL_FACTOR,
     MAX_FRAME_BYTES,
     Kind,
 )
@@ -28,14 +28,14 @@
 from gypsumrouter.link.handshake import (
     HandshakeFailed,
     WrongKey,
-    async_greet,
+    async_dial,
     make_greeting,
     to_seconds,
 )
-from gypsumrouter.link.liveness import ask_for_echo, forgive_silence, keep_alive
+from gypsumrouter.link.liveness import keep_alive, request_echo, reset_silence_timer
+from gypsumrouter.link.log_once import LogOnce
 from gypsumrouter.link.models import Hello, Notice, Open
 from gypsumrouter.link.notices import Peer
-from gypsumrouter.link.once import LogOnce
 from gypsumrouter.link.outstanding import Outstanding
 from gypsumrouter.outcomes import Failed, Reason, Refused
 from gypsumrouter.settings import Link
@@ -61,7 +61,7 @@
     tls: ssl.SSLContext | None
     counts: ByteCounts
     wrong_keys: LogOnce
-    take_number: Callable[[], int]
+    allocate_number: Callable[[], int]
     on_notice: Callable[[Peer, Frame], None]
     on_load: Callable[[str, int, int], None]
     on_contact: Callable[[str, bool], None]
@@ -137,7 +137,7 @@
             return _UNREACHABLE
         if not await connection.async_wait_writable():
             return _UNREACHABLE
-        request = replace(request, sequence=self._context.take_number())
+        request = replace(request, sequence=self._context.allocate_number())
         body = encode_open(request)
         if len(body) > MAX_FRAME_BYTES:
             return _TOO_LARGE
@@ -160,27 +160,27 @@
             return
         busy = len(self._outstanding) > 0
         if late:
-            forgive_silence(connection, now_ms)
+            reset_silence_timer(connection, now_ms)
         keep_alive(
             connection=connection,
             busy=busy,
             now_ms=now_ms,
-            heartbeat_ms=self._context.settings.heartbeat_ms * DIALER_PATIENCE,
+            heartbeat_ms=self._context.settings.heartbeat_ms * DIALER_INTERVAL_FACTOR,
             silence_ms=self._context.settings.silence_ms,
             name=self.instance.name,
         )
-        self._check_arrival(connection, now_ms)
+        self._check_delivery(connection, now_ms)
         if busy or self._waiters:
             connection.last_used_ms = now_ms
         self.last_used_ms = connection.last_used_ms
         if now_ms - connection.last_used_ms >= self._context.settings.idle_close_ms:
             connection.close()
 
-    def _check_arrival(self, connection: Connection, now_ms: int) -> None:
+    def _check_delivery(self, connection: Connection, now_ms: int) -> None:
         settings = self._context.settings
-        ask_for_echo(
+        request_echo(
             connection=connection,
-            waiting=self._outstanding.is_waiting(since_ms=now_ms - settings.heartbeat_ms),
+            waiting=self._outstanding.has_undelivered(since_ms=now_ms - settings.heartbeat_ms),
             now_ms=now_ms,
             settings=settings,
             name=self.instance.name,
@@ -191,7 +191,7 @@
         self._outstanding.fail_all(_STOPPED)
         if self._connection is not None:
             self._connection.close()
-        self._answer_waiters()
+        self._wake_waiters()
         self._task.cancel()
 
     async def _async_get_connection(self) -> Connection | None:
@@ -214,7 +214,7 @@
             connection = await self._async_connect()
             if connection is not None:
                 await self._async_serve(connection)
-            self._give_up_late()
+            self._fail_expired()
             if len(self._outstanding):
                 await self._async_pause()
             elif not self._waiters:
@@ -225,12 +225,12 @@
         connection: Connection | None = None
         try:
             async with asyncio.timeout(to_seconds(context.settings.connect_ms)):
-                connection = await self._async_dial()
-                greeting = await async_greet(
+                connection = await self._async_open_connection()
+                greeting = await async_dial(
                     connection=connection,
                     greeting=make_greeting(
                         app=context.app,
-                        attempt=context.take_number(),
+                        attempt=context.allocate_number(),
                         window_bytes=context.settings.window_bytes,
                     ),
                     key=context.key,
@@ -242,14 +242,14 @@
         except (OSError, TimeoutError, HandshakeFailed, FrameError) as error:
             _LOGGER.debug("No link to %s: %r", self.instance.name, error)
         else:
-            self._begin(connection, greeting)
+            self._activate(connection, greeting)
             return connection
         if connection is not None:
             connection.abort()
-        self._note_failure()
+        self._record_failure()
         return None
 
-    async def _async_dial(self) -> Connection:
+    async def _async_open_connection(self) -> Connection:
         address = self.instance.address
         context = self._context
         _, connection = await asyncio.get_running_loop().create_connection(
@@ -260,7 +260,7 @@
         )
         return connection
 
-    def _begin(self, connection: Connection, greeting: Greeting) -> None:
+    def _activate(self, connection: Connection, greeting: Greeting) -> None:
         """Take a new link into use: settle what the last one left behind, then tell."""
         hello: Hello = greeting.hello
         if self._incarnation is not None and self._incarnation != hello.incarnation:
@@ -272,7 +272,7 @@
         self._outstanding.attach(connection, greeting.window_bytes)
         self._context.wrong_keys.clear(self.instance.name)
         self._retry_ms = 0
-        self._answer_waiters()
+        self._wake_waiters()
         self._context.on_contact(self.instance.name, True)
         self._context.on_connected(self.peer)
 
@@ -285,11 +285,11 @@
                     self._on_frame(frame)
         except FrameError as error:
             _LOGGER.warning("The link to %s is closed: %s", self.instance.name, error)
-            connection.end(str(error))
+            connection.close_with_goodbye(str(error))
             # The same bytes would come again over a new link.
             self._outstanding.fail_all(_BROKEN)
         connection.abort()
-        self._note_loss(connection)
+        self._record_loss(connection)
 
     def _on_frame(self, frame: Frame) -> None:
         if frame.load and self._incarnation is not None:
@@ -299,7 +299,7 @@
         if self.peer is not None:
             self._context.on_notice(self.peer, frame)
 
-    def _note_loss(self, connection: Connection) -> None:
+    def _record_loss(self, connection: Connection) -> None:
         now_ms = self._context.app.clock.now_ms()
         self._connection = None
         self._outstanding.detach()
@@ -307,14 +307,14 @@
         lived_ms = now_ms - connection.opened_ms
         self._failures = self._failures + 1 if lived_ms < BACKOFF_MAX_MS else 0
 
-    def _note_failure(self) -> None:
+    def _record_failure(self) -> None:
         self._failures += 1
         if not len(self._outstanding):
             self._retry_ms = self._context.app.clock.now_ms() + self._get_backoff_ms()
-        self._answer_waiters()
+        self._wake_waiters()
         self._context.on_contact(self.instance.name, False)
 
-    def _give_up_late(self) -> None:
+    def _fail_expired(self) -> None:
         now_ms = self._context.app.clock.now_ms()
         if now_ms - self._lost_ms >= self._context.settings.resume_ms:
             self._outstanding.fail_all(_LOST)
@@ -327,7 +327,7 @@
         ceiling = min(BACKOFF_MAX_MS, BACKOFF_FIRST_MS << min(self._failures, 8))
         return random.randint(ceiling // 2, ceiling)
 
-    def _answer_waiters(self) -> None:
+    def _wake_waiters(self) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
--- a/gypsumrouter/link/exchange.py
+++ b/gypsumrouter/link/exchange.py
@@ -16,7 +16,7 @@
 _CORRUPTED = Failed(reason=Reason.CORRUPTED, message="the answer does not match its end")
 
 # Takes a part of a body at once, or returns False and leaves it to whoever reads the answer.
-Taker = Callable[[bytes], bool]
+BodyConsumer = Callable[[bytes], bool]
 
 
 class ExchangeOwner(Protocol):
@@ -37,10 +37,10 @@
 
     __slots__ = (
         "_confirmed",
+        "_consumer",
         "_events",
         "_hash",
         "_owner",
-        "_taker",
         "_waiter",
         "arrived",
         "confirm_sent",
@@ -63,7 +63,7 @@
         self._confirmed = 0
         self._hash = xxhash.xxh3_64()
         self._events: deque[AnswerEvent] = deque()
-        self._taker: Taker | None = None
+        self._consumer: BodyConsumer | None = None
         self._waiter: asyncio.Future[None] | None = None
 
     @property
@@ -77,7 +77,7 @@
         return self._confirmed
 
     @property
-    def waiting(self) -> bool:
+    def has_events(self) -> bool:
         """Return whether a part of the answer is there already."""
         return bool(self._events)
 
@@ -94,9 +94,9 @@
             return event
         return self._merge(event)
 
-    def hand_to(self, taker: Taker) -> None:
-        """Offer each part of the body to `taker` while the reader waits, before it is woken."""
-        self._taker = taker
+    def set_consumer(self, consumer: BodyConsumer) -> None:
+        """Offer each part of the body to `consumer` while the reader waits, before it is woken."""
+        self._consumer = consumer
 
     def confirm(self, offset: int) -> None:
         """Note that the caller took all bytes below `offset`, so that more may come."""
@@ -129,7 +129,7 @@
             return
         self.received += len(body)
         self._hash.update(body)
-        if self._taker is not None and self._is_awaited() and self._taker(body):
+        if self._consumer is not None and self._is_reader_waiting() and self._consumer(body):
             self.confirm(self.received)
             return
         self._add(Data(offset=offset, body=body))
@@ -164,7 +164,7 @@
             self._events.popleft()
         return Data(offset=first.offset, body=b"".join(bodies))
 
-    def _is_awaited(self) -> bool:
+    def _is_reader_waiting(self) -> bool:
         """Return whether the reader waits, so that all that came before has been taken."""
         return self._waiter is not None and not self._waiter.done()
 
--- a/gypsumrouter/link/frames.py
+++ b/gypsumrouter/link/frames.py
@@ -55,28 +55,28 @@
 class FrameReader:
     """Cut a stream of bytes into frames; `limit` bounds the length of a body."""
 
-    __slots__ = ("_needed", "_rest", "limit")
+    __slots__ = ("_buffered", "_needed", "limit")
 
     def __init__(self, *, limit: int = MAX_FRAME_BYTES) -> None:
         self.limit = limit
-        self._rest = bytearray()
+        self._buffered = bytearray()
         self._needed = HEADER_BYTES
 
     @property
     def partial(self) -> bool:
         """Return whether a frame has begun to arrive."""
-        return bool(self._rest)
+        return bool(self._buffered)
 
     def feed(self, data: bytes) -> list[Frame]:
         """Return the frames that are complete with `data`; raises FrameError."""
-        if self._rest:
-            self._rest += data
-            if len(self._rest) < self._needed:
+        if self._buffered:
+            self._buffered += data
+            if len(self._buffered) < self._needed:
                 return []
-            data = bytes(self._rest)
+            data = bytes(self._buffered)
         frames: list[Frame] = []
         begin = self._cut(data, frames)
-        self._rest = bytearray(data[begin:])
+        self._buffered = bytearray(data[begin:])
         return frames
 
     def _cut(self, data: bytes, frames: list[Frame]) -> int:
@@ -87,7 +87,7 @@
         while size - begin >= HEADER_BYTES:
             length, kind, flags, load, stream = unpack_from(data, begin)
             if length > limit or kind not in KIND_VALUES or (load and kind not in LOAD_KINDS):
-                self._refuse(length, kind)
+                self._reject(length, kind)
             end = begin + HEADER_BYTES + length
             if end > size:
                 self._needed = end - begin
@@ -97,7 +97,7 @@
         self._needed = HEADER_BYTES
         return begin
 
-    def _refuse(self, length: int, kind: int) -> NoReturn:
+    def _reject(self, length: int, kind: int) -> NoReturn:
         if length > self.limit:
             raise FrameError(f"a frame of {length} bytes is longer than {self.limit}")
         raise FrameError(f"a frame of unknown kind {kind}")
--- a/gypsumrouter/link/handshake.py
+++ b/gypsumrouter/link/handshake.py
@@ -56,7 +56,7 @@
     )
 
 
-async def async_greet(
+async def async_dial(
     *, connection: Connection, greeting: Greeting, key: bytes, expected_name: str | None
 ) -> Greeting:
     """Run the dialer's part and return the server's greeting; without a name any may answer.
@@ -72,7 +72,7 @@
     server = _check_greeting(theirs)
     if expected_name is not None and server.hello.name != expected_name:
         raise HandshakeFailed(f"{server.hello.name} answers instead of {expected_name}")
-    connection.lift_limit()
+    connection.raise_frame_limit()
     connection.send(Kind.PROOF, body=encode_proof(_make_mac(key, _LABEL_DIALER, own, theirs)))
     await _async_expect(connection, Kind.WELCOME)
     return server
--- a/gypsumrouter/link/liveness.py
+++ b/gypsumrouter/link/liveness.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from gypsumrouter.link.connection import Connection
-from gypsumrouter.link.const import FLAG_ECHO_ASKED, TICKS_PER_HEARTBEAT, Kind
+from gypsumrouter.link.const import FLAG_ECHO_REQUEST, TICKS_PER_HEARTBEAT, Kind
 from gypsumrouter.settings import Link
 from gypsumrouter.util.clock import Clock
 
@@ -31,7 +31,7 @@
         return
     if connection.busy_since_ms is None:
         connection.busy_since_ms = now_ms
-    silent_ms = now_ms - max(connection.last_heard_ms, connection.busy_since_ms)
+    silent_ms = now_ms - max(connection.last_received_ms, connection.busy_since_ms)
     if busy and silent_ms >= silence_ms:
         _LOGGER.warning("The link with %s was silent for %s ms and is dropped", name, silent_ms)
         connection.abort()
@@ -40,7 +40,7 @@
         connection.send(Kind.HEARTBEAT)
 
 
-def ask_for_echo(
+def request_echo(
     *, connection: Connection, waiting: bool, now_ms: int, settings: Link, name: str
 ) -> None:
     """Ask the server for an echo while a request waits for its first word, and drop a link
@@ -49,18 +49,20 @@
     What arrives for other requests does not show that this one got through.
     """
     if not waiting:
-        connection.echo_asked_ms = None
+        connection.echo_requested_ms = None
         return
-    if connection.echo_asked_ms is None:
-        connection.echo_asked_ms = now_ms
-        connection.send(Kind.HEARTBEAT, flags=FLAG_ECHO_ASKED)
+    if connection.echo_requested_ms is None:
+        connection.echo_requested_ms = now_ms
+        connection.send(Kind.HEARTBEAT, flags=FLAG_ECHO_REQUEST)
         return
-    if now_ms - connection.echo_asked_ms >= settings.silence_ms - settings.heartbeat_ms:
+    if now_ms - connection.echo_requested_ms >= settings.silence_ms - settings.heartbeat_ms:
         _LOGGER.warning("The link with %s takes nothing and is dropped", name)
         connection.abort()
 
 
-async def async_tick(*, clock: Clock, settings: Link, on_tick: Callable[[int, bool], None]) -> None:
+async def async_run_timer(
+    *, clock: Clock, settings: Link, on_tick: Callable[[int, bool], None]
+) -> None:
     """Call `on_tick` a few times in each heartbeat, with the time and whether we were late.
 
     After a pause of the process what the peers sent meanwhile has not been read yet, so that
@@ -75,6 +77,6 @@
         due_ms = now_ms + period_ms
 
 
-def forgive_silence(connection: Connection, now_ms: int) -> None:
+def reset_silence_timer(connection: Connection, now_ms: int) -> None:
     """Begin to judge a peer's silence anew."""
-    connection.last_heard_ms = now_ms
+    connection.last_received_ms = now_ms
--- a/gypsumrouter/link/memory.py
+++ b/gypsumrouter/link/memory.py
@@ -30,7 +30,7 @@
         return self._used
 
     @property
-    def waiting(self) -> bool:
+    def has_waiters(self) -> bool:
         """Return whether an answer waits for memory."""
         return any(not waiter.done() for waiter in self._waiters)
 
@@ -41,7 +41,7 @@
     def remove_answer(self, held: int) -> None:
         """Take an answer out, with the `held` bytes that it still has."""
         self._answers -= 1
-        self.give_back(held)
+        self.release(held)
 
     def get_room(self, held: int) -> int:
         """Return how many bytes an answer that already holds `held` may add now."""
@@ -52,11 +52,11 @@
         own = part // max(1, self._answers) - held
         return max(0, min(own, self.limit_bytes - self._used))
 
-    def take(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Count `size` bytes more."""
         self._used += size
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Count `size` bytes less, and let waiting answers try again."""
         self._used -= size
         if not self._waiters:
@@ -66,7 +66,7 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    def wait(self, waiter: asyncio.Future[None]) -> None:
+    def add_waiter(self, waiter: asyncio.Future[None]) -> None:
         """Have `waiter` woken when memory comes free, and ask for some."""
         self._waiters.append(waiter)
         self._on_pressure()
--- a/gypsumrouter/link/models.py
+++ b/gypsumrouter/link/models.py
@@ -108,21 +108,21 @@
     batch_waiting: int = 0
 
 
-class ConfigurationNews(Struct, frozen=True, kw_only=True):
+class ConfigurationAnnouncement(Struct, frozen=True, kw_only=True):
     """A configuration version that the sender has in force, with the digest of its manifest."""
 
     version: int
     digest: int
 
 
-class PartsRequest(Struct, frozen=True, kw_only=True):
+class ConfigurationPartsRequest(Struct, frozen=True, kw_only=True):
     """Ask for parts of a configuration version by their digests; none asks for the manifest."""
 
     version: int
     parts: tuple[int, ...] = ()
 
 
-class Parts(Struct, frozen=True, kw_only=True):
+class ConfigurationParts(Struct, frozen=True, kw_only=True):
     """Parts of a configuration version; `parts` are compressed bodies, `manifest` their order."""
 
     version: int
@@ -130,14 +130,14 @@
     parts: tuple[bytes, ...] = ()
 
 
-class PrefixNews(Struct, frozen=True, kw_only=True):
+class PrefixAnnouncement(Struct, frozen=True, kw_only=True):
     """A chat, by the digest of its name, that ran away from its first place and is cached there."""
 
     chat: int
     prompt_bytes: int
 
 
-class SuspectNews(Struct, frozen=True, kw_only=True):
+class SuspectAnnouncement(Struct, frozen=True, kw_only=True):
     """A request digest that was running when an upstream died.
 
     `strike` is a number unique to that death, so that the same death is counted once.
@@ -148,7 +148,7 @@
     alone: bool
 
 
-class HeldModel(Struct, frozen=True, kw_only=True):
+class ModelStatus(Struct, frozen=True, kw_only=True):
     """A model or adapter of an engine: `version` is held, `next_version` is to be loaded.
 
     One of them may be empty. `serving` says that new requests are taken for it. `load` is the
@@ -163,7 +163,7 @@
     failures: int = 0
 
 
-class Holding(Struct, frozen=True, kw_only=True):
+class EngineStatus(Struct, frozen=True, kw_only=True):
     """What one side says of its engine; a higher `stamp_ms` replaces a lower one.
 
     `engine` is where neighbours reach the engine, as `host:port`. `up` says that it answers. A
@@ -175,14 +175,14 @@
     engine: str
     up: bool
     role: str = ""
-    models: tuple[HeldModel, ...] = ()
+    models: tuple[ModelStatus, ...] = ()
 
 
-class Holdings(Struct, frozen=True, kw_only=True):
+class PoolStatus(Struct, frozen=True, kw_only=True):
     """What the engines of a pool hold, as far as the sender has news of them."""
 
     pool: str
-    entries: tuple[Holding, ...]
+    entries: tuple[EngineStatus, ...]
 
 
 class RouterLoad(Struct, frozen=True, kw_only=True):
@@ -207,14 +207,14 @@
     upstream: str
 
 
-class RouterAt(Struct, frozen=True, kw_only=True):
+class RouterAddress(Struct, frozen=True, kw_only=True):
     """Where a router's link listens, and its data centre; empty where that is not known yet."""
 
     address: str
     data_centre: str
 
 
-class EvacuationTold(Struct, frozen=True, kw_only=True):
+class EvacuationState(Struct, frozen=True, kw_only=True):
     """Whether a data centre is evacuated, as of a revision of the platform's store."""
 
     data_centre: str
@@ -222,7 +222,7 @@
     active: bool
 
 
-class RouterNews(Struct, frozen=True, kw_only=True):
+class RouterUpdate(Struct, frozen=True, kw_only=True):
     """What routers of one data centre tell each other a few times a second.
 
     `address` is where the sender's link listens and `routers` the links that it knows. The two
@@ -234,13 +234,13 @@
     """
 
     address: str
-    routers: tuple[RouterAt, ...]
+    routers: tuple[RouterAddress, ...]
     routing_version: int
     list_revision: int
     loads: tuple[RouterLoad, ...] = ()
     placed: tuple[PlacedPart, ...] = ()
     strikes: tuple[Strike, ...] = ()
-    evacuations: tuple[EvacuationTold, ...] = ()
+    evacuations: tuple[EvacuationState, ...] = ()
     refused: tuple[str, ...] = ()
     data_centre: str = ""
 
@@ -258,10 +258,10 @@
     loads: tuple[RouterLoad, ...]
 
 
-class DataCentreNews(Struct, frozen=True, kw_only=True):
+class DataCentreUpdate(Struct, frozen=True, kw_only=True):
     """What one router tells of its data centre to one router of another.
 
-    The fields are those of `RouterNews`.
+    The fields are those of `RouterUpdate`.
     """
 
     address: str
@@ -270,11 +270,11 @@
     list_revision: int
     placed: tuple[PlacedPart, ...] = ()
     strikes: tuple[Strike, ...] = ()
-    evacuations: tuple[EvacuationTold, ...] = ()
+    evacuations: tuple[EvacuationState, ...] = ()
     refused: tuple[str, ...] = ()
 
 
-class RelayedNews(Struct, frozen=True, kw_only=True):
+class RelayedUpdate(Struct, frozen=True, kw_only=True):
     """News of other data centres, handed on within one; `loads` has those heard of just now."""
 
     loads: tuple[DataCentreLoads, ...]
@@ -283,7 +283,7 @@
     refused: tuple[str, ...] = ()
 
 
-class StoreWatched(Struct, frozen=True, kw_only=True):
+class StoreUpdate(Struct, frozen=True, kw_only=True):
     """What a router that watches the platform's store knows, for those that do not.
 
     `routing_version` and `list_newest` are the newest changes that it acts on; it knows all changes
@@ -295,10 +295,10 @@
     routing_as_of: int
     list_newest: int
     list_as_of: int
-    evacuations: tuple[EvacuationTold, ...] = ()
+    evacuations: tuple[EvacuationState, ...] = ()
 
 
-class CatchUp(Struct, frozen=True, kw_only=True):
+class CatchUpRequest(Struct, frozen=True, kw_only=True):
     """Ask a router for the configuration or the list that it acts on.
 
     Of the list only what changed after the revision `since` is wanted.
@@ -314,7 +314,7 @@
 
     version: int
     document: bytes
-    evacuations: tuple[EvacuationTold, ...] = ()
+    evacuations: tuple[EvacuationState, ...] = ()
 
 
 class ListedUpstream(Struct, frozen=True, kw_only=True):
@@ -338,43 +338,43 @@
     as_of: int = 0
 
 
-class HeldWanted(Struct, frozen=True, kw_only=True):
+class InventoryRequest(Struct, frozen=True, kw_only=True):
     """Ask a router what all engines hold in their caches."""
 
 
-class HeldAt(Struct, frozen=True, kw_only=True):
+class EngineListing(Struct, frozen=True, kw_only=True):
     """Parts of prompts in the cache of one incarnation of an engine."""
 
     upstream: str
     parts: tuple[int, ...]
 
 
-class HeldNews(Struct, frozen=True, kw_only=True):
+class InventoryUpdate(Struct, frozen=True, kw_only=True):
     """What engines hold, as far as a router knows.
 
     `complete` says that it knows of all engines; without it the rest may follow later.
     """
 
     complete: bool
-    engines: tuple[HeldAt, ...]
+    engines: tuple[EngineListing, ...]
 
 
 Notice = (
     Status
-    | ConfigurationNews
-    | PartsRequest
-    | Parts
-    | SuspectNews
-    | Holdings
-    | PrefixNews
-    | RouterNews
-    | DataCentreNews
-    | RelayedNews
-    | StoreWatched
-    | CatchUp
+    | ConfigurationAnnouncement
+    | ConfigurationPartsRequest
+    | ConfigurationParts
+    | SuspectAnnouncement
+    | PoolStatus
+    | PrefixAnnouncement
+    | RouterUpdate
+    | DataCentreUpdate
+    | RelayedUpdate
+    | StoreUpdate
+    | CatchUpRequest
     | RoutingDocument
     | ListedUpstreams
-    | HeldWanted
-    | HeldNews
+    | InventoryRequest
+    | InventoryUpdate
 )
 AnswerEvent = Head | Data | End | Failure
--- a/gypsumrouter/link/notice_codec.py
+++ b/gypsumrouter/link/notice_codec.py
@@ -6,49 +6,49 @@
 
 from gypsumrouter.link.const import Kind
 from gypsumrouter.link.frames import FrameError
-from gypsumrouter.link.holdings_codec import decode_holdings, encode_holdings
 from gypsumrouter.link.models import (
-    CatchUp,
-    ConfigurationNews,
-    DataCentreNews,
-    HeldNews,
-    HeldWanted,
-    Holdings,
+    CatchUpRequest,
+    ConfigurationAnnouncement,
+    ConfigurationParts,
+    ConfigurationPartsRequest,
+    DataCentreUpdate,
+    InventoryRequest,
+    InventoryUpdate,
     ListedUpstreams,
     Notice,
-    Parts,
-    PartsRequest,
-    PrefixNews,
-    RelayedNews,
-    RouterNews,
+    PoolStatus,
+    PrefixAnnouncement,
+    RelayedUpdate,
+    RouterUpdate,
     RoutingDocument,
     Status,
-    StoreWatched,
-    SuspectNews,
+    StoreUpdate,
+    SuspectAnnouncement,
 )
+from gypsumrouter.link.pool_status_codec import decode_pool_status, encode_pool_status
 from gypsumrouter.link.router_codec import (
-    decode_catch_up,
-    decode_data_centre_news,
-    decode_held_news,
+    decode_catch_up_request,
+    decode_data_centre_update,
+    decode_inventory_update,
     decode_listed_upstreams,
-    decode_relayed_news,
-    decode_router_news,
+    decode_relayed_update,
+    decode_router_update,
     decode_routing_document,
-    decode_store_watched,
-    encode_catch_up,
-    encode_data_centre_news,
-    encode_held_news,
+    decode_store_update,
+    encode_catch_up_request,
+    encode_data_centre_update,
+    encode_inventory_update,
     encode_listed_upstreams,
-    encode_relayed_news,
-    encode_router_news,
+    encode_relayed_update,
+    encode_router_update,
     encode_routing_document,
-    encode_store_watched,
+    encode_store_update,
 )
 from gypsumrouter.link.schema import (
     SCHEMA,
+    open_message,
+    open_packed_message,
     read_pool_load,
-    reading,
-    reading_packed,
     set_pool_load,
     to_bytes,
     to_packed,
@@ -62,51 +62,51 @@
     match notice:
         case Status():
             return Kind.STATUS, _encode_status(notice)
-        case ConfigurationNews():
+        case ConfigurationAnnouncement():
             message = SCHEMA.ConfigurationNews.new_message(
                 version=notice.version, digest=notice.digest
             )
             return Kind.CONFIGURATION_NEWS, to_packed(message)
-        case PartsRequest():
+        case ConfigurationPartsRequest():
             message = SCHEMA.PartsRequest.new_message(
                 version=notice.version, parts=list(notice.parts)
             )
             return Kind.PARTS_REQUEST, to_bytes(message)
-        case Parts():
+        case ConfigurationParts():
             message = SCHEMA.Parts.new_message(
                 version=notice.version, manifest=list(notice.manifest), parts=list(notice.parts)
             )
             return Kind.PARTS, to_bytes(message)
-        case SuspectNews():
+        case SuspectAnnouncement():
             message = SCHEMA.SuspectNews.new_message(
                 digest=notice.digest, strike=notice.strike, alone=notice.alone
             )
             return Kind.SUSPECT_NEWS, to_packed(message)
-        case PrefixNews():
+        case PrefixAnnouncement():
             message = SCHEMA.PrefixNews.new_message(
                 chat=notice.chat, promptBytes=min(notice.prompt_bytes, MAX_UINT32)
             )
             return Kind.PREFIX_NEWS, to_packed(message)
-        case Holdings():
-            return Kind.HOLDINGS, encode_holdings(notice)
-        case RouterNews():
-            return Kind.ROUTER_NEWS, encode_router_news(notice)
-        case DataCentreNews():
-            return Kind.DATA_CENTRE_NEWS, encode_data_centre_news(notice)
-        case RelayedNews():
-            return Kind.RELAYED_NEWS, encode_relayed_news(notice)
-        case StoreWatched():
-            return Kind.STORE_WATCHED, encode_store_watched(notice)
-        case CatchUp():
-            return Kind.CATCH_UP, encode_catch_up(notice)
+        case PoolStatus():
+            return Kind.HOLDINGS, encode_pool_status(notice)
+        case RouterUpdate():
+            return Kind.ROUTER_NEWS, encode_router_update(notice)
+        case DataCentreUpdate():
+            return Kind.DATA_CENTRE_NEWS, encode_data_centre_update(notice)
+        case RelayedUpdate():
+            return Kind.RELAYED_NEWS, encode_relayed_update(notice)
+        case StoreUpdate():
+            return Kind.STORE_WATCHED, encode_store_update(notice)
+        case CatchUpRequest():
+            return Kind.CATCH_UP, encode_catch_up_request(notice)
         case RoutingDocument():
             return Kind.ROUTING_DOCUMENT, encode_routing_document(notice)
         case ListedUpstreams():
             return Kind.LISTED_UPSTREAMS, encode_listed_upstreams(notice)
-        case HeldWanted():
+        case InventoryRequest():
             return Kind.HELD_WANTED, b""
-        case HeldNews():
-            return Kind.HELD_NEWS, encode_held_news(notice)
+        case InventoryUpdate():
+            return Kind.HELD_NEWS, encode_inventory_update(notice)
 
 
 def decode_notice(kind: int, body: bytes) -> Notice:
@@ -115,41 +115,43 @@
         case Kind.STATUS:
             return _decode_status(body)
         case Kind.CONFIGURATION_NEWS:
-            with reading_packed(SCHEMA.ConfigurationNews, body) as message:
-                return ConfigurationNews(version=message.version, digest=message.digest)
+            with open_packed_message(SCHEMA.ConfigurationNews, body) as message:
+                return ConfigurationAnnouncement(version=message.version, digest=message.digest)
         case Kind.PARTS_REQUEST:
-            with reading(SCHEMA.PartsRequest, body) as message:
-                return PartsRequest(version=message.version, parts=tuple(message.parts))
+            with open_message(SCHEMA.PartsRequest, body) as message:
+                return ConfigurationPartsRequest(
+                    version=message.version, parts=tuple(message.parts)
+                )
         case Kind.PARTS:
             return _decode_parts(body)
         case Kind.SUSPECT_NEWS:
-            with reading_packed(SCHEMA.SuspectNews, body) as message:
-                return SuspectNews(
+            with open_packed_message(SCHEMA.SuspectNews, body) as message:
+                return SuspectAnnouncement(
                     digest=message.digest, strike=message.strike, alone=message.alone
                 )
         case Kind.PREFIX_NEWS:
-            with reading_packed(SCHEMA.PrefixNews, body) as message:
-                return PrefixNews(chat=message.chat, prompt_bytes=message.promptBytes)
+            with open_packed_message(SCHEMA.PrefixNews, body) as message:
+                return PrefixAnnouncement(chat=message.chat, prompt_bytes=message.promptBytes)
         case Kind.HOLDINGS:
-            return decode_holdings(body)
+            return decode_pool_status(body)
         case Kind.ROUTER_NEWS:
-            return decode_router_news(body)
+            return decode_router_update(body)
         case Kind.DATA_CENTRE_NEWS:
-            return decode_data_centre_news(body)
+            return decode_data_centre_update(body)
         case Kind.RELAYED_NEWS:
-            return decode_relayed_news(body)
+            return decode_relayed_update(body)
         case Kind.STORE_WATCHED:
-            return decode_store_watched(body)
+            return decode_store_update(body)
         case Kind.CATCH_UP:
-            return decode_catch_up(body)
+            return decode_catch_up_request(body)
         case Kind.ROUTING_DOCUMENT:
             return decode_routing_document(body)
         case Kind.LISTED_UPSTREAMS:
             return decode_listed_upstreams(body)
         case Kind.HELD_WANTED:
-            return HeldWanted()
+            return InventoryRequest()
         case Kind.HELD_NEWS:
-            return decode_held_news(body)
+            return decode_inventory_update(body)
     raise FrameError(f"frame kind {kind} is no notice")
 
 
@@ -168,7 +170,7 @@
 
 
 def _decode_status(body: bytes) -> Status:
-    with reading_packed(SCHEMA.Status, body) as message:
+    with open_packed_message(SCHEMA.Status, body) as message:
         return Status(
             load=message.load,
             running=message.running,
@@ -181,9 +183,9 @@
         )
 
 
-def _decode_parts(body: bytes) -> Parts:
-    with reading(SCHEMA.Parts, body) as message:
-        return Parts(
+def _decode_parts(body: bytes) -> ConfigurationParts:
+    with open_message(SCHEMA.Parts, body) as message:
+        return ConfigurationParts(
             version=message.version,
             manifest=tuple(message.manifest),
             parts=tuple(bytes(part) for part in message.parts),
--- a/gypsumrouter/link/notices.py
+++ b/gypsumrouter/link/notices.py
@@ -34,14 +34,14 @@
 
     def send(self, notice: Notice) -> bool:
         """Send a notice; return False if the link is closed or its peer takes nothing."""
-        if not self.takes:
+        if not self.writable:
             return False
         kind, body = encode_notice(notice)
         self.send_encoded(kind, body)
         return True
 
     @property
-    def takes(self) -> bool:
+    def writable(self) -> bool:
         """Return whether the link is open and its peer keeps up with what it is sent."""
         return not (self._connection.closed or self._connection.paused)
 
@@ -55,7 +55,7 @@
     """Send a notice over several links, encoded once; links that take nothing are passed over."""
     kind, body = encode_notice(notice)
     for peer in peers:
-        if peer.takes:
+        if peer.writable:
             peer.send_encoded(kind, body)
 
 
--- a/gypsumrouter/link/outstanding.py
+++ b/gypsumrouter/link/outstanding.py
@@ -12,7 +12,13 @@
     encode_resume,
 )
 from gypsumrouter.link.connection import Connection
-from gypsumrouter.link.const import CONFIRM_SHARE, FLAG_ECHO, FLAG_FINAL, FLAG_PRESS, Kind
+from gypsumrouter.link.const import (
+    CONFIRMS_PER_WINDOW,
+    FLAG_CONFIRM_REQUEST,
+    FLAG_ECHO_REPLY,
+    FLAG_FINAL,
+    Kind,
+)
 from gypsumrouter.link.exchange import Exchange
 from gypsumrouter.link.frames import KIND_DATA, OFFSET_BYTES, Frame, FrameError, unpack_offset
 from gypsumrouter.link.models import Open
@@ -31,22 +37,22 @@
         "_exchanges",
         "_sent_cancels",
         "_silence_ms",
-        "_to_cancel",
+        "_unsent_cancels",
         "_window_bytes",
     )
 
     def __init__(self, *, clock: Clock, settings: Link) -> None:
         self._clock = clock
         self._window_bytes = settings.window_bytes
-        self._confirm_bytes = settings.window_bytes // CONFIRM_SHARE
+        self._confirm_bytes = settings.window_bytes // CONFIRMS_PER_WINDOW
         self._connection: Connection | None = None
         self._exchanges: dict[int, Exchange] = {}
-        self._to_cancel: set[int] = set()
+        self._unsent_cancels: set[int] = set()
         self._sent_cancels: dict[int, int] = {}
         self._silence_ms = settings.silence_ms
 
     def __len__(self) -> int:
-        return len(self._exchanges) + len(self._to_cancel)
+        return len(self._exchanges) + len(self._unsent_cancels)
 
     def add(self, request: Open) -> Exchange:
         """Begin an exchange whose OPEN is about to be written."""
@@ -58,10 +64,10 @@
         """Resume every exchange over a new link to the same incarnation, lowest sequence first."""
         self._connection = connection
         window_bytes = min(self._window_bytes, window_bytes)
-        self._confirm_bytes = max(1, window_bytes // CONFIRM_SHARE)
-        for sequence in sorted(self._to_cancel):
+        self._confirm_bytes = max(1, window_bytes // CONFIRMS_PER_WINDOW)
+        for sequence in sorted(self._unsent_cancels):
             connection.send(Kind.CANCEL, stream=sequence)
-        self._to_cancel.clear()
+        self._unsent_cancels.clear()
         now_ms = self._clock.now_ms()
         for sequence, exchange in self._exchanges.items():
             resume = Resume(
@@ -77,13 +83,13 @@
     def detach(self) -> None:
         """Note that the link is lost, and with it perhaps what was last sent over it."""
         self._connection = None
-        self._forget_cancels()
-        self._to_cancel.update(self._sent_cancels)
+        self._expire_cancels()
+        self._unsent_cancels.update(self._sent_cancels)
         self._sent_cancels.clear()
 
     def fail_all(self, failure: Failure) -> None:
         """End every exchange."""
-        self._to_cancel.clear()
+        self._unsent_cancels.clear()
         for exchange in tuple(self._exchanges.values()):
             exchange.fail(failure)
 
@@ -112,7 +118,7 @@
                 if exchange is not None:
                     exchange.fail(failure)
             case Kind.HEARTBEAT:
-                self._take_heartbeat(frame.flags)
+                self._handle_heartbeat(frame.flags)
             case Kind.GOODBYE:
                 raise FrameError(f"the server closed it: {decode_goodbye(frame.body)}")
             case _:
@@ -124,7 +130,7 @@
         if offset - exchange.confirm_sent >= self._confirm_bytes:
             self._send_confirm(exchange)
 
-    def is_waiting(self, *, since_ms: int) -> bool:
+    def has_undelivered(self, *, since_ms: int) -> bool:
         """Return whether a request that was sent before then has had no word of its side."""
         return any(
             not exchange.arrived and exchange.opened_ms <= since_ms
@@ -142,13 +148,13 @@
         if self._exchanges.pop(exchange.sequence, None) is None:
             return
         if self._connection is None or self._connection.closed:
-            self._to_cancel.add(exchange.sequence)
+            self._unsent_cancels.add(exchange.sequence)
             return
         self._connection.send(Kind.CANCEL, stream=exchange.sequence)
-        self._forget_cancels()
+        self._expire_cancels()
         self._sent_cancels[exchange.sequence] = self._clock.now_ms()
 
-    def _forget_cancels(self) -> None:
+    def _expire_cancels(self) -> None:
         """Forget the cancels that a link which is found lost later has surely delivered."""
         oldest_ms = self._clock.now_ms() - self._silence_ms
         while self._sent_cancels:
@@ -157,18 +163,18 @@
                 return
             del self._sent_cancels[sequence]
 
-    def _take_heartbeat(self, flags: int) -> None:
-        if flags & FLAG_PRESS:
+    def _handle_heartbeat(self, flags: int) -> None:
+        if flags & FLAG_CONFIRM_REQUEST:
             self._confirm_all()
-        if flags & FLAG_ECHO:
-            self._note_echo()
+        if flags & FLAG_ECHO_REPLY:
+            self._handle_echo()
 
-    def _note_echo(self) -> None:
+    def _handle_echo(self) -> None:
         """Note that whatever was sent before the server was asked has reached it."""
-        if self._connection is None or self._connection.echo_asked_ms is None:
+        if self._connection is None or self._connection.echo_requested_ms is None:
             return
-        asked_ms = self._connection.echo_asked_ms
-        self._connection.echo_asked_ms = None
+        asked_ms = self._connection.echo_requested_ms
+        self._connection.echo_requested_ms = None
         for exchange in self._exchanges.values():
             if exchange.opened_ms < asked_ms:
                 exchange.arrived = True
--- a/gypsumrouter/link/pool.py
+++ b/gypsumrouter/link/pool.py
@@ -13,11 +13,11 @@
 from gypsumrouter.link.exchange import Exchange
 from gypsumrouter.link.frames import Frame
 from gypsumrouter.link.listeners import Listeners
-from gypsumrouter.link.liveness import async_tick
+from gypsumrouter.link.liveness import async_run_timer
+from gypsumrouter.link.log_once import LogOnce
 from gypsumrouter.link.models import Hello, Notice, Open, Status
 from gypsumrouter.link.notices import NoticeHub, Peer
-from gypsumrouter.link.once import LogOnce
-from gypsumrouter.link.status import StatusBook, StatusView
+from gypsumrouter.link.status import StatusCache, StatusView
 from gypsumrouter.outcomes import Refused
 from gypsumrouter.settings import Link
 
@@ -54,7 +54,7 @@
         self._next_number = 0
         self._ticking = False
         self._ticks = 0
-        self._statuses = StatusBook()
+        self._statuses = StatusCache()
         self._status: Listeners[[Hello, Status]] = Listeners()
         self._contact: Listeners[[str, bool]] = Listeners()
         self._connected: Listeners[[Peer]] = Listeners()
@@ -100,7 +100,7 @@
             tls=tls,
             counts=self._diagnostics.counts,
             wrong_keys=LogOnce(),
-            take_number=self._take_number,
+            allocate_number=self._allocate_number,
             on_notice=self._on_notice,
             on_load=self._on_load,
             on_contact=self._contact.call,
@@ -116,7 +116,7 @@
             self._dialers[key] = dialer
         return dialer
 
-    def _take_number(self) -> int:
+    def _allocate_number(self) -> int:
         """Return a number that grows for the life of this incarnation, for sequences and links."""
         self._next_number += 1
         return self._next_number
@@ -126,7 +126,7 @@
             return
         self._ticking = True
         self._app.async_create_task(
-            async_tick(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
+            async_run_timer(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
             "link pool timer",
         )
         if self._settings.tls is None or self._context.tls is None:
@@ -151,11 +151,11 @@
     def _on_notice(self, peer: Peer, frame: Frame) -> None:
         notice = self._notices.receive(peer, frame)
         if isinstance(notice, Status):
-            self._statuses.note(peer.hello, notice, self._app.clock.now_ms())
+            self._statuses.record(peer.hello, notice, self._app.clock.now_ms())
             self._status.call(peer.hello, notice)
 
     def _on_load(self, name: str, incarnation: int, load: int) -> None:
-        self._statuses.note_load(name, incarnation, load, self._app.clock.now_ms())
+        self._statuses.record_load(name, incarnation, load, self._app.clock.now_ms())
 
     async def _async_stop(self) -> None:
         for dialer in self._dialers.values():
--- a/gypsumrouter/link/holdings_codec.py
+++ b/gypsumrouter/link/pool_status_codec.py
@@ -4,11 +4,11 @@
 
 from typing import Any
 
-from gypsumrouter.link.models import HeldModel, Holding, Holdings
-from gypsumrouter.link.schema import SCHEMA, reading_packed, to_packed
+from gypsumrouter.link.models import EngineStatus, ModelStatus, PoolStatus
+from gypsumrouter.link.schema import SCHEMA, open_packed_message, to_packed
 
 
-def encode_holdings(notice: Holdings) -> bytes:
+def encode_pool_status(notice: PoolStatus) -> bytes:
     """Return the body of a notice's frame."""
     message = SCHEMA.Holdings.new_message(pool=notice.pool)
     entries = message.init("entries", len(notice.entries))
@@ -17,14 +17,14 @@
     return to_packed(message)
 
 
-def decode_holdings(body: bytes) -> Holdings:
+def decode_pool_status(body: bytes) -> PoolStatus:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.Holdings, body) as message:
+    with open_packed_message(SCHEMA.Holdings, body) as message:
         entries = tuple(_read_entry(entry) for entry in message.entries)
-        return Holdings(pool=message.pool, entries=entries)
+        return PoolStatus(pool=message.pool, entries=entries)
 
 
-def _write_entry(target: Any, entry: Holding) -> None:
+def _write_entry(target: Any, entry: EngineStatus) -> None:
     target.name = entry.name
     target.stampMs = entry.stamp_ms
     target.engine = entry.engine
@@ -40,8 +40,8 @@
         place.failures = model.failures
 
 
-def _read_entry(entry: Any) -> Holding:
-    return Holding(
+def _read_entry(entry: Any) -> EngineStatus:
+    return EngineStatus(
         name=entry.name,
         stamp_ms=entry.stampMs,
         engine=entry.engine,
@@ -51,8 +51,8 @@
     )
 
 
-def _read_model(model: Any) -> HeldModel:
-    return HeldModel(
+def _read_model(model: Any) -> ModelStatus:
+    return ModelStatus(
         name=model.name,
         version=model.version,
         next_version=model.nextVersion,
--- a/gypsumrouter/link/router_codec.py
+++ b/gypsumrouter/link/router_codec.py
@@ -7,34 +7,34 @@
 
 from gypsumrouter.link.frames import FrameError
 from gypsumrouter.link.models import (
-    CatchUp,
+    CatchUpRequest,
     DataCentreLoads,
-    DataCentreNews,
-    EvacuationTold,
-    HeldAt,
-    HeldNews,
+    DataCentreUpdate,
+    EngineListing,
+    EvacuationState,
+    InventoryUpdate,
     ListedUpstream,
     ListedUpstreams,
     PlacedPart,
-    RelayedNews,
-    RouterAt,
+    RelayedUpdate,
+    RouterAddress,
     RouterLoad,
-    RouterNews,
+    RouterUpdate,
     RoutingDocument,
-    StoreWatched,
+    StoreUpdate,
     Strike,
 )
-from gypsumrouter.link.schema import SCHEMA, reading, reading_packed, to_bytes, to_packed
+from gypsumrouter.link.schema import SCHEMA, open_message, open_packed_message, to_bytes, to_packed
 
 # Loads at 930 upstreams from each of eight data centres, 20 bytes each, and what was placed.
-MAX_NEWS_BYTES: Final = 256 * 1024
+MAX_UPDATE_BYTES: Final = 256 * 1024
 # A document of 9,500 workspaces takes about 2 MB.
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
 # Fast rather than small: a document of 40 KB takes 0.4 ms.
 COMPRESSION: Final = 1
 
 
-def encode_router_news(notice: RouterNews) -> bytes:
+def encode_router_update(notice: RouterUpdate) -> bytes:
     """Return the body of a notice's frame."""
     message = SCHEMA.RouterNews.new_message(
         address=notice.address,
@@ -54,13 +54,13 @@
     return to_packed(message)
 
 
-def decode_router_news(body: bytes) -> RouterNews:
+def decode_router_update(body: bytes) -> RouterUpdate:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.RouterNews, body, max_bytes=MAX_NEWS_BYTES) as message:
-        return RouterNews(
+    with open_packed_message(SCHEMA.RouterNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
+        return RouterUpdate(
             address=message.address,
             routers=tuple(
-                RouterAt(address=router.address, data_centre=router.dataCentre)
+                RouterAddress(address=router.address, data_centre=router.dataCentre)
                 for router in message.known
             ),
             routing_version=message.routingVersion,
@@ -74,7 +74,7 @@
         )
 
 
-def encode_data_centre_news(notice: DataCentreNews) -> bytes:
+def encode_data_centre_update(notice: DataCentreUpdate) -> bytes:
     """Return the body of a notice's frame."""
     message = SCHEMA.DataCentreNews.new_message(
         address=notice.address,
@@ -89,10 +89,10 @@
     return to_packed(message)
 
 
-def decode_data_centre_news(body: bytes) -> DataCentreNews:
+def decode_data_centre_update(body: bytes) -> DataCentreUpdate:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.DataCentreNews, body, max_bytes=MAX_NEWS_BYTES) as message:
-        return DataCentreNews(
+    with open_packed_message(SCHEMA.DataCentreNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
+        return DataCentreUpdate(
             address=message.address,
             loads=_read_data_centre(message.loads),
             routing_version=message.routingVersion,
@@ -104,7 +104,7 @@
         )
 
 
-def encode_relayed_news(notice: RelayedNews) -> bytes:
+def encode_relayed_update(notice: RelayedUpdate) -> bytes:
     """Return the body of a notice's frame."""
     message = SCHEMA.RelayedNews.new_message(refused=list(notice.refused))
     loads = message.init("loads", len(notice.loads))
@@ -115,10 +115,10 @@
     return to_packed(message)
 
 
-def decode_relayed_news(body: bytes) -> RelayedNews:
+def decode_relayed_update(body: bytes) -> RelayedUpdate:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.RelayedNews, body, max_bytes=MAX_NEWS_BYTES) as message:
-        return RelayedNews(
+    with open_packed_message(SCHEMA.RelayedNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
+        return RelayedUpdate(
             loads=tuple(_read_data_centre(data_centre) for data_centre in message.loads),
             placed=_read_placed(message),
             strikes=_read_strikes(message),
@@ -178,7 +178,7 @@
     )
 
 
-def _set_evacuations(message: Any, evacuations: tuple[EvacuationTold, ...]) -> None:
+def _set_evacuations(message: Any, evacuations: tuple[EvacuationState, ...]) -> None:
     targets = message.init("evacuations", len(evacuations))
     for target, evacuation in zip(targets, evacuations, strict=True):
         target.dataCentre = evacuation.data_centre
@@ -186,9 +186,9 @@
         target.active = evacuation.active
 
 
-def _read_evacuations(message: Any) -> tuple[EvacuationTold, ...]:
+def _read_evacuations(message: Any) -> tuple[EvacuationState, ...]:
     return tuple(
-        EvacuationTold(
+        EvacuationState(
             data_centre=evacuation.dataCentre,
             revision=evacuation.revision,
             active=evacuation.active,
@@ -197,7 +197,7 @@
     )
 
 
-def encode_store_watched(notice: StoreWatched) -> bytes:
+def encode_store_update(notice: StoreUpdate) -> bytes:
     """Return the body of a notice's frame."""
     message = SCHEMA.StoreWatched.new_message(
         routingVersion=notice.routing_version,
@@ -209,10 +209,10 @@
     return to_packed(message)
 
 
-def decode_store_watched(body: bytes) -> StoreWatched:
+def decode_store_update(body: bytes) -> StoreUpdate:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.StoreWatched, body) as message:
-        return StoreWatched(
+    with open_packed_message(SCHEMA.StoreWatched, body) as message:
+        return StoreUpdate(
             routing_version=message.routingVersion,
             routing_as_of=message.routingAsOf,
             list_newest=message.listNewest,
@@ -221,7 +221,7 @@
         )
 
 
-def encode_catch_up(notice: CatchUp) -> bytes:
+def encode_catch_up_request(notice: CatchUpRequest) -> bytes:
     """Return the body of a notice's frame."""
     message = SCHEMA.CatchUp.new_message(
         routing=notice.routing, upstreams=notice.upstreams, since=notice.since
@@ -229,10 +229,12 @@
     return to_bytes(message)
 
 
-def decode_catch_up(body: bytes) -> CatchUp:
+def decode_catch_up_request(body: bytes) -> CatchUpRequest:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.CatchUp, body) as message:
-        return CatchUp(routing=message.routing, upstreams=message.upstreams, since=message.since)
+    with open_message(SCHEMA.CatchUp, body) as message:
+        return CatchUpRequest(
+            routing=message.routing, upstreams=message.upstreams, since=message.since
+        )
 
 
 def encode_routing_document(notice: RoutingDocument) -> bytes:
@@ -245,7 +247,7 @@
 
 def decode_routing_document(body: bytes) -> RoutingDocument:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.RoutingDocument, body) as message:
+    with open_message(SCHEMA.RoutingDocument, body) as message:
         version, packed = message.version, bytes(message.document)
         evacuations = _read_evacuations(message)
     unpacker = zlib.decompressobj()
@@ -277,7 +279,7 @@
 
 def decode_listed_upstreams(body: bytes) -> ListedUpstreams:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.ListedUpstreams, body) as message:
+    with open_message(SCHEMA.ListedUpstreams, body) as message:
         return ListedUpstreams(
             entries=tuple(
                 ListedUpstream(
@@ -297,7 +299,7 @@
         )
 
 
-def encode_held_news(notice: HeldNews) -> bytes:
+def encode_inventory_update(notice: InventoryUpdate) -> bytes:
     """Return the body of a notice's frame."""
     message = SCHEMA.HeldNews.new_message(complete=notice.complete)
     engines = message.init("engines", len(notice.engines))
@@ -308,13 +310,13 @@
     return to_bytes(message)
 
 
-def decode_held_news(body: bytes) -> HeldNews:
+def decode_inventory_update(body: bytes) -> InventoryUpdate:
     """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.HeldNews, body) as message:
-        return HeldNews(
+    with open_message(SCHEMA.HeldNews, body) as message:
+        return InventoryUpdate(
             complete=message.complete,
             engines=tuple(
-                HeldAt(upstream=engine.upstream, parts=tuple(engine.parts))
+                EngineListing(upstream=engine.upstream, parts=tuple(engine.parts))
                 for engine in message.engines
             ),
         )
--- a/gypsumrouter/link/schema.py
+++ b/gypsumrouter/link/schema.py
@@ -1,4 +1,4 @@
-"""The Cap'n Proto schema, loaded once, and safe reading of its messages."""
+"""The Cap'n Proto schema, loaded once, and safe decoding of its messages."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 @contextmanager
-def reading(kind: Any, body: bytes) -> Iterator[Any]:
+def open_message(kind: Any, body: bytes) -> Iterator[Any]:
     """Give a reader of `body`; whatever is wrong with it becomes a FrameError.
 
     The limit on what may be read follows from the length of the body, since a short message can
@@ -60,7 +60,9 @@
 
 
 @contextmanager
-def reading_packed(kind: Any, body: bytes, *, max_bytes: int = MAX_PACKED_BYTES) -> Iterator[Any]:
+def open_packed_message(
+    kind: Any, body: bytes, *, max_bytes: int = MAX_PACKED_BYTES
+) -> Iterator[Any]:
     """Give a reader of the packed `body`; whatever is wrong with it becomes a FrameError.
 
     Packing leaves out zeros, so that few bytes can stand for many: what may be read is bounded by
--- a/gypsumrouter/link/server.py
+++ b/gypsumrouter/link/server.py
@@ -13,11 +13,11 @@
 from gypsumrouter.instances import Address
 from gypsumrouter.link.answer import Answer
 from gypsumrouter.link.codec import decode_goodbye
-from gypsumrouter.link.connection import Connection, LoadMark
+from gypsumrouter.link.connection import Connection, ReportedLoad
 from gypsumrouter.link.const import (
-    DIALER_PATIENCE,
-    FLAG_ECHO,
-    FLAG_ECHO_ASKED,
+    DIALER_INTERVAL_FACTOR,
+    FLAG_ECHO_REPLY,
+    FLAG_ECHO_REQUEST,
     IDLE_FACTOR,
     MAX_HANDSHAKES,
     Kind,
@@ -31,10 +31,10 @@
     make_greeting,
     to_seconds,
 )
-from gypsumrouter.link.liveness import async_tick, forgive_silence, keep_alive
+from gypsumrouter.link.liveness import async_run_timer, keep_alive, reset_silence_timer
+from gypsumrouter.link.log_once import LogOnce
 from gypsumrouter.link.models import Hello, Notice, Open, Status
 from gypsumrouter.link.notices import NoticeHub, Peer
-from gypsumrouter.link.once import LogOnce
 from gypsumrouter.link.served import ServedLink
 from gypsumrouter.link.status import StatusPublisher
 from gypsumrouter.link.table import ExchangeTable, RouterRecord
@@ -62,10 +62,10 @@
         "_handshakes",
         "_key",
         "_listener",
-        "_load_mark",
         "_notices",
         "_peers",
         "_released",
+        "_reported_load",
         "_settings",
         "_status",
         "_table",
@@ -94,9 +94,9 @@
         self._listener: asyncio.Server | None = None
         self._released = asyncio.Event()
         self._wrong_keys = LogOnce()
-        self._load_mark = LoadMark()
+        self._reported_load = ReportedLoad()
         self._status = StatusPublisher(
-            app=app, connections=self._list_open, load_mark=self._load_mark
+            app=app, connections=self._list_open, reported_load=self._reported_load
         )
         self._table = ExchangeTable(
             clock=app.clock,
@@ -122,7 +122,7 @@
         self._app.on_stop(self._async_stop)
         self._diagnostics.add_part("server", self._dump, lambda: len(self._peers))
         self._app.async_create_task(
-            async_tick(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
+            async_run_timer(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
             "link server timer",
         )
         host, port = self._listener.sockets[0].getsockname()[:2]
@@ -140,7 +140,9 @@
 
     def _make_connection(self) -> Connection:
         connection = Connection(
-            clock=self._app.clock, counts=self._diagnostics.counts, load_mark=self._load_mark
+            clock=self._app.clock,
+            counts=self._diagnostics.counts,
+            reported_load=self._reported_load,
         )
         self._connections.add(connection)
         self._app.async_create_task(self._async_serve(connection), "link server connection")
@@ -177,7 +179,7 @@
         except (HandshakeFailed, FrameError, TimeoutError) as error:
             _LOGGER.debug("A handshake from %s failed: %s", connection.peer_host, error)
             if isinstance(error, FrameError):
-                connection.end(str(error))
+                connection.close_with_goodbye(str(error))
             return None
         finally:
             self._handshakes -= 1
@@ -189,9 +191,9 @@
     async def _async_serve_router(self, connection: Connection, record: RouterRecord) -> None:
         peer = Peer(hello=record.hello, connection=connection, dialed=False)
         self._peers[connection] = (peer, record)
-        connection.lift_limit()
+        connection.raise_frame_limit()
         connection.send(Kind.WELCOME)
-        self._status.greet(connection)
+        self._status.send_initial(connection)
         _LOGGER.debug("%s opened a link", record.hello.name)
         served = ServedLink(table=self._table, record=record, connection=connection, run=self._run)
         try:
@@ -199,7 +201,7 @@
                 self._on_frame(peer, connection, served, frame)
         except FrameError as error:
             _LOGGER.warning("The link with %s is closed: %s", record.hello.name, error)
-            connection.end(str(error))
+            connection.close_with_goodbye(str(error))
         finally:
             del self._peers[connection]
             self._table.detach(record, connection)
@@ -211,8 +213,8 @@
             return
         match frame.kind:
             case Kind.HEARTBEAT:
-                if frame.flags & FLAG_ECHO_ASKED:
-                    connection.send(Kind.HEARTBEAT, flags=FLAG_ECHO)
+                if frame.flags & FLAG_ECHO_REQUEST:
+                    connection.send(Kind.HEARTBEAT, flags=FLAG_ECHO_REPLY)
             case Kind.GOODBYE:
                 raise FrameError(f"the dialer closed it: {decode_goodbye(frame.body)}")
             case _:
@@ -247,16 +249,16 @@
         self._diagnostics.publish()
         for connection, (peer, record) in tuple(self._peers.items()):
             if late:
-                forgive_silence(connection, now_ms)
+                reset_silence_timer(connection, now_ms)
             keep_alive(
                 connection=connection,
                 busy=record.busy,
                 now_ms=now_ms,
                 heartbeat_ms=self._settings.heartbeat_ms,
-                silence_ms=self._settings.silence_ms * DIALER_PATIENCE,
+                silence_ms=self._settings.silence_ms * DIALER_INTERVAL_FACTOR,
                 name=peer.hello.name,
             )
-            idle_ms = now_ms - connection.last_heard_ms
+            idle_ms = now_ms - connection.last_received_ms
             if idle_ms > IDLE_FACTOR * self._settings.idle_close_ms:
                 connection.abort()
 
@@ -276,7 +278,7 @@
     def _dump(self) -> object:
         return {
             "answer_memory_bytes": self._table.memory.used_bytes,
-            "forgotten_before_ms": self._table.horizon_ms,
+            "forgotten_before_ms": self._table.forgotten_before_ms,
             "routers": [
                 {
                     "name": record.hello.name,
--- a/gypsumrouter/link/status.py
+++ b/gypsumrouter/link/status.py
@@ -9,12 +9,12 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.core import Application
-from gypsumrouter.link.connection import Connection, LoadMark
+from gypsumrouter.link.connection import Connection, ReportedLoad
 from gypsumrouter.link.const import (
     STATUS_BYTES_S,
     STATUS_INTERVAL_MS,
-    STATUS_KEPT_MS,
-    STATUS_SQUARE_BYTES_S,
+    STATUS_MESH_BYTES_S,
+    STATUS_RETENTION_MS,
 )
 from gypsumrouter.link.frames import HEADER_BYTES
 from gypsumrouter.link.models import Hello, Status
@@ -37,17 +37,25 @@
     once. Between them the load travels on what is sent for answers anyway.
     """
 
-    __slots__ = ("_app", "_connections", "_current", "_load_mark", "_pending", "_sent", "_sent_ms")
+    __slots__ = (
+        "_app",
+        "_connections",
+        "_current",
+        "_pending",
+        "_reported_load",
+        "_sent",
+        "_sent_ms",
+    )
 
     def __init__(
         self,
         *,
         app: Application,
         connections: Callable[[], Iterable[Connection]],
-        load_mark: LoadMark,
+        reported_load: ReportedLoad,
     ) -> None:
         self._app = app
-        self._load_mark = load_mark
+        self._reported_load = reported_load
         self._connections = connections
         self._current: Status | None = None
         self._sent: Status | None = None
@@ -58,7 +66,7 @@
         """Take a new status and send it now or as soon as the rate allows."""
         before = self._current
         self._current = status
-        self._load_mark.set(status.load)
+        self._reported_load.set(status.load)
         if before is None or _is_urgent(before, status):
             self._send()
             return
@@ -67,7 +75,7 @@
         self._pending = True
         self._app.async_create_task(self._async_send_later(), "link status")
 
-    def greet(self, connection: Connection) -> None:
+    def send_initial(self, connection: Connection) -> None:
         """Send the status on a new link."""
         if self._current is None:
             return
@@ -87,7 +95,7 @@
         size = HEADER_BYTES + len(encode_notice(self._current)[1])
         links = sum(1 for _ in self._connections())
         own_ms = links * size * MS_PER_S // STATUS_BYTES_S
-        peers_ms = links * links * size * MS_PER_S // STATUS_SQUARE_BYTES_S
+        peers_ms = links * links * size * MS_PER_S // STATUS_MESH_BYTES_S
         return max(STATUS_INTERVAL_MS, own_ms, peers_ms)
 
     def _send(self) -> None:
@@ -100,7 +108,7 @@
         self._sent_ms = self._app.clock.now_ms()
 
 
-class StatusBook:
+class StatusCache:
     """What a pool has heard of each process, by name."""
 
     __slots__ = ("_entries",)
@@ -108,11 +116,11 @@
     def __init__(self) -> None:
         self._entries: dict[str, tuple[Status, int, int]] = {}
 
-    def note(self, hello: Hello, status: Status, now_ms: int) -> None:
+    def record(self, hello: Hello, status: Status, now_ms: int) -> None:
         """Take a status in."""
         self._entries[hello.name] = (status, now_ms, hello.incarnation)
 
-    def note_load(self, name: str, incarnation: int, load: int, now_ms: int) -> None:
+    def record_load(self, name: str, incarnation: int, load: int, now_ms: int) -> None:
         """Take in the load that came with an answer; the rest of the status stays as it was."""
         entry = self._entries.get(name)
         if entry is None or entry[2] != incarnation:
@@ -124,12 +132,14 @@
         entry = self._entries.get(name)
         if entry is None:
             return None
-        status, heard_ms, incarnation = entry
-        return StatusView(status=status, age_ms=now_ms - heard_ms, incarnation=incarnation)
+        status, received_ms, incarnation = entry
+        return StatusView(status=status, age_ms=now_ms - received_ms, incarnation=incarnation)
 
     def sweep(self, now_ms: int) -> None:
         """Forget what is too old to say anything."""
-        old = [name for name, entry in self._entries.items() if now_ms - entry[1] > STATUS_KEPT_MS]
+        old = [
+            name for name, entry in self._entries.items() if now_ms - entry[1] > STATUS_RETENTION_MS
+        ]
         for name in old:
             del self._entries[name]
 
--- a/gypsumrouter/link/table.py
+++ b/gypsumrouter/link/table.py
@@ -13,10 +13,10 @@
 from gypsumrouter.link.connection import Connection
 from gypsumrouter.link.const import (
     AGE_MARGIN_MS,
-    FLAG_PRESS,
-    FORGET_ROUTER_MS,
+    CONFIRM_REQUEST_INTERVAL_MS,
+    FLAG_CONFIRM_REQUEST,
     MAX_ROUTERS,
-    PRESS_INTERVAL_MS,
+    ROUTER_RETENTION_MS,
     Kind,
 )
 from gypsumrouter.link.handshake import Accepted
@@ -29,7 +29,7 @@
     reason=Reason.UNREACHABLE, message="the request never arrived", elsewhere=True
 )
 _EVICTED: Final = Failed(reason=Reason.ANSWER_EVICTED, message="the answer is no longer held")
-_LATE: Final = Refused(
+_ABANDONED: Final = Refused(
     reason=Reason.UNREACHABLE, message="the request arrived after it was given up", elsewhere=True
 )
 
@@ -38,7 +38,7 @@
     """What the server knows of one incarnation of a router.
 
     Sequences up to `highest_opened` may have run; none at or below `floor` is accepted again.
-    Whatever was opened before `horizon_ms` may have been forgotten.
+    Whatever was opened before `forgotten_before_ms` may have been forgotten.
     """
 
     __slots__ = (
@@ -47,16 +47,16 @@
         "challenged_ms",
         "connection",
         "floor",
+        "forgotten_before_ms",
         "hello",
         "highest_opened",
-        "horizon_ms",
         "last_seen_ms",
         "window_bytes",
     )
 
-    def __init__(self, *, hello: Hello, horizon_ms: int | None) -> None:
+    def __init__(self, *, hello: Hello, forgotten_before_ms: int | None) -> None:
         self.hello = hello
-        self.horizon_ms = horizon_ms
+        self.forgotten_before_ms = forgotten_before_ms
         self.answers: dict[int, Answer] = {}
         self.attempt = -1
         self.challenged_ms = 0
@@ -72,15 +72,15 @@
         return any(answer.detached_ms is None for answer in self.answers.values())
 
     @property
-    def forgettable(self) -> bool:
+    def removable(self) -> bool:
         """Return whether neither a link nor an exchange needs the record."""
         return self.connection is None and not self.answers
 
-    def is_surely_new(self, resume: Resume) -> bool:
+    def is_newer_than_forgotten(self, resume: Resume) -> bool:
         """Return whether the OPEN was written after all that was ever forgotten."""
-        if self.horizon_ms is None:
+        if self.forgotten_before_ms is None:
             return True
-        return self.challenged_ms - resume.age_ms - AGE_MARGIN_MS > self.horizon_ms
+        return self.challenged_ms - resume.age_ms - AGE_MARGIN_MS > self.forgotten_before_ms
 
 
 class ExchangeTable:
@@ -88,15 +88,15 @@
 
     __slots__ = (
         "_clock",
-        "_forget_ms",
-        "_late_ms",
+        "_confirm_requested_ms",
+        "_max_link_delay_ms",
         "_max_routers",
         "_on_released",
-        "_pressed_ms",
         "_resume_ms",
+        "_retention_ms",
         "_routers",
         "_window_bytes",
-        "horizon_ms",
+        "forgotten_before_ms",
         "memory",
     )
 
@@ -109,20 +109,20 @@
         window_bytes: int,
         answer_memory_bytes: int,
         on_released: Callable[[], None],
-        forget_ms: int = FORGET_ROUTER_MS,
+        retention_ms: int = ROUTER_RETENTION_MS,
         max_routers: int = MAX_ROUTERS,
     ) -> None:
-        self.memory = AnswerMemory(limit_bytes=answer_memory_bytes, on_pressure=self._relieve)
-        self.horizon_ms: int | None = None
+        self.memory = AnswerMemory(limit_bytes=answer_memory_bytes, on_pressure=self._free_memory)
+        self.forgotten_before_ms: int | None = None
         self._clock = clock
         self._on_released = on_released
         self._resume_ms = resume_ms
-        self._late_ms = 2 * (resume_ms + connect_ms)
+        self._max_link_delay_ms = 2 * (resume_ms + connect_ms)
         self._window_bytes = window_bytes
-        self._forget_ms = forget_ms
+        self._retention_ms = retention_ms
         self._max_routers = max_routers
         self._routers: dict[int, RouterRecord] = {}
-        self._pressed_ms = clock.now_ms() - PRESS_INTERVAL_MS
+        self._confirm_requested_ms = clock.now_ms() - CONFIRM_REQUEST_INTERVAL_MS
 
     def routers(self) -> Iterator[RouterRecord]:
         """Return every record."""
@@ -168,7 +168,7 @@
         if sequence <= record.highest_opened:
             return _EVICTED
         if sequence <= record.floor or record.connection is None:
-            return _LATE
+            return _ABANDONED
         record.floor = sequence
         record.highest_opened = sequence
         answer = Answer(
@@ -188,7 +188,7 @@
             answer.attach(record.connection, offset=resume.offset, has_head=resume.has_head)
             return answer
         record.floor = max(record.floor, sequence)
-        if sequence <= record.highest_opened or not record.is_surely_new(resume):
+        if sequence <= record.highest_opened or not record.is_newer_than_forgotten(resume):
             return _EVICTED
         return _NEVER_OPENED
 
@@ -199,11 +199,11 @@
     def sweep(self) -> None:
         """Drop exchanges that no router came back for, and records that nothing needs."""
         now_ms = self._clock.now_ms()
-        if self.memory.waiting:
-            self._relieve()
+        if self.memory.has_waiters:
+            self._free_memory()
         for record in self.routers():
             self._sweep_answers(record, now_ms)
-            if record.forgettable and now_ms - record.last_seen_ms >= self._forget_ms:
+            if record.removable and now_ms - record.last_seen_ms >= self._retention_ms:
                 self._forget(record)
 
     def _sweep_answers(self, record: RouterRecord, now_ms: int) -> None:
@@ -219,17 +219,17 @@
             return record
         if len(self._routers) >= self._max_routers and not self._forget_oldest():
             return None
-        record = RouterRecord(hello=hello, horizon_ms=self.horizon_ms)
+        record = RouterRecord(hello=hello, forgotten_before_ms=self.forgotten_before_ms)
         self._routers[hello.incarnation] = record
         return record
 
     def _forget_oldest(self) -> bool:
         """Make room for one record; those of the last moments are needed against late links."""
-        newest_ms = self._clock.now_ms() - self._late_ms
+        newest_ms = self._clock.now_ms() - self._max_link_delay_ms
         idle = [
             record
             for record in self._routers.values()
-            if record.forgettable and record.last_seen_ms < newest_ms
+            if record.removable and record.last_seen_ms < newest_ms
         ]
         if not idle:
             return False
@@ -238,10 +238,10 @@
 
     def _forget(self, record: RouterRecord) -> None:
         del self._routers[record.hello.incarnation]
-        if self.horizon_ms is None or record.last_seen_ms > self.horizon_ms:
-            self.horizon_ms = record.last_seen_ms
+        if self.forgotten_before_ms is None or record.last_seen_ms > self.forgotten_before_ms:
+            self.forgotten_before_ms = record.last_seen_ms
 
-    def _relieve(self) -> None:
+    def _free_memory(self) -> None:
         """Find memory: that of the exchange lost longest, else ask routers to confirm."""
         lost = [
             answer
@@ -253,9 +253,9 @@
             min(lost, key=lambda answer: answer.detached_ms or 0).drop()
             return
         now_ms = self._clock.now_ms()
-        if now_ms - self._pressed_ms < PRESS_INTERVAL_MS:
+        if now_ms - self._confirm_requested_ms < CONFIRM_REQUEST_INTERVAL_MS:
             return
-        self._pressed_ms = now_ms
+        self._confirm_requested_ms = now_ms
         for record in self._routers.values():
             if record.connection is not None:
-                record.connection.send(Kind.HEARTBEAT, flags=FLAG_PRESS)
+                record.connection.send(Kind.HEARTBEAT, flags=FLAG_CONFIRM_REQUEST)
--- a/gypsumrouter/orders/diagnostics.py
+++ b/gypsumrouter/orders/diagnostics.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import asdict
 
-from gypsumrouter.link.models import HeldModel
+from gypsumrouter.link.models import ModelStatus
 from gypsumrouter.orders.models import Change, EngineState
 from gypsumrouter.orders.table import Heard, HoldingTable
 
@@ -59,5 +59,5 @@
     }
 
 
-def _dump_model(model: HeldModel) -> dict[str, object]:
+def _dump_model(model: ModelStatus) -> dict[str, object]:
     return asdict(model)
--- a/gypsumrouter/orders/gates.py
+++ b/gypsumrouter/orders/gates.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from gypsumrouter.configuration import PoolOrders
-from gypsumrouter.link.models import HeldModel, Holding
+from gypsumrouter.link.models import EngineStatus, ModelStatus
 from gypsumrouter.orders.changes import get_minimum
 from gypsumrouter.orders.const import FAILURES_PASSED
 from gypsumrouter.orders.models import Change, OrderKind
@@ -26,13 +26,13 @@
     failures: int = 0
 
 
-def find_model(holding: Holding, name: str) -> HeldModel | None:
+def find_model(holding: EngineStatus, name: str) -> ModelStatus | None:
     """Return what a holding says of a model."""
     return next((model for model in holding.models if model.name == name), None)
 
 
 def find_obstacle(
-    *, own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
+    *, own: str, change: Change, orders: PoolOrders, holdings: Sequence[EngineStatus]
 ) -> str:
     """Return why the engine of `own` may not begin a change now.
 
@@ -48,7 +48,9 @@
     return waiting
 
 
-def _find_withdraw_obstacle(own: str, name: str, minimum: int, holdings: Iterable[Holding]) -> str:
+def _find_withdraw_obstacle(
+    own: str, name: str, minimum: int, holdings: Iterable[EngineStatus]
+) -> str:
     serving = sum(
         1
         for holding in holdings
@@ -60,7 +62,7 @@
 
 
 def _find_replace_obstacle(
-    own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
+    own: str, change: Change, orders: PoolOrders, holdings: Sequence[EngineStatus]
 ) -> str:
     steps = [
         Step(
@@ -82,7 +84,7 @@
 
 
 def _find_role_obstacle(
-    own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
+    own: str, change: Change, orders: PoolOrders, holdings: Sequence[EngineStatus]
 ) -> str:
     steps = [
         Step(
@@ -125,7 +127,7 @@
 
 
 def choose_source(
-    *, own: str, name: str, version: str, avoided: Iterable[str], holdings: Iterable[Holding]
+    *, own: str, name: str, version: str, avoided: Iterable[str], holdings: Iterable[EngineStatus]
 ) -> str:
     """Return the engine of a neighbour that holds a version, empty where there is none."""
     sources = [
@@ -140,7 +142,9 @@
     return min(left, key=lambda engine: get_rank(f"{own}/{name}", engine), default="")
 
 
-def find_store_obstacle(*, own: str, name: str, version: str, holdings: Iterable[Holding]) -> str:
+def find_store_obstacle(
+    *, own: str, name: str, version: str, holdings: Iterable[EngineStatus]
+) -> str:
     """Return why the engine of `own` may not load a version from the weight store now.
 
     One engine fetches it there, and the others from that one.
@@ -154,7 +158,7 @@
     return ""
 
 
-def _is_serving(model: HeldModel) -> bool:
+def _is_serving(model: ModelStatus) -> bool:
     return model.serving and bool(model.version)
 
 
--- a/gypsumrouter/orders/loads.py
+++ b/gypsumrouter/orders/loads.py
@@ -6,7 +6,7 @@
 
 from gypsumrouter.configuration import PoolOrders
 from gypsumrouter.core import Application
-from gypsumrouter.link.models import Holding
+from gypsumrouter.link.models import EngineStatus
 from gypsumrouter.orders.const import TURN_MS
 from gypsumrouter.orders.gates import choose_source, find_store_obstacle
 from gypsumrouter.orders.lease import OrderLease
@@ -65,7 +65,7 @@
             return Waiting(reason="the weight store has its turns", look_ms=wait_ms)
         return Source()
 
-    def _choose_neighbour(self, change: Change, holdings: list[Holding]) -> str:
+    def _choose_neighbour(self, change: Change, holdings: list[EngineStatus]) -> str:
         if not self._retries.may_ask_neighbours(change.name, change.version):
             return ""
         return choose_source(
--- a/gypsumrouter/orders/news.py
+++ b/gypsumrouter/orders/news.py
@@ -13,7 +13,7 @@
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Instance
 from gypsumrouter.link import NoticeHub, Peer
-from gypsumrouter.link.models import Holding, Holdings
+from gypsumrouter.link.models import EngineStatus, PoolStatus
 from gypsumrouter.orders.const import MAX_ENTRIES, NEWS_BATCH_MS, NEWS_MS
 from gypsumrouter.orders.ports import Membership, Sender
 from gypsumrouter.orders.table import HoldingTable
@@ -59,7 +59,7 @@
         self._told: dict[str, dict[str, int]] = {}
         self._incarnations: dict[str, int] = {}
         self._woken = asyncio.Event()
-        notices.subscribe(Holdings, self._take)
+        notices.subscribe(PoolStatus, self._take)
 
     def start(self, is_wanted: Callable[[], bool]) -> None:
         """Begin to tell news, at times when they are wanted."""
@@ -96,12 +96,12 @@
             ][:MAX_ENTRIES]
             if not entries:
                 return
-            notice = Holdings(pool=self._pool, entries=tuple(entries))
+            notice = PoolStatus(pool=self._pool, entries=tuple(entries))
             if await self._links.async_send(instance=instance, notice=notice):
                 told |= {entry.name: entry.stamp_ms for entry in entries}
                 return
 
-    def _take(self, peer: Peer, notice: Holdings) -> None:
+    def _take(self, peer: Peer, notice: PoolStatus) -> None:
         if notice.pool != self._pool or peer.hello.role is not Role.SIDE:
             return
         told = self._get_told(peer)
@@ -109,7 +109,7 @@
             if entry.name != self._app.name:
                 self._take_entry(entry, told)
 
-    def _take_entry(self, entry: Holding, told: dict[str, int]) -> None:
+    def _take_entry(self, entry: EngineStatus, told: dict[str, int]) -> None:
         told[entry.name] = max(entry.stamp_ms, told.get(entry.name, 0))
         known = self._table.get(entry.name)
         if not self._table.note(entry):
@@ -141,11 +141,11 @@
             self._incarnations.pop(name, None)
 
 
-def differs(before: Holding, after: Holding) -> bool:
+def differs(before: EngineStatus, after: EngineStatus) -> bool:
     """Return whether two holdings of one engine differ in more than loads and stamps."""
     return _strip(before) != _strip(after)
 
 
-def _strip(holding: Holding) -> Holding:
+def _strip(holding: EngineStatus) -> EngineStatus:
     models = tuple(replace(model, load=0.0) for model in holding.models)
     return replace(holding, stamp_ms=0, models=models)
--- a/gypsumrouter/orders/own.py
+++ b/gypsumrouter/orders/own.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from gypsumrouter.link.models import HeldModel, Holding
+from gypsumrouter.link.models import EngineStatus, ModelStatus
 from gypsumrouter.orders.demand import Demand
 from gypsumrouter.orders.models import Change, EngineState, OrderKind
 from gypsumrouter.orders.news import differs
@@ -40,7 +40,7 @@
         self.change: Change | None = None
         self.confirmed = False
         self.retried: Change | None = None
-        self.holding = Holding(name=name, stamp_ms=0, engine="", up=False)
+        self.holding = EngineStatus(name=name, stamp_ms=0, engine="", up=False)
 
     @property
     def turned_away(self) -> frozenset[str]:
@@ -75,11 +75,11 @@
             self.holding = made
         return changed
 
-    def _make(self, stamp_ms: int) -> Holding:
+    def _make(self, stamp_ms: int) -> EngineStatus:
         state = self.state
         if state is None:
-            return Holding(name=self._name, stamp_ms=stamp_ms, engine=self.address, up=False)
-        return Holding(
+            return EngineStatus(name=self._name, stamp_ms=stamp_ms, engine=self.address, up=False)
+        return EngineStatus(
             name=self._name,
             stamp_ms=stamp_ms,
             engine=self.address,
@@ -88,7 +88,7 @@
             models=tuple(self._list_models(state)),
         )
 
-    def _list_models(self, state: EngineState) -> Iterator[HeldModel]:
+    def _list_models(self, state: EngineState) -> Iterator[ModelStatus]:
         change = self.change
         dropped = () if change is None else change.drops
         withdrawn = self._get_withdrawn()
@@ -99,7 +99,7 @@
         for name in sorted(state.models.keys() | loading.keys()):
             if name in dropped:
                 continue
-            yield HeldModel(
+            yield ModelStatus(
                 name=name,
                 version=state.models.get(name, ""),
                 next_version=loading.get(name, ""),
--- a/gypsumrouter/orders/planner.py
+++ b/gypsumrouter/orders/planner.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 
 from gypsumrouter.configuration import Pool, PoolOrders
-from gypsumrouter.link.models import Holding
+from gypsumrouter.link.models import EngineStatus
 from gypsumrouter.orders.changes import list_targets
 from gypsumrouter.orders.plan import PlannedEngine, plan_models
 from gypsumrouter.orders.table import HoldingTable
@@ -51,7 +51,7 @@
         self.wished = list_targets(orders, plan[self._name])
 
 
-def sum_demand(orders: PoolOrders, holdings: Iterable[Holding]) -> dict[str, float]:
+def sum_demand(orders: PoolOrders, holdings: Iterable[EngineStatus]) -> dict[str, float]:
     """Return the requests in hand for each model; those for adapters count for their model."""
     bases = {model.name: model.name for model in orders.models}
     for model in orders.models:
@@ -64,6 +64,6 @@
     return demand
 
 
-def _to_engine(holding: Holding) -> PlannedEngine:
+def _to_engine(holding: EngineStatus) -> PlannedEngine:
     models = frozenset(model.name for model in holding.models)
     return PlannedEngine(name=holding.name, models=models)
--- a/gypsumrouter/orders/table.py
+++ b/gypsumrouter/orders/table.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from gypsumrouter.link.models import Holding
+from gypsumrouter.link.models import EngineStatus
 from gypsumrouter.orders.const import RESTAMP_MS, RESTAMP_MS_PER_MEMBER, STALE_RESTAMPS
 from gypsumrouter.util.clock import Clock
 
@@ -15,7 +15,7 @@
 class Heard(Struct, frozen=True, kw_only=True):
     """What a side said of its engine, and when the newest of it came; times are monotonic."""
 
-    holding: Holding
+    holding: EngineStatus
     at_ms: int
 
 
@@ -51,7 +51,7 @@
         self._listed_ms = {name: self._listed_ms.get(name, now_ms) for name in names}
         self._forget_strangers()
 
-    def note(self, holding: Holding) -> bool:
+    def note(self, holding: EngineStatus) -> bool:
         """Take in what is said of an engine; return whether it is newer than what was known."""
         known = self._entries.get(holding.name)
         if known is not None and known.holding.stamp_ms >= holding.stamp_ms:
@@ -74,7 +74,7 @@
             if name not in self._entries and now_ms - since_ms <= self._get_stale_ms()
         ]
 
-    def list_answering(self) -> list[Holding]:
+    def list_answering(self) -> list[EngineStatus]:
         """Return what the engines hold that answer, sorted by the names of their sides.
 
         Of several sides beside one engine the first speaks for it.
@@ -94,13 +94,13 @@
             if item.up and speakers[item.engine] == item.name
         ]
 
-    def find_rival(self, own: Holding) -> str:
+    def find_rival(self, own: EngineStatus) -> str:
         """Return the side that speaks for the engine of `own` in its place, if there is one."""
         names = (item.name for item in self.list_fresh() if item.engine == own.engine)
         first = min(names, default=own.name)
         return first if first < own.name else ""
 
-    def list_fresh(self) -> list[Holding]:
+    def list_fresh(self) -> list[EngineStatus]:
         """Return every holding that is worth telling others."""
         names = (*self._listed_ms, *self._list_held())
         return [self._entries[name].holding for name in names if self._is_fresh(name)]
@@ -128,7 +128,7 @@
         return STALE_RESTAMPS * self.restamp_ms
 
 
-def _mark_gone(holding: Holding) -> Holding:
+def _mark_gone(holding: EngineStatus) -> EngineStatus:
     """Return the holding of a side that has left the list a moment ago."""
     models = tuple(replace(model, serving=False) for model in holding.models)
     return replace(holding, engine="", models=models)
--- a/gypsumrouter/peers/catch_up.py
+++ b/gypsumrouter/peers/catch_up.py
@@ -12,14 +12,14 @@
 from gypsumrouter.instances import parse_address
 from gypsumrouter.journal import Journal, PeerNews
 from gypsumrouter.link import (
-    CatchUp,
-    EvacuationTold,
+    CatchUpRequest,
+    EvacuationState,
     ListedUpstream,
     ListedUpstreams,
     NoticeHub,
     Peer,
     RoutingDocument,
-    StoreWatched,
+    StoreUpdate,
 )
 from gypsumrouter.peers.const import (
     CATCH_UP_DELAY_MS,
@@ -85,7 +85,7 @@
         # Versions that were last requested from a watcher, and the time of that request.
         self._last_announced = (0, 0)
         self._last_watcher_request_ms = NEVER_MS
-        notices.subscribe(CatchUp, self._handle_request)
+        notices.subscribe(CatchUpRequest, self._handle_request)
         notices.subscribe(RoutingDocument, self._handle_routing)
         notices.subscribe(ListedUpstreams, self._handle_upstreams)
 
@@ -102,7 +102,7 @@
         self._behind_list_ms = _get_behind_since(self._behind_list_ms, upstreams, now_ms)
         if now_ms - self._last_request_ms < CATCH_UP_INTERVAL_MS:
             return
-        request = CatchUp(
+        request = CatchUpRequest(
             routing=routing and self._is_overdue(self._behind_routing_ms, now_ms),
             upstreams=upstreams and self._is_overdue(self._behind_list_ms, now_ms),
             since=self._get_list_as_of(),
@@ -110,7 +110,7 @@
         if (request.routing or request.upstreams) and peer.send(request):
             self._last_request_ms = now_ms
 
-    def handle_announcement(self, peer: Peer, announcement: StoreWatched) -> None:
+    def handle_announcement(self, peer: Peer, announcement: StoreUpdate) -> None:
         """Process a watcher's announcement; requests the changes that this router lacks."""
         self.merge_evacuations(peer, announcement.evacuations)
         routing = announcement.routing_version > self._routing.version
@@ -122,13 +122,13 @@
         if not (routing or upstreams) or not self._should_request(announcement):
             return
         since = self._get_list_as_of()
-        peer.send(CatchUp(routing=routing, upstreams=upstreams, since=since))
+        peer.send(CatchUpRequest(routing=routing, upstreams=upstreams, since=since))
 
-    def merge_evacuations(self, peer: Peer, received: tuple[EvacuationTold, ...]) -> None:
+    def merge_evacuations(self, peer: Peer, received: tuple[EvacuationState, ...]) -> None:
         """Merge the evacuations in a message of a peer, which always lists all of them."""
         merge_evacuations(self._evacuations, received, source=peer.hello.name)
 
-    def _should_request(self, announcement: StoreWatched) -> bool:
+    def _should_request(self, announcement: StoreUpdate) -> bool:
         """Return whether to request an announced change from this watcher.
 
         Every watcher announces the same change; another one is asked only if the first has not
@@ -152,7 +152,7 @@
             return True
         return since_ms is not None and now_ms - since_ms >= CATCH_UP_DELAY_MS
 
-    def _handle_request(self, peer: Peer, request: CatchUp) -> None:
+    def _handle_request(self, peer: Peer, request: CatchUpRequest) -> None:
         table = self._routing.table
         if request.routing and table is not None:
             configuration = table.configuration
--- a/gypsumrouter/peers/evacuations.py
+++ b/gypsumrouter/peers/evacuations.py
@@ -5,19 +5,19 @@
 from collections.abc import Iterable
 
 from gypsumrouter.directory import Evacuation, Evacuations
-from gypsumrouter.link import EvacuationTold
+from gypsumrouter.link import EvacuationState
 
 
-def encode_evacuations(evacuations: Evacuations) -> tuple[EvacuationTold, ...]:
+def encode_evacuations(evacuations: Evacuations) -> tuple[EvacuationState, ...]:
     """Return all known evacuations as message entries; every message carries the full set."""
     return tuple(
-        EvacuationTold(data_centre=e.data_centre, revision=e.revision, active=e.active)
+        EvacuationState(data_centre=e.data_centre, revision=e.revision, active=e.active)
         for e in evacuations.list_all()
     )
 
 
 def merge_evacuations(
-    evacuations: Evacuations, received: Iterable[EvacuationTold], *, source: str
+    evacuations: Evacuations, received: Iterable[EvacuationState], *, source: str
 ) -> None:
     """Merge evacuations received from a peer; entries of older revisions are ignored."""
     for e in received:
--- a/gypsumrouter/peers/inventory.py
+++ b/gypsumrouter/peers/inventory.py
@@ -15,7 +15,14 @@
 from gypsumrouter.core import Application
 from gypsumrouter.forwarding.cache_index import CacheIndex
 from gypsumrouter.journal import HeldPartsTold, Journal
-from gypsumrouter.link import HeldAt, HeldNews, HeldWanted, Notice, NoticeHub, Peer
+from gypsumrouter.link import (
+    EngineListing,
+    InventoryRequest,
+    InventoryUpdate,
+    Notice,
+    NoticeHub,
+    Peer,
+)
 
 # Interval at which a router that is not a seed retries a seed that is not listening yet.
 RETRY_INTERVAL_MS: Final = 30
@@ -83,8 +90,8 @@
         # Engines whose listing is known.
         self._known_engines: set[str] = set()
         self._listener: InventoryListener = lambda upstream: None
-        notices.subscribe(HeldWanted, self._handle_request)
-        notices.subscribe(HeldNews, self._handle_inventory)
+        notices.subscribe(InventoryRequest, self._handle_request)
+        notices.subscribe(InventoryUpdate, self._handle_inventory)
 
     def on_listing_received(self, listener: InventoryListener) -> None:
         """Call `listener` with each engine whose listing was received from a peer."""
@@ -121,7 +128,7 @@
         return self._complete.is_set()
 
     async def _async_ask_seed(self, seed: str) -> None:
-        if not await self._send(seed, HeldWanted()):
+        if not await self._send(seed, InventoryRequest()):
             self._note_incomplete(seed)
 
     async def _async_ask_as_non_seed(self, others: list[str]) -> bool:
@@ -154,7 +161,9 @@
     async def async_share_listing(self, upstream: str, parts: tuple[int, ...]) -> None:
         """Send an engine's listing to the other seeds and to all waiting peers."""
         self._known_engines.add(upstream)
-        inventory = HeldNews(complete=False, engines=(HeldAt(upstream=upstream, parts=parts),))
+        inventory = InventoryUpdate(
+            complete=False, engines=(EngineListing(upstream=upstream, parts=parts),)
+        )
         for peer in self._waiting_peers:
             peer.send(inventory)
         await asyncio.gather(*(self._send(seed, inventory) for seed in self._list_others()))
@@ -172,10 +181,10 @@
 
     async def _async_ask_until_sent(self, seed: str, delay_ms: int) -> None:
         await self._app.clock.async_sleep(delay_ms)
-        while not await self._send(seed, HeldWanted()):
+        while not await self._send(seed, InventoryRequest()):
             await self._app.clock.async_sleep(RETRY_INTERVAL_MS)
 
-    def _handle_request(self, peer: Peer, request: HeldWanted) -> None:
+    def _handle_request(self, peer: Peer, request: InventoryRequest) -> None:
         if self._inventory_known:
             peer.send(self._make_inventory())
             return
@@ -188,17 +197,17 @@
         if len(self._incomplete_seeds) >= len(self._list_others()):
             self._all_incomplete.set()
 
-    def _make_inventory(self, *, only: set[str] | None = None) -> HeldNews:
+    def _make_inventory(self, *, only: set[str] | None = None) -> InventoryUpdate:
         """Return the inventory of all engines, marked complete, or of the engines in `only`."""
         held = self._cache_index.list_cached(now_ms=self._app.clock.now_ms())
         engines = tuple(
-            HeldAt(upstream=name, parts=parts)
+            EngineListing(upstream=name, parts=parts)
             for name, parts in held.items()
             if only is None or name in only
         )
-        return HeldNews(complete=only is None, engines=engines)
+        return InventoryUpdate(complete=only is None, engines=engines)
 
-    def _handle_inventory(self, peer: Peer, inventory: HeldNews) -> None:
+    def _handle_inventory(self, peer: Peer, inventory: InventoryUpdate) -> None:
         now_ms = self._app.clock.now_ms()
         for engine in inventory.engines:
             for part in engine.parts:
--- a/gypsumrouter/peers/loads.py
+++ b/gypsumrouter/peers/loads.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from gypsumrouter.forwarding.loads import LoadTracker, PeerLoads, UpstreamLoad
-from gypsumrouter.link import DataCentreLoads, RouterLoad, RouterNews
+from gypsumrouter.link import DataCentreLoads, RouterLoad, RouterUpdate
 
 
 def encode_loads(records: LoadTracker) -> tuple[RouterLoad, ...]:
@@ -18,7 +18,7 @@
     return _encode(records.sum_with_peers(peers))
 
 
-def decode_loads(update: RouterNews, *, now_ms: int) -> PeerLoads:
+def decode_loads(update: RouterUpdate, *, now_ms: int) -> PeerLoads:
     """Return the load counts in a peer's update."""
     return _decode(update.loads, now_ms)
 
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -25,8 +25,8 @@
     NoticeHub,
     Peer,
     PlacedPart,
-    RouterAt,
-    RouterNews,
+    RouterAddress,
+    RouterUpdate,
     Strike,
 )
 from gypsumrouter.mechanisms import Mechanism
@@ -159,7 +159,7 @@
         if Mechanism.PEER_INVENTORY not in settings.without:
             forwarder.inventory.set_peers(self._inventory)
         forwarder.placer.slow_start.set_fleet(self._routers)
-        notices.subscribe(RouterNews, self._handle_update)
+        notices.subscribe(RouterUpdate, self._handle_update)
         forwarder.placer.on_placed(self._note_placed)
         forwarder.suspects.on_strike(self._note_strike)
         app.add_dump_section("peers", self._dump)
@@ -232,8 +232,8 @@
         )
         return await self._pool.async_send(instance=instance, notice=notice)
 
-    def _make_update(self, known: PeerRouter, placed: tuple[PlacedPart, ...]) -> RouterNews:
-        update = RouterNews(
+    def _make_update(self, known: PeerRouter, placed: tuple[PlacedPart, ...]) -> RouterUpdate:
+        update = RouterUpdate(
             address=self._routers.own_address,
             routers=self._list_routers(known),
             routing_version=self._routing.version,
@@ -252,7 +252,7 @@
             refused=placer.health.list_refusals(),
         )
 
-    def _list_routers(self, known: PeerRouter) -> tuple[RouterAt, ...]:
+    def _list_routers(self, known: PeerRouter) -> tuple[RouterAddress, ...]:
         """Return the live routers, or nothing if a list of the same size was sent recently."""
         now_ms = self._app.clock.now_ms()
         same = known.sent_router_count == len(self._routers)
@@ -273,7 +273,7 @@
             known.last_reached_ms = now_ms
         known.reachable = sent
 
-    def _handle_update(self, peer: Peer, update: RouterNews) -> None:
+    def _handle_update(self, peer: Peer, update: RouterUpdate) -> None:
         now_ms = self._app.clock.now_ms()
         self._add_router(update.address, data_centre=update.data_centre)
         known = self._routers.get(update.address)
@@ -297,7 +297,7 @@
         if update.routers:
             peer.send(update)
 
-    def _apply_update(self, peer: Peer, update: RouterNews, now_ms: int) -> None:
+    def _apply_update(self, peer: Peer, update: RouterUpdate, now_ms: int) -> None:
         placer = self._forwarder.placer
         if Mechanism.PEER_LOADS not in self._without:
             placer.loads.set_peer_loads(peer.hello.name, decode_loads(update, now_ms=now_ms))
@@ -313,7 +313,7 @@
             ):
                 self._relays.note_strike(strike)
 
-    def _list_placed(self, update: RouterNews) -> tuple[PlacedPart, ...]:
+    def _list_placed(self, update: RouterUpdate) -> tuple[PlacedPart, ...]:
         return () if Mechanism.PEER_PLACEMENTS in self._without else update.placed
 
     def _note_placed(self, part: int, upstream: str) -> None:
--- a/gypsumrouter/peers/relays.py
+++ b/gypsumrouter/peers/relays.py
@@ -20,12 +20,12 @@
 from gypsumrouter.forwarding.suspects import SuspectTracker
 from gypsumrouter.link import (
     DataCentreLoads,
-    DataCentreNews,
+    DataCentreUpdate,
     Notice,
     NoticeHub,
     Peer,
     PlacedPart,
-    RelayedNews,
+    RelayedUpdate,
     Strike,
     send_to_all,
 )
@@ -111,8 +111,8 @@
         # Data centres that have a running update task.
         self._sending_to: set[str] = set()
         self._routers_sent_ms: dict[str, int] = {}
-        notices.subscribe(DataCentreNews, self._handle_update)
-        notices.subscribe(RelayedNews, self._handle_relayed)
+        notices.subscribe(DataCentreUpdate, self._handle_update)
+        notices.subscribe(RelayedUpdate, self._handle_relayed)
 
     def async_start(self) -> None:
         """Start sending and forwarding updates."""
@@ -185,9 +185,9 @@
         data_centre.attempts += 1
         return routers[(data_centre.attempts - 1) % len(routers)] if routers else None
 
-    def _make_update(self, name: str, placed: tuple[PlacedPart, ...]) -> DataCentreNews:
+    def _make_update(self, name: str, placed: tuple[PlacedPart, ...]) -> DataCentreUpdate:
         neighbours = self._routers.list_neighbours()
-        return DataCentreNews(
+        return DataCentreUpdate(
             address=self._routers.own_address,
             loads=DataCentreLoads(
                 data_centre=self._app.data_centre,
@@ -212,7 +212,7 @@
         self._routers_sent_ms[name] = now_ms
         return (self._routers.own_address, *neighbours)
 
-    def _handle_update(self, peer: Peer, update: DataCentreNews) -> None:
+    def _handle_update(self, peer: Peer, update: DataCentreUpdate) -> None:
         """Process an update from another data centre and queue it for the neighbours."""
         loads = update.loads
         if loads.data_centre in ("", self._app.data_centre):
@@ -233,7 +233,7 @@
             list_revision=update.list_revision,
         )
 
-    def _handle_relayed(self, peer: Peer, update: RelayedNews) -> None:
+    def _handle_relayed(self, peer: Peer, update: RelayedUpdate) -> None:
         """Process updates of other data centres that a neighbour forwards."""
         for loads in update.loads:
             if loads.data_centre != self._app.data_centre:
@@ -271,14 +271,14 @@
         strikes = self._inbound.list_strikes(now_ms=self._app.clock.now_ms())
         groups: dict[int, list[PeerRouter]] = defaultdict(list)
         for known in self._routers.list_neighbours().values():
-            if known.peer is not None and known.peer.takes:
+            if known.peer is not None and known.peer.writable:
                 groups[known.relayed_position].append(known)
         # Neighbours at the same position share one update, which is encoded once.
         for position, group in groups.items():
             placed, end = self._inbound.read_from(position)
             if not (loads or placed or strikes or refused):
                 continue
-            update = RelayedNews(loads=loads, placed=placed, strikes=strikes, refused=refused)
+            update = RelayedUpdate(loads=loads, placed=placed, strikes=strikes, refused=refused)
             send_to_all([known.peer for known in group if known.peer is not None], update)
             for known in group:
                 known.relayed_position = end
--- a/gypsumrouter/peers/routers.py
+++ b/gypsumrouter/peers/routers.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from gypsumrouter.instances import Address, parse_address
-from gypsumrouter.link import Peer, RouterAt
+from gypsumrouter.link import Peer, RouterAddress
 from gypsumrouter.peers.const import ALIVE_TIMEOUT_MS, MAX_KNOWN_ROUTERS, ROUTER_EXPIRY_MS
 from gypsumrouter.util.clock import Clock
 
@@ -224,11 +224,11 @@
             return True
         return any(known.last_update_ms != NEVER_MS for known in self._routers.values())
 
-    def list_live_routers(self) -> tuple[RouterAt, ...]:
+    def list_live_routers(self) -> tuple[RouterAddress, ...]:
         """Return the routers that were seen recently, as message entries."""
         since_ms = self._clock.now_ms() - ROUTER_EXPIRY_MS // 2
         return tuple(
-            RouterAt(address=address, data_centre=known.data_centre)
+            RouterAddress(address=address, data_centre=known.data_centre)
             for address, known in self._routers.items()
             if known.last_seen_ms >= since_ms
         )
--- a/gypsumrouter/peers/watchers.py
+++ b/gypsumrouter/peers/watchers.py
@@ -16,7 +16,7 @@
 
 from gypsumrouter.core import Application
 from gypsumrouter.directory import Directory, Evacuations
-from gypsumrouter.link import NoticeHub, Peer, StoreWatched
+from gypsumrouter.link import NoticeHub, Peer, StoreUpdate
 from gypsumrouter.peers.catch_up import CatchUpCoordinator
 from gypsumrouter.peers.evacuations import encode_evacuations
 from gypsumrouter.peers.routers import RouterRegistry
@@ -78,7 +78,7 @@
         self._routing = routing
         self._list = upstreams
         self._send_scheduled = False
-        notices.subscribe(StoreWatched, self._handle_announcement)
+        notices.subscribe(StoreUpdate, self._handle_announcement)
         directory.on_change(lambda entry: self._schedule_announcement())
         routing_store.on_change(lambda table: self._schedule_announcement())
         evacuations.on_change(lambda evacuation: self._schedule_announcement())
@@ -123,8 +123,8 @@
             if known.peer is not None:
                 known.peer.send(announcement)
 
-    def _make_announcement(self) -> StoreWatched:
-        return StoreWatched(
+    def _make_announcement(self) -> StoreUpdate:
+        return StoreUpdate(
             routing_version=self._routing_store.version,
             routing_as_of=_get_current_revision(self._routing),
             list_newest=self._directory.newest,
@@ -136,7 +136,7 @@
         per_data_centre = get_watchers_per_data_centre(len(self._routers.count_by_data_centre()))
         return is_watcher(self._routers.own_address, neighbours, per_data_centre=per_data_centre)
 
-    def _handle_announcement(self, peer: Peer, announcement: StoreWatched) -> None:
+    def _handle_announcement(self, peer: Peer, announcement: StoreUpdate) -> None:
         if self.is_watcher():
             return
         if announcement.routing_as_of:
--- a/gypsumrouter/prefixes/prefixes.py
+++ b/gypsumrouter/prefixes/prefixes.py
@@ -10,7 +10,7 @@
 from gypsumrouter.const import MS_PER_S, Role, make_engine_chat
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Instance
-from gypsumrouter.link import Answer, ExchangeHandler, NoticeHub, Peer, PrefixNews
+from gypsumrouter.link import Answer, ExchangeHandler, NoticeHub, Peer, PrefixAnnouncement
 from gypsumrouter.link.models import Head, Headers, Hello, Open
 from gypsumrouter.prefixes import const
 from gypsumrouter.prefixes.engine import CacheClient
@@ -77,7 +77,7 @@
             client=self._client,
             list_chats=self._list_idle,
         )
-        notices.subscribe(PrefixNews, self._take_news)
+        notices.subscribe(PrefixAnnouncement, self._take_news)
         self._fetches = app.metrics.counter(
             "gypsumrouter_prefix_fetches_total", "Prefixes asked for at other engines, by result"
         )
@@ -131,7 +131,7 @@
         self._moved.forget(digest_chat(chat))
         home = self._find_other(request.holders[0]) if request.holders else None
         if home is not None:
-            news = PrefixNews(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
+            news = PrefixAnnouncement(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
             self._app.async_create_task(self._async_tell(home, news), "prefix news")
 
     def note_ended(self, request: Open) -> None:
@@ -179,10 +179,10 @@
     def _find_other(self, name: str) -> Instance | None:
         return None if name == self._app.name else self._fleet.get(name)
 
-    async def _async_tell(self, home: Instance, news: PrefixNews) -> None:
+    async def _async_tell(self, home: Instance, news: PrefixAnnouncement) -> None:
         await self._links.async_send(instance=home, notice=news)
 
-    def _take_news(self, peer: Peer, news: PrefixNews) -> None:
+    def _take_news(self, peer: Peer, news: PrefixAnnouncement) -> None:
         moved = Moved(name=peer.hello.name, prompt_bytes=news.prompt_bytes)
         self._moved.note(news.chat, moved)
 
--- a/gypsumrouter/suspect_gossip.py
+++ b/gypsumrouter/suspect_gossip.py
@@ -9,11 +9,11 @@
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Fleet, Instance
 from gypsumrouter.link import LinkPool
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.suspicion import Suspicion
 
 ListNames = Callable[[], Collection[str]]
-SendTo = Callable[[Collection[str], SuspectNews], None]
+SendTo = Callable[[Collection[str], SuspectAnnouncement], None]
 
 
 class SuspectGossip:
@@ -43,7 +43,7 @@
         self._send_to = send_to
         suspicion.on_news(self._forward)
 
-    def _forward(self, report: SuspectNews) -> None:
+    def _forward(self, report: SuspectAnnouncement) -> None:
         # Evaluated here and not in the task, because the failed exchanges are still tracked now.
         names = set(self._list_affected())
         self._send_to(names, report)
@@ -51,11 +51,13 @@
         direct = [(instance,) for instance in affected if instance is not None]
         self._app.async_create_task(self._async_forward(report, direct), "suspect gossip")
 
-    async def _async_forward(self, report: SuspectNews, direct: list[tuple[Instance]]) -> None:
+    async def _async_forward(
+        self, report: SuspectAnnouncement, direct: list[tuple[Instance]]
+    ) -> None:
         routes = list_routes(self._app.name, self._fleet.peers())
         await asyncio.gather(*(self._async_send(route, report) for route in (*direct, *routes)))
 
-    async def _async_send(self, route: tuple[Instance, ...], report: SuspectNews) -> None:
+    async def _async_send(self, route: tuple[Instance, ...], report: SuspectAnnouncement) -> None:
         """Send the report to the first reachable instance of a route."""
         for instance in route:
             if await self._links.async_send(instance=instance, notice=report):
--- a/gypsumrouter/suspicion/gate.py
+++ b/gypsumrouter/suspicion/gate.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from gypsumrouter.core import Application
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion.const import (
     ALONE_WAIT_MS,
@@ -33,7 +33,7 @@
         *,
         run: ActiveRun,
         ended: Callable[[ActiveRun, bool], None],
-        died: Callable[[ActiveRun], tuple[SuspectNews, ...]],
+        died: Callable[[ActiveRun], tuple[SuspectAnnouncement, ...]],
     ) -> None:
         self.run = run
         self._ended = ended
@@ -43,7 +43,7 @@
         """Say that the run is over, and whether it gave a whole answer; safe to repeat."""
         self._ended(self.run, whole)
 
-    def died(self) -> tuple[SuspectNews, ...]:
+    def died(self) -> tuple[SuspectAnnouncement, ...]:
         """Say that the upstream died; the reports of all that ran then count as one death."""
         return self._died(self.run)
 
--- a/gypsumrouter/suspicion/strikes.py
+++ b/gypsumrouter/suspicion/strikes.py
@@ -4,7 +4,7 @@
 
 from itertools import combinations
 
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion.const import (
     MAX_STRIKE_DIGESTS,
@@ -58,7 +58,7 @@
         """Return the number of digests with a strike."""
         return len(self._by_digest)
 
-    def add(self, news: SuspectNews) -> bool:
+    def add(self, news: SuspectAnnouncement) -> bool:
         """Take in one strike of one digest; returns whether it was new."""
         self._expire()
         strike = self._obtain(news.strike)
@@ -90,12 +90,12 @@
             return Clear()
         return Suspect()
 
-    def list_news(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
+    def list_news(self, digest: int | None = None) -> tuple[SuspectAnnouncement, ...]:
         """Return the strikes of a digest, or of all, as news for another process."""
         self._expire()
         strikes = self._strikes.values() if digest is None else self._by_digest.get(digest, ())
         return tuple(
-            SuspectNews(digest=item, strike=strike.number, alone=strike.alone)
+            SuspectAnnouncement(digest=item, strike=strike.number, alone=strike.alone)
             for strike in strikes
             for item in (strike.digests if digest is None else (digest,))
         )
--- a/gypsumrouter/suspicion/suspicion.py
+++ b/gypsumrouter/suspicion/suspicion.py
@@ -10,7 +10,7 @@
 
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.helpers.metrics import NO_LABELS
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion.const import BUSY_RETRY_MS, MAX_STRIKE_DIGESTS, STRIKE_BITS
 from gypsumrouter.suspicion.gate import IsolationGate, Token
@@ -26,7 +26,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 DUMP_SECTION: Final = "suspicion"
-NewsListener = Callable[[SuspectNews], None]
+NewsListener = Callable[[SuspectAnnouncement], None]
 
 
 class Suspicion:
@@ -78,7 +78,7 @@
             lambda: {NO_LABELS: self._strikes.digests},
         )
         app.add_dump_section(DUMP_SECTION, self._dump)
-        self._unsubscribe = notices.subscribe(SuspectNews, self._take_news)
+        self._unsubscribe = notices.subscribe(SuspectAnnouncement, self._take_news)
         app.on_stop(self._async_stop)
 
     def check(self, digest: int) -> Verdict:
@@ -105,7 +105,7 @@
             del self._active[digest]
         self._end(run, whole)
 
-    def note_upstream_died(self) -> tuple[SuspectNews, ...]:
+    def note_upstream_died(self) -> tuple[SuspectAnnouncement, ...]:
         """Say that the upstream died; everything that ran gets one strike.
 
         Reports that find nothing running count for nothing, so each run may report.
@@ -140,7 +140,7 @@
 
         return remove
 
-    def list_news(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
+    def list_news(self, digest: int | None = None) -> tuple[SuspectAnnouncement, ...]:
         """Return what is known of one digest, or of all, for a process that may not know it.
 
         Sent over a link before a request, it cannot come after it.
@@ -150,17 +150,17 @@
     async def _async_stop(self) -> None:
         self._unsubscribe()
 
-    def _take_news(self, peer: Peer, news: SuspectNews) -> None:
+    def _take_news(self, peer: Peer, news: SuspectAnnouncement) -> None:
         self._add(news)
         self._gate.note_changed()
 
-    def _add(self, news: SuspectNews) -> None:
+    def _add(self, news: SuspectAnnouncement) -> None:
         if not self._strikes.add(news):
             return
         for listener in tuple(self._listeners):
             listener(news)
 
-    def _note_died(self, run: ActiveRun) -> tuple[SuspectNews, ...]:
+    def _note_died(self, run: ActiveRun) -> tuple[SuspectAnnouncement, ...]:
         return () if run.dead else self.note_upstream_died()
 
     def _end(self, run: ActiveRun, whole: bool) -> None:
@@ -188,11 +188,11 @@
         }
 
 
-def _make_news(digests: tuple[int, ...]) -> tuple[SuspectNews, ...]:
+def _make_news(digests: tuple[int, ...]) -> tuple[SuspectAnnouncement, ...]:
     strike = secrets.randbits(STRIKE_BITS)
     alone = len(digests) == 1
     return tuple(
-        SuspectNews(digest=digest, strike=strike, alone=alone)
+        SuspectAnnouncement(digest=digest, strike=strike, alone=alone)
         for digest in digests[:MAX_STRIKE_DIGESTS]
     )
 
--- a/tests/configuration/test_configuration_spread.py
+++ b/tests/configuration/test_configuration_spread.py
@@ -11,7 +11,7 @@
 from gypsumrouter.configuration.neighbours import list_routes, list_watchers
 from gypsumrouter.const import Role
 from gypsumrouter.instances import Address, Instance
-from gypsumrouter.link.models import ConfigurationNews, PartsRequest
+from gypsumrouter.link.models import ConfigurationAnnouncement, ConfigurationPartsRequest
 
 MakeFleet = Callable[[int], FakeFleet]
 IN_FORCE_MS = 5_000
@@ -54,8 +54,8 @@
     fleet.sent.clear()
     fleet.platform.publish(make_document(2, workspaces=4))
     await fleet.async_advance(IN_FORCE_MS)
-    assert fleet.sent["ConfigurationNews"] <= 8 * 60
-    assert fleet.sent["Parts"] <= 3 * 60
+    assert fleet.sent["ConfigurationAnnouncement"] <= 8 * 60
+    assert fleet.sent["ConfigurationParts"] <= 3 * 60
 
 
 async def test_a_process_that_starts_while_the_platform_is_down_gets_it_from_a_peer(
@@ -185,11 +185,11 @@
     process = await fleet.async_start("router-0")
     liar = await fleet.async_start("router-1")
 
-    def answer(peer: object, request: PartsRequest) -> None:
-        news = ConfigurationNews(version=9, digest=1)
+    def answer(peer: object, request: ConfigurationPartsRequest) -> None:
+        news = ConfigurationAnnouncement(version=9, digest=1)
         fleet.deliver("router-1", "router-0", news)
 
-    liar.listeners[PartsRequest] = answer
+    liar.listeners[ConfigurationPartsRequest] = answer
     await fleet.async_advance(IN_FORCE_MS)
     assert process.version == 0
     fleet.platform.down = False
@@ -205,13 +205,13 @@
     other = await fleet.async_start("router-1")
     fleet.platform.publish(make_document(9))
     await other.store.async_offer(fleet.platform.documents[9])
-    fleet.deliver("router-1", "router-0", ConfigurationNews(version=9, digest=1))
-    other.listeners[PartsRequest] = lambda peer, request: peer.send(
-        ConfigurationNews(version=9, digest=1)
+    fleet.deliver("router-1", "router-0", ConfigurationAnnouncement(version=9, digest=1))
+    other.listeners[ConfigurationPartsRequest] = lambda peer, request: peer.send(
+        ConfigurationAnnouncement(version=9, digest=1)
         if request.version == 0
         else answer_parts_request(other.store, request)
     )
-    other.listeners[ConfigurationNews] = lambda peer, news: None
+    other.listeners[ConfigurationAnnouncement] = lambda peer, news: None
     await fleet.async_advance(IN_FORCE_MS)
     assert process.version == 0
 
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -19,7 +19,7 @@
 from gypsumrouter.forwarding.cache_index import CacheIndex
 from gypsumrouter.forwarding.inventory import CacheInventory, CacheListing
 from gypsumrouter.journal import Journal
-from gypsumrouter.link import HeldAt, HeldNews, Notice, NoticeHub, Peer
+from gypsumrouter.link import EngineListing, InventoryUpdate, Notice, NoticeHub, Peer
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
 from gypsumrouter.peers import inventory as peer_inventory
 from gypsumrouter.peers.inventory import InventoryCoordinator
@@ -171,7 +171,9 @@
 
 
 def test_listing_survives_encoding_and_decoding() -> None:
-    message = HeldNews(complete=True, engines=(HeldAt(upstream="i-1~0abcd", parts=(1, 2**64 - 1)),))
+    message = InventoryUpdate(
+        complete=True, engines=(EngineListing(upstream="i-1~0abcd", parts=(1, 2**64 - 1)),)
+    )
     kind, body = encode_notice(message)
     assert decode_notice(kind, body) == message
 
@@ -180,10 +182,12 @@
     """39 engines with 500 parts each: hashes do not compress, so the message is large."""
     random = Random(1)
     engines = tuple(
-        HeldAt(upstream=f"i-{n}~0abcd", parts=tuple(random.getrandbits(64) for _ in range(500)))
+        EngineListing(
+            upstream=f"i-{n}~0abcd", parts=tuple(random.getrandbits(64) for _ in range(500))
+        )
         for n in range(39)
     )
-    message = HeldNews(complete=True, engines=engines)
+    message = InventoryUpdate(complete=True, engines=engines)
     kind, body = encode_notice(message)
     assert decode_notice(kind, body) == message
 
--- a/tests/gateway/gateway_fakes.py
+++ b/tests/gateway/gateway_fakes.py
@@ -22,7 +22,15 @@
 from gypsumrouter.gateway import Gateway
 from gypsumrouter.instances import Address, Instance, InstanceList
 from gypsumrouter.link import LinkPool
-from gypsumrouter.link.models import AnswerEvent, Data, End, Head, Open, PoolLoad, SuspectNews
+from gypsumrouter.link.models import (
+    AnswerEvent,
+    Data,
+    End,
+    Head,
+    Open,
+    PoolLoad,
+    SuspectAnnouncement,
+)
 from gypsumrouter.outcomes import Refused
 from gypsumrouter.placement import PlacementQuery
 from gypsumrouter.suspicion import Clear, Verdict
@@ -88,7 +96,7 @@
         self.awaited = False
         return event
 
-    def hand_to(self, taker: Callable[[bytes], bool]) -> None:
+    def set_consumer(self, taker: Callable[[bytes], bool]) -> None:
         self.taker = taker
 
     def confirm(self, offset: int) -> None:
@@ -122,7 +130,7 @@
     def __init__(self) -> None:
         self.scripts: dict[str, list[Script]] = {}
         self.opened: list[tuple[str, Open]] = []
-        self.noticed: list[tuple[str, SuspectNews]] = []
+        self.noticed: list[tuple[str, SuspectAnnouncement]] = []
         self.exchanges: list[FakeExchange] = []
         self.was_opened = asyncio.Event()
 
@@ -138,7 +146,7 @@
         self.was_opened.set()
         return exchange
 
-    async def async_send(self, *, instance: Instance, notice: SuspectNews) -> bool:
+    async def async_send(self, *, instance: Instance, notice: SuspectAnnouncement) -> bool:
         self.noticed.append((instance.name, notice))
         return True
 
@@ -210,12 +218,12 @@
 class FakeSuspicion:
     def __init__(self) -> None:
         self.verdict: Verdict = Clear()
-        self.news: tuple[SuspectNews, ...] = ()
+        self.news: tuple[SuspectAnnouncement, ...] = ()
 
     def check(self, digest: int) -> Verdict:
         return self.verdict
 
-    def list_news(self, digest: int) -> tuple[SuspectNews, ...]:
+    def list_news(self, digest: int) -> tuple[SuspectAnnouncement, ...]:
         return self.news
 
 
--- a/tests/gateway/test_gateway_retries.py
+++ b/tests/gateway/test_gateway_retries.py
@@ -3,7 +3,7 @@
 import pytest
 from gateway_fakes import ENGINES, HEAD_JSON, RECORDS, Router, Script, whole
 
-from gypsumrouter.link.models import Data, SuspectNews
+from gypsumrouter.link.models import Data, SuspectAnnouncement
 from gypsumrouter.outcomes import Failed, Reason, Refused
 from gypsumrouter.suspicion import Suspect, find_isolation_places
 
@@ -75,7 +75,7 @@
     router: Router,
 ) -> None:
     place = find_isolation_places("engines", router.fleet.members("engines"))[0].name
-    news = SuspectNews(digest=1, strike=2, alone=False)
+    news = SuspectAnnouncement(digest=1, strike=2, alone=False)
     router.suspicion.verdict, router.suspicion.news = Suspect(), (news,)
     busy = Refused(reason=Reason.SUSPECT_BUSY, elsewhere=True, retry_after_ms=1_000)
     router.links.script(*ENGINES, with_=busy)
--- a/tests/helpers/test_tls_links.py
+++ b/tests/helpers/test_tls_links.py
@@ -16,13 +16,13 @@
 from gypsumrouter.exceptions import SettingsInvalid
 from gypsumrouter.helpers.tls import TlsFiles, make_client_context, make_server_context
 from gypsumrouter.instances import Address, Instance
-from gypsumrouter.link import ConfigurationNews, LinkPool, LinkServer, NoticeHub
+from gypsumrouter.link import ConfigurationAnnouncement, LinkPool, LinkServer, NoticeHub
 from gypsumrouter.settings import Link, Tls
 from gypsumrouter.util.clock import ManualClock
 
 FILES = Path(__file__).with_name("tls_files")
 KEY = b"a key of the links for tests"
-NEWS = ConfigurationNews(version=1, digest=1)
+NEWS = ConfigurationAnnouncement(version=1, digest=1)
 MAX_READS: Final = 200
 
 
--- a/tests/link/link_harness.py
+++ b/tests/link/link_harness.py
@@ -65,7 +65,7 @@
         self.passed_bytes = 0
         self.passed = asyncio.Condition()
         self._silent: set[asyncio.StreamWriter] = set()
-        self._far: set[asyncio.StreamWriter] = set()
+        self._target_writers: set[asyncio.StreamWriter] = set()
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
@@ -91,9 +91,9 @@
         """Pass nothing more on the connections that are open; new ones work."""
         self._silent |= self._writers
 
-    def silence_forward(self) -> None:
+    def silence_towards_target(self) -> None:
         """Pass nothing more towards the target on the connections that are open."""
-        self._silent |= self._writers & self._far
+        self._silent |= self._writers & self._target_writers
 
     async def async_wait_passed(self, size: int) -> None:
         async with self.passed:
@@ -110,10 +110,12 @@
         if self.refusing or self.target is None:
             writer.transport.abort()
             return
-        far_reader, far_writer = await asyncio.open_connection(self.target.host, self.target.port)
-        self._writers |= {writer, far_writer}
-        self._far.add(far_writer)
-        for source, sink in ((reader, far_writer), (far_reader, writer)):
+        target_reader, target_writer = await asyncio.open_connection(
+            self.target.host, self.target.port
+        )
+        self._writers |= {writer, target_writer}
+        self._target_writers.add(target_writer)
+        for source, sink in ((reader, target_writer), (target_reader, writer)):
             task = asyncio.create_task(self._async_pass(source, sink))
             self._tasks.add(task)
 
--- a/tests/link/test_link_exchange.py
+++ b/tests/link/test_link_exchange.py
@@ -22,7 +22,7 @@
 from gypsumrouter.exceptions import InvariantBroken
 from gypsumrouter.link import (
     Answer,
-    ConfigurationNews,
+    ConfigurationAnnouncement,
     Data,
     End,
     Exchange,
@@ -103,7 +103,7 @@
     async with linked(handle) as pair:
         exchange = await pair.async_exchange()
         assert await exchange.async_next() == HEAD
-        exchange.hand_to(take)
+        exchange.set_consumer(take)
         while isinstance(event := await exchange.async_next(), Data):
             assert event.offset == len(taken)
             read.append(len(event.body))
@@ -127,7 +127,7 @@
     assert await exchange.async_next() == HEAD
     exchange.receive_data(0, b"one")
     assert await exchange.async_next() == Data(offset=0, body=b"one")
-    exchange.hand_to(take)
+    exchange.set_consumer(take)
     exchange.receive_data(3, b"two")
     assert await exchange.async_next() == Data(offset=3, body=b"two")
 
@@ -272,12 +272,14 @@
         pair.server.publish_status(STATUS)
         pair.pool.on_status(lambda hello, status: arrived.put_nowait((hello.name, status)))
 
-        def answer_news(peer: Peer, news: ConfigurationNews) -> None:
+        def answer_news(peer: Peer, news: ConfigurationAnnouncement) -> None:
             peer.send(replace(news, version=news.version + 1))
 
-        pair.server_hub.subscribe(ConfigurationNews, answer_news)
-        pair.pool_hub.subscribe(ConfigurationNews, lambda _peer, news: arrived.put_nowait(news))
-        news = ConfigurationNews(version=7, digest=(1 << 64) - 1)
+        pair.server_hub.subscribe(ConfigurationAnnouncement, answer_news)
+        pair.pool_hub.subscribe(
+            ConfigurationAnnouncement, lambda _peer, news: arrived.put_nowait(news)
+        )
+        news = ConfigurationAnnouncement(version=7, digest=(1 << 64) - 1)
         assert await pair.pool.async_send(instance=pair.instance, notice=news)
         assert await arrived.get() == ("side-1", STATUS)
         assert await arrived.get() == replace(news, version=8)
@@ -299,7 +301,7 @@
     async with linked(handle) as pair:
         pair.server.publish_status(STATUS)
         pair.pool.on_status(lambda _hello, status: arrived.put_nowait(status))
-        news = ConfigurationNews(version=1, digest=1)
+        news = ConfigurationAnnouncement(version=1, digest=1)
         assert await pair.pool.async_send(instance=pair.instance, notice=news)
         assert await arrived.get() == STATUS
         await async_read_answer(await pair.async_exchange())
@@ -310,7 +312,7 @@
 
 
 async def test_a_notice_sent_before_a_failure_arrives_before_it() -> None:
-    news = ConfigurationNews(version=7, digest=1)
+    news = ConfigurationAnnouncement(version=7, digest=1)
     arrived: list[object] = []
 
     async def handle(hello: Hello, _request: Open, answer: Answer) -> None:
@@ -319,7 +321,7 @@
         answer.fail(Failed(reason=Reason.UPSTREAM_LOST))
 
     async with linked(handle) as pair:
-        pair.pool_hub.subscribe(ConfigurationNews, lambda _peer, item: arrived.append(item))
+        pair.pool_hub.subscribe(ConfigurationAnnouncement, lambda _peer, item: arrived.append(item))
         exchange = await pair.async_exchange()
         assert isinstance(await exchange.async_next(), Failed)
         assert arrived == [news]
--- a/tests/link/test_link_hostile_input.py
+++ b/tests/link/test_link_hostile_input.py
@@ -28,7 +28,7 @@
 from gypsumrouter.link.const import MAX_FRAME_BYTES, Kind
 from gypsumrouter.link.counts import ByteCounts
 from gypsumrouter.link.frames import HEADER, FrameError, FrameReader, pack_frame
-from gypsumrouter.link.handshake import async_greet, make_greeting
+from gypsumrouter.link.handshake import async_dial, make_greeting
 from gypsumrouter.util.clock import SystemClock
 
 KINDS = st.integers(0, 255) | st.sampled_from([int(kind) for kind in Kind])
@@ -57,7 +57,7 @@
     return await asyncio.open_connection(target.host, target.port)
 
 
-async def _async_connect_proved(pair: Pair) -> RawConnection:
+async def _async_connect_authenticated(pair: Pair) -> RawConnection:
     """Return a connection that went through the handshake, for frames of the test's own."""
     app = make_app("router-9", Role.ROUTER)
     target = pair.require_target()
@@ -65,7 +65,7 @@
         lambda: RawConnection(clock=SystemClock(), counts=ByteCounts()), target.host, target.port
     )
     greeting = make_greeting(app=app, attempt=1, window_bytes=1_000)
-    await async_greet(connection=connection, greeting=greeting, key=KEY, expected_name="side-1")
+    await async_dial(connection=connection, greeting=greeting, key=KEY, expected_name="side-1")
     return connection
 
 
@@ -79,7 +79,7 @@
     return text
 
 
-async def _async_check_still_serves(pair: Pair) -> None:
+async def _async_check_server_works(pair: Pair) -> None:
     body, end = await async_read_answer(await pair.async_exchange())
     assert (body, isinstance(end, End)) == (b"hello {}", True)
     assert pair.server_app.fatal is None
@@ -95,7 +95,7 @@
             with contextlib.suppress(OSError):
                 await reader.read()
             writer.close()
-            await _async_check_still_serves(pair)
+            await _async_check_server_works(pair)
 
     asyncio.run(async_run())
 
@@ -105,11 +105,11 @@
 def test_any_frames_from_a_proved_peer_end_in_a_close_that_says_why(data: bytes) -> None:
     async def async_run() -> None:
         async with linked() as pair:
-            connection = await _async_connect_proved(pair)
+            connection = await _async_connect_authenticated(pair)
             connection.write_raw(data)
             connection.write_raw(pack_frame(Kind.HELLO, 0, 0, b""))
             assert await _async_read_goodbye(connection)
-            await _async_check_still_serves(pair)
+            await _async_check_server_works(pair)
 
     asyncio.run(async_run())
 
@@ -151,12 +151,12 @@
     frame: bytes, words: str
 ) -> None:
     async with linked() as pair:
-        connection = await _async_connect_proved(pair)
+        connection = await _async_connect_authenticated(pair)
         connection.write_raw(frame)
         text = await _async_read_goodbye(connection)
         assert text is not None
         assert words in text
-        await _async_check_still_serves(pair)
+        await _async_check_server_works(pair)
 
 
 async def test_a_stranger_cannot_make_the_server_keep_a_long_frame() -> None:
--- a/tests/link/test_link_lying_server.py
+++ b/tests/link/test_link_lying_server.py
@@ -30,7 +30,7 @@
 REFUSED_FRAME = encode_failure(Refused(reason=Reason.OVER_CAP, elsewhere=True))
 
 
-class LyingServer:
+class MisbehavingServer:
     """Answer each OPEN with frames of the test's own."""
 
     def __init__(self, script: Script) -> None:
@@ -52,7 +52,7 @@
         app = make_app("side-1", Role.SIDE)
         greeting = make_greeting(app=app, attempt=0, window_bytes=1_000)
         await async_accept(connection=connection, greeting=greeting, key=KEY)
-        connection.lift_limit()
+        connection.raise_frame_limit()
         connection.send(Kind.WELCOME)
         while (frame := await connection.async_read()) is not None:
             if frame.kind != Kind.OPEN:
@@ -80,7 +80,7 @@
     script: Script,
 ) -> None:
     async with linked() as pair:
-        address = await LyingServer(script).async_start()
+        address = await MisbehavingServer(script).async_start()
         instance = replace(pair.instance, address=address)
         exchange = await pair.pool.async_open(instance=instance, request=REQUEST)
         assert not isinstance(exchange, Refused)
@@ -96,7 +96,7 @@
     cancelled = (Kind.FAILED, encode_failure(Failed(reason=Reason.UPSTREAM_LOST))[1])
     late: Script = [cancelled, HEAD_FRAME, DATA_FRAME, WRONG_SUM, REFUSED_FRAME]
     async with linked() as pair:
-        address = await LyingServer([*late, encode_notice(status)]).async_start()
+        address = await MisbehavingServer([*late, encode_notice(status)]).async_start()
         pair.pool.on_status(lambda _hello, _status: arrived.set())
         instance = replace(pair.instance, address=address)
         exchange = await pair.pool.async_open(instance=instance, request=REQUEST)
@@ -104,12 +104,12 @@
         _, event = await async_read_answer(exchange)
         assert event == Failed(reason=Reason.UPSTREAM_LOST)
         await arrived.wait()
-        assert not exchange.waiting
+        assert not exchange.has_events
 
 
 async def test_a_server_that_answers_nothing_is_found_and_the_outcome_stays_unknown() -> None:
     async with linked() as pair:
-        address = await LyingServer([]).async_start()
+        address = await MisbehavingServer([]).async_start()
         instance = replace(pair.instance, address=address)
         exchange = await pair.pool.async_open(instance=instance, request=REQUEST)
         assert not isinstance(exchange, Refused)
--- a/tests/link/test_link_packing.py
+++ b/tests/link/test_link_packing.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gypsumrouter.link import RouterLoad, RouterNews
+from gypsumrouter.link import RouterLoad, RouterUpdate
 from gypsumrouter.link.const import Kind
 from gypsumrouter.link.frames import FrameError
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
@@ -20,8 +20,8 @@
 )
 
 
-def make_news(loads: int) -> RouterNews:
-    return RouterNews(
+def make_news(loads: int) -> RouterUpdate:
+    return RouterUpdate(
         address="10.0.0.1:80",
         routers=(),
         routing_version=3,
--- a/tests/link/test_link_placement_fields.py
+++ b/tests/link/test_link_placement_fields.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from gypsumrouter.const import UpstreamKind
-from gypsumrouter.link import PrefixNews
+from gypsumrouter.link import PrefixAnnouncement
 from gypsumrouter.link.codec import decode_open, encode_open
 from gypsumrouter.link.models import Open, Status
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
@@ -37,7 +37,7 @@
 
 
 def test_news_of_a_prefix_are_small() -> None:
-    news = PrefixNews(chat=2**64 - 1, prompt_bytes=100_000)
+    news = PrefixAnnouncement(chat=2**64 - 1, prompt_bytes=100_000)
     kind, body = encode_notice(news)
     assert decode_notice(kind, body) == news
     assert len(body) <= 24
--- a/tests/link/test_link_resume.py
+++ b/tests/link/test_link_resume.py
@@ -162,11 +162,11 @@
 
 async def test_a_request_lost_on_a_link_that_still_delivers_is_said_to_be_not_run() -> None:
     gate = Gate()
-    patient = replace(SETTINGS, silence_ms=60_000)
-    async with linked(gate.async_handle, server_settings=patient) as pair:
+    long_timeout = replace(SETTINGS, silence_ms=60_000)
+    async with linked(gate.async_handle, server_settings=long_timeout) as pair:
         reading = asyncio.create_task(async_read_answer(await pair.async_exchange()))
         await gate.middle.wait()
-        pair.relay.silence_forward()
+        pair.relay.silence_towards_target()
         _, ending = await async_read_answer(await pair.async_exchange())
         assert isinstance(ending, Refused)
         gate.go_on.set()
--- a/tests/link/test_link_state_machine.py
+++ b/tests/link/test_link_state_machine.py
@@ -25,8 +25,8 @@
 from gypsumrouter.const import Role
 from gypsumrouter.link import Answer, Data, End, Exchange, Head, Hello, Open
 from gypsumrouter.link.codec import Greeting, encode_open
-from gypsumrouter.link.connection import Connection, Source
-from gypsumrouter.link.const import FORGET_ROUTER_MS, PROTOCOL_VERSION, Kind
+from gypsumrouter.link.connection import Connection, FrameSource
+from gypsumrouter.link.const import PROTOCOL_VERSION, ROUTER_RETENTION_MS, Kind
 from gypsumrouter.link.frames import OFFSET, Frame
 from gypsumrouter.link.handshake import Accepted
 from gypsumrouter.link.outstanding import Outstanding
@@ -37,7 +37,7 @@
 
 WINDOW_BYTES = 512
 MAX_OUTSTANDING = 3
-DELAYS_MS = (100, SETTINGS.resume_ms, FORGET_ROUTER_MS, FORGET_ROUTER_MS)
+DELAYS_MS = (100, SETTINGS.resume_ms, ROUTER_RETENTION_MS, ROUTER_RETENTION_MS)
 
 
 class Fault(StrEnum):
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         self.closed = False
         self.wire: deque[Frame] = deque()
-        self.ready: dict[Source, None] = {}
+        self.ready: dict[FrameSource, None] = {}
 
     def send(self, kind: Kind, *, stream: int = 0, body: bytes = b"", flags: int = 0) -> None:
         if not self.closed:
@@ -67,7 +67,7 @@
     def send_data(self, stream: int, offset: int, body: bytes) -> None:
         self.send(Kind.DATA, stream=stream, body=OFFSET.pack(offset) + body)
 
-    def mark_ready(self, source: Source) -> None:
+    def mark_ready(self, source: FrameSource) -> None:
         if not self.closed:
             self.ready[source] = None
 
@@ -132,10 +132,10 @@
         self.refused: set[int] = set()
 
     def teardown(self) -> None:
-        self._settle()
+        self._finish_all_exchanges()
         self.loop.close()
 
-    def _settle(self) -> None:
+    def _finish_all_exchanges(self) -> None:
         """Give every exchange a link that works; each must then come to its end."""
         for run in self.runs.values():
             if not run.ended and not run.answer.dropped:
@@ -153,7 +153,7 @@
         self.accept(0, False)
 
     @rule(fault=st.sampled_from(Fault), which=st.integers(0, 3), given_up=st.booleans())
-    def disturb(self, fault: Fault, which: int, given_up: bool) -> None:
+    def disrupt(self, fault: Fault, which: int, given_up: bool) -> None:
         match fault:
             case Fault.DIAL:
                 self.dial()
@@ -175,7 +175,7 @@
     def dial(self) -> None:
         """Begin a handshake; the server has sent its nonce, the proof is on its way."""
         self.pending.append(
-            ModelLink(attempt=self._take_number(), challenged_ms=self.clock.now_ms())
+            ModelLink(attempt=self._allocate_number(), challenged_ms=self.clock.now_ms())
         )
 
     def accept(self, which: int, given_up: bool) -> None:
@@ -227,7 +227,7 @@
     @rule(arrives=st.booleans())
     def open(self, arrives: bool) -> None:
         assert self.current is not None
-        request = replace(REQUEST, sequence=self._take_number())
+        request = replace(REQUEST, sequence=self._allocate_number())
         self.exchanges[request.sequence] = self.outstanding.add(request)
         self.received[request.sequence] = bytearray()
         self.current.dialer.send(Kind.OPEN, stream=request.sequence, body=encode_open(request))
@@ -279,7 +279,7 @@
 
     def evict(self) -> None:
         """Let the memory run out: what was lost longest goes first."""
-        self.table.memory.wait(self.loop.create_future())
+        self.table.memory.add_waiter(self.loop.create_future())
 
     def lose_both_ends(self, delay_ms: int) -> None:
         """Let both ends lose the link for long."""
@@ -351,7 +351,7 @@
         self.clock.advance(delay_ms)
         self.table.sweep()
 
-    def _take_number(self) -> int:
+    def _allocate_number(self) -> int:
         self.number += 1
         return self.number
 
@@ -362,7 +362,7 @@
     def _read(self, exchange: Exchange) -> None:
         """Take every event that is there already."""
         sequence = exchange.sequence
-        while exchange.waiting:
+        while exchange.has_events:
             match self._complete(exchange.async_next()):
                 case Data(offset=offset, body=body):
                     assert offset == len(self.received[sequence])
--- a/tests/link/test_link_table.py
+++ b/tests/link/test_link_table.py
@@ -12,10 +12,10 @@
 from gypsumrouter.core import Application
 from gypsumrouter.link import Hello, Status
 from gypsumrouter.link.codec import Greeting, Resume
-from gypsumrouter.link.connection import Connection, LoadMark
+from gypsumrouter.link.connection import Connection, ReportedLoad
 from gypsumrouter.link.const import PROTOCOL_VERSION, Kind
 from gypsumrouter.link.handshake import Accepted
-from gypsumrouter.link.liveness import forgive_silence, keep_alive
+from gypsumrouter.link.liveness import keep_alive, reset_silence_timer
 from gypsumrouter.link.status import StatusPublisher
 from gypsumrouter.link.table import ExchangeTable, RouterRecord
 from gypsumrouter.outcomes import Failed, Refused
@@ -25,7 +25,7 @@
 LATE_MS = 2 * (SETTINGS.resume_ms + SETTINGS.connect_ms)
 
 
-class Wire:
+class FakeConnection:
     """A connection that only counts what is sent."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self.aborted = False
         self.receiving = False
         self.busy_since_ms: int | None = None
-        self.last_heard_ms = 0
+        self.last_received_ms = 0
         self.last_sent_ms = 0
 
     def send(self, kind: Kind, **_fields: object) -> None:
@@ -65,7 +65,7 @@
     greeting = Greeting(
         version=PROTOCOL_VERSION, hello=hello, attempt=attempt, nonce=b"n", window_bytes=1_000
     )
-    connection = cast(Connection, Wire())
+    connection = cast(Connection, FakeConnection())
     accepted = Accepted(greeting=greeting, challenged_ms=clock.now_ms())
     return table.attach(connection, accepted), connection
 
@@ -97,15 +97,15 @@
     assert attach(table, clock, 3)[0] is not None
     record, _ = attach(table, clock, 1, attempt=2)
     assert record is not None
-    may_have_run = Resume(offset=0, has_head=False, age_ms=LATE_MS)
-    surely_newer = Resume(offset=0, has_head=False, age_ms=100)
-    assert isinstance(table.resume(record, 5, may_have_run), Failed)
-    assert isinstance(table.resume(record, 6, surely_newer), Refused)
+    maybe_run = Resume(offset=0, has_head=False, age_ms=LATE_MS)
+    never_opened = Resume(offset=0, has_head=False, age_ms=100)
+    assert isinstance(table.resume(record, 5, maybe_run), Failed)
+    assert isinstance(table.resume(record, 6, never_opened), Refused)
     assert isinstance(table.open(record, 6), Refused)
 
 
 def test_silence_is_judged_anew_after_a_pause_of_the_process() -> None:
-    wire = Wire()
+    wire = FakeConnection()
     connection = cast(Connection, wire)
 
     def tick(now_ms: int) -> None:
@@ -119,7 +119,7 @@
         )
 
     tick(0)
-    forgive_silence(connection, 60_000)
+    reset_silence_timer(connection, 60_000)
     tick(60_000)
     assert not wire.aborted
     tick(60_000 + SETTINGS.silence_ms)
@@ -131,9 +131,9 @@
     app = Application(
         name="side-1", role=Role.SIDE, data_centre="dc-1", region="region-1", clock=clock
     )
-    wire = Wire()
+    wire = FakeConnection()
     publisher = StatusPublisher(
-        app=app, connections=lambda: [cast(Connection, wire)], load_mark=LoadMark()
+        app=app, connections=lambda: [cast(Connection, wire)], reported_load=ReportedLoad()
     )
     publisher.publish(STATUS)
     for load in range(2, 50):
@@ -154,9 +154,11 @@
     app = Application(
         name="side-1", role=Role.SIDE, data_centre="dc-1", region="region-1", clock=clock
     )
-    wires = [Wire() for _ in range(links)]
+    wires = [FakeConnection() for _ in range(links)]
     connections = [cast(Connection, wire) for wire in wires]
-    publisher = StatusPublisher(app=app, connections=lambda: connections, load_mark=LoadMark())
+    publisher = StatusPublisher(
+        app=app, connections=lambda: connections, reported_load=ReportedLoad()
+    )
     publisher.publish(STATUS)
     publisher.publish(Status(load=9, running=1, weight=1.0, leaving=False, ready=True))
     await asyncio.sleep(0)
--- a/tests/orders/orders_world.py
+++ b/tests/orders/orders_world.py
@@ -21,7 +21,7 @@
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.fleet import Address, Instance, InstanceList
 from gypsumrouter.link import NoticeHub, Peer
-from gypsumrouter.link.models import HeldModel, Hello, Holding, Notice
+from gypsumrouter.link.models import EngineStatus, Hello, ModelStatus, Notice
 from gypsumrouter.orders import Orders
 from gypsumrouter.settings import Identity, Link, Platform, SideSettings, Upstream
 from gypsumrouter.standins import Engine, EngineSettings, WeightStore
@@ -48,8 +48,10 @@
     return PoolOrders(**(values | changes))
 
 
-def make_holding(name: str, *models: HeldModel, role: str = "both") -> Holding:
-    return Holding(name=name, stamp_ms=1, engine=f"{name}:1", up=True, role=role, models=models)
+def make_holding(name: str, *models: ModelStatus, role: str = "both") -> EngineStatus:
+    return EngineStatus(
+        name=name, stamp_ms=1, engine=f"{name}:1", up=True, role=role, models=models
+    )
 
 
 def make_instance(name: str, address: Address) -> Instance:
--- a/tests/orders/test_orders_gates.py
+++ b/tests/orders/test_orders_gates.py
@@ -6,7 +6,7 @@
 from orders_world import CHAT, REPORTS, make_holding, make_orders
 
 from gypsumrouter.configuration.models import OrderedAdapter, OrderedModel
-from gypsumrouter.link.models import HeldModel, Holding
+from gypsumrouter.link.models import EngineStatus, ModelStatus
 from gypsumrouter.orders.changes import choose_change
 from gypsumrouter.orders.gates import (
     Step,
@@ -46,8 +46,8 @@
     }
 
 
-def hold(name: str, version: str = "1", *, serving: bool = True) -> Holding:
-    return make_holding(name, HeldModel(name=CHAT, version=version, serving=serving))
+def hold(name: str, version: str = "1", *, serving: bool = True) -> EngineStatus:
+    return make_holding(name, ModelStatus(name=CHAT, version=version, serving=serving))
 
 
 def test_one_engine_goes_first_alone_and_then_one_in_each_lane() -> None:
@@ -79,13 +79,13 @@
         ((hold("b"),), False),
         ((hold("b"), hold("c", serving=False)), False),
         (
-            (hold("b"), make_holding("c", HeldModel(name=CHAT, next_version="1", serving=False))),
+            (hold("b"), make_holding("c", ModelStatus(name=CHAT, next_version="1", serving=False))),
             False,
         ),
     ],
 )
 def test_requests_are_turned_away_only_while_enough_others_serve(
-    others: tuple[Holding, ...], may: bool
+    others: tuple[EngineStatus, ...], may: bool
 ) -> None:
     orders = make_orders(models=(OrderedModel(name=CHAT, min_engines=2),))
     change = Change(kind=OrderKind.LOAD, name=REPORTS, drops=(CHAT,), withdraws=(CHAT,))
@@ -120,7 +120,7 @@
 
 def test_only_one_engine_fetches_a_version_from_the_store_unless_it_fails() -> None:
     def find(failures: int) -> str:
-        loading = HeldModel(name=CHAT, next_version="2", serving=False, failures=failures)
+        loading = ModelStatus(name=CHAT, next_version="2", serving=False, failures=failures)
         holdings = [hold("a"), make_holding("b", loading)]
         return find_store_obstacle(own="a", name=CHAT, version="2", holdings=holdings)
 
--- a/tests/peers/peer_fleet.py
+++ b/tests/peers/peer_fleet.py
@@ -80,7 +80,7 @@
         self.hello = hello
 
     @property
-    def takes(self) -> bool:
+    def writable(self) -> bool:
         """Return whether both routers are running."""
         return self._sender.running and self._target.running
 
--- a/tests/suspicion/suspicion_world.py
+++ b/tests/suspicion/suspicion_world.py
@@ -9,11 +9,11 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.link import NoticeHub, Peer
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.suspicion import Suspicion, Token
 from gypsumrouter.util.clock import ManualClock
 
-Listener = Callable[[Peer, SuspectNews], None]
+Listener = Callable[[Peer, SuspectAnnouncement], None]
 
 
 class FakeHub:
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.listeners: list[Listener] = []
 
-    def subscribe(self, kind: type[SuspectNews], listener: Listener) -> Remove:
+    def subscribe(self, kind: type[SuspectAnnouncement], listener: Listener) -> Remove:
         self.listeners.append(listener)
         return lambda: self.listeners.remove(listener)
 
@@ -39,15 +39,15 @@
         self.suspicion = Suspicion(
             app=self.app, notices=cast(NoticeHub, self.hub), fleet=fleet, pool=pool
         )
-        self.told: list[SuspectNews] = []
+        self.told: list[SuspectAnnouncement] = []
         self.suspicion.on_news(self.told.append)
 
-    def hear(self, *news: SuspectNews) -> None:
+    def hear(self, *news: SuspectAnnouncement) -> None:
         for item in news:
             for listener in self.hub.listeners:
                 listener(cast(Peer, None), item)
 
-    def die_with(self, *digests: int) -> tuple[SuspectNews, ...]:
+    def die_with(self, *digests: int) -> tuple[SuspectAnnouncement, ...]:
         """Let the upstream die while these digests run."""
         for digest in digests:
             self.suspicion.note_started(digest)
--- a/tests/suspicion/test_suspicion_strikes.py
+++ b/tests/suspicion/test_suspicion_strikes.py
@@ -7,7 +7,7 @@
 
 from gypsumrouter.const import Role
 from gypsumrouter.fleet import Address, Instance
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion import Clear, Suspect, find_isolation_places
 from gypsumrouter.suspicion.const import MAX_STRIKES, PROOF_MS, STRIKE_MS
@@ -115,7 +115,7 @@
 
 def test_news_is_forwarded_once() -> None:
     member = Member()
-    news = SuspectNews(digest=1, strike=2, alone=False)
+    news = SuspectAnnouncement(digest=1, strike=2, alone=False)
     member.hear(news, news)
     assert member.told == [news]
     assert member.suspicion.list_news(1) == (news,)
