--- a/gypsumrouter/link/__init__.py
+++ b/gypsumrouter/link/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between processes: links, exchanges that survive them, notices."""
+"""Links between processes: request/answer exchanges that survive a lost link, and notices."""
 
 from __future__ import annotations
 
--- a/gypsumrouter/link/answer.py
+++ b/gypsumrouter/link/answer.py
@@ -1,4 +1,4 @@
-"""A side's end of an exchange: what was produced and is not yet confirmed."""
+"""The server's end of an exchange: buffers the part of an answer that is not confirmed yet."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class Answer:
-    """An answer in the making; one task writes it, the link sends it, and again after a loss.
+    """An answer that one task writes; it is sent over the router's link and resent after a loss.
 
-    `cancelled` is set when nobody waits for the answer any more: the work should stop.
+    `cancelled` is set when the answer is not wanted any more; the handler should then stop.
     """
 
     __slots__ = (
@@ -74,25 +74,25 @@
 
     @property
     def ended(self) -> bool:
-        """Return whether the end or a failure has been given."""
+        """Return whether `end` or `fail` has been called."""
         return self._ending is not None
 
     @property
     def held_bytes(self) -> int:
-        """Return the bytes that the router has not confirmed."""
+        """Return the number of bytes that the router has not confirmed."""
         return len(self._buffer)
 
     def head(self, head: Head) -> None:
-        """Give status and headers, once, before the body."""
+        """Send status and headers; must be called once, before the body is written."""
         if self._head is not None or self._ending is not None:
-            raise InvariantBroken("an answer has one head, before its end")
+            raise InvariantBroken("head() must be called once, before end() or fail()")
         self._head = encode_head(head)
         self._mark()
 
     async def async_write(self, body: bytes) -> None:
-        """Give a part of the body; waits for window and memory, returns at once if cancelled."""
+        """Write a chunk of the body; waits for window and memory, returns early if cancelled."""
         if self._head is None or self._ending is not None:
-            raise InvariantBroken("an answer's body comes between its head and its end")
+            raise InvariantBroken("async_write() must be called after head() and before the end")
         begin = 0
         while begin < len(body) and not self.cancelled.is_set():
             room = self._get_room()
@@ -104,20 +104,20 @@
             begin += len(part)
 
     def end(self) -> None:
-        """End the whole answer; its length and checksum go with it."""
+        """End a complete answer; its length and checksum are sent with the end."""
         if self._head is None:
-            raise InvariantBroken("an answer without a head cannot end")
+            raise InvariantBroken("end() must be called after head()")
         end = End(length=self._length, checksum=self._hash.intdigest())
         self._finish(Kind.END, encode_end(end))
 
     def fail(self, failure: Failure) -> None:
-        """End without a whole answer; `Refused` only before the head."""
+        """End an answer that is not complete; `Refused` is allowed only before the head."""
         if isinstance(failure, Refused) and self._head is not None:
-            raise InvariantBroken("an answer that has begun cannot be refused")
+            raise InvariantBroken("fail() must not be called with Refused after head()")
         self._finish(*encode_failure(failure))
 
     def attach(self, connection: Connection, *, offset: int = 0, has_head: bool = False) -> None:
-        """Send over `connection` from byte `offset` on; raises FrameError."""
+        """Send the answer over `connection` from byte `offset` on; raises FrameError."""
         if not self._base <= offset <= self._length:
             raise FrameError(f"an answer is asked for at {offset}, where it has no byte")
         self._connection = connection
@@ -128,12 +128,12 @@
         self._mark()
 
     def detach(self, now_ms: int) -> None:
-        """Keep what is unconfirmed until the router asks again."""
+        """Stop sending, and keep the unconfirmed bytes until the router resumes the exchange."""
         self._connection = None
         self.detached_ms = now_ms
 
     def confirm(self, offset: int) -> None:
-        """Forget the bytes below `offset`; raises FrameError."""
+        """Discard the bytes below `offset`; raises FrameError if they were not sent yet."""
         if offset > self._sent:
             raise FrameError(f"byte {offset} is confirmed and was never sent")
         freed = offset - self._base
@@ -145,7 +145,7 @@
         self._memory.release(freed)
 
     def drop(self) -> None:
-        """Forget everything, and stop the work if it still runs."""
+        """Discard the answer, and cancel its handler if it is still running."""
         if self.dropped:
             return
         self.dropped = True
@@ -159,7 +159,7 @@
         self._on_dropped(self)
 
     def pump(self, connection: Connection) -> None:
-        """Send what the router has not been sent on this connection."""
+        """Send what has not been sent on this connection yet."""
         if connection is not self._connection:
             return
         if self._head is not None and not self._head_sent:
@@ -193,7 +193,7 @@
 
     def _finish(self, kind: Kind, body: bytes) -> None:
         if self._ending is not None:
-            raise InvariantBroken("an answer ends once")
+            raise InvariantBroken("end() or fail() was called on an answer that has already ended")
         self._ending = (kind, body)
         self._mark()
 
--- a/gypsumrouter/link/codec.py
+++ b/gypsumrouter/link/codec.py
@@ -1,4 +1,4 @@
-"""Bodies of frames: data classes to Cap'n Proto messages and back."""
+"""Encodes and decodes the bodies of handshake and exchange frames as Cap'n Proto messages."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Greeting(Struct, frozen=True, kw_only=True):
-    """What an end says first: who it is, which link this is, and a nonce.
+    """Content of a HELLO frame: the sender's identity, the number of the link, and a nonce.
 
-    `attempt` grows with each link that a dialer's incarnation makes. `window_bytes` is the most
-    that this end lets an answer run ahead of its confirmation.
+    `attempt` increases with each link that an incarnation of a dialer opens. `window_bytes` is the
+    maximum number of unconfirmed bytes of an answer that this end allows.
     """
 
     version: int
@@ -30,7 +30,7 @@
 
 
 class Resume(Struct, frozen=True, kw_only=True):
-    """Ask for the rest of an answer; `age_ms` is how long ago its OPEN was written."""
+    """Requests an answer from byte `offset` on; `age_ms` is the time since its OPEN was sent."""
 
     offset: int
     has_head: bool
@@ -38,7 +38,7 @@
 
 
 def encode_greeting(greeting: Greeting) -> bytes:
-    """Return a HELLO body."""
+    """Encode the body of a HELLO frame."""
     return to_bytes(
         SCHEMA.Hello.new_message(
             version=greeting.version,
@@ -53,7 +53,7 @@
 
 
 def decode_greeting(body: bytes) -> Greeting:
-    """Return a HELLO body's content; raises FrameError."""
+    """Decode the body of a HELLO frame; raises FrameError."""
     with open_message(SCHEMA.Hello, body) as message:
         hello = Hello(name=message.name, role=Role(message.role), incarnation=message.incarnation)
         return Greeting(
@@ -66,29 +66,29 @@
 
 
 def encode_proof(mac: bytes) -> bytes:
-    """Return a PROOF body."""
+    """Encode the body of a PROOF frame."""
     return to_bytes(SCHEMA.Proof.new_message(mac=mac))
 
 
 def decode_proof(body: bytes) -> bytes:
-    """Return the code of a PROOF body; raises FrameError."""
+    """Decode the authentication code of a PROOF frame; raises FrameError."""
     with open_message(SCHEMA.Proof, body) as message:
         return bytes(message.mac)
 
 
 def encode_goodbye(text: str) -> bytes:
-    """Return a GOODBYE body."""
+    """Encode the body of a GOODBYE frame."""
     return to_bytes(SCHEMA.Goodbye.new_message(message=text))
 
 
 def decode_goodbye(body: bytes) -> str:
-    """Return the text of a GOODBYE body; raises FrameError."""
+    """Decode the reason in a GOODBYE frame; raises FrameError."""
     with open_message(SCHEMA.Goodbye, body) as message:
         return str(message.message)
 
 
 def encode_open(request: Open) -> bytes:
-    """Return an OPEN body; the sequence travels in the frame's header."""
+    """Encode the body of an OPEN frame; the sequence is sent in the frame's header."""
     message = SCHEMA.Open.new_message(
         requestId=request.request_id,
         kind=request.kind.value,
@@ -118,7 +118,7 @@
 
 
 def decode_open(body: bytes, sequence: int) -> Open:
-    """Return an OPEN body's content; raises FrameError."""
+    """Decode the body of an OPEN frame; raises FrameError."""
     with open_message(SCHEMA.Open, body) as message:
         return Open(
             sequence=sequence,
@@ -149,7 +149,7 @@
 
 
 def encode_head(head: Head) -> bytes:
-    """Return a HEAD body."""
+    """Encode the body of a HEAD frame."""
     return to_bytes(
         SCHEMA.Head.new_message(
             status=head.status, headers=_list_headers(head.headers), replayed=head.replayed
@@ -158,7 +158,7 @@
 
 
 def decode_head(body: bytes) -> Head:
-    """Return a HEAD body's content; raises FrameError."""
+    """Decode the body of a HEAD frame; raises FrameError."""
     with open_message(SCHEMA.Head, body) as message:
         return Head(
             status=message.status,
@@ -168,18 +168,18 @@
 
 
 def encode_end(end: End) -> bytes:
-    """Return an END body."""
+    """Encode the body of an END frame."""
     return to_bytes(SCHEMA.End.new_message(length=end.length, checksum=end.checksum))
 
 
 def decode_end(body: bytes) -> End:
-    """Return an END body's content; raises FrameError."""
+    """Decode the body of an END frame; raises FrameError."""
     with open_message(SCHEMA.End, body) as message:
         return End(length=message.length, checksum=message.checksum)
 
 
 def encode_failure(failure: Failure) -> tuple[Kind, bytes]:
-    """Return the kind and the body of a REFUSED or a FAILED frame."""
+    """Encode a failure; return the kind and the body of its REFUSED or FAILED frame."""
     message = SCHEMA.Failure.new_message(
         reason=failure.reason.value,
         message=failure.message,
@@ -194,7 +194,7 @@
 
 
 def decode_failure(kind: int, body: bytes) -> Failure:
-    """Return the content of a REFUSED or a FAILED body; raises FrameError."""
+    """Decode the body of a REFUSED or FAILED frame; raises FrameError."""
     with open_message(SCHEMA.Failure, body) as message:
         reason = _read_reason(kind, message.reason)
         after = message.retryAfterMs
@@ -210,18 +210,18 @@
 
 
 def encode_confirm(offset: int) -> bytes:
-    """Return a CONFIRM body."""
+    """Encode the body of a CONFIRM frame."""
     return to_bytes(SCHEMA.Confirm.new_message(offset=offset))
 
 
 def decode_confirm(body: bytes) -> int:
-    """Return the offset of a CONFIRM body; raises FrameError."""
+    """Decode the offset in a CONFIRM frame; raises FrameError."""
     with open_message(SCHEMA.Confirm, body) as message:
         return int(message.offset)
 
 
 def encode_resume(resume: Resume) -> bytes:
-    """Return a RESUME body."""
+    """Encode the body of a RESUME frame."""
     return to_bytes(
         SCHEMA.Resume.new_message(
             offset=resume.offset, hasHead=resume.has_head, ageMs=resume.age_ms
@@ -230,7 +230,7 @@
 
 
 def decode_resume(body: bytes) -> Resume:
-    """Return a RESUME body's content; raises FrameError."""
+    """Decode the body of a RESUME frame; raises FrameError."""
     with open_message(SCHEMA.Resume, body) as message:
         return Resume(offset=message.offset, has_head=message.hasHead, age_ms=message.ageMs)
 
@@ -244,7 +244,7 @@
 
 
 def _read_reason(kind: int, code: str) -> Reason:
-    """Return a reason; one that only a newer version knows keeps its side of the distinction."""
+    """Decode a reason; an unknown one, of a newer version, is mapped to one for this frame kind."""
     try:
         return Reason(code)
     except ValueError:
--- a/gypsumrouter/link/connection.py
+++ b/gypsumrouter/link/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: frames in, and frames out in one write for each turn of the loop."""
+"""A TCP connection that carries frames; frames are written once per event loop iteration."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ReportedLoad:
-    """The load that a server's answers carry: one more than it is, 0 while it is not known."""
+    """The load that a server reports in its answer frames: the load plus one, 0 if unknown."""
 
     __slots__ = ("value",)
 
@@ -50,17 +50,17 @@
 
 
 class FrameSource(Protocol):
-    """Something that has frames for a connection and makes them when there is room."""
+    """Produces frames for a connection when the connection can send them."""
 
     def pump(self, connection: Connection) -> None:
-        """Send what is there."""
+        """Send the frames that are ready."""
 
 
 class Connection(asyncio.Protocol):
-    """Both ends' view of one connection; exactly one task reads its frames.
+    """One end of a connection; exactly one task reads its frames.
 
-    Frames that are too long or unknown end it with a GOODBYE that says why; the open_message task
-    then gets a FrameError.
+    A frame that is too long or of an unknown kind closes the connection with a GOODBYE frame that
+    states the reason, and raises FrameError in the reading task.
     """
 
     __slots__ = (
@@ -117,29 +117,29 @@
 
     @property
     def closed(self) -> bool:
-        """Return whether nothing can be sent any more."""
+        """Return whether the connection is closed for sending."""
         return self._closed
 
     @property
     def paused(self) -> bool:
-        """Return whether the peer takes less than there is to send."""
+        """Return whether sending is paused because the transport's buffer is full."""
         return self._paused
 
     @property
     def receiving(self) -> bool:
-        """Return whether a frame has arrived in part."""
+        """Return whether part of a frame has been received."""
         return self._reader.partial
 
     @property
     def peer_host(self) -> str:
-        """Return the peer's IP literal, for logs."""
+        """Return the peer's IP address for log messages."""
         if self._transport is None:
             return ""
         name = self._transport.get_extra_info("peername")
         return str(name[0]) if name else ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport that the loop made."""
+        """Configure the transport of the new connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=HIGH_WATER_BYTES, low=LOW_WATER_BYTES)
         connection = transport.get_extra_info("socket")
@@ -169,30 +169,30 @@
         self._wake()
 
     def eof_received(self) -> bool | None:
-        """Close when the peer has closed."""
+        """Close the transport when the peer has closed its end."""
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake whoever waits; frames that have arrived are still read."""
+        """Wake waiting tasks; received frames can still be read."""
         self._mark_closed()
 
     def pause_writing(self) -> None:
-        """Stop making frames while the transport's buffer is full."""
+        """Stop producing frames while the transport's buffer is full."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        """Go on with the frames that waited."""
+        """Continue to produce and send frames."""
         self._paused = False
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._schedule_flush()
 
     def raise_frame_limit(self) -> None:
-        """Allow frames of full length, once the peer has proved itself."""
+        """Allow frames of full length, after the peer has been authenticated."""
         self._reader.limit = MAX_FRAME_BYTES
 
     async def async_read(self) -> Frame | None:
-        """Return the next frame, None after the end; raises FrameError."""
+        """Return the next frame, or None if the connection is closed; raises FrameError."""
         while not self._frames:
             if self._error is not None:
                 raise self._error
@@ -203,11 +203,11 @@
         return self._frames.popleft()
 
     def read_nowait(self) -> Frame | None:
-        """Return the next frame if one is there."""
+        """Return the next received frame without waiting, or None if there is none."""
         return self._frames.popleft() if self._frames else None
 
     async def async_wait_writable(self) -> bool:
-        """Wait until the peer takes more; return whether the connection is still open."""
+        """Wait until sending is not paused; return whether the connection is still open."""
         while self._paused and not self._closed:
             if self._writable is None or self._writable.done():
                 self._writable = self._loop.create_future()
@@ -217,7 +217,7 @@
     def send(
         self, kind: Kind, *, stream: int = 0, body: bytes = b"", flags: int = FLAG_NONE
     ) -> None:
-        """Add a frame to what is written at the end of this turn of the loop."""
+        """Queue a frame; it is written at the end of this event loop iteration."""
         if self._closed:
             return
         load = 0
@@ -230,7 +230,7 @@
         self._schedule_flush()
 
     def send_data(self, stream: int, offset: int, body: bytes) -> None:
-        """Add a part of an answer's body."""
+        """Queue a DATA frame with a chunk of an answer's body."""
         size = len(body)
         self._counts.sent[KIND_DATA] += _DATA_OVERHEAD + size
         self._out.append(pack_data_header(stream, offset, size))
@@ -238,26 +238,26 @@
         self._out_bytes += _DATA_OVERHEAD + size
 
     def mark_ready(self, source: FrameSource) -> None:
-        """Ask for frames from `source` at the end of this turn, or as soon as there is room."""
+        """Pump `source` at the end of this event loop iteration, or once sending is not paused."""
         if self._closed:
             return
         self._ready[source] = None
         self._schedule_flush()
 
     def flush(self) -> None:
-        """Hand everything that is ready to the transport now."""
+        """Write queued frames and those of ready sources to the transport now."""
         self._flush_scheduled = False
         while not self._closed and (self._out or (self._ready and not self._paused)):
             self._pump()
             self._write()
 
     def close_with_goodbye(self, message: str) -> None:
-        """Close because of what the peer sent, and tell it."""
+        """Send a GOODBYE frame with the reason, and close."""
         self.send(Kind.GOODBYE, body=encode_goodbye(message))
         self.close()
 
     def close(self) -> None:
-        """Close after what was sent has been written."""
+        """Close after writing the queued frames."""
         if self._closed:
             return
         self.flush()
@@ -266,7 +266,7 @@
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once; nothing more is read."""
+        """Close immediately and discard received frames."""
         self._frames.clear()
         self._mark_closed()
         if self._transport is not None:
--- a/gypsumrouter/link/const.py
+++ b/gypsumrouter/link/const.py
@@ -1,4 +1,4 @@
-"""Constants of the links between processes."""
+"""Constants of the link protocol: frame kinds and flags, size limits, intervals and factors."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 TICKS_PER_HEARTBEAT: Final = 4
 TICKS_PER_IDLE_CHECK: Final = 8
-# The dialer's own sign of life only keeps the server from giving its exchanges up.
+# The dialer sends heartbeats, and the server detects a silent dialer, at this multiple of the
+# configured intervals: a heartbeat of the dialer only keeps the server from dropping exchanges.
 DIALER_INTERVAL_FACTOR: Final = 4
 IDLE_FACTOR: Final = 2
 CONFIRMS_PER_WINDOW: Final = 4
@@ -29,7 +30,7 @@
 
 STATUS_INTERVAL_MS: Final = 100
 STATUS_BYTES_S: Final = 2_048
-# Where a server has many links its peers have too, and each hears from as many servers.
+# Budget for a full mesh, in which each of n processes sends its status to n others.
 STATUS_MESH_BYTES_S: Final = 120_000
 STATUS_RETENTION_MS: Final = 600_000
 
@@ -50,7 +51,7 @@
 
 
 class Kind(IntEnum):
-    """What a frame carries; numbers are never used again for something else."""
+    """The kind of a frame; a number that was ever used is never reassigned."""
 
     HELLO = 1
     PROOF = 2
--- a/gypsumrouter/link/counts.py
+++ b/gypsumrouter/link/counts.py
@@ -1,4 +1,4 @@
-"""Bytes on the wire by kind of frame, in plain integers."""
+"""Counts of the bytes sent and received by kind of frame."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ByteCounts:
-    """Bytes sent and received by kind; index the lists with a frame's kind."""
+    """Bytes sent and received; the lists are indexed by the kind of frame."""
 
     __slots__ = ("received", "sent")
 
@@ -19,18 +19,18 @@
         self.received: list[int] = [0] * KIND_SLOTS
 
     def publish(self, counter: Counter) -> None:
-        """Copy the counts into a metric."""
+        """Copy the counts into the metric `counter`."""
         for kind in Kind:
             counter.values[_make_labels(kind, _SENT)] = self.sent[kind]
             counter.values[_make_labels(kind, _RECEIVED)] = self.received[kind]
 
     def sum_control(self) -> tuple[int, int]:
-        """Return the bytes sent and received that carry no request and no answer."""
+        """Return the bytes sent and received in frames other than requests and answers."""
         kinds = [kind for kind in Kind if kind not in PAYLOAD_KINDS]
         return sum(self.sent[kind] for kind in kinds), sum(self.received[kind] for kind in kinds)
 
     def dump(self) -> dict[str, dict[str, int]]:
-        """Return the counts of the kinds that were seen, as plain JSON data."""
+        """Return the counts that are not zero, by kind, for the state dump."""
         return {
             kind.name.lower(): {_SENT: self.sent[kind], _RECEIVED: self.received[kind]}
             for kind in Kind
--- a/gypsumrouter/link/diagnostics.py
+++ b/gypsumrouter/link/diagnostics.py
@@ -1,4 +1,4 @@
-"""What the links add to the metrics and to the state dump."""
+"""Metrics and state dump section of the links."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LinkDiagnostics:
-    """Counts and dump that the server and the pool of one process share."""
+    """Metrics and dump section that the server and the pool of a process share."""
 
     __slots__ = ("_app", "_counter", "_links", "_parts", "counts")
 
@@ -32,12 +32,12 @@
     def add_part(
         self, name: str, part: Callable[[], object], count_links: Callable[[], int]
     ) -> None:
-        """Add what one end of the links knows to the dump, and its number of open links."""
+        """Add a part to the dump section, and the number of its open links to the gauge."""
         self._parts[name] = part
         self._links.append(count_links)
 
     def publish(self) -> None:
-        """Bring the metrics up to date."""
+        """Update the byte metrics."""
         self.counts.publish(self._counter)
 
     def _count_links(self) -> int:
--- a/gypsumrouter/link/dialer.py
+++ b/gypsumrouter/link/dialer.py
@@ -1,4 +1,4 @@
-"""The dialing end of one link: connects on demand, and resumes its exchanges after a loss."""
+"""The dialing end of a link: connects on demand and resumes exchanges after a lost link."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from gypsumrouter.link.handshake import (
     HandshakeFailed,
     WrongKey,
-    async_dial,
+    async_dialer_handshake,
     make_greeting,
     to_seconds,
 )
@@ -53,7 +53,7 @@
 
 
 class DialerContext(Struct, frozen=True, kw_only=True):
-    """What all dialers of a pool share."""
+    """State and callbacks that all dialers of a pool share."""
 
     app: Application
     settings: Link
@@ -69,7 +69,7 @@
 
 
 class Dialer:
-    """The link to one instance; one task connects it, reads it and connects it again."""
+    """The link to one instance; one task connects, reads frames and reconnects."""
 
     __slots__ = (
         "_connection",
@@ -109,17 +109,17 @@
 
     @property
     def incarnation(self) -> int | None:
-        """Return the incarnation that was last at the other end."""
+        """Return the incarnation of the instance in the last handshake."""
         return self._incarnation
 
     @property
     def outstanding(self) -> int:
-        """Return the number of exchanges without an end."""
+        """Return the number of exchanges that have not ended."""
         return len(self._outstanding)
 
     @property
     def in_use(self) -> bool:
-        """Return whether the link must be looked at in each step of the timer."""
+        """Return whether `tick` must be called on each timer tick."""
         connection = self._connection
         return len(self._outstanding) > 0 or (
             connection is not None and connection.busy_since_ms is not None
@@ -127,11 +127,11 @@
 
     @property
     def unused(self) -> bool:
-        """Return whether nothing is open, outstanding or waited for."""
+        """Return whether the link is closed and no exchange or task waits for it."""
         return not (self.connected or len(self._outstanding) or self._waiters)
 
     async def async_open(self, request: Open) -> Exchange | Refused:
-        """Send a request; `Refused` means that none of its bytes were ever sent."""
+        """Send a request; `Refused` means that none of its bytes were sent."""
         connection = await self._async_get_connection()
         if connection is None:
             return _UNREACHABLE
@@ -148,13 +148,13 @@
         return exchange
 
     async def async_send(self, notice: Notice) -> bool:
-        """Send a notice, over a new link if none is open."""
+        """Send a notice, opening the link if needed; return whether it was sent."""
         if await self._async_get_connection() is None or self.peer is None:
             return False
         return self.peer.send(notice)
 
     def tick(self, now_ms: int, late: bool) -> None:
-        """Keep the link alive while it is in use, and close it when it is idle."""
+        """Check the liveness of a link in use, and close an idle one."""
         connection = self._connection
         if connection is None:
             return
@@ -187,7 +187,7 @@
         )
 
     def stop(self) -> None:
-        """Close the link and fail what is outstanding."""
+        """Close the link and fail the outstanding exchanges."""
         self._outstanding.fail_all(_STOPPED)
         if self._connection is not None:
             self._connection.close()
@@ -195,7 +195,7 @@
         self._task.cancel()
 
     async def _async_get_connection(self) -> Connection | None:
-        """Return an open link, made now if needed; None where the last try has just failed."""
+        """Return the open link, connecting if needed; None if that fails or is in back-off."""
         if self.connected:
             return self._connection
         now_ms = self._context.app.clock.now_ms()
@@ -226,7 +226,7 @@
         try:
             async with asyncio.timeout(to_seconds(context.settings.connect_ms)):
                 connection = await self._async_open_connection()
-                greeting = await async_dial(
+                greeting = await async_dialer_handshake(
                     connection=connection,
                     greeting=make_greeting(
                         app=context.app,
@@ -238,9 +238,12 @@
                 )
         except WrongKey:
             if context.wrong_keys.is_first(self.instance.name):
-                _LOGGER.warning("%s does not hold our link key", self.instance.name)
+                _LOGGER.warning(
+                    "Instance %s uses another link key; refusing requests to it",
+                    self.instance.name,
+                )
         except (OSError, TimeoutError, HandshakeFailed, FrameError) as error:
-            _LOGGER.debug("No link to %s: %r", self.instance.name, error)
+            _LOGGER.debug("Failed to open a link to instance %s: %r", self.instance.name, error)
         else:
             self._activate(connection, greeting)
             return connection
@@ -261,7 +264,7 @@
         return connection
 
     def _activate(self, connection: Connection, greeting: Greeting) -> None:
-        """Take a new link into use: settle what the last one left behind, then tell."""
+        """Start to use a new link: resume or fail exchanges, then notify listeners."""
         hello: Hello = greeting.hello
         if self._incarnation is not None and self._incarnation != hello.incarnation:
             self._outstanding.fail_all(_RESTARTED)
@@ -280,13 +283,17 @@
         try:
             while (frame := await connection.async_read()) is not None:
                 self._on_frame(frame)
-                # Most frames come with others; a coroutine for each of them costs too much.
+                # Frames often arrive in batches; awaiting each of them is too slow.
                 while (frame := connection.read_nowait()) is not None:
                     self._on_frame(frame)
         except FrameError as error:
-            _LOGGER.warning("The link to %s is closed: %s", self.instance.name, error)
+            _LOGGER.warning(
+                "Closing the link to instance %s and failing its exchanges: %s",
+                self.instance.name,
+                error,
+            )
             connection.close_with_goodbye(str(error))
-            # The same bytes would come again over a new link.
+            # The server would send the same bytes again over a new link.
             self._outstanding.fail_all(_BROKEN)
         connection.abort()
         self._record_loss(connection)
--- a/gypsumrouter/link/exchange.py
+++ b/gypsumrouter/link/exchange.py
@@ -1,4 +1,4 @@
-"""A router's end of an exchange: the answer as it comes, over as many links as it takes."""
+"""The router's end of an exchange: receives the answer, over several links if one is lost."""
 
 from __future__ import annotations
 
@@ -15,25 +15,28 @@
 _CANCELLED = Failed(reason=Reason.CANCELLED, message="the request was given up")
 _CORRUPTED = Failed(reason=Reason.CORRUPTED, message="the answer does not match its end")
 
-# Takes a part of a body at once, or returns False and leaves it to whoever reads the answer.
+# Consumes a chunk of a body, or returns False to leave it to the task that reads the answer.
 BodyConsumer = Callable[[bytes], bool]
 
 
 class ExchangeOwner(Protocol):
-    """Whoever sends what an exchange has to say to its server."""
+    """Sends the frames of an exchange to its server."""
 
     def confirm(self, exchange: Exchange, offset: int) -> None:
-        """Pass on that the bytes below `offset` were taken."""
+        """Confirm the bytes below `offset`."""
 
     def finish(self, exchange: Exchange) -> None:
-        """Let the server forget an exchange that came to its end."""
+        """Let the server discard an exchange that has ended."""
 
     def cancel(self, exchange: Exchange) -> None:
-        """Tell the server that nobody waits any more."""
+        """Tell the server that the answer is not wanted any more."""
 
 
 class Exchange:
-    """One request that was sent, and its answer; one task reads it."""
+    """A request that was sent, and its answer, which one task reads.
+
+    `arrived` says that the server is known to have received the request.
+    """
 
     __slots__ = (
         "_confirmed",
@@ -68,23 +71,23 @@
 
     @property
     def sequence(self) -> int:
-        """Return the number that names this exchange on its link."""
+        """Return the number that identifies this exchange on its link."""
         return self.request.sequence
 
     @property
     def confirmed(self) -> int:
-        """Return the offset below which the caller took all bytes."""
+        """Return the offset below which all bytes are confirmed."""
         return self._confirmed
 
     @property
     def has_events(self) -> bool:
-        """Return whether a part of the answer is there already."""
+        """Return whether a received event has not been read yet."""
         return bool(self._events)
 
     async def async_next(self) -> AnswerEvent:
-        """Return the next part of the answer; `End` or a failure is the last.
+        """Return the next event of the answer; the last one is `End` or a failure.
 
-        Parts of the body that wait together come as one.
+        Received chunks of the body are merged into one.
         """
         while not self._events:
             self._waiter = asyncio.get_running_loop().create_future()
@@ -95,11 +98,11 @@
         return self._merge(event)
 
     def set_consumer(self, consumer: BodyConsumer) -> None:
-        """Offer each part of the body to `consumer` while the reader waits, before it is woken."""
+        """Offer each chunk of the body to `consumer` before waking the waiting reader."""
         self._consumer = consumer
 
     def confirm(self, offset: int) -> None:
-        """Note that the caller took all bytes below `offset`, so that more may come."""
+        """Confirm that all bytes below `offset` were consumed, so that the server can send more."""
         offset = min(offset, self.received)
         if offset <= self._confirmed:
             return
@@ -108,14 +111,14 @@
             self._owner.confirm(self, offset)
 
     def cancel(self) -> None:
-        """Give the request up; whoever waits for its answer gets a failure."""
+        """Cancel the request; the task that reads its answer receives a failure."""
         if self.done:
             return
         self._end(_CANCELLED)
         self._owner.cancel(self)
 
     def receive_head(self, head: Head) -> None:
-        """Take the head of the answer; after a resume it may come again."""
+        """Handle the head of the answer, which may be repeated after a resume."""
         if self.has_head:
             return
         self.has_head = True
@@ -123,7 +126,7 @@
         self._add(head)
 
     def receive_data(self, offset: int, body: bytes) -> None:
-        """Take a part of the body; one that leaves a gap or was sent before fails the answer."""
+        """Handle a chunk of the body; fails the answer if the chunk leaves a gap or is a repeat."""
         if offset != self.received or not self.has_head:
             self.fail(_CORRUPTED)
             return
@@ -135,12 +138,12 @@
         self._add(Data(offset=offset, body=body))
 
     def receive_end(self, end: End) -> None:
-        """Take the end of the answer, if all of the answer is there."""
+        """Handle the end; fails the answer if its length or checksum does not match."""
         whole = end.length == self.received and end.checksum == self._hash.intdigest()
         self._finish(end if whole else _CORRUPTED)
 
     def fail(self, failure: Failure) -> None:
-        """End without a whole answer; one that has begun cannot be "not run" any more."""
+        """End the answer with a failure; a refusal after the head is a protocol violation."""
         if isinstance(failure, Refused) and self.has_head:
             failure = _CORRUPTED
         self._finish(failure)
@@ -165,7 +168,7 @@
         return Data(offset=first.offset, body=b"".join(bodies))
 
     def _is_reader_waiting(self) -> bool:
-        """Return whether the reader waits, so that all that came before has been taken."""
+        """Return whether the reader waits, so that all earlier events have been read."""
         return self._waiter is not None and not self._waiter.done()
 
     def _add(self, event: AnswerEvent) -> None:
--- a/gypsumrouter/link/frames.py
+++ b/gypsumrouter/link/frames.py
@@ -1,4 +1,4 @@
-"""Frames on the wire: a fixed header, then a body of bounded length."""
+"""Framing of the link protocol: a fixed header, then a body of bounded length."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 OFFSET_BYTES: Final = OFFSET.size
 DATA_HEADER: Final = struct.Struct("<IBBHQQ")
 
-# An access to a member of an enum costs a call.
+# A plain integer: the lookup of an enum member is too slow for each frame.
 KIND_DATA: Final = int(Kind.DATA)
 
 
 class FrameError(Exception):
-    """The peer sent something that is no valid frame, or one that makes no sense here."""
+    """The peer sent an invalid frame, or one that is not allowed in the current state."""
 
 
 class Frame(NamedTuple):
-    """One frame; `stream` is the sequence of an exchange or 0.
+    """One frame; `stream` is the sequence of its exchange, or 0 if it belongs to none.
 
-    `load` is one more than the load of the sender's upstream, or 0 where it says nothing.
+    `load` is the load of the sender's upstream plus one, or 0 if it is not reported.
     """
 
     kind: int
@@ -35,17 +35,17 @@
 
 
 def pack_frame(kind: int, flags: int, stream: int, body: bytes, load: int = 0) -> bytes:
-    """Return a frame as bytes."""
+    """Encode a frame."""
     return HEADER.pack(len(body), kind, flags, load, stream) + body
 
 
 def pack_data_header(stream: int, offset: int, length: int) -> bytes:
-    """Return what goes before `length` raw bytes of an answer."""
+    """Encode the header of a DATA frame that carries `length` bytes of an answer's body."""
     return DATA_HEADER.pack(length + OFFSET_BYTES, KIND_DATA, 0, 0, stream, offset)
 
 
 def unpack_offset(body: bytes) -> int:
-    """Return the offset that a DATA body begins with; raises FrameError."""
+    """Decode the offset at the start of a DATA frame's body; raises FrameError."""
     if len(body) < OFFSET_BYTES:
         raise FrameError("a DATA frame is too short")
     offset: int = OFFSET.unpack_from(body)[0]
@@ -53,7 +53,7 @@
 
 
 class FrameReader:
-    """Cut a stream of bytes into frames; `limit` bounds the length of a body."""
+    """Parses a stream of bytes into frames; `limit` is the maximum length of a body."""
 
     __slots__ = ("_buffered", "_needed", "limit")
 
@@ -64,11 +64,11 @@
 
     @property
     def partial(self) -> bool:
-        """Return whether a frame has begun to arrive."""
+        """Return whether part of a frame has been received."""
         return bool(self._buffered)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Return the frames that are complete with `data`; raises FrameError."""
+        """Add received bytes and return the frames that are now complete; raises FrameError."""
         if self._buffered:
             self._buffered += data
             if len(self._buffered) < self._needed:
--- a/gypsumrouter/link/handshake.py
+++ b/gypsumrouter/link/handshake.py
@@ -1,4 +1,4 @@
-"""The handshake: both ends prove that they hold the shared key before anything else is read."""
+"""The handshake: both ends prove possession of the shared key before other frames are read."""
 
 from __future__ import annotations
 
@@ -30,22 +30,22 @@
 
 
 class HandshakeFailed(Exception):
-    """The peer is not who it should be, or it left."""
+    """The peer has another identity or protocol version, or it closed the connection."""
 
 
 class WrongKey(HandshakeFailed):
-    """The peer does not hold the shared key."""
+    """The peer has another key."""
 
 
 class Accepted(Struct, frozen=True, kw_only=True):
-    """A dialer that has proved itself; `challenged_ms` is when its nonce was sent."""
+    """An authenticated dialer; `challenged_ms` is the time at which it was sent the nonce."""
 
     greeting: Greeting
     challenged_ms: int
 
 
 def make_greeting(*, app: Application, attempt: int, window_bytes: int) -> Greeting:
-    """Return what this process says first on a new connection."""
+    """Return the content of this process's HELLO frame for a new connection."""
     hello = Hello(name=app.name, role=app.role, incarnation=app.incarnation)
     return Greeting(
         version=PROTOCOL_VERSION,
@@ -56,32 +56,35 @@
     )
 
 
-async def async_dial(
+async def async_dialer_handshake(
     *, connection: Connection, greeting: Greeting, key: bytes, expected_name: str | None
 ) -> Greeting:
-    """Run the dialer's part and return the server's greeting; without a name any may answer.
+    """Run the dialer's part of the handshake and return the server's greeting.
 
-    Raises HandshakeFailed or FrameError. The caller bounds the time.
+    Without `expected_name` a server with any name is accepted. The caller sets the timeout. Raises
+    HandshakeFailed or FrameError.
     """
     own = encode_greeting(greeting)
     connection.send(Kind.HELLO, body=own)
     theirs = await _async_expect(connection, Kind.HELLO)
     mac = decode_proof(await _async_expect(connection, Kind.PROOF))
     if not hmac.compare_digest(mac, _make_mac(key, _LABEL_SERVER, own, theirs)):
-        raise WrongKey("the server does not hold the shared key")
+        raise WrongKey("the server's proof does not match the shared key")
     server = _check_greeting(theirs)
     if expected_name is not None and server.hello.name != expected_name:
-        raise HandshakeFailed(f"{server.hello.name} answers instead of {expected_name}")
+        raise HandshakeFailed(f"expected server {expected_name}, got {server.hello.name}")
     connection.raise_frame_limit()
     connection.send(Kind.PROOF, body=encode_proof(_make_mac(key, _LABEL_DIALER, own, theirs)))
     await _async_expect(connection, Kind.WELCOME)
     return server
 
 
-async def async_accept(*, connection: Connection, greeting: Greeting, key: bytes) -> Accepted:
-    """Run the server's part up to the dialer's proof.
+async def async_server_handshake(
+    *, connection: Connection, greeting: Greeting, key: bytes
+) -> Accepted:
+    """Run the server's part of the handshake up to the dialer's proof.
 
-    The caller bounds the time and sends WELCOME. Raises HandshakeFailed or FrameError.
+    The caller sets the timeout and sends WELCOME. Raises HandshakeFailed or FrameError.
     """
     theirs = await _async_expect(connection, Kind.HELLO)
     dialer = _check_greeting(theirs)
@@ -91,21 +94,21 @@
     connection.send(Kind.PROOF, body=encode_proof(_make_mac(key, _LABEL_SERVER, theirs, own)))
     mac = decode_proof(await _async_expect(connection, Kind.PROOF))
     if not hmac.compare_digest(mac, _make_mac(key, _LABEL_DIALER, theirs, own)):
-        raise WrongKey("the dialer does not hold the shared key")
+        raise WrongKey("the dialer's proof does not match the shared key")
     return Accepted(greeting=dialer, challenged_ms=challenged_ms)
 
 
 def to_seconds(delay_ms: int) -> float:
-    """Return milliseconds as the seconds that asyncio takes."""
+    """Convert milliseconds to the seconds that asyncio uses."""
     return delay_ms / MS_PER_S
 
 
 async def _async_expect(connection: Connection, kind: Kind) -> bytes:
     frame = await connection.async_read()
     if frame is None:
-        raise HandshakeFailed(f"closed before {kind.name}")
+        raise HandshakeFailed(f"expected {kind.name}, but the connection was closed")
     if frame.kind == Kind.GOODBYE:
-        raise HandshakeFailed(f"the peer refused: {decode_goodbye(frame.body)}")
+        raise HandshakeFailed(f"expected {kind.name}, got GOODBYE: {decode_goodbye(frame.body)}")
     if frame.kind != kind:
         raise FrameError(f"frame kind {frame.kind} instead of {kind.name}")
     return frame.body
@@ -114,7 +117,9 @@
 def _check_greeting(body: bytes) -> Greeting:
     greeting = decode_greeting(body)
     if greeting.version != PROTOCOL_VERSION:
-        raise HandshakeFailed(f"protocol version {greeting.version} is not known")
+        raise HandshakeFailed(
+            f"expected protocol version {PROTOCOL_VERSION}, got {greeting.version}"
+        )
     if len(greeting.nonce) != NONCE_BYTES or not greeting.hello.name:
         raise FrameError("a greeting without name or nonce")
     if greeting.window_bytes == 0:
@@ -123,7 +128,7 @@
 
 
 def _make_mac(key: bytes, label: bytes, dialer: bytes, server: bytes) -> bytes:
-    """Return a code over who speaks and all that both ends have said, lengths included."""
+    """Return the authentication code over the sender's label and the HELLO bodies of both ends."""
     parts = (label, dialer, server)
     text = b"".join(len(part).to_bytes(_LENGTH_BYTES, "little") + part for part in parts)
     return hmac.digest(key, text, _HASH)
--- a/gypsumrouter/link/listeners.py
+++ b/gypsumrouter/link/listeners.py
@@ -1,4 +1,4 @@
-"""A list of listeners that are called with the same arguments."""
+"""Lists of listeners for events of the links."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Listeners(Generic[P]):
-    """Listeners in the order in which they were added."""
+    """Listeners that are called in the order in which they were added."""
 
     __slots__ = ("_listeners",)
 
@@ -38,10 +38,10 @@
 
 
 def call_safely(listener: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
-    """Call a listener; an error in it is logged and ends neither the link nor its task."""
+    """Call a listener; log an exception in it, so that the link stays open."""
     try:
         listener(*args, **kwargs)
     except InvariantBroken:
         raise
     except Exception:
-        _LOGGER.exception("A listener of the links failed")
+        _LOGGER.exception("A link listener raised an exception; other listeners are still called")
--- a/gypsumrouter/link/liveness.py
+++ b/gypsumrouter/link/liveness.py
@@ -1,4 +1,4 @@
-"""Finding links that went silent: one timer for all links of a server or a pool."""
+"""Heartbeats and detection of dead links; a server or a pool checks all its links on one timer."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     silence_ms: int,
     name: str,
 ) -> None:
-    """Send a heartbeat if one is due, and drop the link if its peer has been silent too long.
+    """Send a heartbeat if one is due, and abort the link if nothing was received for `silence_ms`.
 
-    A link without exchanges sends none and may be silent.
+    A link without exchanges sends no heartbeats and is not aborted.
     """
     if not busy and not connection.receiving:
         connection.busy_since_ms = None
@@ -33,7 +33,7 @@
         connection.busy_since_ms = now_ms
     silent_ms = now_ms - max(connection.last_received_ms, connection.busy_since_ms)
     if busy and silent_ms >= silence_ms:
-        _LOGGER.warning("The link with %s was silent for %s ms and is dropped", name, silent_ms)
+        _LOGGER.warning("Received nothing from %s for %s ms; aborting the link", name, silent_ms)
         connection.abort()
         return
     if now_ms - connection.last_sent_ms >= heartbeat_ms:
@@ -43,10 +43,9 @@
 def request_echo(
     *, connection: Connection, waiting: bool, now_ms: int, settings: Link, name: str
 ) -> None:
-    """Ask the server for an echo while a request waits for its first word, and drop a link
-    that gives none.
+    """Request an echo while a request has no answer yet; abort the link if none is received.
 
-    What arrives for other requests does not show that this one got through.
+    Frames received for other requests do not show that this request reached the server.
     """
     if not waiting:
         connection.echo_requested_ms = None
@@ -56,17 +55,17 @@
         connection.send(Kind.HEARTBEAT, flags=FLAG_ECHO_REQUEST)
         return
     if now_ms - connection.echo_requested_ms >= settings.silence_ms - settings.heartbeat_ms:
-        _LOGGER.warning("The link with %s takes nothing and is dropped", name)
+        _LOGGER.warning("No echo from %s, requests do not reach it; aborting the link", name)
         connection.abort()
 
 
 async def async_run_timer(
     *, clock: Clock, settings: Link, on_tick: Callable[[int, bool], None]
 ) -> None:
-    """Call `on_tick` a few times in each heartbeat, with the time and whether we were late.
+    """Call `on_tick` several times per heartbeat, with the time and whether the tick is late.
 
-    After a pause of the process what the peers sent meanwhile has not been read yet, so that
-    their silence must not be judged.
+    After a late tick, for instance because the process was paused, data received meanwhile has not
+    been read yet, so a peer must not be considered silent.
     """
     period_ms = max(1, settings.heartbeat_ms // TICKS_PER_HEARTBEAT)
     due_ms = clock.now_ms() + period_ms
@@ -78,5 +77,5 @@
 
 
 def reset_silence_timer(connection: Connection, now_ms: int) -> None:
-    """Begin to judge a peer's silence anew."""
+    """Count the silence of a peer from now on."""
     connection.last_received_ms = now_ms
--- a/gypsumrouter/link/log_once.py
+++ b/gypsumrouter/link/log_once.py
@@ -1,4 +1,4 @@
-"""Logging something once for each peer, with bounded memory."""
+"""Limits repeated log messages to one for each peer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogOnce:
-    """Remember which names were logged."""
+    """Names for which a message was logged; the oldest are removed when there are too many."""
 
     __slots__ = ("_names",)
 
@@ -14,7 +14,7 @@
         self._names: dict[str, None] = {}
 
     def is_first(self, name: str) -> bool:
-        """Return whether `name` is seen for the first time; the oldest names are forgotten."""
+        """Add `name`; return whether it is new."""
         if name in self._names:
             return False
         if len(self._names) >= MAX_LOGGED_PEERS:
@@ -23,7 +23,7 @@
         return True
 
     def clear(self, name: str) -> bool:
-        """Forget `name`; return whether it was there."""
+        """Remove `name`; return whether it was present."""
         if name not in self._names:
             return False
         del self._names[name]
--- a/gypsumrouter/link/memory.py
+++ b/gypsumrouter/link/memory.py
@@ -1,4 +1,4 @@
-"""Memory for answers that routers have not confirmed, bounded for the whole process."""
+"""Limit on the memory of a process for answer bytes that routers have not confirmed."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class AnswerMemory:
-    """Share out the memory for unconfirmed bytes among answers.
+    """Divides the memory for unconfirmed bytes among answers.
 
-    The first half goes to whoever writes first. Of the second half each answer gets the same
-    part, so that slow callers that hold the first half do not stop the others.
+    The first half is allocated first come, first served. The second half is divided equally, so
+    that slow callers that occupy the first half do not block other answers.
     """
 
     __slots__ = ("_answers", "_on_pressure", "_used", "_waiters", "limit_bytes")
@@ -26,25 +26,25 @@
 
     @property
     def used_bytes(self) -> int:
-        """Return the bytes held by all answers."""
+        """Return the number of bytes that all answers use."""
         return self._used
 
     @property
     def has_waiters(self) -> bool:
-        """Return whether an answer waits for memory."""
+        """Return whether an answer is waiting for memory."""
         return any(not waiter.done() for waiter in self._waiters)
 
     def add_answer(self) -> None:
-        """Count one more answer that shares the memory."""
+        """Add an answer to those that share the memory."""
         self._answers += 1
 
     def remove_answer(self, held: int) -> None:
-        """Take an answer out, with the `held` bytes that it still has."""
+        """Remove an answer and release the `held` bytes that it still uses."""
         self._answers -= 1
         self.release(held)
 
     def get_room(self, held: int) -> int:
-        """Return how many bytes an answer that already holds `held` may add now."""
+        """Return how many bytes an answer that already uses `held` bytes may add now."""
         part = self.limit_bytes // _ELASTIC_SHARE
         elastic = part - self._used
         if elastic > 0:
@@ -53,11 +53,11 @@
         return max(0, min(own, self.limit_bytes - self._used))
 
     def reserve(self, size: int) -> None:
-        """Count `size` bytes more."""
+        """Reserve `size` bytes; the caller has checked `get_room`."""
         self._used += size
 
     def release(self, size: int) -> None:
-        """Count `size` bytes less, and let waiting answers try again."""
+        """Release `size` bytes and wake the waiting answers."""
         self._used -= size
         if not self._waiters:
             return
@@ -67,6 +67,6 @@
                 waiter.set_result(None)
 
     def add_waiter(self, waiter: asyncio.Future[None]) -> None:
-        """Have `waiter` woken when memory comes free, and ask for some."""
+        """Wake `waiter` when memory is released, and call `on_pressure`."""
         self._waiters.append(waiter)
         self._on_pressure()
--- a/gypsumrouter/link/messages.capnp
+++ b/gypsumrouter/link/messages.capnp
@@ -1,5 +1,5 @@
 @0xb7d3f0c59a1e4c62;
-# Bodies of the frames between processes; a field is only ever added, never changed or removed.
+# Bodies of the frames between processes. Fields may be added, but never changed or removed.
 
 struct Hello {
   version @0 :UInt16;
--- a/gypsumrouter/link/models.py
+++ b/gypsumrouter/link/models.py
@@ -1,4 +1,4 @@
-"""The messages between processes of the system, one data class for each kind."""
+"""Data classes of the messages between processes, one for each kind of frame."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Hello(Struct, frozen=True, kw_only=True):
-    """Who stands at one end of a link; both ends say it in the handshake."""
+    """Identity of the process at one end of a link; both ends send theirs in the handshake."""
 
     name: str
     role: Role
@@ -19,10 +19,10 @@
 
 
 class PoolLoad(Struct, frozen=True, kw_only=True):
-    """What a router believes of a pool's load: the mean for each unit of weight, and its age.
+    """A router's estimate of a pool's load: the mean per unit of weight, and its age.
 
-    `known` is the number of instances that the mean is taken over, `members` the number that the
-    router believes in.
+    `known` is the number of instances with a known load, over which the mean is taken; `members` is
+    the number of instances in the router's view of the pool.
     """
 
     mean: float
@@ -32,15 +32,16 @@
 
 
 class Open(Struct, frozen=True, kw_only=True):
-    """Ask a side to run one request at its upstream.
-
-    `sequence` grows with each request of one router incarnation on one link and names the
-    exchange with it. `deadline_ms` is what is left of the caller's time, `waited_ms` what the
-    request has already spent in the router. `path` is the path at the upstream with its query.
-    `digest` identifies requests of the same content, for suspicion. `idempotency_key` is set
-    only for calls that must not be repeated. `prompt_bytes` and `max_output_tokens` are the size.
-    `holders` names the instances that may hold the chat's prefix: the first and the second of its
-    own order, then the one that its caller's hint names.
+    """Asks a side to run one request at its upstream.
+
+    `sequence` identifies the exchange on its link; it increases with each request of a router
+    incarnation. `deadline_ms` is the time left until the caller's deadline, `waited_ms` the time
+    that the request has spent in the router. `path` is the path at the upstream with its query
+    string. `digest` is equal for requests with the same content and serves to detect requests that
+    crash upstreams. `idempotency_key` is set only for calls that must not be repeated.
+    `prompt_bytes` and `max_output_tokens` are the size of the request. `holders` names the
+    instances that may have the chat's prefix cached: the first and the second choice for the chat,
+    then the one named in the caller's hint.
     """
 
     sequence: int
@@ -70,7 +71,7 @@
 
 
 class Head(Struct, frozen=True, kw_only=True):
-    """The beginning of an answer; `replayed` marks an answer from memory."""
+    """Status and headers of an answer; `replayed` marks a stored answer that is sent again."""
 
     status: int
     headers: Headers
@@ -78,24 +79,25 @@
 
 
 class Data(Struct, frozen=True, kw_only=True):
-    """A part of an answer's body that begins at byte `offset`."""
+    """A chunk of an answer's body that starts at byte `offset`."""
 
     offset: int
     body: bytes
 
 
 class End(Struct, frozen=True, kw_only=True):
-    """The end of a whole answer: its length in bytes and its XXH3-64 checksum."""
+    """The end of a complete answer: its length in bytes and its XXH3-64 checksum."""
 
     length: int
     checksum: int
 
 
 class Status(Struct, frozen=True, kw_only=True):
-    """What a side says of itself; sent when it changes, at a bounded rate.
+    """Load and state of a side; sent when it changes, at a bounded rate.
 
-    `load` counts the requests that run and the interactive ones that wait for the upstream,
-    `running` those that run, `batch_waiting` batch work that waits for a gap.
+    `load` is the number of running requests and of interactive requests that are queued for the
+    upstream, `running` the number of running ones, `batch_waiting` the number of batch requests
+    that are queued for spare capacity. `leaving` is set while the side drains.
     """
 
     load: int
@@ -109,21 +111,21 @@
 
 
 class ConfigurationAnnouncement(Struct, frozen=True, kw_only=True):
-    """A configuration version that the sender has in force, with the digest of its manifest."""
+    """Announces the configuration version that the sender applies, and its manifest's digest."""
 
     version: int
     digest: int
 
 
 class ConfigurationPartsRequest(Struct, frozen=True, kw_only=True):
-    """Ask for parts of a configuration version by their digests; none asks for the manifest."""
+    """Requests parts of a configuration version by digest; without parts, its manifest."""
 
     version: int
     parts: tuple[int, ...] = ()
 
 
 class ConfigurationParts(Struct, frozen=True, kw_only=True):
-    """Parts of a configuration version; `parts` are compressed bodies, `manifest` their order."""
+    """Compressed parts of a configuration version, or its manifest: the parts' digests in order."""
 
     version: int
     manifest: tuple[int, ...] = ()
@@ -131,16 +133,20 @@
 
 
 class PrefixAnnouncement(Struct, frozen=True, kw_only=True):
-    """A chat, by the digest of its name, that ran away from its first place and is cached there."""
+    """Announces that a chat ran on another instance than its first choice and is cached there.
+
+    `chat` is the digest of the chat's name.
+    """
 
     chat: int
     prompt_bytes: int
 
 
 class SuspectAnnouncement(Struct, frozen=True, kw_only=True):
-    """A request digest that was running when an upstream died.
+    """Announces the digest of a request that was running when an upstream crashed.
 
-    `strike` is a number unique to that death, so that the same death is counted once.
+    `strike` is unique to that crash, so that a crash is counted once. `alone` says that no other
+    request was running.
     """
 
     digest: int
@@ -149,10 +155,11 @@
 
 
 class ModelStatus(Struct, frozen=True, kw_only=True):
-    """A model or adapter of an engine: `version` is held, `next_version` is to be loaded.
+    """A model or adapter of an engine: `version` is loaded, `next_version` is to be loaded.
 
-    One of them may be empty. `serving` says that new requests are taken for it. `load` is the
-    smoothed number of its requests, `failures` counts the loads that failed one after the other.
+    One of them may be empty. `serving` says that new requests for the model are accepted. `load` is
+    the smoothed number of its requests, `failures` the number of consecutive failed attempts to
+    load it.
     """
 
     name: str
@@ -164,10 +171,10 @@
 
 
 class EngineStatus(Struct, frozen=True, kw_only=True):
-    """What one side says of its engine; a higher `stamp_ms` replaces a lower one.
+    """Status of a side's engine and of its models; a higher `stamp_ms` replaces a lower one.
 
-    `engine` is where neighbours reach the engine, as `host:port`. `up` says that it answers. A
-    model that is being dropped is not listed any more.
+    `engine` is the engine's address for other sides, as `host:port`. `up` says that the engine
+    responds. A model that is being unloaded is not listed.
     """
 
     name: str
@@ -179,14 +186,14 @@
 
 
 class PoolStatus(Struct, frozen=True, kw_only=True):
-    """What the engines of a pool hold, as far as the sender has news of them."""
+    """Status of the engines of a pool, as far as the sender has updates for the receiver."""
 
     pool: str
     entries: tuple[EngineStatus, ...]
 
 
 class RouterLoad(Struct, frozen=True, kw_only=True):
-    """What one router has at an upstream: its requests, and prompt tokens not read yet."""
+    """Load that a router puts on an upstream: its requests, and prompt tokens not prefilled yet."""
 
     upstream: str
     running: int
@@ -194,28 +201,28 @@
 
 
 class PlacedPart(Struct, frozen=True, kw_only=True):
-    """A part of a prompt that a router sent to an upstream, by the low 64 bits of its id."""
+    """A prompt part, by the low 64 bits of its id, and the upstream that a router sent it to."""
 
     part: int
     upstream: str
 
 
 class Strike(Struct, frozen=True, kw_only=True):
-    """An upstream that broke off while it ran a request of this content."""
+    """An upstream that failed while it ran a request with this content digest."""
 
     digest: int
     upstream: str
 
 
 class RouterAddress(Struct, frozen=True, kw_only=True):
-    """Where a router's link listens, and its data centre; empty where that is not known yet."""
+    """Link address of a router, and its data centre, which is empty while it is unknown."""
 
     address: str
     data_centre: str
 
 
 class EvacuationState(Struct, frozen=True, kw_only=True):
-    """Whether a data centre is evacuated, as of a revision of the platform's store."""
+    """Whether a data centre is being evacuated, as of a revision of the platform's store."""
 
     data_centre: str
     revision: int
@@ -223,14 +230,14 @@
 
 
 class RouterUpdate(Struct, frozen=True, kw_only=True):
-    """What routers of one data centre tell each other a few times a second.
-
-    `address` is where the sender's link listens and `routers` the links that it knows. The two
-    versions are those of the configuration and of the list of upstreams that it acts on. `placed`
-    and `strikes` are what is new since its last news on this link. `routers` is empty where they
-    were told a moment ago. `evacuations` is all that it knows of them, `refused` names upstreams
-    that refused a connection a moment ago. `data_centre` is the sender's; to seeds elsewhere it
-    tells no loads and nothing that was placed.
+    """Periodic update between the routers of one data centre, sent a few times a second.
+
+    `address` is the sender's link address, and `routers` are the routers that it knows; they are
+    left out if they were sent recently. `routing_version` and `list_revision` are the versions of
+    the routing configuration and of the upstream list that it applies. `placed` and `strikes`
+    are new since its last update on this link. `evacuations` is its complete list, and `refused`
+    names upstreams that have just refused a connection. `data_centre` is the sender's. Updates to
+    seeds in other data centres contain no loads and no placed parts.
     """
 
     address: str
@@ -246,10 +253,10 @@
 
 
 class DataCentreLoads(Struct, frozen=True, kw_only=True):
-    """What all routers of one data centre have at the upstreams, added up.
+    """Sum of the loads that all routers of one data centre put on the upstreams.
 
-    `alive` is the number of routers, and `routers` their links; empty where they were told a moment
-    ago.
+    `alive` is the number of routers. `routers` are their link addresses, which are left out if they
+    were sent recently.
     """
 
     data_centre: str
@@ -259,9 +266,9 @@
 
 
 class DataCentreUpdate(Struct, frozen=True, kw_only=True):
-    """What one router tells of its data centre to one router of another.
+    """Periodic update on a data centre, from one of its routers to one router of another.
 
-    The fields are those of `RouterUpdate`.
+    The fields have the same meaning as in `RouterUpdate`.
     """
 
     address: str
@@ -275,7 +282,7 @@
 
 
 class RelayedUpdate(Struct, frozen=True, kw_only=True):
-    """News of other data centres, handed on within one; `loads` has those heard of just now."""
+    """Updates from other data centres, relayed within one; `loads` has only those just received."""
 
     loads: tuple[DataCentreLoads, ...]
     placed: tuple[PlacedPart, ...] = ()
@@ -284,11 +291,11 @@
 
 
 class StoreUpdate(Struct, frozen=True, kw_only=True):
-    """What a router that watches the platform's store knows, for those that do not.
+    """Update from a router that watches the platform's store to routers that do not.
 
-    `routing_version` and `list_newest` are the newest changes that it acts on; it knows all changes
-    up to the two revisions `routing_as_of` and `list_as_of`, which are 0 where it cannot read the
-    store now. All that it knows of evacuations is told as it is.
+    `routing_version` and `list_newest` are the newest changes that it has applied. It has seen all
+    changes up to the revisions `routing_as_of` and `list_as_of`, which are 0 while it cannot read
+    the store. `evacuations` is its complete list.
     """
 
     routing_version: int
@@ -299,9 +306,9 @@
 
 
 class CatchUpRequest(Struct, frozen=True, kw_only=True):
-    """Ask a router for the configuration or the list that it acts on.
+    """Requests the routing configuration or the upstream list that a router applies.
 
-    Of the list only what changed after the revision `since` is wanted.
+    Only entries of the list that changed after the revision `since` are requested.
     """
 
     routing: bool
@@ -310,7 +317,7 @@
 
 
 class RoutingDocument(Struct, frozen=True, kw_only=True):
-    """A version of the routing configuration, as it was published, and known evacuations."""
+    """A version of the routing configuration as published, and the known evacuations."""
 
     version: int
     document: bytes
@@ -318,7 +325,7 @@
 
 
 class ListedUpstream(Struct, frozen=True, kw_only=True):
-    """One entry of the list of upstreams, as of a revision; `address` is empty where it is gone."""
+    """An entry of the upstream list as of a revision; removed entries have no `address`."""
 
     revision: int
     upstream: str
@@ -332,27 +339,27 @@
 
 
 class ListedUpstreams(Struct, frozen=True, kw_only=True):
-    """Entries of the list of upstreams; all changes up to the revision `as_of` are in them."""
+    """Entries of the upstream list; they include all changes up to the revision `as_of`."""
 
     entries: tuple[ListedUpstream, ...]
     as_of: int = 0
 
 
 class InventoryRequest(Struct, frozen=True, kw_only=True):
-    """Ask a router what all engines hold in their caches."""
+    """Requests a router's inventory: the cache listings of all engines."""
 
 
 class EngineListing(Struct, frozen=True, kw_only=True):
-    """Parts of prompts in the cache of one incarnation of an engine."""
+    """Prompt parts that one incarnation of an engine has cached."""
 
     upstream: str
     parts: tuple[int, ...]
 
 
 class InventoryUpdate(Struct, frozen=True, kw_only=True):
-    """What engines hold, as far as a router knows.
+    """Cache listings of the engines that a router has listings of.
 
-    `complete` says that it knows of all engines; without it the rest may follow later.
+    `complete` is set if these are all engines; otherwise further listings may follow.
     """
 
     complete: bool
--- a/gypsumrouter/link/notice_codec.py
+++ b/gypsumrouter/link/notice_codec.py
@@ -1,4 +1,4 @@
-"""Bodies of notices: data classes to Cap'n Proto messages and back."""
+"""Encodes and decodes the bodies of notices as Cap'n Proto messages."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def encode_notice(notice: Notice) -> tuple[Kind, bytes]:
-    """Return the kind and the body of a notice's frame."""
+    """Encode a notice; return the kind and the body of its frame."""
     match notice:
         case Status():
             return Kind.STATUS, _encode_status(notice)
@@ -110,7 +110,7 @@
 
 
 def decode_notice(kind: int, body: bytes) -> Notice:
-    """Return a notice from its frame; raises FrameError."""
+    """Decode a notice from the kind and the body of its frame; raises FrameError."""
     match kind:
         case Kind.STATUS:
             return _decode_status(body)
--- a/gypsumrouter/link/notices.py
+++ b/gypsumrouter/link/notices.py
@@ -1,4 +1,4 @@
-"""Notices: single messages between processes, handed to whoever subscribed to their kind."""
+"""Notices: one-way messages between processes, delivered to the subscribers of their type."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Peer:
-    """One end of an open link; `dialed` says that this process opened it."""
+    """The process at the other end of a link; `dialed` says that this process opened the link."""
 
     __slots__ = ("_connection", "dialed", "hello")
 
@@ -33,7 +33,7 @@
         return not self._connection.closed
 
     def send(self, notice: Notice) -> bool:
-        """Send a notice; return False if the link is closed or its peer takes nothing."""
+        """Send a notice; return False if the link is closed or its send buffer is full."""
         if not self.writable:
             return False
         kind, body = encode_notice(notice)
@@ -42,17 +42,17 @@
 
     @property
     def writable(self) -> bool:
-        """Return whether the link is open and its peer keeps up with what it is sent."""
+        """Return whether the link is open and its send buffer is not full."""
         return not (self._connection.closed or self._connection.paused)
 
     def send_encoded(self, kind: Kind, body: bytes) -> None:
-        """Send a notice that was encoded for several links."""
+        """Send a notice that has been encoded already."""
         self._connection.last_used_ms = self._connection.clock.now_ms()
         self._connection.send(kind, body=body)
 
 
 def send_to_all(peers: Iterable[Peer], notice: Notice) -> None:
-    """Send a notice over several links, encoded once; links that take nothing are passed over."""
+    """Encode a notice once and send it over several links, except those that are not writable."""
     kind, body = encode_notice(notice)
     for peer in peers:
         if peer.writable:
@@ -60,7 +60,7 @@
 
 
 class NoticeHub:
-    """Hand notices from all links of a process to their listeners."""
+    """Delivers the notices from all links of a process to their listeners."""
 
     __slots__ = ("_diagnostics", "_listeners")
 
@@ -71,7 +71,7 @@
             self.get_diagnostics(app)
 
     def subscribe(self, kind: type[N], listener: Callable[[Peer, N], None]) -> Remove:
-        """Call `listener` for each notice of a kind; return the function that removes it."""
+        """Call `listener` for each notice of the type `kind`; return a function that removes it."""
         listeners = self._listeners.setdefault(kind, [])
         listeners.append(listener)
 
@@ -82,18 +82,18 @@
         return remove
 
     def publish(self, peer: Peer, notice: Notice) -> None:
-        """Call every listener of the notice's kind."""
+        """Call the listeners of the notice's type."""
         for listener in tuple(self._listeners.get(type(notice), ())):
             call_safely(listener, peer, notice)
 
     def receive(self, peer: Peer, frame: Frame) -> Notice:
-        """Publish the notice that a frame carries and return it; raises FrameError."""
+        """Decode the notice in a frame, publish it and return it; raises FrameError."""
         notice = decode_notice(frame.kind, frame.body)
         self.publish(peer, notice)
         return notice
 
     def get_diagnostics(self, app: Application) -> LinkDiagnostics:
-        """Return what the server and the pool of a process count together."""
+        """Return the diagnostics that the server and the pool of the process share."""
         if self._diagnostics is None:
             self._diagnostics = LinkDiagnostics(app=app)
         return self._diagnostics
--- a/gypsumrouter/link/outstanding.py
+++ b/gypsumrouter/link/outstanding.py
@@ -1,4 +1,4 @@
-"""The exchanges of one dialed link that have no end yet, and what is sent for them."""
+"""The exchanges of a dialed link that have not ended, and the frames sent for them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Outstanding:
-    """Exchanges by sequence, in ascending order; also those whose cancelling was not sent."""
+    """Exchanges by sequence, in ascending order, and cancellations that may have to be resent."""
 
     __slots__ = (
         "_clock",
@@ -55,13 +55,13 @@
         return len(self._exchanges) + len(self._unsent_cancels)
 
     def add(self, request: Open) -> Exchange:
-        """Begin an exchange whose OPEN is about to be written."""
+        """Add an exchange whose OPEN frame is sent next."""
         exchange = Exchange(request=request, owner=self, opened_ms=self._clock.now_ms())
         self._exchanges[request.sequence] = exchange
         return exchange
 
     def attach(self, connection: Connection, window_bytes: int) -> None:
-        """Resume every exchange over a new link to the same incarnation, lowest sequence first."""
+        """Resume all exchanges over a new link to the same incarnation, in ascending order."""
         self._connection = connection
         window_bytes = min(self._window_bytes, window_bytes)
         self._confirm_bytes = max(1, window_bytes // CONFIRMS_PER_WINDOW)
@@ -81,22 +81,22 @@
             self.confirm(exchange, exchange.confirmed)
 
     def detach(self) -> None:
-        """Note that the link is lost, and with it perhaps what was last sent over it."""
+        """Record that the link is lost; recent cancellations are sent again over the next link."""
         self._connection = None
         self._expire_cancels()
         self._unsent_cancels.update(self._sent_cancels)
         self._sent_cancels.clear()
 
     def fail_all(self, failure: Failure) -> None:
-        """End every exchange."""
+        """Fail all exchanges."""
         self._unsent_cancels.clear()
         for exchange in tuple(self._exchanges.values()):
             exchange.fail(failure)
 
     def receive(self, frame: Frame) -> bool:
-        """Take a frame in if it belongs to an exchange or to the link; raises FrameError.
+        """Handle a frame of an exchange or of the link itself; return False for other frames.
 
-        Frames of exchanges that have ended are late and dropped.
+        Late frames of exchanges that have ended are dropped. Raises FrameError.
         """
         exchange = self._exchanges.get(frame.stream)
         if frame.kind == KIND_DATA:
@@ -126,25 +126,25 @@
         return True
 
     def confirm(self, exchange: Exchange, offset: int) -> None:
-        """Confirm when a good part of the window is used up; fewer messages cost less."""
+        """Send a confirmation when the unconfirmed bytes exceed a fraction of the window."""
         if offset - exchange.confirm_sent >= self._confirm_bytes:
             self._send_confirm(exchange)
 
     def has_undelivered(self, *, since_ms: int) -> bool:
-        """Return whether a request that was sent before then has had no word of its side."""
+        """Return whether a request sent by `since_ms` is not known to have reached the server."""
         return any(
             not exchange.arrived and exchange.opened_ms <= since_ms
             for exchange in self._exchanges.values()
         )
 
     def finish(self, exchange: Exchange) -> None:
-        """Let the server forget an exchange that came to its end."""
+        """Let the server discard an exchange that has ended."""
         self._exchanges.pop(exchange.sequence, None)
         if self._connection is not None:
             self._connection.send(Kind.CONFIRM, stream=exchange.sequence, flags=FLAG_FINAL)
 
     def cancel(self, exchange: Exchange) -> None:
-        """Tell the server that nobody waits any more, now or over the next link."""
+        """Tell the server that an answer is not wanted any more, now or over the next link."""
         if self._exchanges.pop(exchange.sequence, None) is None:
             return
         if self._connection is None or self._connection.closed:
@@ -155,7 +155,7 @@
         self._sent_cancels[exchange.sequence] = self._clock.now_ms()
 
     def _expire_cancels(self) -> None:
-        """Forget the cancels that a link which is found lost later has surely delivered."""
+        """Discard cancellations sent so long ago that a link lost since then had delivered them."""
         oldest_ms = self._clock.now_ms() - self._silence_ms
         while self._sent_cancels:
             sequence, sent_ms = next(iter(self._sent_cancels.items()))
@@ -170,7 +170,7 @@
             self._handle_echo()
 
     def _handle_echo(self) -> None:
-        """Note that whatever was sent before the server was asked has reached it."""
+        """Mark the requests that were sent before the echo request as received by the server."""
         if self._connection is None or self._connection.echo_requested_ms is None:
             return
         asked_ms = self._connection.echo_requested_ms
--- a/gypsumrouter/link/pool.py
+++ b/gypsumrouter/link/pool.py
@@ -1,4 +1,4 @@
-"""The dialing end of all links of a process, by instance."""
+"""Pool of the links that a process opens to instances."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class LinkPool:
-    """Links to other processes, opened on demand and closed when idle; each process has one."""
+    """Opens links to instances on demand and closes idle ones; each process has one pool."""
 
     __slots__ = (
         "_app",
@@ -63,30 +63,30 @@
         app.on_stop(self._async_stop)
 
     async def async_open(self, *, instance: Instance, request: Open) -> Exchange | Refused:
-        """Send a request; its sequence is set here.
+        """Send a request with a new sequence number.
 
-        `Refused` means that the request was never sent to the instance.
+        `Refused` means that the request was not sent to the instance.
         """
         return await self._get_dialer(instance).async_open(request)
 
     async def async_send(self, *, instance: Instance, notice: Notice) -> bool:
-        """Send a notice; return False if the instance cannot be reached or takes nothing."""
+        """Send a notice; return False if the instance is unreachable or the send buffer is full."""
         return await self._get_dialer(instance).async_send(notice)
 
     def status(self, name: str) -> StatusView | None:
-        """Return the last status that was heard of a process."""
+        """Return the last status received from a process, or None."""
         return self._statuses.get(name, self._app.clock.now_ms())
 
     def on_status(self, listener: Callable[[Hello, Status], None]) -> Remove:
-        """Call `listener` for each status that comes in."""
+        """Call `listener` for each status received."""
         return self._status.add(listener)
 
     def on_contact(self, listener: Callable[[str, bool], None]) -> Remove:
-        """Call `listener` with a name and whether a try to link with it succeeded."""
+        """Call `listener` after each attempt to connect, with the name and whether it succeeded."""
         return self._contact.add(listener)
 
     def on_connected(self, listener: Callable[[Peer], None]) -> Remove:
-        """Call `listener` for each link that was opened."""
+        """Call `listener` for each new link."""
         return self._connected.add(listener)
 
     def _make_context(self, key: bytes) -> DialerContext:
@@ -117,7 +117,7 @@
         return dialer
 
     def _allocate_number(self) -> int:
-        """Return a number that grows for the life of this incarnation, for sequences and links."""
+        """Return the next number of this incarnation, for sequences of requests and links."""
         self._next_number += 1
         return self._next_number
 
@@ -139,7 +139,7 @@
         self._ticks += 1
         checks_idle = self._ticks % TICKS_PER_IDLE_CHECK == 0
         for key, dialer in tuple(self._dialers.items()):
-            # Most links have nothing outstanding; at the size of two years there are 930.
+            # Skips most of the links, which may be hundreds without outstanding exchanges.
             if not (late or checks_idle or dialer.in_use):
                 continue
             dialer.tick(now_ms, late)
--- a/gypsumrouter/link/pool_status_codec.py
+++ b/gypsumrouter/link/pool_status_codec.py
@@ -1,4 +1,4 @@
-"""Bodies of the notices that tell what engines hold."""
+"""Encodes and decodes notices on the status of a pool's engines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def encode_pool_status(notice: PoolStatus) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a HOLDINGS frame."""
     message = SCHEMA.Holdings.new_message(pool=notice.pool)
     entries = message.init("entries", len(notice.entries))
     for target, entry in zip(entries, notice.entries, strict=True):
@@ -18,7 +18,7 @@
 
 
 def decode_pool_status(body: bytes) -> PoolStatus:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a HOLDINGS frame; raises FrameError."""
     with open_packed_message(SCHEMA.Holdings, body) as message:
         entries = tuple(_read_entry(entry) for entry in message.entries)
         return PoolStatus(pool=message.pool, entries=entries)
--- a/gypsumrouter/link/router_codec.py
+++ b/gypsumrouter/link/router_codec.py
@@ -1,4 +1,4 @@
-"""Bodies of the notices between routers that reach upstreams themselves."""
+"""Encodes and decodes the notices between routers that connect to upstreams directly."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 )
 from gypsumrouter.link.schema import SCHEMA, open_message, open_packed_message, to_bytes, to_packed
 
-# Loads at 930 upstreams from each of eight data centres, 20 bytes each, and what was placed.
+# Enough for 930 upstreams in each of eight data centres, 20 bytes each, and the placed parts.
 MAX_UPDATE_BYTES: Final = 256 * 1024
-# A document of 9,500 workspaces takes about 2 MB.
+# A document with 9,500 workspaces has about 2 MB.
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
-# Fast rather than small: a document of 40 KB takes 0.4 ms.
+# The fastest level of zlib.
 COMPRESSION: Final = 1
 
 
 def encode_router_update(notice: RouterUpdate) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a ROUTER_NEWS frame."""
     message = SCHEMA.RouterNews.new_message(
         address=notice.address,
         routingVersion=notice.routing_version,
@@ -55,7 +55,7 @@
 
 
 def decode_router_update(body: bytes) -> RouterUpdate:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a ROUTER_NEWS frame; raises FrameError."""
     with open_packed_message(SCHEMA.RouterNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
         return RouterUpdate(
             address=message.address,
@@ -75,7 +75,7 @@
 
 
 def encode_data_centre_update(notice: DataCentreUpdate) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a DATA_CENTRE_NEWS frame."""
     message = SCHEMA.DataCentreNews.new_message(
         address=notice.address,
         routingVersion=notice.routing_version,
@@ -90,7 +90,7 @@
 
 
 def decode_data_centre_update(body: bytes) -> DataCentreUpdate:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a DATA_CENTRE_NEWS frame; raises FrameError."""
     with open_packed_message(SCHEMA.DataCentreNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
         return DataCentreUpdate(
             address=message.address,
@@ -105,7 +105,7 @@
 
 
 def encode_relayed_update(notice: RelayedUpdate) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a RELAYED_NEWS frame."""
     message = SCHEMA.RelayedNews.new_message(refused=list(notice.refused))
     loads = message.init("loads", len(notice.loads))
     for target, data_centre in zip(loads, notice.loads, strict=True):
@@ -116,7 +116,7 @@
 
 
 def decode_relayed_update(body: bytes) -> RelayedUpdate:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a RELAYED_NEWS frame; raises FrameError."""
     with open_packed_message(SCHEMA.RelayedNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
         return RelayedUpdate(
             loads=tuple(_read_data_centre(data_centre) for data_centre in message.loads),
@@ -198,7 +198,7 @@
 
 
 def encode_store_update(notice: StoreUpdate) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a STORE_WATCHED frame."""
     message = SCHEMA.StoreWatched.new_message(
         routingVersion=notice.routing_version,
         routingAsOf=notice.routing_as_of,
@@ -210,7 +210,7 @@
 
 
 def decode_store_update(body: bytes) -> StoreUpdate:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a STORE_WATCHED frame; raises FrameError."""
     with open_packed_message(SCHEMA.StoreWatched, body) as message:
         return StoreUpdate(
             routing_version=message.routingVersion,
@@ -222,7 +222,7 @@
 
 
 def encode_catch_up_request(notice: CatchUpRequest) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a CATCH_UP frame."""
     message = SCHEMA.CatchUp.new_message(
         routing=notice.routing, upstreams=notice.upstreams, since=notice.since
     )
@@ -230,7 +230,7 @@
 
 
 def decode_catch_up_request(body: bytes) -> CatchUpRequest:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a CATCH_UP frame; raises FrameError."""
     with open_message(SCHEMA.CatchUp, body) as message:
         return CatchUpRequest(
             routing=message.routing, upstreams=message.upstreams, since=message.since
@@ -238,7 +238,7 @@
 
 
 def encode_routing_document(notice: RoutingDocument) -> bytes:
-    """Return the body of a notice's frame, with the document compressed."""
+    """Encode the body of a ROUTING_DOCUMENT frame, with the document compressed."""
     packed = zlib.compress(notice.document, COMPRESSION)
     message = SCHEMA.RoutingDocument.new_message(version=notice.version, document=packed)
     _set_evacuations(message, notice.evacuations)
@@ -246,7 +246,7 @@
 
 
 def decode_routing_document(body: bytes) -> RoutingDocument:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a ROUTING_DOCUMENT frame; raises FrameError."""
     with open_message(SCHEMA.RoutingDocument, body) as message:
         version, packed = message.version, bytes(message.document)
         evacuations = _read_evacuations(message)
@@ -261,7 +261,7 @@
 
 
 def encode_listed_upstreams(notice: ListedUpstreams) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a LISTED_UPSTREAMS frame."""
     message = SCHEMA.ListedUpstreams.new_message(asOf=notice.as_of)
     entries = message.init("entries", len(notice.entries))
     for target, entry in zip(entries, notice.entries, strict=True):
@@ -278,7 +278,7 @@
 
 
 def decode_listed_upstreams(body: bytes) -> ListedUpstreams:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a LISTED_UPSTREAMS frame; raises FrameError."""
     with open_message(SCHEMA.ListedUpstreams, body) as message:
         return ListedUpstreams(
             entries=tuple(
@@ -300,18 +300,18 @@
 
 
 def encode_inventory_update(notice: InventoryUpdate) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a HELD_NEWS frame."""
     message = SCHEMA.HeldNews.new_message(complete=notice.complete)
     engines = message.init("engines", len(notice.engines))
     for target, engine in zip(engines, notice.engines, strict=True):
         target.upstream = engine.upstream
         target.parts = list(engine.parts)
-    # Ids are hashes, which packing would make longer, and there are thousands of them.
+    # Not packed: part ids are hashes with few zero bytes, which packing would enlarge.
     return to_bytes(message)
 
 
 def decode_inventory_update(body: bytes) -> InventoryUpdate:
-    """Return a notice from the body of its frame; raises FrameError."""
+    """Decode the body of a HELD_NEWS frame; raises FrameError."""
     with open_message(SCHEMA.HeldNews, body) as message:
         return InventoryUpdate(
             complete=message.complete,
--- a/gypsumrouter/link/schema.py
+++ b/gypsumrouter/link/schema.py
@@ -21,35 +21,36 @@
 _READS_PER_WORD: Final = 4
 _SPARE_WORDS: Final = 256
 _UNPACKED_WORDS_PER_BYTE: Final = 4
-# A tag says which of the next eight bytes are there; these two are followed by a count of words.
+# In the packed encoding a tag byte precedes each word; its bits mark the bytes that are not zero.
+# These two tags are followed by a count of words: of zero words, and of unpacked words.
 _TAG_ZEROS: Final = 0x00
 _TAG_FULL: Final = 0xFF
-# A table of segments has a number of four bytes for each of them, and one for how many there are.
+# The segment table consists of 32-bit numbers: the number of segments, then the size of each.
 _SIZE_BYTES: Final = 4
 _MAX_SEGMENTS: Final = 64
-# How many bytes a tag stands for, itself included.
+# Encoded size of a word by its tag, including the tag.
 _TAG_BYTES: Final = bytes(1 + tag.bit_count() for tag in range(256))
 _DECODE_ERRORS: Final = (capnp.KjException, UnicodeError, ValueError, OverflowError)
 
 
 def to_bytes(message: Any) -> bytes:
-    """Return a message as bytes."""
+    """Encode a message."""
     body: bytes = message.to_bytes()
     return body
 
 
 def to_packed(message: Any) -> bytes:
-    """Return a small message as bytes without its runs of zeros."""
+    """Encode a message in the packed form, which leaves out zero bytes."""
     body: bytes = message.to_bytes_packed()
     return body
 
 
 @contextmanager
 def open_message(kind: Any, body: bytes) -> Iterator[Any]:
-    """Give a reader of `body`; whatever is wrong with it becomes a FrameError.
+    """Decode `body` within the context; raises FrameError if it is malformed.
 
-    The limit on what may be read follows from the length of the body, since a short message can
-    claim lists of any length.
+    The traversal limit is derived from the length of the body, as a short message can declare lists
+    of any length.
     """
     limit = len(body) // _WORD_BYTES * _READS_PER_WORD + _SPARE_WORDS
     try:
@@ -63,9 +64,9 @@
 def open_packed_message(
     kind: Any, body: bytes, *, max_bytes: int = MAX_PACKED_BYTES
 ) -> Iterator[Any]:
-    """Give a reader of the packed `body`; whatever is wrong with it becomes a FrameError.
+    """Decode the packed `body` within the context; raises FrameError if it is malformed.
 
-    Packing leaves out zeros, so that few bytes can stand for many: what may be read is bounded by
+    A packed message can expand to many times its size, so the traversal limit is derived from
     `max_bytes`.
     """
     if len(body) > max_bytes:
@@ -79,9 +80,9 @@
 
 
 def _check_packing(body: bytes) -> None:
-    """Check that a packed message holds as many words as it says; raises FrameError.
+    """Check that a packed message has as many words as its segment table declares.
 
-    The library ends the process where a message breaks off before its last word.
+    Raises FrameError. The library aborts the process if a packed message is truncated.
     """
     words = _count_words(body)
     segments = 1 + int.from_bytes(_unpack_start(body, _SIZE_BYTES)[:_SIZE_BYTES], "little")
@@ -93,13 +94,13 @@
         int.from_bytes(table[at : at + _SIZE_BYTES], "little")
         for at in range(_SIZE_BYTES, len(table), _SIZE_BYTES)
     )
-    # The table fills up its last word.
+    # The segment table is padded to a whole word.
     if words != segments // 2 + 1 + sum(sizes):
         raise FrameError("a malformed message: it breaks off")
 
 
 def _count_words(body: bytes) -> int:
-    """Return how many words a packed message stands for; raises FrameError."""
+    """Return the number of words that a packed message expands to; raises FrameError."""
     at, words, size = 0, 0, len(body)
     while at < size:
         tag = body[at]
@@ -117,7 +118,7 @@
 
 
 def _unpack_start(body: bytes, size: int) -> bytes:
-    """Return the first words of a packed message, `size` bytes or some more."""
+    """Unpack the start of a packed message: at least `size` bytes if it has as many."""
     start = bytearray()
     at = 0
     while at < len(body) and len(start) < size:
@@ -138,7 +139,7 @@
 
 
 def set_pool_load(message: Any, load: PoolLoad | None) -> None:
-    """Write a pool's load into a message that has a place for it."""
+    """Set the `poolLoad` field of a message unless `load` is None."""
     if load is None:
         return
     target = message.init("poolLoad")
@@ -149,7 +150,7 @@
 
 
 def read_pool_load(message: Any) -> PoolLoad | None:
-    """Return a pool's load from a message, if it is there."""
+    """Return the `poolLoad` field of a message, or None if it is not set."""
     if not message._has("poolLoad"):
         return None
     load = message.poolLoad
--- a/gypsumrouter/link/served.py
+++ b/gypsumrouter/link/served.py
@@ -1,4 +1,4 @@
-"""What a router says of its exchanges on one accepted link."""
+"""Handles the exchange frames that a router sends over an accepted link."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ServedLink:
-    """Take the frames of one router's exchanges in, and run those that are new."""
+    """Handles the frames of a router's exchanges, and runs new requests."""
 
     __slots__ = ("_connection", "_record", "_run", "_table")
 
@@ -35,9 +35,9 @@
         self._run = run
 
     def receive(self, frame: Frame) -> bool:
-        """Take a frame in if it belongs to an exchange; raises FrameError.
+        """Handle a frame of an exchange; return False for other frames; raises FrameError.
 
-        Frames of exchanges that are no longer held are late and dropped.
+        Late frames of exchanges that have been discarded are dropped.
         """
         match frame.kind:
             case Kind.CONFIRM:
--- a/gypsumrouter/link/server.py
+++ b/gypsumrouter/link/server.py
@@ -1,4 +1,4 @@
-"""The listening end of links: accepts dialers, runs their requests, publishes the status."""
+"""The listening end of links: accepts links, runs their requests and publishes the status."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     Accepted,
     HandshakeFailed,
     WrongKey,
-    async_accept,
+    async_server_handshake,
     make_greeting,
     to_seconds,
 )
@@ -52,7 +52,7 @@
 
 
 class LinkServer:
-    """Accept links from other processes; each process has one."""
+    """Accepts links from other processes; each process has one server."""
 
     __slots__ = (
         "_app",
@@ -108,7 +108,7 @@
         )
 
     async def async_start(self) -> Address:
-        """Listen, and return the address that was bound; raises OSError."""
+        """Start to listen and return the bound address; raises OSError."""
         loop = asyncio.get_running_loop()
         context = None
         if self._settings.tls is not None:
@@ -129,11 +129,11 @@
         return Address(host=host, port=port)
 
     def publish_status(self, status: Status) -> None:
-        """Send the status on open links, at a bounded rate, but `leaving` and `ready` at once."""
+        """Send the status over open links at a bounded rate; `leaving` and `ready` at once."""
         self._status.publish(status)
 
     def send_to(self, names: Collection[str], notice: Notice) -> None:
-        """Send a notice over the open links of some processes, before all that is sent later."""
+        """Send a notice over the open links of the named processes, ahead of later frames."""
         for peer, _ in tuple(self._peers.values()):
             if peer.hello.name in names:
                 peer.send(notice)
@@ -168,22 +168,26 @@
         self._handshakes += 1
         try:
             async with asyncio.timeout(to_seconds(self._settings.connect_ms)):
-                accepted = await async_accept(
+                accepted = await async_server_handshake(
                     connection=connection, greeting=greeting, key=self._key
                 )
         except WrongKey:
             host = connection.peer_host
             if self._wrong_keys.is_first(host):
-                _LOGGER.warning("A process at %s tried to link with a wrong key", host)
+                _LOGGER.warning(
+                    "Rejected a link from %s: its proof does not match the link key", host
+                )
             return None
         except (HandshakeFailed, FrameError, TimeoutError) as error:
-            _LOGGER.debug("A handshake from %s failed: %s", connection.peer_host, error)
+            _LOGGER.debug(
+                "Handshake with %s failed, closing the connection: %s", connection.peer_host, error
+            )
             if isinstance(error, FrameError):
                 connection.close_with_goodbye(str(error))
             return None
         finally:
             self._handshakes -= 1
-        # A paused process reads late: the table's floors rest on this bound.
+        # A paused process may read the proof late; the exchange table relies on this limit.
         if self._app.clock.now_ms() - connection.opened_ms > self._settings.connect_ms:
             return None
         return accepted
@@ -194,13 +198,13 @@
         connection.raise_frame_limit()
         connection.send(Kind.WELCOME)
         self._status.send_initial(connection)
-        _LOGGER.debug("%s opened a link", record.hello.name)
+        _LOGGER.debug("Accepted a link from %s", record.hello.name)
         served = ServedLink(table=self._table, record=record, connection=connection, run=self._run)
         try:
             while (frame := await connection.async_read()) is not None:
                 self._on_frame(peer, connection, served, frame)
         except FrameError as error:
-            _LOGGER.warning("The link with %s is closed: %s", record.hello.name, error)
+            _LOGGER.warning("Closing the link from %s: %s", record.hello.name, error)
             connection.close_with_goodbye(str(error))
         finally:
             del self._peers[connection]
@@ -237,7 +241,9 @@
         except InvariantBroken:
             raise
         except Exception:
-            _LOGGER.exception("Request %s broke its handler", request.request_id)
+            _LOGGER.exception(
+                "Unexpected exception in the handler of request %s", request.request_id
+            )
         if not answer.ended:
             answer.fail(_NO_END)
 
@@ -263,7 +269,7 @@
                 connection.abort()
 
     async def _async_drain(self) -> None:
-        """Wait until every answer of this moment has been taken or given up."""
+        """Wait until all current answers have been confirmed or discarded."""
         answers = [answer for record in self._table.routers() for answer in record.answers.values()]
         while any(not answer.dropped for answer in answers):
             self._released.clear()
--- a/gypsumrouter/link/status.py
+++ b/gypsumrouter/link/status.py
@@ -1,4 +1,4 @@
-"""Status notices: a server's own word at a bounded rate, and what a pool has heard."""
+"""Status notices: publishes a server's status at a bounded rate, and caches those received."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class StatusView(Struct, frozen=True, kw_only=True):
-    """The last word of another process, how old it is, and the incarnation that said it."""
+    """The last status of another process, its age, and the incarnation that sent it."""
 
     status: Status
     age_ms: int
@@ -30,11 +30,11 @@
 
 
 class StatusPublisher:
-    """Send a process's status on its open links.
+    """Sends a process's status over its open links.
 
-    All links together get no more than a set number of bytes a second, fewer where there are very
-    many, and each no more than one status in 100 ms; a change of `leaving` or `ready` goes out at
-    once. Between them the load travels on what is sent for answers anyway.
+    The total rate over all links is limited, more strictly if there are very many links, and each
+    link gets at most one status per `STATUS_INTERVAL_MS`. A change of `leaving` or `ready` is sent
+    immediately. Between two statuses the load is reported in the headers of answer frames.
     """
 
     __slots__ = (
@@ -63,7 +63,7 @@
         self._pending = False
 
     def publish(self, status: Status) -> None:
-        """Take a new status and send it now or as soon as the rate allows."""
+        """Set the status and send it as soon as the rate limit allows."""
         before = self._current
         self._current = status
         self._reported_load.set(status.load)
@@ -76,7 +76,7 @@
         self._app.async_create_task(self._async_send_later(), "link status")
 
     def send_initial(self, connection: Connection) -> None:
-        """Send the status on a new link."""
+        """Send the current status over a new link."""
         if self._current is None:
             return
         kind, body = encode_notice(self._current)
@@ -109,7 +109,7 @@
 
 
 class StatusCache:
-    """What a pool has heard of each process, by name."""
+    """The last status of each process, by name."""
 
     __slots__ = ("_entries",)
 
@@ -117,18 +117,18 @@
         self._entries: dict[str, tuple[Status, int, int]] = {}
 
     def record(self, hello: Hello, status: Status, now_ms: int) -> None:
-        """Take a status in."""
+        """Record a status that was received."""
         self._entries[hello.name] = (status, now_ms, hello.incarnation)
 
     def record_load(self, name: str, incarnation: int, load: int, now_ms: int) -> None:
-        """Take in the load that came with an answer; the rest of the status stays as it was."""
+        """Record a load reported in an answer frame; the other fields of the status are kept."""
         entry = self._entries.get(name)
         if entry is None or entry[2] != incarnation:
             return
         self._entries[name] = (replace(entry[0], load=load), now_ms, incarnation)
 
     def get(self, name: str, now_ms: int) -> StatusView | None:
-        """Return the last status of a process."""
+        """Return the last status of a process, or None."""
         entry = self._entries.get(name)
         if entry is None:
             return None
@@ -136,7 +136,7 @@
         return StatusView(status=status, age_ms=now_ms - received_ms, incarnation=incarnation)
 
     def sweep(self, now_ms: int) -> None:
-        """Forget what is too old to say anything."""
+        """Remove expired statuses."""
         old = [
             name for name, entry in self._entries.items() if now_ms - entry[1] > STATUS_RETENTION_MS
         ]
--- a/gypsumrouter/link/table.py
+++ b/gypsumrouter/link/table.py
@@ -1,6 +1,6 @@
-"""A server's exchanges by router incarnation, and what it may say of those it does not hold.
+"""A server's exchanges by router incarnation, and its replies for exchanges that it discarded.
 
-See docs/decisions/0002-link.md for why these rules never call a request that ran "not run".
+A request that may have run must never be reported as not run; see docs/decisions/0002-link.md.
 """
 
 from __future__ import annotations
@@ -35,10 +35,10 @@
 
 
 class RouterRecord:
-    """What the server knows of one incarnation of a router.
+    """Exchanges and state of one incarnation of a router.
 
-    Sequences up to `highest_opened` may have run; none at or below `floor` is accepted again.
-    Whatever was opened before `forgotten_before_ms` may have been forgotten.
+    Requests with a sequence up to `highest_opened` may have run; requests up to `floor` are not
+    accepted any more. Requests sent before `forgotten_before_ms` may belong to a removed record.
     """
 
     __slots__ = (
@@ -68,23 +68,23 @@
 
     @property
     def busy(self) -> bool:
-        """Return whether an exchange is under way on the open link."""
+        """Return whether an exchange uses the open link."""
         return any(answer.detached_ms is None for answer in self.answers.values())
 
     @property
     def removable(self) -> bool:
-        """Return whether neither a link nor an exchange needs the record."""
+        """Return whether the record has neither a link nor exchanges."""
         return self.connection is None and not self.answers
 
     def is_newer_than_forgotten(self, resume: Resume) -> bool:
-        """Return whether the OPEN was written after all that was ever forgotten."""
+        """Return whether the OPEN was sent after the last use of every removed record."""
         if self.forgotten_before_ms is None:
             return True
         return self.challenged_ms - resume.age_ms - AGE_MARGIN_MS > self.forgotten_before_ms
 
 
 class ExchangeTable:
-    """Every exchange that a server holds."""
+    """All exchanges of a server."""
 
     __slots__ = (
         "_clock",
@@ -125,13 +125,13 @@
         self._confirm_requested_ms = clock.now_ms() - CONFIRM_REQUEST_INTERVAL_MS
 
     def routers(self) -> Iterator[RouterRecord]:
-        """Return every record."""
+        """Iterate over all records."""
         return iter(tuple(self._routers.values()))
 
     def attach(self, connection: Connection, accepted: Accepted) -> RouterRecord | None:
-        """Make `connection` the router's one link; None if a newer one was there before.
+        """Make `connection` the router's only link, and abort the one that it replaces.
 
-        The link that it replaces is closed, and nothing more is read from it.
+        Returns None if the router has had a newer link, or if the table is full.
         """
         greeting = accepted.greeting
         record = self._get_record(greeting.hello)
@@ -149,7 +149,7 @@
         return record
 
     def detach(self, record: RouterRecord, connection: Connection) -> None:
-        """Note that a link is lost; its exchanges wait for the next one."""
+        """Record that a link is lost; its exchanges wait to be resumed over the next one."""
         if record.connection is not connection:
             return
         now_ms = self._clock.now_ms()
@@ -159,9 +159,10 @@
             answer.detach(now_ms)
 
     def open(self, record: RouterRecord, sequence: int) -> Answer | Failure | None:
-        """Begin an exchange, unless it was given up before it came.
+        """Start an exchange; return a failure if its request must not run any more.
 
-        None is a duplicate of one that is under way; only what was never begun is refused.
+        Returns None for a duplicate of a running exchange. A request that may have run fails; it is
+        never refused.
         """
         if sequence in record.answers:
             return None
@@ -182,7 +183,7 @@
         return answer
 
     def resume(self, record: RouterRecord, sequence: int, resume: Resume) -> Answer | Failure:
-        """Go on with an exchange where the router stands; raises FrameError."""
+        """Resume an exchange from the router's offset, or return a failure; raises FrameError."""
         answer = record.answers.get(sequence)
         if answer is not None and record.connection is not None:
             answer.attach(record.connection, offset=resume.offset, has_head=resume.has_head)
@@ -197,7 +198,7 @@
         self._on_released()
 
     def sweep(self) -> None:
-        """Drop exchanges that no router came back for, and records that nothing needs."""
+        """Discard exchanges that were not resumed in time, and expired records."""
         now_ms = self._clock.now_ms()
         if self.memory.has_waiters:
             self._free_memory()
@@ -224,7 +225,7 @@
         return record
 
     def _forget_oldest(self) -> bool:
-        """Make room for one record; those of the last moments are needed against late links."""
+        """Remove the oldest idle record, unless late links of that router may still be accepted."""
         newest_ms = self._clock.now_ms() - self._max_link_delay_ms
         idle = [
             record
@@ -242,7 +243,7 @@
             self.forgotten_before_ms = record.last_seen_ms
 
     def _free_memory(self) -> None:
-        """Find memory: that of the exchange lost longest, else ask routers to confirm."""
+        """Discard the detached answer that lost its link first, or else request confirmations."""
         lost = [
             answer
             for record in self._routers.values()
--- a/tests/link/test_link_hostile_input.py
+++ b/tests/link/test_link_hostile_input.py
@@ -28,7 +28,7 @@
 from gypsumrouter.link.const import MAX_FRAME_BYTES, Kind
 from gypsumrouter.link.counts import ByteCounts
 from gypsumrouter.link.frames import HEADER, FrameError, FrameReader, pack_frame
-from gypsumrouter.link.handshake import async_dial, make_greeting
+from gypsumrouter.link.handshake import async_dialer_handshake, make_greeting
 from gypsumrouter.util.clock import SystemClock
 
 KINDS = st.integers(0, 255) | st.sampled_from([int(kind) for kind in Kind])
@@ -65,7 +65,9 @@
         lambda: RawConnection(clock=SystemClock(), counts=ByteCounts()), target.host, target.port
     )
     greeting = make_greeting(app=app, attempt=1, window_bytes=1_000)
-    await async_dial(connection=connection, greeting=greeting, key=KEY, expected_name="side-1")
+    await async_dialer_handshake(
+        connection=connection, greeting=greeting, key=KEY, expected_name="side-1"
+    )
     return connection
 
 
@@ -202,6 +204,6 @@
             writer.close()
         lines = [record for record in caplog.records if record.levelno >= logging.WARNING]
         assert [line.getMessage() for line in lines] == [
-            "A process at 127.0.0.1 tried to link with a wrong key"
+            "Rejected a link from 127.0.0.1: its proof does not match the link key"
         ]
         assert pair.server_app.dump()["link"]["server"]["routers"] == []  # type: ignore[index]
--- a/tests/link/test_link_lying_server.py
+++ b/tests/link/test_link_lying_server.py
@@ -16,7 +16,7 @@
 from gypsumrouter.link.const import Kind
 from gypsumrouter.link.counts import ByteCounts
 from gypsumrouter.link.frames import OFFSET
-from gypsumrouter.link.handshake import async_accept, make_greeting
+from gypsumrouter.link.handshake import async_server_handshake, make_greeting
 from gypsumrouter.link.notice_codec import encode_notice
 from gypsumrouter.outcomes import Failed, Reason, Refused
 from gypsumrouter.util.clock import SystemClock
@@ -51,7 +51,7 @@
     async def _async_serve(self, connection: Connection) -> None:
         app = make_app("side-1", Role.SIDE)
         greeting = make_greeting(app=app, attempt=0, window_bytes=1_000)
-        await async_accept(connection=connection, greeting=greeting, key=KEY)
+        await async_server_handshake(connection=connection, greeting=greeting, key=KEY)
         connection.raise_frame_limit()
         connection.send(Kind.WELCOME)
         while (frame := await connection.async_read()) is not None:
