--- a/tests/link/link_harness.py
+++ b/tests/link/link_harness.py
@@ -1,4 +1,4 @@
-"""A server and a pool on loopback with a relay between them that a test can cut."""
+"""Test harness: a server and a pool on loopback, with a relay in between that injects faults."""
 
 from __future__ import annotations
 
@@ -54,16 +54,16 @@
 
 
 class Relay:
-    """A TCP relay that can cut its connections, or go silent on the ones that are open."""
+    """A TCP relay that can abort connections or silently discard their data."""
 
     def __init__(self) -> None:
         self.target: Address | None = None
         self.refusing = False
-        self.dropping = False
+        self.discarding = False
         self.accepted = 0
         self.closed = 0
-        self.passed_bytes = 0
-        self.passed = asyncio.Condition()
+        self.relayed_bytes = 0
+        self.relayed = asyncio.Condition()
         self._silent: set[asyncio.StreamWriter] = set()
         self._target_writers: set[asyncio.StreamWriter] = set()
         self._writers: set[asyncio.StreamWriter] = set()
@@ -88,20 +88,20 @@
             writer.transport.abort()
 
     def silence(self) -> None:
-        """Pass nothing more on the connections that are open; new ones work."""
+        """Discard all further data on the open connections; new ones work."""
         self._silent |= self._writers
 
     def silence_towards_target(self) -> None:
-        """Pass nothing more towards the target on the connections that are open."""
+        """Discard all further data towards the target on the open connections."""
         self._silent |= self._writers & self._target_writers
 
-    async def async_wait_passed(self, size: int) -> None:
-        async with self.passed:
-            await self.passed.wait_for(lambda: self.passed_bytes >= size)
+    async def async_wait_relayed(self, size: int) -> None:
+        async with self.relayed:
+            await self.relayed.wait_for(lambda: self.relayed_bytes >= size)
 
     async def async_wait_closed(self, count: int) -> None:
-        async with self.passed:
-            await self.passed.wait_for(lambda: self.closed >= count)
+        async with self.relayed:
+            await self.relayed.wait_for(lambda: self.closed >= count)
 
     async def _async_accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -116,33 +116,35 @@
         self._writers |= {writer, target_writer}
         self._target_writers.add(target_writer)
         for source, sink in ((reader, target_writer), (target_reader, writer)):
-            task = asyncio.create_task(self._async_pass(source, sink))
+            task = asyncio.create_task(self._async_relay(source, sink))
             self._tasks.add(task)
 
-    async def _async_pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _async_relay(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         try:
             while data := await reader.read(65_536):
-                if writer in self._silent or self.dropping:
+                if writer in self._silent or self.discarding:
                     continue
                 writer.write(data)
                 await writer.drain()
-                async with self.passed:
-                    self.passed_bytes += len(data)
-                    self.passed.notify_all()
+                async with self.relayed:
+                    self.relayed_bytes += len(data)
+                    self.relayed.notify_all()
         except OSError:
             pass
         finally:
             if writer not in self._silent:
                 writer.close()
             self._writers.discard(writer)
-            async with self.passed:
+            async with self.relayed:
                 self.closed += 1
-                self.passed.notify_all()
+                self.relayed.notify_all()
 
 
 @dataclass
 class Pair:
-    """A dialing and a listening process, and the relay between them."""
+    """A dialing and a listening process with a relay between them."""
 
     server_app: Application
     pool_app: Application
@@ -175,7 +177,7 @@
 
 
 async def async_read_answer(exchange: Exchange) -> tuple[bytes, AnswerEvent]:
-    """Read an answer to its end; the caller takes every byte at once."""
+    """Read an answer to its end, and confirm each chunk immediately."""
     body = bytearray()
     while True:
         event = await exchange.async_next()
--- a/tests/link/test_link_exchange.py
+++ b/tests/link/test_link_exchange.py
@@ -1,4 +1,4 @@
-"""Whole exchanges, refusals, failures and flow control over real sockets."""
+"""Exchanges, refusals, failures, flow control and notices over real sockets."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 STATUS = Status(load=1, running=1, weight=1.0, leaving=False, ready=True, models=("m",))
 
 
-async def test_a_request_arrives_unchanged_and_its_answer_is_whole() -> None:
+async def test_request_and_answer_are_transferred_unchanged() -> None:
     seen: list[tuple[Hello, Open]] = []
 
     async def handle(hello: Hello, request: Open, answer: Answer) -> None:
@@ -68,7 +68,7 @@
         )
 
 
-async def test_many_exchanges_share_one_link_and_are_never_crossed() -> None:
+async def test_concurrent_exchanges_share_one_link() -> None:
     async with linked() as pair:
         requests = [replace(REQUEST, body=b"%d" % number * 100) for number in range(50)]
         exchanges = await asyncio.gather(*map(pair.async_exchange, requests))
@@ -77,9 +77,7 @@
         assert pair.relay.accepted == 1
 
 
-async def test_parts_that_are_handed_over_and_parts_that_are_read_make_the_answer_in_order() -> (
-    None
-):
+async def test_consumed_and_read_chunks_form_the_answer_in_order() -> None:
     sent = random.Random(5).randbytes(4 * SETTINGS.window_bytes)
 
     async def handle(hello: Hello, request: Open, answer: Answer) -> None:
@@ -90,13 +88,13 @@
         answer.end()
 
     taken = bytearray()
-    handed: list[int] = []
+    consumed: list[int] = []
     read: list[int] = []
 
     def take(body: bytes) -> bool:
-        if len(handed) > 2 * len(read):
+        if len(consumed) > 2 * len(read):
             return False
-        handed.append(len(body))
+        consumed.append(len(body))
         taken.extend(body)
         return True
 
@@ -111,13 +109,13 @@
             exchange.confirm(len(taken))
         assert isinstance(event, End)
         assert bytes(taken) == sent
-        assert handed
+        assert consumed
         assert read
-        # All was confirmed, or the server would have stopped at the end of its window.
+        # The answer exceeds the window, so it ends only if consumed chunks are confirmed as well.
         assert exchange.confirmed == len(sent)
 
 
-async def test_no_part_is_handed_over_while_the_reader_is_busy_with_an_earlier_one() -> None:
+async def test_consumer_is_not_called_while_the_reader_is_busy() -> None:
     def take(body: bytes) -> bool:
         raise AssertionError("the reader was busy")
 
@@ -132,7 +130,7 @@
     assert await exchange.async_next() == Data(offset=3, body=b"two")
 
 
-async def test_a_refusal_reaches_the_router_with_all_its_fields() -> None:
+async def test_refusal_is_transferred_with_all_fields() -> None:
     refused = Refused(
         reason=Reason.OVER_CAP, message="over the cap", retry_after_ms=500, elsewhere=True
     )
@@ -144,13 +142,13 @@
         assert await (await pair.async_exchange()).async_next() == refused
 
 
-async def test_a_process_without_upstream_refuses_requests() -> None:
+async def test_server_without_handler_refuses_requests() -> None:
     async with linked(None) as pair:
         event = await (await pair.async_exchange()).async_next()
         assert isinstance(event, Refused)
 
 
-async def test_a_handler_that_raises_or_forgets_the_end_leaves_the_outcome_unknown() -> None:
+async def test_handler_that_raises_or_returns_early_fails_the_exchange() -> None:
     async def handle(_hello: Hello, request: Open, answer: Answer) -> None:
         answer.head(HEAD)
         if request.request_id == "raises":
@@ -165,7 +163,7 @@
             assert event.reason is Reason.UPSTREAM_PROTOCOL
 
 
-async def test_a_broken_invariant_in_a_handler_stops_the_process() -> None:
+async def test_broken_invariant_in_a_handler_stops_the_process() -> None:
     async def handle(_hello: Hello, _request: Open, _answer: Answer) -> None:
         raise InvariantBroken("contradiction")
 
@@ -175,7 +173,7 @@
         assert isinstance(pair.server_app.fatal, InvariantBroken)
 
 
-async def test_cancelling_stops_the_work_and_ends_the_exchange() -> None:
+async def test_cancel_stops_the_handler_and_ends_the_exchange() -> None:
     stopped = asyncio.Event()
 
     async def handle(_hello: Hello, _request: Open, answer: Answer) -> None:
@@ -194,20 +192,20 @@
         await stopped.wait()
 
 
-async def test_a_wrong_key_is_refused_as_never_sent() -> None:
+async def test_link_key_mismatch_refuses_the_request() -> None:
     async with linked(pool_key=b"another key, not the fleet's") as pair:
         result = await pair.pool.async_open(instance=pair.instance, request=REQUEST)
         assert isinstance(result, Refused)
         assert (result.reason, result.elsewhere) == (Reason.UNREACHABLE, True)
 
 
-async def test_another_instance_at_the_address_is_refused_as_never_sent() -> None:
+async def test_unexpected_instance_name_refuses_the_request() -> None:
     async with linked() as pair:
         other = replace(pair.instance, name="side-2")
         assert isinstance(await pair.pool.async_open(instance=other, request=REQUEST), Refused)
 
 
-async def test_an_unreachable_instance_is_refused_and_told_to_listeners() -> None:
+async def test_unreachable_instance_refuses_the_request_and_notifies_listeners() -> None:
     contacts: list[tuple[str, bool]] = []
     async with linked() as pair:
         pair.pool.on_contact(lambda name, reachable: contacts.append((name, reachable)))
@@ -217,7 +215,7 @@
         assert contacts == [("side-1", False)]
 
 
-async def test_a_caller_that_reads_slowly_stops_the_side_at_the_window() -> None:
+async def test_slow_reader_blocks_the_handler_at_the_window() -> None:
     settings = replace(SETTINGS, window_bytes=32_768)
     written = 0
 
@@ -234,7 +232,7 @@
     async with linked(handle, settings=settings) as pair:
         slow = await pair.async_exchange(replace(REQUEST, request_id="slow"))
         assert await slow.async_next() == HEAD
-        await pair.relay.async_wait_passed(settings.window_bytes)
+        await pair.relay.async_wait_relayed(settings.window_bytes)
         quick, end = await async_read_answer(await pair.async_exchange())
         assert (len(quick), isinstance(end, End)) == (4_096, True)
         assert written <= settings.window_bytes
@@ -242,7 +240,7 @@
         assert (len(body), isinstance(end, End)) == (409_600, True)
 
 
-async def test_answer_memory_is_bounded_over_all_exchanges_and_shared_fairly() -> None:
+async def test_answer_memory_is_limited_and_shared_fairly() -> None:
     memory_bytes = 64 * 1024
     peak = 0
 
@@ -266,33 +264,33 @@
             assert (len(body), isinstance(end, End)) == (81_920, True)
 
 
-async def test_statuses_and_notices_travel_both_ways() -> None:
-    arrived: asyncio.Queue[object] = asyncio.Queue()
+async def test_statuses_and_notices_are_delivered_in_both_directions() -> None:
+    received: asyncio.Queue[object] = asyncio.Queue()
     async with linked() as pair:
         pair.server.publish_status(STATUS)
-        pair.pool.on_status(lambda hello, status: arrived.put_nowait((hello.name, status)))
+        pair.pool.on_status(lambda hello, status: received.put_nowait((hello.name, status)))
 
-        def answer_news(peer: Peer, news: ConfigurationAnnouncement) -> None:
-            peer.send(replace(news, version=news.version + 1))
+        def send_reply(peer: Peer, announcement: ConfigurationAnnouncement) -> None:
+            peer.send(replace(announcement, version=announcement.version + 1))
 
-        pair.server_hub.subscribe(ConfigurationAnnouncement, answer_news)
+        pair.server_hub.subscribe(ConfigurationAnnouncement, send_reply)
         pair.pool_hub.subscribe(
-            ConfigurationAnnouncement, lambda _peer, news: arrived.put_nowait(news)
+            ConfigurationAnnouncement, lambda _peer, announcement: received.put_nowait(announcement)
         )
-        news = ConfigurationAnnouncement(version=7, digest=(1 << 64) - 1)
-        assert await pair.pool.async_send(instance=pair.instance, notice=news)
-        assert await arrived.get() == ("side-1", STATUS)
-        assert await arrived.get() == replace(news, version=8)
+        announcement = ConfigurationAnnouncement(version=7, digest=(1 << 64) - 1)
+        assert await pair.pool.async_send(instance=pair.instance, notice=announcement)
+        assert await received.get() == ("side-1", STATUS)
+        assert await received.get() == replace(announcement, version=8)
         leaving = replace(STATUS, leaving=True)
         pair.server.publish_status(leaving)
-        assert await arrived.get() == ("side-1", leaving)
+        assert await received.get() == ("side-1", leaving)
         view = pair.pool.status("side-1")
         assert view is not None
         assert (view.status, view.incarnation) == (leaving, pair.server_app.incarnation)
 
 
-async def test_answers_carry_the_load_of_their_side_without_a_status_of_its_own() -> None:
-    arrived: asyncio.Queue[Status] = asyncio.Queue()
+async def test_answer_frames_report_the_load() -> None:
+    received: asyncio.Queue[Status] = asyncio.Queue()
 
     async def handle(hello: Hello, request: Open, answer: Answer) -> None:
         pair.server.publish_status(replace(STATUS, load=41))
@@ -300,34 +298,36 @@
 
     async with linked(handle) as pair:
         pair.server.publish_status(STATUS)
-        pair.pool.on_status(lambda _hello, status: arrived.put_nowait(status))
-        news = ConfigurationAnnouncement(version=1, digest=1)
-        assert await pair.pool.async_send(instance=pair.instance, notice=news)
-        assert await arrived.get() == STATUS
+        pair.pool.on_status(lambda _hello, status: received.put_nowait(status))
+        announcement = ConfigurationAnnouncement(version=1, digest=1)
+        assert await pair.pool.async_send(instance=pair.instance, notice=announcement)
+        assert await received.get() == STATUS
         await async_read_answer(await pair.async_exchange())
         view = pair.pool.status("side-1")
         assert view is not None
         assert view.status == replace(STATUS, load=41)
-        assert arrived.empty()
+        assert received.empty()
 
 
-async def test_a_notice_sent_before_a_failure_arrives_before_it() -> None:
-    news = ConfigurationAnnouncement(version=7, digest=1)
-    arrived: list[object] = []
+async def test_notice_is_delivered_before_a_later_failure() -> None:
+    announcement = ConfigurationAnnouncement(version=7, digest=1)
+    received: list[object] = []
 
     async def handle(hello: Hello, _request: Open, answer: Answer) -> None:
-        pair.server.send_to({"another"}, replace(news, version=8))
-        pair.server.send_to({hello.name}, news)
+        pair.server.send_to({"another"}, replace(announcement, version=8))
+        pair.server.send_to({hello.name}, announcement)
         answer.fail(Failed(reason=Reason.UPSTREAM_LOST))
 
     async with linked(handle) as pair:
-        pair.pool_hub.subscribe(ConfigurationAnnouncement, lambda _peer, item: arrived.append(item))
+        pair.pool_hub.subscribe(
+            ConfigurationAnnouncement, lambda _peer, item: received.append(item)
+        )
         exchange = await pair.async_exchange()
         assert isinstance(await exchange.async_next(), Failed)
-        assert arrived == [news]
+        assert received == [announcement]
 
 
-async def test_an_idle_link_is_closed_and_opened_again_on_demand() -> None:
+async def test_idle_link_is_closed_and_reopened_on_demand() -> None:
     async with linked(settings=replace(SETTINGS, idle_close_ms=50)) as pair:
         await async_read_answer(await pair.async_exchange())
         await pair.relay.async_wait_closed(1)
@@ -335,7 +335,7 @@
         assert (body, pair.relay.accepted) == (b"hello {}", 2)
 
 
-async def test_stopping_the_router_fails_what_is_outstanding() -> None:
+async def test_stopping_the_router_fails_outstanding_exchanges() -> None:
     async def handle(_hello: Hello, _request: Open, answer: Answer) -> None:
         await answer.cancelled.wait()
 
@@ -347,24 +347,24 @@
         assert event.reason is Reason.STOPPED
 
 
-async def test_a_planned_stop_of_the_side_waits_until_answers_are_taken() -> None:
-    begun, go_on = asyncio.Event(), asyncio.Event()
+async def test_drain_waits_until_answers_are_confirmed() -> None:
+    begun, release = asyncio.Event(), asyncio.Event()
 
     async def handle(hello: Hello, request: Open, answer: Answer) -> None:
         begun.set()
-        await go_on.wait()
+        await release.wait()
         await async_answer_hello(hello, request, answer)
 
     async with linked(handle) as pair:
         exchange = await pair.async_exchange()
         await begun.wait()
         drained = asyncio.create_task(pair.server_app.async_drain())
-        go_on.set()
+        release.set()
         await drained
         assert isinstance((await async_read_answer(exchange))[1], End)
 
 
-async def test_bytes_are_counted_by_kind_and_shown_in_metrics_and_dump() -> None:
+async def test_dump_shows_bytes_by_kind() -> None:
     async with linked() as pair:
         await async_read_answer(await pair.async_exchange())
         dump = pair.pool_app.dump()["link"]
@@ -374,7 +374,7 @@
         assert dump["control_bytes"]["sent"] > 0
 
 
-async def test_a_pool_and_a_server_of_one_process_share_their_hub() -> None:
+async def test_pool_and_server_of_one_process_share_a_notice_hub() -> None:
     async with linked() as pair:
         pool = LinkPool(app=pair.server_app, settings=SETTINGS, key=KEY, notices=pair.server_hub)
         app = make_app("side-9", Role.SIDE)
--- a/tests/link/test_link_hostile_input.py
+++ b/tests/link/test_link_hostile_input.py
@@ -1,4 +1,4 @@
-"""Frames and messages that no honest peer sends: a clear close, no crash, no hang."""
+"""Malformed input must close the connection with a reason, and must not crash or block a server."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class RawConnection(Connection):
-    """A connection whose bytes a test writes itself."""
+    """A connection over which a test can write arbitrary bytes."""
 
     __slots__ = ()
 
@@ -58,7 +58,7 @@
 
 
 async def _async_connect_authenticated(pair: Pair) -> RawConnection:
-    """Return a connection that went through the handshake, for frames of the test's own."""
+    """Return a connection that has completed the handshake."""
     app = make_app("router-9", Role.ROUTER)
     target = pair.require_target()
     _, connection = await asyncio.get_running_loop().create_connection(
@@ -72,7 +72,7 @@
 
 
 async def _async_read_goodbye(connection: Connection) -> str | None:
-    """Read to the end and return why the server closed."""
+    """Read until the connection is closed; return the reason in the GOODBYE frame, if any."""
     text = None
     with contextlib.suppress(FrameError):
         while (frame := await connection.async_read()) is not None:
@@ -89,7 +89,7 @@
 
 @given(data=RAW)
 @settings(derandomize=True, deadline=None, max_examples=60)
-def test_any_bytes_from_strangers_are_closed_and_others_are_served(data: bytes) -> None:
+def test_random_bytes_from_unauthenticated_peers_do_not_affect_other_links(data: bytes) -> None:
     async def async_run() -> None:
         async with linked(settings=replace(SETTINGS, connect_ms=200)) as pair:
             reader, writer = await _async_connect_raw(pair)
@@ -104,7 +104,7 @@
 
 @given(data=RAW)
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_any_frames_from_a_proved_peer_end_in_a_close_that_says_why(data: bytes) -> None:
+def test_random_frames_from_an_authenticated_peer_are_answered_with_goodbye(data: bytes) -> None:
     async def async_run() -> None:
         async with linked() as pair:
             connection = await _async_connect_authenticated(pair)
@@ -118,7 +118,7 @@
 
 @given(data=st.binary(max_size=300), cuts=st.lists(st.integers(0, 300), max_size=5))
 @settings(derandomize=True, deadline=None)
-def test_a_reader_gives_the_same_frames_however_the_bytes_are_cut(
+def test_frame_reader_returns_the_same_frames_for_any_chunking(
     data: bytes, cuts: list[int]
 ) -> None:
     frames = [pack_frame(Kind.DATA, 0, index, data[index:]) for index in range(3)]
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("frame", "words"),
+    ("frame", "expected"),
     [
         (HEADER.pack(MAX_FRAME_BYTES + 1, Kind.OPEN, 0, 0, 1), "longer than"),
         (HEADER.pack(0, 99, 0, 0, 1), "unknown kind"),
@@ -149,19 +149,17 @@
         (pack_frame(Kind.HEAD, 0, 1, b""), "no notice"),
     ],
 )
-async def test_a_malformed_frame_closes_the_link_with_a_clear_error(
-    frame: bytes, words: str
-) -> None:
+async def test_malformed_frame_closes_the_link_with_a_reason(frame: bytes, expected: str) -> None:
     async with linked() as pair:
         connection = await _async_connect_authenticated(pair)
         connection.write_raw(frame)
         text = await _async_read_goodbye(connection)
         assert text is not None
-        assert words in text
+        assert expected in text
         await _async_check_server_works(pair)
 
 
-async def test_a_stranger_cannot_make_the_server_keep_a_long_frame() -> None:
+async def test_long_frame_before_authentication_is_rejected() -> None:
     async with linked() as pair:
         reader, writer = await _async_connect_raw(pair)
         writer.write(HEADER.pack(MAX_FRAME_BYTES, Kind.HELLO, 0, 0, 0))
@@ -169,14 +167,14 @@
         writer.close()
 
 
-async def test_a_silent_stranger_is_closed_when_the_handshake_takes_too_long() -> None:
+async def test_connection_is_closed_on_handshake_timeout() -> None:
     async with linked(settings=replace(SETTINGS, connect_ms=50)) as pair:
         reader, writer = await _async_connect_raw(pair)
         assert await reader.read() == b""
         writer.close()
 
 
-async def test_a_wrong_key_is_logged_once_for_each_peer(
+async def test_wrong_key_is_logged_once_for_each_peer(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async with linked(pool_key=b"another key, not the fleet's") as pair:
@@ -188,7 +186,7 @@
         assert "key" in lines[0].getMessage()
 
 
-async def test_a_dialer_that_proves_nothing_is_logged_once_and_never_served(
+async def test_dialer_with_invalid_proof_is_logged_once_and_not_served(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     app = make_app("router-9", Role.ROUTER)
--- a/tests/link/test_link_packing.py
+++ b/tests/link/test_link_packing.py
@@ -1,4 +1,4 @@
-"""Packed messages that say more than they hold are refused before the library reads them."""
+"""Truncated packed messages must be rejected before the Cap'n Proto library decodes them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from gypsumrouter.link.frames import FrameError
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
 
-# Its table of segments promises more words than follow, which ended the process that read it.
-BREAKS_OFF = bytes.fromhex(
+# The segment table declares more words than follow; the library aborts the process on this.
+TRUNCATED = bytes.fromhex(
     "010303840322112162000011451f115517116117112a111d1711651f110d0eff31302e302e302e3100073a38"
     "300f64632d6111012207692d3341040211056211092aff31302e302e302e3200073a38300f64632d61510402"
     "01010303840311012207692d3151040101801011012207692d3151040101808011012207692d325104020101"
@@ -20,7 +20,7 @@
 )
 
 
-def make_news(loads: int) -> RouterUpdate:
+def make_update(loads: int) -> RouterUpdate:
     return RouterUpdate(
         address="10.0.0.1:80",
         routers=(),
@@ -33,21 +33,21 @@
     )
 
 
-def test_a_message_that_breaks_off_before_its_last_word_is_refused() -> None:
+def test_truncated_packed_message_raises_frame_error() -> None:
     with pytest.raises(FrameError):
-        decode_notice(Kind.ROUTER_NEWS, BREAKS_OFF)
+        decode_notice(Kind.ROUTER_NEWS, TRUNCATED)
 
 
 @pytest.mark.parametrize("loads", [0, 1, 40, 930])
-def test_messages_of_one_and_of_several_segments_are_read(loads: int) -> None:
-    news = make_news(loads)
-    kind, body = encode_notice(news)
-    assert decode_notice(kind, body) == news
+def test_packed_messages_with_one_or_more_segments_are_decoded(loads: int) -> None:
+    update = make_update(loads)
+    kind, body = encode_notice(update)
+    assert decode_notice(kind, body) == update
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=64))
-def test_bytes_at_random_are_read_or_refused(body: bytes) -> None:
+def test_random_bytes_are_decoded_or_raise_frame_error(body: bytes) -> None:
     try:
         decode_notice(Kind.ROUTER_NEWS, body)
     except FrameError:
--- a/tests/link/test_link_placement_fields.py
+++ b/tests/link/test_link_placement_fields.py
@@ -1,4 +1,4 @@
-"""What placement and admission need crosses a link unchanged."""
+"""Message fields that placement and admission depend on are encoded and decoded unchanged."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
 
 
-def test_the_holders_of_a_prefix_cross_in_their_order() -> None:
+def test_prefix_holders_keep_their_order() -> None:
     request = Open(
         sequence=3,
         request_id="request-1",
@@ -30,14 +30,14 @@
     assert decode_open(encode_open(request), 3) == request
 
 
-def test_waiting_batch_work_crosses_in_a_status() -> None:
+def test_status_includes_queued_batch_requests() -> None:
     status = Status(load=3, running=2, weight=1.0, leaving=False, ready=True, batch_waiting=70_000)
     kind, body = encode_notice(status)
     assert decode_notice(kind, body) == status
 
 
-def test_news_of_a_prefix_are_small() -> None:
-    news = PrefixAnnouncement(chat=2**64 - 1, prompt_bytes=100_000)
-    kind, body = encode_notice(news)
-    assert decode_notice(kind, body) == news
+def test_prefix_announcement_has_at_most_24_bytes() -> None:
+    announcement = PrefixAnnouncement(chat=2**64 - 1, prompt_bytes=100_000)
+    kind, body = encode_notice(announcement)
+    assert decode_notice(kind, body) == announcement
     assert len(body) <= 24
--- a/tests/link/test_link_lying_server.py
+++ b/tests/link/test_link_protocol_violations.py
@@ -1,4 +1,4 @@
-"""Servers that prove themselves and then break the protocol: the answer is never taken as whole."""
+"""Answers of authenticated servers that violate the protocol must not count as complete."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 HEAD_FRAME = (Kind.HEAD, encode_head(HEAD))
 DATA_FRAME = (Kind.DATA, OFFSET.pack(0) + b"whole answer")
-WRONG_SUM = (Kind.END, encode_end(End(length=12, checksum=1)))
+WRONG_CHECKSUM = (Kind.END, encode_end(End(length=12, checksum=1)))
 WRONG_LENGTH = (Kind.END, encode_end(End(length=11, checksum=0)))
 REFUSED_FRAME = encode_failure(Refused(reason=Reason.OVER_CAP, elsewhere=True))
 
 
 class MisbehavingServer:
-    """Answer each OPEN with frames of the test's own."""
+    """Answers each OPEN frame with the frames of a script."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -64,9 +64,9 @@
 @pytest.mark.parametrize(
     "script",
     [
-        [HEAD_FRAME, DATA_FRAME, WRONG_SUM],
+        [HEAD_FRAME, DATA_FRAME, WRONG_CHECKSUM],
         [HEAD_FRAME, DATA_FRAME, WRONG_LENGTH],
-        [HEAD_FRAME, WRONG_SUM],
+        [HEAD_FRAME, WRONG_CHECKSUM],
         [HEAD_FRAME, DATA_FRAME, DATA_FRAME],
         [HEAD_FRAME, (Kind.DATA, OFFSET.pack(5) + b"a gap")],
         [DATA_FRAME],
@@ -76,7 +76,7 @@
         [(Kind.OPEN, b"")],
     ],
 )
-async def test_an_answer_that_breaks_the_protocol_is_corrupted_never_whole_or_refused(
+async def test_protocol_violation_fails_the_exchange_as_corrupted(
     script: Script,
 ) -> None:
     async with linked() as pair:
@@ -90,24 +90,24 @@
         assert event.reason is Reason.CORRUPTED
 
 
-async def test_frames_that_come_late_for_finished_exchanges_are_dropped() -> None:
+async def test_late_frames_of_ended_exchanges_are_dropped() -> None:
     status = Status(load=1, running=1, weight=1.0, leaving=False, ready=True)
-    arrived = asyncio.Event()
+    received = asyncio.Event()
     cancelled = (Kind.FAILED, encode_failure(Failed(reason=Reason.UPSTREAM_LOST))[1])
-    late: Script = [cancelled, HEAD_FRAME, DATA_FRAME, WRONG_SUM, REFUSED_FRAME]
+    late: Script = [cancelled, HEAD_FRAME, DATA_FRAME, WRONG_CHECKSUM, REFUSED_FRAME]
     async with linked() as pair:
         address = await MisbehavingServer([*late, encode_notice(status)]).async_start()
-        pair.pool.on_status(lambda _hello, _status: arrived.set())
+        pair.pool.on_status(lambda _hello, _status: received.set())
         instance = replace(pair.instance, address=address)
         exchange = await pair.pool.async_open(instance=instance, request=REQUEST)
         assert not isinstance(exchange, Refused)
         _, event = await async_read_answer(exchange)
         assert event == Failed(reason=Reason.UPSTREAM_LOST)
-        await arrived.wait()
+        await received.wait()
         assert not exchange.has_events
 
 
-async def test_a_server_that_answers_nothing_is_found_and_the_outcome_stays_unknown() -> None:
+async def test_server_that_sends_no_answer_is_detected() -> None:
     async with linked() as pair:
         address = await MisbehavingServer([]).async_start()
         instance = replace(pair.instance, address=address)
@@ -115,5 +115,5 @@
         assert not isinstance(exchange, Refused)
         event = await exchange.async_next()
         assert isinstance(event, Failed)
-        # Each connection of this server is another incarnation.
+        # The server has a new incarnation on each connection.
         assert event.reason is Reason.SIDE_RESTARTED
--- a/tests/link/test_link_resume.py
+++ b/tests/link/test_link_resume.py
@@ -1,4 +1,4 @@
-"""Links that are lost, silent or answered by another process, over real sockets."""
+"""Exchanges over links that are cut, silent or reopened to another process, on real sockets."""
 
 from __future__ import annotations
 
@@ -25,34 +25,34 @@
 from gypsumrouter.outcomes import Failed, Reason, Refused
 
 BODY = random.Random(7).randbytes(200_000)
-PART_BYTES = 1_000
+CHUNK_BYTES = 1_000
 
-# Far below the time after which a side gives up exchanges without a link.
-HANG_S = 20.0
+# Far less than the time after which a side discards the exchanges of a lost link.
+CANCEL_TIMEOUT_S = 20.0
 
 
 class Gate:
-    """A handler that writes the body in parts and waits at a gate in the middle."""
+    """A handler that writes the body in chunks and waits for `release` in the middle."""
 
     def __init__(self) -> None:
         self.runs = 0
         self.middle = asyncio.Event()
-        self.go_on = asyncio.Event()
+        self.release = asyncio.Event()
         self.cancelled = asyncio.Event()
 
     async def async_handle(self, _hello: Hello, _request: Open, answer: Answer) -> None:
         self.runs += 1
         answer.head(HEAD)
-        for begin in range(0, len(BODY), PART_BYTES):
+        for begin in range(0, len(BODY), CHUNK_BYTES):
             if begin == len(BODY) // 2:
                 self.middle.set()
                 await self._async_wait(answer)
-            await answer.async_write(BODY[begin : begin + PART_BYTES])
+            await answer.async_write(BODY[begin : begin + CHUNK_BYTES])
         if not answer.cancelled.is_set():
             answer.end()
 
     async def _async_wait(self, answer: Answer) -> None:
-        waits = [asyncio.create_task(event.wait()) for event in (self.go_on, answer.cancelled)]
+        waits = [asyncio.create_task(event.wait()) for event in (self.release, answer.cancelled)]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
@@ -60,8 +60,8 @@
             self.cancelled.set()
 
 
-async def _async_start_second_side(pair: Pair) -> None:
-    """Let another incarnation of the side answer behind the relay."""
+async def _async_replace_side(pair: Pair) -> None:
+    """Start another incarnation of the side and make it the target of the relay."""
     app = make_app("side-1", Role.SIDE)
     pair.extra.append(app)
     server = LinkServer(
@@ -76,25 +76,25 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "silence"])
-async def test_an_answer_goes_on_over_a_new_link_with_exact_bytes(fault: str) -> None:
+async def test_answer_is_resumed_over_a_new_link(fault: str) -> None:
     gate = Gate()
     async with linked(gate.async_handle) as pair:
         exchange = await pair.async_exchange()
         reading = asyncio.create_task(async_read_answer(exchange))
         await gate.middle.wait()
         getattr(pair.relay, fault)()
-        gate.go_on.set()
+        gate.release.set()
         body, end = await reading
         assert body == BODY
         assert isinstance(end, End)
         assert (gate.runs, pair.relay.accepted) == (1, 2)
 
 
-async def test_an_answer_survives_being_cut_again_and_again() -> None:
+async def test_answer_is_resumed_after_repeated_cuts() -> None:
     async def handle(_hello: Hello, _request: Open, answer: Answer) -> None:
         answer.head(HEAD)
-        for begin in range(0, len(BODY), PART_BYTES):
-            await answer.async_write(BODY[begin : begin + PART_BYTES])
+        for begin in range(0, len(BODY), CHUNK_BYTES):
+            await answer.async_write(BODY[begin : begin + CHUNK_BYTES])
         answer.end()
 
     async with linked(handle, settings=replace(SETTINGS, window_bytes=20_000)) as pair:
@@ -114,20 +114,20 @@
         assert (cuts, pair.relay.accepted) == (4, 5)
 
 
-async def test_a_side_that_was_replaced_leaves_the_outcome_unknown() -> None:
+async def test_restarted_side_fails_the_exchange() -> None:
     gate = Gate()
     async with linked(gate.async_handle) as pair:
         exchange = await pair.async_exchange()
         reading = asyncio.create_task(async_read_answer(exchange))
         await gate.middle.wait()
-        await _async_start_second_side(pair)
+        await _async_replace_side(pair)
         pair.relay.cut()
         _, event = await reading
         assert isinstance(event, Failed)
         assert event.reason is Reason.SIDE_RESTARTED
 
 
-async def test_a_link_that_cannot_be_made_again_leaves_the_outcome_unknown() -> None:
+async def test_link_that_cannot_be_reopened_fails_the_exchange() -> None:
     gate = Gate()
     async with linked(gate.async_handle, settings=replace(SETTINGS, resume_ms=200)) as pair:
         exchange = await pair.async_exchange()
@@ -141,7 +141,7 @@
         await gate.cancelled.wait()
 
 
-async def test_a_request_that_never_arrived_is_said_to_be_not_run() -> None:
+async def test_request_on_a_silent_link_is_refused_as_not_run() -> None:
     runs = 0
 
     async def handle(hello: Hello, request: Open, answer: Answer) -> None:
@@ -160,7 +160,7 @@
         assert isinstance((await async_read_answer(await pair.async_exchange()))[1], End)
 
 
-async def test_a_request_lost_on_a_link_that_still_delivers_is_said_to_be_not_run() -> None:
+async def test_request_on_a_half_open_link_is_refused_as_not_run() -> None:
     gate = Gate()
     long_timeout = replace(SETTINGS, silence_ms=60_000)
     async with linked(gate.async_handle, server_settings=long_timeout) as pair:
@@ -169,14 +169,14 @@
         pair.relay.silence_towards_target()
         _, ending = await async_read_answer(await pair.async_exchange())
         assert isinstance(ending, Refused)
-        gate.go_on.set()
+        gate.release.set()
         body, end = await reading
         assert body == BODY
         assert isinstance(end, End)
         assert gate.runs == 1
 
 
-async def test_cancelling_while_the_link_is_lost_reaches_the_side_over_the_next_link() -> None:
+async def test_cancel_while_the_link_is_lost_is_sent_over_the_next_link() -> None:
     gate = Gate()
     async with linked(gate.async_handle, settings=replace(SETTINGS, resume_ms=60_000)) as pair:
         exchange = await pair.async_exchange()
@@ -186,15 +186,15 @@
         await pair.relay.async_wait_closed(1)
         exchange.cancel()
         pair.relay.refusing = False
-        await asyncio.wait_for(gate.cancelled.wait(), HANG_S)
+        await asyncio.wait_for(gate.cancelled.wait(), CANCEL_TIMEOUT_S)
 
 
-async def test_memory_held_by_a_lost_link_goes_to_those_that_are_read() -> None:
+async def test_memory_of_a_lost_link_is_released_for_other_answers() -> None:
     gate = Gate()
     async with linked(gate.async_handle, memory_bytes=200_000) as pair:
         lost = await pair.async_exchange()
         await gate.middle.wait()
-        gate.go_on.set()
+        gate.release.set()
         app = make_app("router-2", Role.ROUTER)
         pair.extra.append(app)
         other = pair.make_pool(app)
--- a/tests/link/test_link_state_machine.py
+++ b/tests/link/test_link_state_machine.py
@@ -1,4 +1,8 @@
-"""A state machine of cuts, resumes, late links and forgetting, at the tables of both ends."""
+"""Randomized faults on a link: no request may run twice, or be reported as not run if it ran.
+
+A state machine drives the exchange tables of both ends through lost links, resumption, late
+frames and expiry, and compares the received answers with those that were written.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +45,7 @@
 
 
 class Fault(StrEnum):
-    """What may go wrong in one step."""
+    """Faults that a step may inject."""
 
     DIAL = "dial"
     ACCEPT = "accept"
@@ -53,7 +57,7 @@
 
 
 class WireEnd:
-    """One end of a link whose frames arrive when the machine says so."""
+    """One end of a simulated link; the state machine delivers its frames."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -84,7 +88,7 @@
 
 @dataclass
 class ModelLink:
-    """A link as its two ends see it; either may still believe in it alone."""
+    """A link with both ends; one end may be lost while the other is still open."""
 
     attempt: int
     challenged_ms: int
@@ -95,7 +99,7 @@
 
 @dataclass
 class ModelRun:
-    """What the side really did for one sequence."""
+    """The answer that the side wrote for one sequence."""
 
     answer: Answer
     written: bytearray = field(default_factory=bytearray)
@@ -103,7 +107,7 @@
 
 
 class ResumeMachine(RuleBasedStateMachine):
-    """One router incarnation and one side; the wire may do whatever TCP links may do."""
+    """One router incarnation and one side, whose links lose and delay frames as TCP links can."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -136,7 +140,7 @@
         self.loop.close()
 
     def _finish_all_exchanges(self) -> None:
-        """Give every exchange a link that works; each must then come to its end."""
+        """Check that all exchanges end once they have a working link."""
         for run in self.runs.values():
             if not run.ended and not run.answer.dropped:
                 run.answer.end()
@@ -144,7 +148,7 @@
         self.reconnect()
         self.deliver_to_server(1_000, False)
         self.deliver_to_router(1_000)
-        self.answers_are_exact_and_not_run_is_true()
+        self.check_answers_and_refusals()
         assert all(exchange.done for exchange in self.exchanges.values())
 
     @initialize()
@@ -152,15 +156,15 @@
         self.dial()
         self.accept(0, False)
 
-    @rule(fault=st.sampled_from(Fault), which=st.integers(0, 3), given_up=st.booleans())
-    def disrupt(self, fault: Fault, which: int, given_up: bool) -> None:
+    @rule(fault=st.sampled_from(Fault), which=st.integers(0, 3), abandoned=st.booleans())
+    def disrupt(self, fault: Fault, which: int, abandoned: bool) -> None:
         match fault:
             case Fault.DIAL:
                 self.dial()
             case Fault.ACCEPT if self.pending:
-                self.accept(which, given_up)
+                self.accept(which, abandoned)
             case Fault.CUT if self.current is not None:
-                self._give_up_link()
+                self._abandon_link()
             case Fault.NOTICE_CUT if self.old:
                 self.notice_cut(which)
             case Fault.LOSE_BOTH_ENDS:
@@ -170,16 +174,16 @@
             case Fault.CANCEL:
                 self.cancel(which)
 
-    # What the router does
+    # Actions of the router
 
     def dial(self) -> None:
-        """Begin a handshake; the server has sent its nonce, the proof is on its way."""
+        """Start a handshake: the server has sent its nonce, the proof is in transit."""
         self.pending.append(
             ModelLink(attempt=self._allocate_number(), challenged_ms=self.clock.now_ms())
         )
 
-    def accept(self, which: int, given_up: bool) -> None:
-        """Let a proof arrive, perhaps late, or one of a link that the router has given up."""
+    def accept(self, which: int, abandoned: bool) -> None:
+        """Deliver a proof, which may be late or belong to a link that the router has abandoned."""
         link = self.pending.pop(which % len(self.pending))
         if self.clock.now_ms() - link.challenged_ms > SETTINGS.connect_ms:
             return
@@ -201,23 +205,23 @@
         link.served = ServedLink(
             table=self.table, record=record, connection=server, run=self._run_exchange
         )
-        if given_up:
+        if abandoned:
             self.old.append(link)
             return
         if self.current is not None:
-            self._give_up_link()
+            self._abandon_link()
         self.current = link
         self.outstanding.attach(cast(Connection, link.dialer), WINDOW_BYTES)
 
     @rule()
     def reconnect(self) -> None:
-        """Make a link without delay, and let the server take in what was asked again."""
+        """Open a link without delay, and deliver the resumptions to the server."""
         self.dial()
         self.accept(len(self.pending) - 1, False)
         self.deliver_to_server(20, False)
 
     def notice_cut(self, which: int) -> None:
-        """Let the server learn that an old link is lost."""
+        """Let the server detect that an old link is lost."""
         link = self.old[-1 - which % len(self.old)]
         for record in self.table.routers():
             self.table.detach(record, cast(Connection, link.server))
@@ -237,7 +241,7 @@
     @precondition(lambda self: self.current)
     @rule(count=st.integers(1, 4))
     def read(self, count: int) -> None:
-        """Let the callers take some of what is on its way, and confirm it."""
+        """Deliver frames to the router, and confirm what it has received."""
         self.deliver_to_router(count)
         for exchange in self.exchanges.values():
             exchange.confirm(exchange.received)
@@ -248,16 +252,16 @@
         if running:
             running[which % len(running)].cancel()
 
-    # What the side does
+    # Actions of the side
 
     @precondition(lambda self: self.runs)
     @rule(
         which=st.integers(0, 9),
         sizes=st.lists(st.integers(1, 150), min_size=1, max_size=4),
-        turn_ends=st.booleans(),
+        flush=st.booleans(),
         taken=st.integers(0, 3),
     )
-    def write(self, which: int, sizes: list[int], turn_ends: bool, taken: int) -> None:
+    def write(self, which: int, sizes: list[int], flush: bool, taken: int) -> None:
         run = self._pick_run(which)
         if run is None:
             return
@@ -265,7 +269,7 @@
             body = self.random.randbytes(min(size, WINDOW_BYTES - run.answer.held_bytes))
             self._complete(run.answer.async_write(body))
             run.written += body
-            if turn_ends and self.current is not None:
+            if flush and self.current is not None:
                 self.current.server.flush()
         if taken and self.current is not None:
             self.read(taken)
@@ -278,24 +282,24 @@
             run.ended = True
 
     def evict(self) -> None:
-        """Let the memory run out: what was lost longest goes first."""
+        """Simulate memory pressure; the answer that lost its link first is discarded."""
         self.table.memory.add_waiter(self.loop.create_future())
 
     def lose_both_ends(self, delay_ms: int) -> None:
-        """Let both ends lose the link for long."""
+        """Lose the link at both ends for `delay_ms`."""
         if self.current is not None:
-            self._give_up_link()
+            self._abandon_link()
         for which in range(len(self.old)):
             self.notice_cut(which)
-        self._pass_time(delay_ms)
+        self._advance_clock(delay_ms)
         self.reconnect()
 
-    # What the network does
+    # Actions of the network
 
-    @rule(count=st.integers(1, 5), twice=st.booleans())
-    def deliver_to_server(self, count: int, twice: bool) -> None:
+    @rule(count=st.integers(1, 5), duplicate=st.booleans())
+    def deliver_to_server(self, count: int, duplicate: bool) -> None:
         if self.current is not None:
-            self._deliver_to_server(self.current, count, twice)
+            self._deliver_to_server(self.current, count, duplicate)
 
     @rule(which=st.integers(0, 3), count=st.integers(1, 5))
     def deliver_late_to_server(self, which: int, count: int) -> None:
@@ -310,10 +314,10 @@
         for _ in range(min(count, len(self.current.server.wire))):
             assert self.outstanding.receive(self.current.server.wire.popleft())
 
-    # What must hold
+    # Invariants
 
     @invariant()
-    def answers_are_exact_and_not_run_is_true(self) -> None:
+    def check_answers_and_refusals(self) -> None:
         for sequence, exchange in self.exchanges.items():
             self._read(exchange)
             run = self.runs.get(sequence)
@@ -328,15 +332,15 @@
         answer.head(HEAD)
         self.runs[request.sequence] = ModelRun(answer=answer)
 
-    def _deliver_to_server(self, link: ModelLink, count: int, twice: bool) -> None:
+    def _deliver_to_server(self, link: ModelLink, count: int, duplicate: bool) -> None:
         for _ in range(min(count, len(link.dialer.wire))):
             if link.server.closed or link.served is None:
                 return
             frame = link.dialer.wire.popleft()
-            for _ in range(1 + twice):
+            for _ in range(1 + duplicate):
                 assert link.served.receive(frame)
 
-    def _give_up_link(self) -> None:
+    def _abandon_link(self) -> None:
         assert self.current is not None
         self.outstanding.detach()
         self.current.dialer.closed = True
@@ -346,8 +350,8 @@
     def _list_accepted(self) -> list[ModelLink]:
         return [*self.old, *([self.current] if self.current else [])]
 
-    def _pass_time(self, delay_ms: int) -> None:
-        """Let time pass, at the end of which answers and whole routers are forgotten."""
+    def _advance_clock(self, delay_ms: int) -> None:
+        """Advance the clock, and discard expired answers and router records."""
         self.clock.advance(delay_ms)
         self.table.sweep()
 
@@ -360,7 +364,7 @@
         return running[which % len(running)] if running else None
 
     def _read(self, exchange: Exchange) -> None:
-        """Take every event that is there already."""
+        """Read all events that have been received."""
         sequence = exchange.sequence
         while exchange.has_events:
             match self._complete(exchange.async_next()):
--- a/tests/link/test_link_table.py
+++ b/tests/link/test_link_table.py
@@ -1,4 +1,4 @@
-"""What a server may forget of routers, and the rate of a status; driven by a clock."""
+"""Expiry of router records, silence detection and status rate, with a manual clock."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeConnection:
-    """A connection that only counts what is sent."""
+    """A connection that records the kinds of the frames sent."""
 
     def __init__(self) -> None:
         self.sent: list[Kind] = []
@@ -70,7 +70,7 @@
     return table.attach(connection, accepted), connection
 
 
-def test_a_full_table_turns_routers_away_until_a_record_is_old_enough_to_forget() -> None:
+def test_full_table_rejects_routers_until_a_record_expires() -> None:
     clock = ManualClock()
     table = make_table(clock)
     for incarnation in (1, 2):
@@ -83,10 +83,10 @@
     clock.advance(1)
     assert attach(table, clock, 3)[0] is not None
     clock.advance(LATE_MS + 1)
-    assert attach(table, clock, 1)[0] is None, "routers with a link are never forgotten"
+    assert attach(table, clock, 1)[0] is None, "the record of a connected router was removed"
 
 
-def test_after_forgetting_not_run_is_said_only_of_requests_that_are_surely_newer() -> None:
+def test_after_removing_a_record_only_newer_requests_are_refused() -> None:
     clock = ManualClock()
     table = make_table(clock)
     for incarnation in (1, 2):
@@ -104,9 +104,9 @@
     assert isinstance(table.open(record, 6), Refused)
 
 
-def test_silence_is_judged_anew_after_a_pause_of_the_process() -> None:
-    wire = FakeConnection()
-    connection = cast(Connection, wire)
+def test_silence_timer_is_reset_after_a_pause_of_the_process() -> None:
+    fake = FakeConnection()
+    connection = cast(Connection, fake)
 
     def tick(now_ms: int) -> None:
         keep_alive(
@@ -121,41 +121,43 @@
     tick(0)
     reset_silence_timer(connection, 60_000)
     tick(60_000)
-    assert not wire.aborted
+    assert not fake.aborted
     tick(60_000 + SETTINGS.silence_ms)
-    assert wire.aborted
+    assert fake.aborted
 
 
-async def test_a_status_is_sent_at_a_bounded_rate_and_at_once_when_leaving() -> None:
+async def test_status_rate_is_limited_unless_leaving_changes() -> None:
     clock = ManualClock()
     app = Application(
         name="side-1", role=Role.SIDE, data_centre="dc-1", region="region-1", clock=clock
     )
-    wire = FakeConnection()
+    fake = FakeConnection()
     publisher = StatusPublisher(
-        app=app, connections=lambda: [cast(Connection, wire)], reported_load=ReportedLoad()
+        app=app, connections=lambda: [cast(Connection, fake)], reported_load=ReportedLoad()
     )
     publisher.publish(STATUS)
     for load in range(2, 50):
         publisher.publish(Status(load=load, running=1, weight=1.0, leaving=False, ready=True))
     await asyncio.sleep(0)
-    assert len(wire.sent) == 1
+    assert len(fake.sent) == 1
     clock.advance(10_000)
     await asyncio.sleep(0)
-    assert len(wire.sent) == 2
+    assert len(fake.sent) == 2
     publisher.publish(Status(load=49, running=1, weight=1.0, leaving=True, ready=True))
-    assert len(wire.sent) == 3
+    assert len(fake.sent) == 3
     await app.async_stop()
 
 
 @pytest.mark.parametrize(("links", "due_ms"), [(10, 250), (330, 40_000)])
-async def test_status_intervals_grow_with_the_square_of_many_links(links: int, due_ms: int) -> None:
+async def test_status_interval_grows_with_the_square_of_the_number_of_links(
+    links: int, due_ms: int
+) -> None:
     clock = ManualClock()
     app = Application(
         name="side-1", role=Role.SIDE, data_centre="dc-1", region="region-1", clock=clock
     )
-    wires = [FakeConnection() for _ in range(links)]
-    connections = [cast(Connection, wire) for wire in wires]
+    fakes = [FakeConnection() for _ in range(links)]
+    connections = [cast(Connection, fake) for fake in fakes]
     publisher = StatusPublisher(
         app=app, connections=lambda: connections, reported_load=ReportedLoad()
     )
@@ -164,8 +166,8 @@
     await asyncio.sleep(0)
     clock.advance(due_ms // 2)
     await asyncio.sleep(0)
-    assert len(wires[0].sent) == 1
+    assert len(fakes[0].sent) == 1
     clock.advance(due_ms)
     await asyncio.sleep(0)
-    assert len(wires[0].sent) == 2
+    assert len(fakes[0].sent) == 2
     await app.async_stop()
