--- a/bench/member_host.py
+++ b/bench/member_host.py
@@ -51,7 +51,7 @@
         """Begin to read the platform and to talk to neighbours."""
         source = HttpInstanceListSource(app=self.app, settings=platform)
         fleet = Fleet(app=self.app, settings=platform, source=source)
-        self._pool.on_contact(fleet.note_contact)
+        self._pool.on_connect_attempt(fleet.note_contact)
         store = ConfigurationStore(app=self.app)
         store.on_change(self._note)
         spread = ConfigurationSpread(
--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -277,7 +277,7 @@
         if status.leaving:
             fleet.note_leaving(hello.name, hello.incarnation)
 
-    links.on_contact(fleet.note_contact)
+    links.on_connect_attempt(fleet.note_contact)
     links.on_status(take_status)
 
 
--- a/gypsumrouter/link/dialer.py
+++ b/gypsumrouter/link/dialer.py
@@ -64,7 +64,7 @@
     allocate_number: Callable[[], int]
     on_notice: Callable[[Peer, Frame], None]
     on_load: Callable[[str, int, int], None]
-    on_contact: Callable[[str, bool], None]
+    on_connect_attempt: Callable[[str, bool], None]
     on_connected: Callable[[Peer], None]
 
 
@@ -72,6 +72,7 @@
     """The link to one instance; one task connects, reads frames and reconnects."""
 
     __slots__ = (
+        "_connect_requested",
         "_connection",
         "_context",
         "_failures",
@@ -81,7 +82,6 @@
         "_retry_ms",
         "_task",
         "_waiters",
-        "_wanted",
         "instance",
         "last_used_ms",
         "peer",
@@ -99,7 +99,7 @@
         self._retry_ms = 0
         self._outstanding = Outstanding(clock=context.app.clock, settings=context.settings)
         self._waiters: list[asyncio.Future[None]] = []
-        self._wanted = asyncio.Event()
+        self._connect_requested = asyncio.Event()
         self._task = context.app.async_create_task(self._async_run(), f"link {instance.name}")
 
     @property
@@ -204,13 +204,13 @@
         self.last_used_ms = now_ms
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
-        self._wanted.set()
+        self._connect_requested.set()
         await waiter
         return self._connection if self.connected else None
 
     async def _async_run(self) -> None:
         while True:
-            await self._wanted.wait()
+            await self._connect_requested.wait()
             connection = await self._async_connect()
             if connection is not None:
                 await self._async_serve(connection)
@@ -218,7 +218,7 @@
             if len(self._outstanding):
                 await self._async_pause()
             elif not self._waiters:
-                self._wanted.clear()
+                self._connect_requested.clear()
 
     async def _async_connect(self) -> Connection | None:
         context = self._context
@@ -249,7 +249,7 @@
             return connection
         if connection is not None:
             connection.abort()
-        self._record_failure()
+        self._handle_connect_failure()
         return None
 
     async def _async_open_connection(self) -> Connection:
@@ -276,7 +276,7 @@
         self._context.wrong_keys.clear(self.instance.name)
         self._retry_ms = 0
         self._wake_waiters()
-        self._context.on_contact(self.instance.name, True)
+        self._context.on_connect_attempt(self.instance.name, True)
         self._context.on_connected(self.peer)
 
     async def _async_serve(self, connection: Connection) -> None:
@@ -296,7 +296,7 @@
             # The server would send the same bytes again over a new link.
             self._outstanding.fail_all(_BROKEN)
         connection.abort()
-        self._record_loss(connection)
+        self._handle_lost_link(connection)
 
     def _on_frame(self, frame: Frame) -> None:
         if frame.load and self._incarnation is not None:
@@ -306,7 +306,7 @@
         if self.peer is not None:
             self._context.on_notice(self.peer, frame)
 
-    def _record_loss(self, connection: Connection) -> None:
+    def _handle_lost_link(self, connection: Connection) -> None:
         now_ms = self._context.app.clock.now_ms()
         self._connection = None
         self._outstanding.detach()
@@ -314,12 +314,12 @@
         lived_ms = now_ms - connection.opened_ms
         self._failures = self._failures + 1 if lived_ms < BACKOFF_MAX_MS else 0
 
-    def _record_failure(self) -> None:
+    def _handle_connect_failure(self) -> None:
         self._failures += 1
         if not len(self._outstanding):
             self._retry_ms = self._context.app.clock.now_ms() + self._get_backoff_ms()
         self._wake_waiters()
-        self._context.on_contact(self.instance.name, False)
+        self._context.on_connect_attempt(self.instance.name, False)
 
     def _fail_expired(self) -> None:
         now_ms = self._context.app.clock.now_ms()
--- a/gypsumrouter/link/pool.py
+++ b/gypsumrouter/link/pool.py
@@ -31,8 +31,8 @@
 
     __slots__ = (
         "_app",
+        "_connect_attempts",
         "_connected",
-        "_contact",
         "_context",
         "_diagnostics",
         "_dialers",
@@ -56,7 +56,7 @@
         self._ticks = 0
         self._statuses = StatusCache()
         self._status: Listeners[[Hello, Status]] = Listeners()
-        self._contact: Listeners[[str, bool]] = Listeners()
+        self._connect_attempts: Listeners[[str, bool]] = Listeners()
         self._connected: Listeners[[Peer]] = Listeners()
         self._context = self._make_context(key)
         self._diagnostics.add_part("pool", self._dump, self._count_links)
@@ -81,9 +81,9 @@
         """Call `listener` for each status received."""
         return self._status.add(listener)
 
-    def on_contact(self, listener: Callable[[str, bool], None]) -> Remove:
+    def on_connect_attempt(self, listener: Callable[[str, bool], None]) -> Remove:
         """Call `listener` after each attempt to connect, with the name and whether it succeeded."""
-        return self._contact.add(listener)
+        return self._connect_attempts.add(listener)
 
     def on_connected(self, listener: Callable[[Peer], None]) -> Remove:
         """Call `listener` for each new link."""
@@ -103,7 +103,7 @@
             allocate_number=self._allocate_number,
             on_notice=self._on_notice,
             on_load=self._on_load,
-            on_contact=self._contact.call,
+            on_connect_attempt=self._connect_attempts.call,
             on_connected=self._connected.call,
         )
 
--- a/gypsumrouter/link/table.py
+++ b/gypsumrouter/link/table.py
@@ -76,7 +76,7 @@
         """Return whether the record has neither a link nor exchanges."""
         return self.connection is None and not self.answers
 
-    def is_newer_than_forgotten(self, resume: Resume) -> bool:
+    def is_newer_than_removed(self, resume: Resume) -> bool:
         """Return whether the OPEN was sent after the last use of every removed record."""
         if self.forgotten_before_ms is None:
             return True
@@ -189,7 +189,7 @@
             answer.attach(record.connection, offset=resume.offset, has_head=resume.has_head)
             return answer
         record.floor = max(record.floor, sequence)
-        if sequence <= record.highest_opened or not record.is_newer_than_forgotten(resume):
+        if sequence <= record.highest_opened or not record.is_newer_than_removed(resume):
             return _EVICTED
         return _NEVER_OPENED
 
@@ -205,7 +205,7 @@
         for record in self.routers():
             self._sweep_answers(record, now_ms)
             if record.removable and now_ms - record.last_seen_ms >= self._retention_ms:
-                self._forget(record)
+                self._remove_record(record)
 
     def _sweep_answers(self, record: RouterRecord, now_ms: int) -> None:
         for answer in tuple(record.answers.values()):
@@ -218,13 +218,13 @@
         record = self._routers.get(hello.incarnation)
         if record is not None:
             return record
-        if len(self._routers) >= self._max_routers and not self._forget_oldest():
+        if len(self._routers) >= self._max_routers and not self._remove_oldest_record():
             return None
         record = RouterRecord(hello=hello, forgotten_before_ms=self.forgotten_before_ms)
         self._routers[hello.incarnation] = record
         return record
 
-    def _forget_oldest(self) -> bool:
+    def _remove_oldest_record(self) -> bool:
         """Remove the oldest idle record, unless late links of that router may still be accepted."""
         newest_ms = self._clock.now_ms() - self._max_link_delay_ms
         idle = [
@@ -234,10 +234,10 @@
         ]
         if not idle:
             return False
-        self._forget(min(idle, key=lambda record: record.last_seen_ms))
+        self._remove_record(min(idle, key=lambda record: record.last_seen_ms))
         return True
 
-    def _forget(self, record: RouterRecord) -> None:
+    def _remove_record(self, record: RouterRecord) -> None:
         del self._routers[record.hello.incarnation]
         if self.forgotten_before_ms is None or record.last_seen_ms > self.forgotten_before_ms:
             self.forgotten_before_ms = record.last_seen_ms
--- a/tests/link/test_link_exchange.py
+++ b/tests/link/test_link_exchange.py
@@ -208,7 +208,7 @@
 async def test_unreachable_instance_refuses_the_request_and_notifies_listeners() -> None:
     contacts: list[tuple[str, bool]] = []
     async with linked() as pair:
-        pair.pool.on_contact(lambda name, reachable: contacts.append((name, reachable)))
+        pair.pool.on_connect_attempt(lambda name, reachable: contacts.append((name, reachable)))
         pair.relay.refusing = True
         result = await pair.pool.async_open(instance=pair.instance, request=REQUEST)
         assert isinstance(result, Refused)
