--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,8 @@
-"""Control traffic by kind: slopes from small fleets, and one router and side at full size."""
+"""Benchmark of control traffic by message kind, in small fleets and at the target size.
+
+Small fleets of real processes give a linear fit of each kind; a router and a side are measured in a
+fleet of the target size.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +18,18 @@
 from bench.config_fleet import ChangeCost, async_start_fleet
 from bench.full_size import FullSizeFleet
 from bench.grid import GridPoint, async_measure_point
-from bench.ledger import HANDSHAKE_KINDS, KIND_STATUS, Rates, Spent
+from bench.ledger import HANDSHAKE_KINDS, KIND_STATUS, AverageUsage, Rates
 from bench.report import print_machine, print_result, print_table
-from bench.slope_math import Line, fit_kinds, spread_over_day, sum_at
+from bench.slope_math import Line, fit_kinds, get_mean_rate, sum_at
 from bench.stages import STAGE_LOAD, FullSize
-from bench.two_year import (
+from bench.target_scale import (
     ANSWER_MS,
-    CHANGES_A_DAY,
+    CHANGES_PER_DAY,
     CONTROL_BYTES_S_MAX,
     DATA_CENTRES,
-    LIST_CHANGES_A_DAY,
+    LIST_CHANGES_PER_DAY,
     PROCESSES,
-    REQUESTS_S_A_PAIR,
+    REQUESTS_S_PER_PAIR,
     ROUTERS,
     SIDES,
 )
@@ -38,31 +42,35 @@
 KIND_LIST_CHANGES: Final = "platform_list_changes"
 KIND_CHANGES: Final = "configuration_changes"
 KIND_DOCUMENTS: Final = "platform_documents_in_turn"
-HOLDING_ROUTERS: Final = 3
-HOLDING_SIDES: Final = 12
+CONFIG_FLEET_ROUTERS: Final = 3
+CONFIG_FLEET_SIDES: Final = 12
 CHANGES: Final = 4
-CHANGE_PAUSE_S: Final = 1.5
+CHANGE_INTERVAL_S: Final = 1.5
 
 
 class RoleControl(Struct, frozen=True, kw_only=True):
-    """The control traffic of one role by kind, bytes a second at full size, and its slopes."""
+    """Control traffic of one role by kind: bytes per second at the target size, and linear fits."""
 
     rates: Rates
     lines: dict[str, Line]
 
     @property
     def total(self) -> float:
-        """Return the bytes a second of all kinds."""
+        """Return the bytes per second of all kinds."""
         return sum(self.rates.values())
 
 
 def main(argv: list[str]) -> int:
-    """Run the bench."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(prog="bench control")
     parser.add_argument("--sizes", type=int, nargs="+", default=list(SIZES))
     parser.add_argument("--seconds", type=float, default=SECONDS)
     parser.add_argument(
-        "--rates", type=float, nargs="*", default=[], help="more loads at the second largest size"
+        "--rates",
+        type=float,
+        nargs="*",
+        default=[],
+        help="additional load factors, measured at the second largest size",
     )
     options = parser.parse_args(argv)
     print_machine()
@@ -70,22 +78,24 @@
 
 
 async def async_run(options: argparse.Namespace) -> int:
-    """Measure and print."""
+    """Run all measurements and print the results."""
     *smaller, largest = sorted(options.sizes)
-    # Bytes do not depend on how busy the machine is, so small fleets may run side by side.
+    # Byte counts do not depend on the load of the machine, so small fleets run concurrently.
     points = await asyncio.gather(
         *(async_measure_point(size=size, seconds=options.seconds) for size in smaller)
     )
     points.append(await async_measure_point(size=largest, seconds=options.seconds))
-    for rate in options.rates:
+    for load_factor in options.rates:
         size = smaller[-1] if smaller else largest
-        points.append(await async_measure_point(size=size, seconds=options.seconds, rate=rate))
+        points.append(
+            await async_measure_point(size=size, seconds=options.seconds, load_factor=load_factor)
+        )
     full = await FullSizeFleet(seconds=options.seconds).async_run(with_costs=False)
     async with AsyncExitStack() as stack:
-        holders = await async_start_fleet(
-            stack, routers=HOLDING_ROUTERS, sides=HOLDING_SIDES, probes=False
+        fleet = await async_start_fleet(
+            stack, routers=CONFIG_FLEET_ROUTERS, sides=CONFIG_FLEET_SIDES, probes=False
         )
-        change = await holders.async_measure_changes(changes=CHANGES, pause_s=CHANGE_PAUSE_S)
+        change = await fleet.async_measure_changes(changes=CHANGES, interval_s=CHANGE_INTERVAL_S)
     report(points, full, change)
     return 0
 
@@ -94,47 +104,51 @@
     points: Sequence[GridPoint], full: FullSize, change: ChangeCost
 ) -> tuple[RoleControl, RoleControl]:
     """Return the control traffic of a router and of a side."""
-    same_rate = [point for point in points if point.rate == 1.0]
-    router_lines = fit_kinds([(point.size, _list_steady(point.router)) for point in same_rate])
-    side_lines = fit_kinds([(point.size, _list_steady(point.side)) for point in same_rate])
-    router = _complete(full.router[STAGE_LOAD], full, change, links=SIDES)
-    side = _complete(full.side[STAGE_LOAD], full, change, links=ROUTERS)
-    # Every side tells each router as often as the measured one did.
+    target_load = [point for point in points if point.load_factor == 1.0]
+    router_lines = fit_kinds(
+        [(point.size, _get_steady_rates(point.router)) for point in target_load]
+    )
+    side_lines = fit_kinds([(point.size, _get_steady_rates(point.side)) for point in target_load])
+    router = _add_extrapolated_rates(full.router[STAGE_LOAD], full, change, links=SIDES)
+    side = _add_extrapolated_rates(full.side[STAGE_LOAD], full, change, links=ROUTERS)
+    # Every side is assumed to send statuses as often as the measured one.
     router[KIND_STATUS] = full.side_status_bytes_s * SIDES / ROUTERS
     side[KIND_STATUS] = full.side_status_bytes_s
     return RoleControl(rates=router, lines=router_lines), RoleControl(rates=side, lines=side_lines)
 
 
-def count_reopened(links: int) -> float:
-    """Return how many links a second are opened again because they had been idle for long.
+def estimate_reopened_links_s(links: int) -> float:
+    """Return how many links per second are reopened after they were closed as idle.
 
-    Requests of one pair come independently of each other; a link is closed after a gap.
+    Assumes that requests of a pair of router and side arrive as a Poisson process.
     """
     gap_s = Link().idle_close_ms / MS_PER_S
     open_s = ANSWER_MS / MS_PER_S
-    idle_share = math.exp(-REQUESTS_S_A_PAIR * (gap_s + open_s))
-    return links * REQUESTS_S_A_PAIR * idle_share
-
-
-def _complete(spent: Spent, full: FullSize, change: ChangeCost, *, links: int) -> Rates:
-    """Return the rates of a stage with what a short one cannot show."""
-    rates = _list_steady(spent)
-    rates[KIND_HANDSHAKES] = count_reopened(links) * full.handshake_bytes
-    rates[KIND_LIST_CHANGES] = spread_over_day(full.list_change_bytes, times=LIST_CHANGES_A_DAY)
-    rates[KIND_CHANGES] = spread_over_day(change.other_bytes, times=CHANGES_A_DAY)
-    # One process in each data centre reads the whole document, and all take turns.
+    idle_share = math.exp(-REQUESTS_S_PER_PAIR * (gap_s + open_s))
+    return links * REQUESTS_S_PER_PAIR * idle_share
+
+
+def _add_extrapolated_rates(
+    spent: AverageUsage, full: FullSize, change: ChangeCost, *, links: int
+) -> Rates:
+    """Return the rates of a stage plus those of events that are too rare to be measured in it."""
+    rates = _get_steady_rates(spent)
+    rates[KIND_HANDSHAKES] = estimate_reopened_links_s(links) * full.handshake_bytes
+    rates[KIND_LIST_CHANGES] = get_mean_rate(full.list_change_bytes, times=LIST_CHANGES_PER_DAY)
+    rates[KIND_CHANGES] = get_mean_rate(change.other_bytes, times=CHANGES_PER_DAY)
+    # One process in each data centre reads the whole document, a different one each time.
     documents = DATA_CENTRES * full.document_bytes / PROCESSES
-    rates[KIND_DOCUMENTS] = spread_over_day(documents, times=CHANGES_A_DAY)
+    rates[KIND_DOCUMENTS] = get_mean_rate(documents, times=CHANGES_PER_DAY)
     return rates
 
 
-def _list_steady(spent: Spent) -> Rates:
-    rates = spent.list_control()
+def _get_steady_rates(spent: AverageUsage) -> Rates:
+    rates = spent.list_control_rates()
     return {kind: rate for kind, rate in rates.items() if kind not in HANDSHAKE_KINDS}
 
 
 def report(points: Sequence[GridPoint], full: FullSize, change: ChangeCost) -> None:
-    """Print the tables and the last line."""
+    """Print the tables and the JSON result."""
     router, side = summarize(points, full, change)
     _print_points(points)
     for name, control, links in (("router", router, SIDES), ("side", side, ROUTERS)):
@@ -146,29 +160,29 @@
             "router_bytes_s_by_slopes": round(sum_at(router.lines, SIDES)),
             "side_bytes_s_by_slopes": round(sum_at(side.lines, ROUTERS)),
             "watcher_adds_bytes_s": round(
-                spread_over_day(change.watcher_bytes, times=CHANGES_A_DAY)
+                get_mean_rate(change.watcher_bytes, times=CHANGES_PER_DAY)
             ),
             "aim_bytes_s": CONTROL_BYTES_S_MAX,
             "router_links": round(full.router[STAGE_LOAD].links),
             "side_links": round(full.side[STAGE_LOAD].links),
             "whole": full.whole,
-            "broken": full.broken + sum(point.broken for point in points),
+            "broken": full.broken + sum(point.failed for point in points),
         }
     )
 
 
 def _print_points(points: Sequence[GridPoint]) -> None:
     print_table(
-        title="control bytes a second of one process, real processes, load of each pair as planned",
+        title="control bytes per second of one process, real processes, target load of each pair",
         columns=("fleet", "load", "requests/s", "router", "side", "broken"),
         rows=[
             (
                 f"{point.size}x{point.size}",
-                point.rate,
+                point.load_factor,
                 point.requests_s,
-                sum(_list_steady(point.router).values()),
-                sum(_list_steady(point.side).values()),
-                point.broken,
+                sum(_get_steady_rates(point.router).values()),
+                sum(_get_steady_rates(point.side).values()),
+                point.failed,
             )
             for point in points
         ],
@@ -177,16 +191,16 @@
 
 def _print_role(name: str, control: RoleControl, links: int) -> None:
     kinds = sorted(control.rates, key=lambda kind: -control.rates[kind])
-    nothing = Line(base=0.0, slope=0.0)
+    zero = Line(base=0.0, slope=0.0)
     print_table(
-        title=f"{name}: bytes a second by kind, with {links} links",
-        columns=("kind", "measured", "by slope", "slope a link"),
+        title=f"{name}: bytes per second by kind, with {links} links",
+        columns=("kind", "measured", "by slope", "slope per link"),
         rows=[
             (
                 kind,
                 control.rates[kind],
-                control.lines.get(kind, nothing).at(links),
-                control.lines.get(kind, nothing).slope,
+                control.lines.get(kind, zero).at(links),
+                control.lines.get(kind, zero).slope,
             )
             for kind in kinds
             if control.rates[kind] > 0
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,4 +1,4 @@
-"""What one request and one token cost a router and a side, and the memory of small things."""
+"""Processor time of a request and of a token in a router and a side, and memory per record."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from bench.metered_platform import MeteredPlatform
 from bench.relay import Phase, async_run_phase
 from bench.rig import Rig
-from bench.two_year import GAP_MS, KEY_WORKSPACES
-from gypsumrouter.idempotency.memory import CallMemory, Record
+from bench.target_scale import FEW_WORKSPACES, GAP_MS
+from gypsumrouter.idempotency.records import Record, RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.placement.lru import LruMap
 from gypsumrouter.standins import EngineSettings
@@ -27,34 +27,36 @@
 FEW_STREAMS: Final = 3
 WARM_S: Final = 3.0
 MEASURE_S: Final = 6.0
-THINGS: Final = 10_000
+ITEMS: Final = 10_000
 ANSWER_BYTES: Final = 200
 DIGEST_BYTES: Final = 16
 
 
 class RequestCost(Struct, frozen=True, kw_only=True):
-    """Processor time in microseconds."""
+    """Processor time of a request and of a token, in microseconds."""
 
     request_us: float
     token_us: float
 
 
-class Load(Struct, frozen=True, kw_only=True):
-    """Rates of a measured phase and the share of a core that they took."""
+class MeasuredLoad(Struct, frozen=True, kw_only=True):
+    """Rates of a measured phase and the share of a core that it used."""
 
     requests_s: float
     tokens_s: float
     core_share: float
 
 
-def solve_costs(first: Load, second: Load) -> RequestCost:
-    """Return what a request and a token cost, from two loads of different mixture.
+def solve_costs(first: MeasuredLoad, second: MeasuredLoad) -> RequestCost:
+    """Return the cost of a request and of a token, solved from two measured loads.
 
-    Raises ValueError when the mixtures are the same.
+    Raises ValueError if both loads have the same ratio of tokens to requests.
     """
     determinant = first.requests_s * second.tokens_s - second.requests_s * first.tokens_s
     if determinant == 0:
-        raise ValueError("two loads of the same mixture tell nothing apart")
+        raise ValueError(
+            "cannot separate both costs: the loads have the same mixture of requests and tokens"
+        )
     request_s = first.core_share * second.tokens_s - second.core_share * first.tokens_s
     token_s = first.requests_s * second.core_share - second.requests_s * first.core_share
     return RequestCost(
@@ -63,8 +65,8 @@
 
 
 async def async_measure_requests() -> tuple[RequestCost, RequestCost]:
-    """Return the costs of a router and of a side, measured with real processes."""
-    platform = MeteredPlatform(workspaces=KEY_WORKSPACES)
+    """Return the request costs of a router and of a side, measured with real processes."""
+    platform = MeteredPlatform(workspaces=FEW_WORKSPACES)
     settings = EngineSettings(
         slots=ENGINE_SLOTS,
         step_ms=float(GAP_MS),
@@ -85,23 +87,25 @@
     return router, side
 
 
-def measure_call_bytes() -> float:
-    """Return the memory of one remembered call with a short answer."""
-    memory = CallMemory(max_calls=THINGS, max_bytes=1 << 30)
+def measure_record_bytes() -> float:
+    """Return the memory of one idempotency record with a short response, in bytes."""
+    store = RecordStore(max_calls=ITEMS, max_bytes=1 << 30)
 
     def add(number: int) -> None:
         digest = number.to_bytes(DIGEST_BYTES)
-        record = Record(digest=digest, fingerprint=digest[::-1], created_ms=number, drop_ms=number)
-        memory.add(record)
+        record = Record(
+            digest=digest, fingerprint=digest[::-1], created_ms=number, expires_ms=number
+        )
+        store.add(record)
         headers = (("Content-Type", f"application/json;{number}"),)
-        memory.finish(record, Head(status=200, headers=headers), bytes(ANSWER_BYTES))
+        store.finish(record, Head(status=200, headers=headers), bytes(ANSWER_BYTES))
 
     return _measure_memory(add)
 
 
 def measure_sticky_chat_bytes() -> float:
-    """Return the memory of one chat in a router that remembers chats, which ours does not."""
-    chats: LruMap[str, str] = LruMap(size=THINGS)
+    """Return the memory of one chat in a router with sticky sessions (a baseline), in bytes."""
+    chats: LruMap[str, str] = LruMap(size=ITEMS)
     return _measure_memory(lambda number: chats.put(f"chat-of-a-caller-{number:024}", "side"))
 
 
@@ -120,8 +124,8 @@
     )
 
 
-def _make_load(phase: Phase, cpu_s: float) -> Load:
-    return Load(
+def _make_load(phase: Phase, cpu_s: float) -> MeasuredLoad:
+    return MeasuredLoad(
         requests_s=len(phase.result.first_ms) / phase.seconds,
         tokens_s=phase.tokens_s,
         core_share=cpu_s / phase.seconds,
@@ -129,13 +133,13 @@
 
 
 def _measure_memory(add: Callable[[int], None]) -> float:
-    """Return the bytes that each of many things takes."""
+    """Return the mean number of bytes allocated by a call of `add`."""
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        for number in range(THINGS):
+        for number in range(ITEMS):
             add(number)
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    return (after - before) / THINGS
+    return (after - before) / ITEMS
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -1,4 +1,4 @@
-"""The promises that the soak checks, from what callers and runners saw."""
+"""Checks of the soak test on the records of callers, runners and forwarder journals."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from bench.soak_callers import REPEATABLE, CallRecord, make_stream
-from bench.soak_rig import MAX_COLD, WORKSPACE
+from bench.soak_callers import REPEATABLE_KINDS, CallRecord, make_expected_stream
+from bench.soak_rig import MAX_IN_COLD_START, WORKSPACE
 from gypsumrouter.platform import names
 from gypsumrouter.standins import PlatformRunner
 from gypsumrouter.standins.platform_runner import Arrival
@@ -18,14 +18,14 @@
 
 
 class Violation(Struct, frozen=True, kw_only=True):
-    """A promise that was not kept."""
+    """A guarantee that did not hold, and the request that shows it, if any."""
 
-    promise: str
+    guarantee: str
     request_id: str = ""
     detail: str = ""
 
     def __str__(self) -> str:
-        return f"{self.promise} {self.request_id} {self.detail}".strip()
+        return f"{self.guarantee} {self.request_id} {self.detail}".strip()
 
 
 def check_all(
@@ -35,63 +35,69 @@
     journals: Sequence[dict[str, Any]],
     recovered: float,
 ) -> list[Violation]:
-    """Return every violation."""
-    found = [
+    """Return the violations of all checks that use caller records, arrivals and journals."""
+    violations = [
         *check_runs(records, arrivals),
         *check_answers(records),
         *check_arrivals(records, arrivals),
         *check_versions(journals),
     ]
     if recovered < MIN_RECOVERED:
-        found.append(Violation(promise="not recovered", detail=f"{recovered:.2f} answered"))
-    return found
+        violations.append(Violation(guarantee="not recovered", detail=f"{recovered:.2f} answered"))
+    return violations
 
 
 def check_runs(records: Sequence[CallRecord], arrivals: Sequence[Arrival]) -> Iterator[Violation]:
-    """Check that nothing ran twice that must not, nor what was said not to have run."""
+    """Check that non-repeatable requests run at most once, and not at all if refused."""
     runs = Counter(arrival.request_id for arrival in arrivals if arrival.ran)
     for record in records:
-        if record.kind in REPEATABLE:
+        if record.kind in REPEATABLE_KINDS:
             continue
         ran = runs[record.request_id]
         if ran > 1:
-            yield Violation(promise="ran twice", request_id=record.request_id, detail=f"{ran} runs")
+            yield Violation(
+                guarantee="ran twice", request_id=record.request_id, detail=f"{ran} runs"
+            )
         if record.refused and ran:
-            yield Violation(promise="ran though refused", request_id=record.request_id)
+            yield Violation(guarantee="ran after refusal", request_id=record.request_id)
 
 
 def check_answers(records: Sequence[CallRecord]) -> Iterator[Violation]:
-    """Check that each success is the whole answer to its own request."""
+    """Check that each successful response is complete and belongs to its request."""
     for record in records:
-        if record.status != 200 or not record.whole:
+        if record.status != 200 or not record.complete:
             continue
-        if not record.own:
-            yield Violation(promise="another's answer", request_id=record.request_id)
-        elif record.streamed and record.body != make_stream():
+        if not record.id_matches:
+            yield Violation(guarantee="response to another request", request_id=record.request_id)
+        elif record.streamed and record.body != make_expected_stream():
             detail = f"{len(record.body)} bytes"
-            yield Violation(promise="torn stream", request_id=record.request_id, detail=detail)
+            yield Violation(
+                guarantee="incomplete or altered stream",
+                request_id=record.request_id,
+                detail=detail,
+            )
         elif not record.streamed and not record.body.endswith(record.path.encode()):
-            yield Violation(promise="another's body", request_id=record.request_id)
+            yield Violation(guarantee="body of another request", request_id=record.request_id)
 
 
 def check_arrivals(
     records: Sequence[CallRecord], arrivals: Sequence[Arrival]
 ) -> Iterator[Violation]:
-    """Check that runners see only what callers sent, under their workspace, without their key."""
+    """Check path, workspace and absence of the caller's API key in requests at the runners."""
     paths = {record.request_id: record.path for record in records}
     for arrival in arrivals:
         if arrival.request_id in paths and arrival.path != paths[arrival.request_id]:
-            yield Violation(promise="changed path", request_id=arrival.request_id)
+            yield Violation(guarantee="changed path", request_id=arrival.request_id)
         if names.API_KEY in arrival.headers:
-            yield Violation(promise="key passed on", request_id=arrival.request_id)
+            yield Violation(guarantee="caller key forwarded", request_id=arrival.request_id)
         if arrival.headers.get(names.TENANT) != WORKSPACE:
-            yield Violation(promise="wrong workspace", request_id=arrival.request_id)
+            yield Violation(guarantee="wrong workspace", request_id=arrival.request_id)
 
 
 def check_evacuations(
     journals: Sequence[dict[str, Any]], data_centres: Mapping[str, str]
 ) -> Iterator[Violation]:
-    """Check that no router places anything in a data centre that it knows to be evacuated."""
+    """Check that no forwarder places requests in a data centre after logging its evacuation."""
     evacuated: dict[str, set[str]] = {}
     for line in journals:
         active = evacuated.setdefault(line.get("instance", ""), set())
@@ -103,23 +109,28 @@
             case "data_centre_evacuated":
                 active.discard(line["data_centre"])
             case "request_placed" if data_centres.get(line["upstream"]) in active:
-                yield Violation(promise="placed where evacuated", request_id=line["request_id"])
+                yield Violation(
+                    guarantee="placed in evacuated data centre", request_id=line["request_id"]
+                )
 
 
-def check_cold(runners: Iterable[PlatformRunner]) -> Iterator[Violation]:
-    """Check that no runner got more than it bears after its start."""
+def check_cold_starts(runners: Iterable[PlatformRunner]) -> Iterator[Violation]:
+    """Check that no runner received more requests than its cold-start limit allows."""
     for runner in runners:
-        densest = runner.count_densest_cold()
-        if densest > MAX_COLD:
-            yield Violation(promise="too much while cold", detail=f"{runner.name} {densest}")
+        most_arrivals = runner.count_densest_cold()
+        if most_arrivals > MAX_IN_COLD_START:
+            yield Violation(
+                guarantee="cold-start limit exceeded", detail=f"{runner.name} {most_arrivals}"
+            )
 
 
 def check_versions(journals: Sequence[dict[str, Any]]) -> Iterator[Violation]:
-    """Check that no incarnation went back to an older configuration."""
+    """Check that no forwarder process replaced its configuration with an older version."""
     for line in journals:
         if line.get("event") != "configuration_accepted":
             continue
         if line["version"] <= line["previous"]:
             yield Violation(
-                promise="version went back", detail=f"{line['previous']} to {line['version']}"
+                guarantee="configuration version decreased",
+                detail=f"{line['previous']} to {line['version']}",
             )
--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from gypsumrouter.admission import Admission
-from gypsumrouter.configuration import ConfigurationSpread, ConfigurationStore
+from gypsumrouter.configuration import ConfigurationReplicator, ConfigurationStore
 from gypsumrouter.const import UpstreamKind
 from gypsumrouter.core import Application
 from gypsumrouter.exchange import ExchangeRunner
@@ -26,8 +26,8 @@
 from gypsumrouter.running_exchanges import RunningExchanges
 from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import Link, LinkedSettings, RouterSettings, SideSettings, read_link_key
-from gypsumrouter.suspect_gossip import ListNames, SendTo, SuspectGossip
-from gypsumrouter.suspicion import Suspicion
+from gypsumrouter.suspect_news import ListNames, SendTo, SuspectGossip
+from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import EngineClient, UpstreamClient, make_client
 from gypsumrouter.util.clock import Clock
 
@@ -45,7 +45,7 @@
     links: LinkPool
     fleet: Fleet
     store: ConfigurationStore
-    spread: ConfigurationSpread
+    replicator: ConfigurationReplicator
 
 
 async def async_setup(
@@ -93,7 +93,7 @@
 ) -> RunningProcess:
     """Build and start the components of a router."""
     shared = make_shared_components(app=app, settings=settings)
-    suspicion = Suspicion(app=app, notices=shared.notices)
+    suspicion = SuspectTracker(app=app, notices=shared.notices)
     gateway = Gateway(
         app=app,
         settings=settings,
@@ -131,7 +131,7 @@
 async def async_setup_side(*, app: Application, settings: SideSettings) -> RunningProcess:
     """Build and start the components of a side."""
     shared = make_shared_components(app=app, settings=settings)
-    suspicion = Suspicion(
+    suspicion = SuspectTracker(
         app=app, notices=shared.notices, fleet=shared.fleet, pool=settings.upstream.pool
     )
     upstream = make_client(app=app, settings=settings.upstream)
@@ -185,7 +185,7 @@
     await upstream.async_start()
     addresses[ADDRESS_LINK] = await server.async_start()
     advertised = get_advertised(settings.link, addresses[ADDRESS_LINK])
-    idempotency.note_listening(advertised)
+    idempotency.set_listen_address(advertised)
     if orders is not None:
         orders.note_listening(advertised)
         await orders.async_start()
@@ -249,7 +249,7 @@
     source = HttpInstanceListSource(app=app, settings=settings.platform)
     fleet = Fleet(app=app, settings=settings.platform, source=source)
     store = ConfigurationStore(app=app)
-    spread = ConfigurationSpread(
+    replicator = ConfigurationReplicator(
         app=app,
         settings=settings.platform,
         store=store,
@@ -265,7 +265,7 @@
         links=links,
         fleet=fleet,
         store=store,
-        spread=spread,
+        replicator=replicator,
     )
 
 
@@ -273,16 +273,20 @@
     """Feed contacts, incarnations and shutdowns that the links observe into the fleet."""
 
     def take_status(hello: Hello, status: Status) -> None:
-        fleet.note_incarnation(hello.name, hello.incarnation)
+        fleet.record_incarnation(hello.name, hello.incarnation)
         if status.leaving:
-            fleet.note_leaving(hello.name, hello.incarnation)
+            fleet.record_leaving(hello.name, hello.incarnation)
 
-    links.on_connect_attempt(fleet.note_contact)
+    links.on_connect_attempt(fleet.record_contact)
     links.on_status(take_status)
 
 
 def start_suspect_gossip(
-    *, shared: SharedComponents, suspicion: Suspicion, list_affected: ListNames, send_to: SendTo
+    *,
+    shared: SharedComponents,
+    suspicion: SuspectTracker,
+    list_affected: ListNames,
+    send_to: SendTo,
 ) -> None:
     """Start forwarding suspect reports to other processes."""
     SuspectGossip(
@@ -298,7 +302,7 @@
 async def async_start_shared_components(shared: SharedComponents) -> None:
     """Start the components of both roles."""
     await shared.fleet.async_start()
-    await shared.spread.async_start()
+    await shared.replicator.async_start()
 
 
 def make_operators(
--- a/gypsumrouter/fleet/view.py
+++ b/gypsumrouter/fleet/view.py
@@ -1,4 +1,4 @@
-"""The instances that this process believes in: the list, softened where it shrinks."""
+"""Membership view: the listed instances, with delayed removal of missing ones."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 
 from gypsumrouter.const import Role
 from gypsumrouter.fleet.const import (
-    ABSENT_HOLD_MS,
+    ABSENT_RETENTION_MS,
     SHRINK_CONFIRM_MS,
     SHRINK_CONFIRM_READS,
     SHRINK_COUNT,
-    SHRINK_HOLD_MS,
+    SHRINK_RETENTION_MS,
     SHRINK_SHARE,
 )
 from gypsumrouter.instances import Instance
 
 Group = tuple[Role, str]
-ReadEvidence = Callable[[str], bool | None]
+ReachabilityLookup = Callable[[str], bool | None]
 
 
-class Absence(Struct, kw_only=True):
-    """An instance that the newest list lacks; `bulk` marks one of many that went together."""
+class AbsentInstance(Struct, kw_only=True):
+    """An instance missing from the newest list; `bulk` if many of its group went missing at once.
+
+    `reads` counts the reads that returned the list without it.
+    """
 
     instance: Instance
     since_ms: int
@@ -32,28 +35,28 @@
 
 
 def get_group(instance: Instance) -> Group:
-    """Return what an instance can be replaced by: its role and pool."""
+    """Return the group of interchangeable instances: role and pool."""
     return (instance.role, instance.pool)
 
 
-class View:
-    """The listed instances, and the absent ones that are held for a bounded time.
+class MembershipView:
+    """The listed instances, and absent ones that are kept for a bounded time.
 
-    `reached` tells whether links reached an instance a moment ago (True), failed to (False), or
-    say nothing (None). The last instances of a group are held until links fail to reach them.
+    `reachability` returns True if a link reached an instance recently, False if links failed to
+    reach it, and None without contact. The last instances of a group are kept until links fail.
     """
 
-    __slots__ = ("_absent", "_listed", "_reached", "_sorted")
+    __slots__ = ("_absent", "_listed", "_reachability", "_sorted")
 
-    def __init__(self, *, reached: ReadEvidence) -> None:
-        self._reached = reached
+    def __init__(self, *, reachability: ReachabilityLookup) -> None:
+        self._reachability = reachability
         self._listed: dict[str, Instance] = {}
-        self._absent: dict[str, Absence] = {}
+        self._absent: dict[str, AbsentInstance] = {}
         self._sorted: list[Instance] | None = None
 
     @property
-    def absent(self) -> tuple[Absence, ...]:
-        """Return what is held although the list lacks it."""
+    def absent(self) -> tuple[AbsentInstance, ...]:
+        """Return the instances that are kept although the list lacks them."""
         return tuple(self._absent.values())
 
     def get(self, name: str) -> Instance | None:
@@ -67,13 +70,13 @@
     def list_all(self) -> list[Instance]:
         """Return every instance of the view, sorted by name."""
         if self._sorted is None:
-            held = (absence.instance for absence in self._absent.values())
-            everything = [*self._listed.values(), *held]
+            absent = (absence.instance for absence in self._absent.values())
+            everything = [*self._listed.values(), *absent]
             self._sorted = sorted(everything, key=lambda instance: instance.name)
         return self._sorted
 
     def replace(self, instances: Iterable[Instance], now_ms: int) -> None:
-        """Take in a newer list."""
+        """Apply a newer list."""
         listed = {instance.name: instance for instance in instances}
         lost = [item for name, item in self._listed.items() if name not in listed]
         bulk_groups = self._find_bulk_groups(lost)
@@ -81,31 +84,33 @@
             self._absent.pop(name, None)
         for instance in lost:
             bulk = get_group(instance) in bulk_groups
-            self._absent[instance.name] = Absence(instance=instance, since_ms=now_ms, bulk=bulk)
+            self._absent[instance.name] = AbsentInstance(
+                instance=instance, since_ms=now_ms, bulk=bulk
+            )
         self._listed = listed
         self._sorted = None
         self.prune(now_ms)
 
-    def note_read(self, now_ms: int) -> bool:
-        """Count a fresh read that confirms the newest list; returns whether the view changed."""
+    def record_read(self, now_ms: int) -> bool:
+        """Count a read that confirms the newest list; return whether the view changed."""
         for absence in self._absent.values():
             absence.reads += 1
         return self.prune(now_ms)
 
     def prune(self, now_ms: int) -> bool:
-        """Drop the absent instances whose time is over; returns whether there were any."""
+        """Remove absent instances whose retention has expired; return whether there were any."""
         if not self._absent:
             return False
         listed_groups = {get_group(instance) for instance in self._listed.values()}
-        over = [
+        expired = [
             name
             for name, absence in self._absent.items()
-            if self._is_over(absence, get_group(absence.instance) in listed_groups, now_ms)
+            if self._is_expired(absence, get_group(absence.instance) in listed_groups, now_ms)
         ]
-        for name in over:
+        for name in expired:
             del self._absent[name]
             self._sorted = None
-        return bool(over)
+        return bool(expired)
 
     def _find_bulk_groups(self, lost: list[Instance]) -> set[Group]:
         sizes = Counter(get_group(instance) for instance in self._listed.values())
@@ -117,14 +122,14 @@
             or (count >= SHRINK_COUNT and count > SHRINK_SHARE * sizes[group])
         }
 
-    def _is_over(self, absence: Absence, has_listed_peers: bool, now_ms: int) -> bool:
-        reached = self._reached(absence.instance.name)
+    def _is_expired(self, absence: AbsentInstance, has_listed_peers: bool, now_ms: int) -> bool:
+        reachable = self._reachability(absence.instance.name)
         age_ms = now_ms - absence.since_ms
         if not absence.bulk:
-            return reached is not True or age_ms >= ABSENT_HOLD_MS
+            return reachable is not True or age_ms >= ABSENT_RETENTION_MS
         confirmed = absence.reads >= SHRINK_CONFIRM_READS and age_ms >= SHRINK_CONFIRM_MS
         if not confirmed:
             return False
         if not has_listed_peers:
-            return reached is False
-        return reached is not True or age_ms >= SHRINK_HOLD_MS
+            return reachable is False
+        return reachable is not True or age_ms >= SHRINK_RETENTION_MS
--- a/gypsumrouter/forwarding/__init__.py
+++ b/gypsumrouter/forwarding/__init__.py
@@ -1,23 +1,23 @@
-"""Forwarding: a router that reaches upstreams itself, where they have no side."""
+"""Forwarding of callers' HTTP requests from a router straight to upstreams."""
 
 from __future__ import annotations
 
 from gypsumrouter.forwarding.forwarder import Forwarder
 from gypsumrouter.forwarding.models import (
-    AnswerFacts,
+    AttemptOptions,
     CallerRequest,
     Dialect,
     Prompt,
     PromptPart,
-    Sending,
+    ResponseMetadata,
 )
 
 __all__ = [
-    "AnswerFacts",
+    "AttemptOptions",
     "CallerRequest",
     "Dialect",
     "Forwarder",
     "Prompt",
     "PromptPart",
-    "Sending",
+    "ResponseMetadata",
 ]
--- a/gypsumrouter/forwarding/placer.py
+++ b/gypsumrouter/forwarding/placer.py
@@ -11,11 +11,11 @@
 from gypsumrouter.directory import Directory, Entry, EntryState, Evacuation, Evacuations
 from gypsumrouter.forwarding.backoff import BackoffTracker
 from gypsumrouter.forwarding.cache_index import CACHE_TTL_MS, CacheIndex
-from gypsumrouter.forwarding.const import SOURCE_ANSWER
+from gypsumrouter.forwarding.const import SOURCE_RESPONSE
 from gypsumrouter.forwarding.eligibility import NO_UPSTREAM, Eligibility, PlacementRefusal
 from gypsumrouter.forwarding.health import HealthTracker
 from gypsumrouter.forwarding.loads import LoadTracker, UpstreamLoad, get_mean
-from gypsumrouter.forwarding.models import AnswerFacts, Prompt, PromptPart
+from gypsumrouter.forwarding.models import Prompt, PromptPart, ResponseMetadata
 from gypsumrouter.forwarding.placed import CopySource, Placement, SentRequest
 from gypsumrouter.forwarding.placement import (
     MIN_FETCH_TOKENS,
@@ -240,16 +240,16 @@
             uncontended=placed.pending_tokens == 0 and placed.fetch_from is None,
         )
 
-    def apply_answer_facts(self, entry: Entry, facts: AnswerFacts) -> None:
+    def apply_response_metadata(self, entry: Entry, metadata: ResponseMetadata) -> None:
         """Apply the back-off and the shutdown that an upstream announced in a response.
 
         The directory may be unavailable; without this, an upstream that shuts down would get new
         requests until it has stopped.
         """
-        if facts.rest_ms is not None:
-            self.backoffs.note(entry.incarnation, backoff_ms=facts.rest_ms)
-        if facts.leaving:
-            self._directory.note_leaving(entry.incarnation, source=SOURCE_ANSWER)
+        if metadata.retry_after_ms is not None:
+            self.backoffs.note(entry.incarnation, backoff_ms=metadata.retry_after_ms)
+        if metadata.draining:
+            self._directory.note_leaving(entry.incarnation, source=SOURCE_RESPONSE)
 
     def note_unreachable(self, entry: Entry, *, reason: str, refused: bool) -> None:
         """Record a failed connection attempt; `refused` if the host actively refused it."""
--- a/gypsumrouter/gateway/limits.py
+++ b/gypsumrouter/gateway/limits.py
@@ -1,7 +1,7 @@
-"""Limits of workspaces and rules, kept across the fleet without shared state.
+"""Limits of workspaces and rules, enforced across all routers without shared state.
 
-Each router enforces its share of a limit: the limit divided by the routers that the instance list
-names as live. Whole units that do not divide go to some of the routers, chosen by name.
+Each router enforces its share of a limit: the limit divided by the number of live routers in the
+instance list. The remainder of a concurrency limit is assigned by a hash of the limit's name.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 
 class Limit(Struct, frozen=True, kw_only=True):
-    """What the fleet as a whole lets pass under one name."""
+    """A limit on the requests of all routers together; `name` identifies its counters."""
 
     name: str
     requests_per_s: float | None
     concurrent: int | None
 
     @property
-    def binds(self) -> bool:
-        """Return whether there is anything to enforce."""
+    def is_enforced(self) -> bool:
+        """Return whether a rate or a concurrency limit is set."""
         return self.requests_per_s is not None or self.concurrent is not None
 
 
 class FleetShare(Struct, frozen=True, kw_only=True):
-    """Where this router stands among the live routers."""
+    """Position of this router among the live routers, and their number."""
 
     position: int = 0
     routers: int = 1
@@ -44,18 +44,17 @@
         return limit / self.routers
 
     def get_count(self, limit: int, name: str) -> int:
-        """Return this router's share of a count; at least 1, so that no router refuses always.
+        """Return this router's share of a concurrency limit, at least 1.
 
-        The shares of all routers sum up to the limit, or to the number of routers where that is
-        higher.
+        The shares add up to the limit, or to the number of routers if that is higher.
         """
         base, extra = divmod(limit, self.routers)
-        turned = (self.position + xxhash.xxh32_intdigest(name.encode())) % self.routers
-        return max(1, base + (1 if turned < extra else 0))
+        offset = (self.position + xxhash.xxh32_intdigest(name.encode())) % self.routers
+        return max(1, base + (1 if offset < extra else 0))
 
 
 def find_fleet_share(*, own_name: str, peers: Iterable[Instance]) -> FleetShare:
-    """Return this router's place among the live routers, by name."""
+    """Return this router's position among the live routers, ordered by name."""
     names = {
         peer.name for peer in peers if peer.role is Role.ROUTER and peer.state is InstanceState.LIVE
     }
@@ -64,7 +63,7 @@
 
 
 class _Usage:
-    """What runs now under one limit, and its token bucket."""
+    """Number of running requests and token bucket of one limit."""
 
     __slots__ = ("running", "tokens", "updated_ms")
 
@@ -75,7 +74,7 @@
 
 
 class Permit:
-    """Allows one request to run; released once."""
+    """Permit for one request under all its limits."""
 
     __slots__ = ("_usages",)
 
@@ -83,7 +82,7 @@
         self._usages = usages
 
     def release(self) -> None:
-        """Give the place back; safe to call more than once."""
+        """Release the permit; further calls have no effect."""
         for usage in self._usages:
             usage.running -= 1
         self._usages = []
@@ -100,26 +99,26 @@
         self.share = FleetShare()
 
     def acquire(self, limits: Iterable[Limit]) -> Permit | Refused:
-        """Return the permit to run under all limits, or the refusal by one that is reached."""
-        binding = [(limit, self._find_usage(limit)) for limit in limits if limit.binds]
-        for limit, usage in binding:
+        """Return a permit under all limits, or a refusal if one of them is exceeded."""
+        enforced = [(limit, self._find_usage(limit)) for limit in limits if limit.is_enforced]
+        for limit, usage in enforced:
             refused = self._check(limit, usage)
             if refused is not None:
                 return refused
-        for limit, usage in binding:
+        for limit, usage in enforced:
             usage.running += 1
             if limit.requests_per_s is not None:
                 usage.tokens -= 1.0
-        return Permit([usage for _, usage in binding])
+        return Permit([usage for _, usage in enforced])
 
-    def forget_all_but(self, names: set[str]) -> None:
-        """Drop the limits that are no longer configured and that no request holds."""
+    def retain(self, names: set[str]) -> None:
+        """Remove the limits that are not among `names` and have no running requests."""
         self._usages = {
             name: usage for name, usage in self._usages.items() if usage.running or name in names
         }
 
     def count_running(self) -> dict[str, int]:
-        """Return how many requests run under each limit."""
+        """Return the number of running requests by limit."""
         return {name: usage.running for name, usage in self._usages.items() if usage.running}
 
     def _find_usage(self, limit: Limit) -> _Usage:
@@ -149,25 +148,25 @@
 
     def _refill(self, usage: _Usage, *, rate: float, burst: float) -> None:
         now_ms = self._clock.now_ms()
-        gained = (now_ms - usage.updated_ms) * rate / MS_PER_S
-        usage.tokens = min(burst, usage.tokens + gained)
+        refill = (now_ms - usage.updated_ms) * rate / MS_PER_S
+        usage.tokens = min(burst, usage.tokens + refill)
         usage.updated_ms = now_ms
 
 
-def name_workspace_limit(workspace: str) -> str:
-    """Return the name under which a workspace's limits are counted."""
+def get_workspace_limit_name(workspace: str) -> str:
+    """Return the name of the limit of a workspace."""
     return f"workspace {workspace}"
 
 
-def name_rule_limit(rule: str) -> str:
-    """Return the name under which a rule's limits are counted, for all that it matches."""
+def get_rule_limit_name(rule: str) -> str:
+    """Return the name of the limit of a rule, shared by all requests that the rule matches."""
     return f"rule {rule}"
 
 
 def list_limit_names(configuration: Configuration) -> set[str]:
     """Return the names of all limits of a configuration."""
-    workspaces = {name_workspace_limit(entry.name) for entry in configuration.workspaces}
-    return workspaces | {name_rule_limit(rule.name) for rule in configuration.rules}
+    workspaces = {get_workspace_limit_name(entry.name) for entry in configuration.workspaces}
+    return workspaces | {get_rule_limit_name(rule.name) for rule in configuration.rules}
 
 
 def _refuse(retry_after_ms: int) -> Refused:
--- a/gypsumrouter/idempotency/__init__.py
+++ b/gypsumrouter/idempotency/__init__.py
@@ -1,12 +1,16 @@
-"""Calls that must not be repeated: their keys, their homes and the memory of their answers."""
+"""At-most-once execution of calls with an idempotency key.
+
+Each key is owned by one instance of a pool, which runs the call and stores its
+response for repeats.
+"""
 
 from __future__ import annotations
 
 from gypsumrouter.idempotency.calls import Idempotency
-from gypsumrouter.idempotency.homes import find_home
 from gypsumrouter.idempotency.keys import Key, parse_key
-from gypsumrouter.idempotency.memory import Join
 from gypsumrouter.idempotency.outcomes import Replay, get_call_outcome
+from gypsumrouter.idempotency.ownership import find_owner
+from gypsumrouter.idempotency.records import Join
 from gypsumrouter.idempotency.run import Run
 
 __all__ = [
@@ -15,7 +19,7 @@
     "Key",
     "Replay",
     "Run",
-    "find_home",
+    "find_owner",
     "get_call_outcome",
     "parse_key",
 ]
--- a/gypsumrouter/peers/mesh.py
+++ b/gypsumrouter/peers/mesh.py
@@ -37,7 +37,7 @@
     UPDATE_INTERVAL_MS_PER_PEER,
 )
 from gypsumrouter.peers.evacuations import encode_evacuations
-from gypsumrouter.peers.inventory import InventoryCoordinator
+from gypsumrouter.peers.held import InventoryCoordinator
 from gypsumrouter.peers.loads import decode_loads, encode_loads
 from gypsumrouter.peers.outbox import Outbox
 from gypsumrouter.peers.relays import DataCentreRelay
@@ -237,7 +237,7 @@
             address=self._routers.own_address,
             routers=self._list_routers(known),
             routing_version=self._routing.version,
-            list_revision=self._directory.newest,
+            list_revision=self._directory.applied_revision,
             evacuations=encode_evacuations(self._evacuations),
             data_centre=self._app.data_centre,
         )
--- a/gypsumrouter/suspicion/__init__.py
+++ b/gypsumrouter/suspicion/__init__.py
@@ -1,10 +1,17 @@
-"""Requests that crash their upstream: strikes, isolation, refusal and the news of them."""
+"""Detection, isolation and refusal of requests that crash their upstream."""
 
 from __future__ import annotations
 
-from gypsumrouter.suspicion.gate import Token
+from gypsumrouter.suspicion.gate import RunPermit
+from gypsumrouter.suspicion.isolation import select_isolation_instances
 from gypsumrouter.suspicion.outcomes import Clear, Suspect, Verdict
-from gypsumrouter.suspicion.places import find_isolation_places
-from gypsumrouter.suspicion.suspicion import Suspicion
+from gypsumrouter.suspicion.tracker import SuspectTracker
 
-__all__ = ["Clear", "Suspect", "Suspicion", "Token", "Verdict", "find_isolation_places"]
+__all__ = [
+    "Clear",
+    "RunPermit",
+    "Suspect",
+    "SuspectTracker",
+    "Verdict",
+    "select_isolation_instances",
+]
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -21,8 +21,8 @@
 from gypsumrouter.journal import Journal
 from gypsumrouter.link import EngineListing, InventoryUpdate, Notice, NoticeHub, Peer
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
-from gypsumrouter.peers import inventory as peer_inventory
-from gypsumrouter.peers.inventory import InventoryCoordinator
+from gypsumrouter.peers import held as peer_inventory
+from gypsumrouter.peers.held import InventoryCoordinator
 
 SEEDS = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 ENGINES = 23
@@ -219,7 +219,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(peer_inventory, "NON_SEED_TIMEOUT_MS", FOREVER_MS)
-    monkeypatch.setattr(handler, "START_WAIT_MS", FOREVER_MS)
+    monkeypatch.setattr(handler, "STARTUP_WAIT_MS", FOREVER_MS)
     monkeypatch.setattr(cache_index, "COPY_READY_MS", 0)
     caplog.set_level(logging.INFO)
     await world.async_call(session, "POST", "/quote/a", "r0", extra=PROMPT, body=b"{}")
--- a/tests/idempotency/idempotency_world.py
+++ b/tests/idempotency/idempotency_world.py
@@ -1,4 +1,4 @@
-"""Shared parts of the tests of calls that must not be repeated."""
+"""Fakes and factories for the tests of at-most-once calls."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 START_MS = 1_700_000_000_000
 
 
-class ScriptedLists:
-    """A list reader that is told what it read, and that takes states in their order only."""
+class FakeInstanceLists:
+    """List reader whose lists are supplied by the test; older revisions are ignored."""
 
     def __init__(self) -> None:
         self.newest: InstanceList | None = None
@@ -33,7 +33,7 @@
         self._on_list.append(listener)
         return lambda: self._on_list.remove(listener)
 
-    def on_fresh(self, listener: Callable[[int], None]) -> Remove:
+    def on_confirmed(self, listener: Callable[[int], None]) -> Remove:
         self._on_fresh.append(listener)
         return lambda: self._on_fresh.remove(listener)
 
@@ -43,15 +43,15 @@
             return
         self.newest = listed
         if newest and listed.revision == newest.revision:
-            for fresh in self._on_fresh:
-                fresh(listed.as_of_ms)
+            for on_fresh in self._on_fresh:
+                on_fresh(listed.as_of_ms)
             return
-        for told in self._on_list:
-            told(listed)
+        for on_list in self._on_list:
+            on_list(listed)
 
 
 class Side:
-    """One process with its own clock and its own reader of the list."""
+    """A side process with its own clock and its own list reader."""
 
     def __init__(self, *, name: str, address: Address, wall_ms: int = START_MS) -> None:
         self.name = name
@@ -60,7 +60,7 @@
         self.app = Application(
             name=name, role=Role.SIDE, data_centre="dc1", region="r1", clock=self.clock
         )
-        self.lists = ScriptedLists()
+        self.lists = FakeInstanceLists()
         self.idempotency = Idempotency(
             app=self.app,
             settings=Platform(list_lease_ms=LEASE_MS, clock_skew_ms=SKEW_MS),
@@ -69,10 +69,10 @@
             pool=POOL,
         )
         self.idempotency.configure(make_pool())
-        self.idempotency.note_listening(address)
+        self.idempotency.set_listen_address(address)
 
     def read(self, revision: int, *instances: Instance, as_of_ms: int | None = None) -> None:
-        """Read a state of the list that holds now."""
+        """Receive a list that is valid now, or as of `as_of_ms`."""
         wall_ms = self.clock.wall_ms() if as_of_ms is None else as_of_ms
         self.lists.read(
             InstanceList(revision=revision, as_of_ms=wall_ms, instances=tuple(instances))
--- a/tests/idempotency/test_idempotency_machine.py
+++ b/tests/idempotency/test_idempotency_machine.py
@@ -1,7 +1,7 @@
-"""At most once in a fleet of sides with different views, pauses, restarts and replacements.
+"""Property test: no call runs twice, whatever instance lists the processes have read.
 
-Routers do not decide, so a copy of a call may reach any process at any time. A process may have
-been removed from the list, replaced at another address, cut off or paused with an old view.
+A copy of a call may reach any process at any time. A process may have been removed from the list,
+replaced at another address, restarted, paused, or partitioned from the list.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 
 from gypsumrouter.fleet import Address, Instance, InstanceList
 from gypsumrouter.idempotency import Run
-from gypsumrouter.idempotency.confirmation import HomeConfirmation
-from gypsumrouter.idempotency.homes import Tenure
-from gypsumrouter.idempotency.memory import CallMemory
+from gypsumrouter.idempotency.ownership import OwnershipHistory
+from gypsumrouter.idempotency.ownership_checks import OwnershipChecks
+from gypsumrouter.idempotency.records import RecordStore
 from gypsumrouter.link.models import Head
 from gypsumrouter.outcomes import Failure, Reason, Refused
 
@@ -48,25 +48,25 @@
 
 
 class Call(Struct, kw_only=True):
-    """One call of a caller; `sent_ms` is the true time of its first sending."""
+    """A call with its key; `sent_ms` is the true time of its first attempt."""
 
     key: str
-    timed: bool
+    has_time: bool
     sent_ms: int
     runs: int = 0
 
 
 class Process(Struct, kw_only=True):
-    """A side and the runs that it has begun; a paused one does nothing, a cut one reads nothing."""
+    """A side and its pending runs; it does nothing if paused, reads no list if partitioned."""
 
     side: Side
-    begun: list[tuple[Call, Run]] = field(default_factory=list)
+    pending_runs: list[tuple[Call, Run]] = field(default_factory=list)
     paused: bool = False
-    cut: bool = False
+    partitioned: bool = False
 
 
 class AtMostOnceMachine(RuleBasedStateMachine):
-    """The platform, its processes and the callers; all times count from one true clock."""
+    """The published lists, the processes and the callers, with one true clock."""
 
     executed = 0
 
@@ -78,7 +78,7 @@
         self.processes: list[Process] = []
         self.calls: list[Call] = []
         self.publish(*(self.start(name) for name in SLOTS[:2]))
-        self.pass_quiet_time(LONG_MS)
+        self.pass_time_with_reads(LONG_MS)
 
     @property
     def instances(self) -> tuple[Instance, ...]:
@@ -91,7 +91,7 @@
         self.states.append((self.true_ms, instances))
 
     def start(self, name: str) -> Instance:
-        """Start a process at an address of its own."""
+        """Start a process at a new address."""
         self.addresses += 1
         address = Address(host="10.0.0.1", port=self.addresses)
         side = Side(name=name, address=address, wall_ms=self.true_ms)
@@ -112,30 +112,32 @@
         total_ms=st.sampled_from((4_000, LEASE_MS + 4 * SKEW_MS, WINDOW_MS, LONG_MS)),
         newest=st.booleans(),
     )
-    def pass_quiet_time(self, total_ms: int, newest: bool = False) -> None:
-        """Let time pass while all that can read the list do."""
+    def pass_time_with_reads(self, total_ms: int, newest: bool = False) -> None:
+        """Advance the clock in steps, reading the list in all processes after each."""
         for _ in range(4):
             self.pass_time(total_ms // 4)
-            self.read_everywhere(0, newest)
+            self.read_list_everywhere(0, newest)
 
     @rule(lag_ms=st.sampled_from((0, 0, 400, 3_000)), newest=st.booleans())
-    def read_everywhere(self, lag_ms: int, newest: bool) -> None:
+    def read_list_everywhere(self, lag_ms: int, newest: bool) -> None:
         for index in range(len(self.processes)):
             for _ in range(1 if newest else len(self.states)):
                 self.read_list(index, lag_ms, newest)
 
     @rule(index=INDEX, lag_ms=st.sampled_from((0, 400, 3_000, 20_000)), newest=st.booleans())
     def read_list(self, index: int, lag_ms: int, newest: bool) -> None:
-        """Read the next state from a replica that lags, or its newest one past a gap."""
-        process = self.get_process(index)
-        at_ms = self.true_ms - lag_ms
-        past = [number for number, (since_ms, _) in enumerate(self.states) if since_ms <= at_ms]
-        if process is None or process.cut or not past:
+        """Read the next list from a lagging replica, or its newest one, skipping revisions."""
+        process = self.get_running_process(index)
+        replica_ms = self.true_ms - lag_ms
+        readable = [
+            number for number, (since_ms, _) in enumerate(self.states) if since_ms <= replica_ms
+        ]
+        if process is None or process.partitioned or not readable:
             return
-        known = process.side.lists.newest
-        after = past[-1] if newest or known is None else known.revision + 1
-        revision = min(after, past[-1])
-        as_of_ms = at_ms if revision == past[-1] else self.states[revision + 1][0] - 1
+        current = process.side.lists.newest
+        next_revision = readable[-1] if newest or current is None else current.revision + 1
+        revision = min(next_revision, readable[-1])
+        as_of_ms = replica_ms if revision == readable[-1] else self.states[revision + 1][0] - 1
         instances = self.states[revision][1]
         process.side.lists.read(
             InstanceList(revision=revision, as_of_ms=as_of_ms, instances=instances)
@@ -144,27 +146,27 @@
     @rule(name=NAME, replaced=st.booleans())
     def list_slot(self, name: str, replaced: bool) -> None:
         """List the newest process of a slot, or a new one at another address."""
-        rest = [item for item in self.instances if item.name != name]
-        known = [process.side for process in self.processes if process.side.name == name]
-        if replaced or not known:
-            self.publish(*rest, self.start(name))
+        others = [item for item in self.instances if item.name != name]
+        current = [process.side for process in self.processes if process.side.name == name]
+        if replaced or not current:
+            self.publish(*others, self.start(name))
         else:
-            self.publish(*rest, make_instance(name, known[-1].address))
+            self.publish(*others, make_instance(name, current[-1].address))
 
     @rule(name=NAME)
     def remove_slot(self, name: str) -> None:
-        """Take a slot off the list; its process goes on with the view that it has."""
+        """Remove a slot from the list; its process keeps running with the list that it has."""
         self.publish(*(item for item in self.instances if item.name != name))
 
     # Processes
 
     @rule(index=INDEX, skew_ms=SKEW, lag_ms=st.sampled_from((0, 3_000, 20_000)))
     def restart_in_place(self, index: int, skew_ms: int, lag_ms: int) -> None:
-        """End a process and start it again with an empty memory at the same address."""
+        """Restart a process at the same address, which loses its records."""
         process = self.processes[index % len(self.processes)]
         old = process.side
         process.side = Side(name=old.name, address=old.address, wall_ms=self.true_ms + skew_ms)
-        process.begun.clear()
+        process.pending_runs.clear()
         self.read_list(index, lag_ms, True)
 
     @rule(index=INDEX, skew_ms=SKEW)
@@ -172,69 +174,69 @@
         clock = self.processes[index % len(self.processes)].side.clock
         clock.shift_wall(self.true_ms + skew_ms - clock.wall_ms())
 
-    @rule(index=INDEX, cut=st.booleans())
-    def stop_or_resume(self, index: int, cut: bool) -> None:
-        """Cut a process off from the list, or pause it whole; or end that."""
+    @rule(index=INDEX, partitioned=st.booleans())
+    def toggle_fault(self, index: int, partitioned: bool) -> None:
+        """Partition a process from the list or pause it, or end that."""
         process = self.processes[index % len(self.processes)]
-        if cut:
-            process.cut = not process.cut
+        if partitioned:
+            process.partitioned = not process.partitioned
         else:
             process.paused = not process.paused
 
     # Callers
 
     @rule(
-        timed=st.booleans(),
+        has_time=st.booleans(),
         offset_ms=st.sampled_from((-20_000, -900, 0, 0, 0, 900)),
         end=st.sampled_from(("", "finish", "lost")),
     )
-    def make_calls(self, timed: bool, offset_ms: int, end: str) -> None:
-        """Send new calls, by several routers, to every process that may be their home."""
+    def make_calls(self, has_time: bool, offset_ms: int, end: str) -> None:
+        """Send new calls to every process."""
         for number in range(len(self.calls), len(self.calls) + NEW_CALLS):
-            text = make_uuid7(self.true_ms + offset_ms, number) if timed else f"order-{number}"
-            self.calls.append(Call(key=text, timed=timed, sent_ms=self.true_ms))
+            text = make_uuid7(self.true_ms + offset_ms, number) if has_time else f"order-{number}"
+            self.calls.append(Call(key=text, has_time=has_time, sent_ms=self.true_ms))
         for index in range(len(self.processes)):
             for number in range(NEW_CALLS):
                 self.send(index, number)
-            self.go_on(index, end)
+            self.finish_runs(index, end)
 
     @rule(end=st.sampled_from(("", "finish", "not_run")))
     def repeat_recent_calls(self, end: str) -> None:
         for index in range(len(self.processes)):
             for number in range(min(RECENT_CALLS, len(self.calls))):
                 self.send(index, number)
-            self.go_on(index, end)
+            self.finish_runs(index, end)
 
     @rule(index=INDEX, number=st.integers(0, RECENT_CALLS - 1))
     def send(self, index: int, number: int) -> None:
-        """Let a copy of a call arrive, sent by its caller or held up on its way."""
-        process = self.get_process(index)
+        """Deliver a copy of a call to a process, repeated or delayed."""
+        process = self.get_running_process(index)
         if process is None or not self.calls:
             return
         call = self.calls[-1 - number % len(self.calls)]
-        if not call.timed and self.true_ms - call.sent_ms > WINDOW_MS + TRANSIT_MS:
-            return  # the stated end of the cover of an opaque key
+        if not call.has_time and self.true_ms - call.sent_ms > WINDOW_MS + TRANSIT_MS:
+            return  # opaque keys are only protected for this long
         result = process.side.idempotency.begin(make_call(call.key))
         if isinstance(result, Run):
-            process.begun.append((call, result))
+            process.pending_runs.append((call, result))
         elif isinstance(result, Refused):
             self.check_not_run(call, result)
 
     @rule(index=INDEX, end=st.sampled_from(("finish", "lost", "not_run")))
-    def go_on(self, index: int, end: str) -> None:
-        """Let what was begun reach its hand-over, or be refused before it."""
-        process = self.get_process(index)
+    def finish_runs(self, index: int, end: str) -> None:
+        """Send or cancel the pending runs of a process."""
+        process = self.get_running_process(index)
         if process is None or not end:
             return
-        for call, run in process.begun:
+        for call, run in process.pending_runs:
             self.end_run(call, run, end)
-        process.begun.clear()
+        process.pending_runs.clear()
 
     def end_run(self, call: Call, run: Run, end: str) -> None:
         if end == "not_run":
-            self.check_not_run(call, run.not_run(Refused(reason=Reason.OVER_CAP)))
+            self.check_not_run(call, run.cancel(Refused(reason=Reason.OVER_CAP)))
             return
-        denied = run.started()
+        denied = run.authorize()
         if denied is not None:
             self.check_not_run(call, denied)
             return
@@ -244,36 +246,38 @@
         if end == "finish":
             run.finish(HEAD, b"{}")
         else:
-            run.lost(Reason.UPSTREAM_LOST)
+            run.fail(Reason.UPSTREAM_LOST)
 
-    def get_process(self, index: int) -> Process | None:
+    def get_running_process(self, index: int) -> Process | None:
         process = self.processes[index % len(self.processes)]
         return None if process.paused else process
 
     def check_not_run(self, call: Call, failure: Failure) -> None:
         match failure:
             case Refused(elsewhere=False):
-                assert call.runs == 0, f"{call.key} was executed, but is called not run"
+                assert call.runs == 0, f"{call.key} was executed, but was reported as not run"
 
 
 @pytest.fixture(autouse=True)
 def short_transit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shorten the time on the way, so that opaque keys run within the machine's steps."""
-    monkeypatch.setattr("gypsumrouter.idempotency.confirmation.MAX_TRANSIT_MS", TRANSIT_MS)
+    """Shorten the transit time, so that opaque keys run within the machine's steps."""
+    monkeypatch.setattr("gypsumrouter.idempotency.ownership_checks.MAX_TRANSIT_MS", TRANSIT_MS)
 
 
 @pytest.fixture(autouse=True)
-def same_draws(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Draw the same values whatever else the process has loaded.
+def fixed_draws(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make the drawn values independent of the modules that are loaded.
 
-    The library also draws constants of all our modules that are loaded, derandomized or not.
+    Hypothesis also draws constants found in loaded local modules, even when derandomized.
     """
     monkeypatch.setattr(providers, "_get_local_constants", Constants)
-    # What earlier tests of the process left there has these constants in it.
+    # The cache may hold such constants from earlier tests of the process.
     monkeypatch.setattr(providers, "CONSTANTS_CACHE", LRUCache(1_024))
 
 
-def explore(machine: type[AtMostOnceMachine], *, examples: int, phases: tuple[Phase, ...]) -> None:
+def run_machine(
+    machine: type[AtMostOnceMachine], *, examples: int, phases: tuple[Phase, ...]
+) -> None:
     run_state_machine_as_test(
         machine,
         settings=settings(
@@ -288,53 +292,55 @@
     )
 
 
-def test_no_call_is_executed_twice_nor_called_not_run_after_it_ran() -> None:
+def test_no_call_is_executed_twice_nor_reported_as_not_run_after_it_ran() -> None:
     class Machine(AtMostOnceMachine):
         executed = 0
 
-    explore(Machine, examples=300, phases=(Phase.generate,))
+    run_machine(Machine, examples=300, phases=(Phase.generate,))
     assert Machine.executed > 300
 
 
-def run_without_lease(self: HomeConfirmation, *_: object) -> None:
+def skip_lease_check(self: OwnershipChecks, *_: object) -> None:
     return None
 
 
-def run_from_the_beginning(self: HomeConfirmation, since_ms: int, floor_ms: int) -> int:
-    return floor_ms
+def ignore_ownership_start(
+    self: OwnershipChecks, owned_since_ms: int, listening_since_ms: int
+) -> int:
+    return listening_since_ms
 
 
-def accept_any_address(self: Tenure, candidates: list[Instance]) -> bool:
+def accept_any_address(self: OwnershipHistory, candidates: list[Instance]) -> bool:
     return any(item.name == self._name for item in candidates)
 
 
-def forget_early(self: CallMemory, now_ms: int) -> None:
+def expire_at_once(self: RecordStore, now_ms: int) -> None:
     while self._ended:
         record = self._ended.pop()
         del self._records[record.digest]
 
 
-def run_opaque_at_once(self: HomeConfirmation, bound_ms: int) -> None:
+def skip_opaque_check(self: OwnershipChecks, earlier_runs_until_ms: int) -> None:
     return None
 
 
 WEAKENED: tuple[tuple[str, type, str, Callable[..., object]], ...] = (
-    ("lease", HomeConfirmation, "_check_lease", run_without_lease),
-    ("tenure", HomeConfirmation, "_get_bound_ms", run_from_the_beginning),
-    ("own address", Tenure, "_is_listed", accept_any_address),
-    ("memory", CallMemory, "expire", forget_early),
-    ("opaque window", HomeConfirmation, "_check_opaque", run_opaque_at_once),
+    ("lease", OwnershipChecks, "_check_lease", skip_lease_check),
+    ("tenure", OwnershipChecks, "_get_earlier_runs_until_ms", ignore_ownership_start),
+    ("own address", OwnershipHistory, "_is_listed", accept_any_address),
+    ("memory", RecordStore, "expire", expire_at_once),
+    ("opaque window", OwnershipChecks, "_check_opaque", skip_opaque_check),
 )
 
 
 @pytest.mark.parametrize(
-    ("owner", "method", "weaker"),
+    ("owner", "method", "weakened"),
     [entry[1:] for entry in WEAKENED],
     ids=[entry[0] for entry in WEAKENED],
 )
 def test_machine_finds_the_fault_when_a_check_is_weakened(
-    monkeypatch: pytest.MonkeyPatch, owner: type, method: str, weaker: Callable[..., object]
+    monkeypatch: pytest.MonkeyPatch, owner: type, method: str, weakened: Callable[..., object]
 ) -> None:
-    monkeypatch.setattr(owner, method, weaker)
+    monkeypatch.setattr(owner, method, weakened)
     with pytest.raises(AssertionError, match="was executed"):
-        explore(AtMostOnceMachine, examples=1_000, phases=(Phase.generate,))
+        run_machine(AtMostOnceMachine, examples=1_000, phases=(Phase.generate,))
