--- a/tests/peers/test_peers_watchers_machine.py
+++ b/tests/peers/test_peers_watchers_machine.py
@@ -74,7 +74,7 @@
         router.running = running
         self._record_fault(router)
 
-    @rule(number=router_numbers, cut=st.booleans())
+    @rule(number=router_numbers, partitioned=st.booleans())
     def partition(self, number: int, partitioned: bool) -> None:
         """Partition a router from the store or reconnect it."""
         router = self._fleet.routers[number]
