--- a/tests/peers/test_peers_watchers_machine.py
+++ b/tests/peers/test_peers_watchers_machine.py
@@ -67,7 +67,7 @@
             self._changes.append((now_ms, self._fleet.store.as_of))
             self._last_change = (now_ms, STATES[number])
 
-    @rule(number=router_numbers, runs=st.booleans())
+    @rule(number=router_numbers, running=st.booleans())
     def pause(self, number: int, running: bool) -> None:
         """Pause a router or resume it."""
         router = self._fleet.routers[number]
--- a/tests/prefixes/prefixes_fakes.py
+++ b/tests/prefixes/prefixes_fakes.py
@@ -1,4 +1,4 @@
-"""Sides with real stand-in engines, joined by links that are plain calls."""
+"""Sides with stand-in engines, connected by fake links that call each other directly."""
 
 from __future__ import annotations
 
@@ -63,16 +63,16 @@
 
 @dataclass(slots=True)
 class FakeLinks:
-    """What one side reaches; `cut` names sides that it doesn't."""
+    """The links of one side; sides in `cut` are unreachable."""
 
     name: str
     fleet: FakeFleet
     cut: set[str] = field(default_factory=set)
-    asked: list[tuple[str, str]] = field(default_factory=list)
-    told: list[str] = field(default_factory=list)
+    requested: list[tuple[str, str]] = field(default_factory=list)
+    notified: list[str] = field(default_factory=list)
 
     async def async_open(self, *, instance: Instance, request: Open) -> FakeExchange | Refused:
-        self.asked.append((instance.name, request.path))
+        self.requested.append((instance.name, request.path))
         if instance.name in self.cut:
             return Refused(reason=Reason.UNREACHABLE, elsewhere=True)
         answer = FakeAnswer()
@@ -81,7 +81,7 @@
         return FakeExchange(answer)
 
     async def async_send(self, *, instance: Instance, notice: Notice) -> bool:
-        self.told.append(instance.name)
+        self.notified.append(instance.name)
         hello = Hello(name=self.name, role=Role.SIDE, incarnation=1)
         peer = Peer(hello=hello, connection=None, dialed=False)  # type: ignore[arg-type]
         self.fleet.sides[instance.name].notices.publish(peer, notice)
@@ -125,7 +125,7 @@
         await self.engine.async_stop()
 
     async def async_serve(self, request: Open) -> None:
-        """Do what the exchange does around a run, and what the engine does in it."""
+        """Simulate one run: fetch the prefix, fill the cache of the engine, record the run."""
         await self.prefixes.async_fetch(request)
         self.engine.cache.store(chat=make_engine_chat(WORKSPACE, request.chat), blocks=BLOCKS)
         self.prefixes.note_served(request, whole=True)
