--- a/bench/member_host.py
+++ b/bench/member_host.py
@@ -51,7 +51,7 @@
         """Start reading the platform and replicating the configuration."""
         source = HttpInstanceListSource(app=self.app, settings=platform)
         fleet = Fleet(app=self.app, settings=platform, source=source)
-        self._pool.on_contact(fleet.record_contact)
+        self._pool.on_connect_attempt(fleet.record_contact)
         store = ConfigurationStore(app=self.app)
         store.on_change(self._record_version)
         replicator = ConfigurationReplicator(
--- a/gypsumrouter/link/dialer.py
+++ b/gypsumrouter/link/dialer.py
@@ -1,4 +1,4 @@
-"""The dialing end of one link: connects on demand, and resumes its exchanges after a loss."""
+"""The dialing end of a link: connects on demand and resumes exchanges after a lost link."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from gypsumrouter.link.const import (
     BACKOFF_FIRST_MS,
     BACKOFF_MAX_MS,
-    DIALER_PATIENCE,
+    DIALER_INTERVAL_FACTOR,
     MAX_FRAME_BYTES,
     Kind,
 )
@@ -28,14 +28,14 @@
 from gypsumrouter.link.handshake import (
     HandshakeFailed,
     WrongKey,
-    async_greet,
+    async_dialer_handshake,
     make_greeting,
     to_seconds,
 )
-from gypsumrouter.link.liveness import ask_for_echo, forgive_silence, keep_alive
+from gypsumrouter.link.liveness import keep_alive, request_echo, reset_silence_timer
+from gypsumrouter.link.log_once import LogOnce
 from gypsumrouter.link.models import Hello, Notice, Open
 from gypsumrouter.link.notices import Peer
-from gypsumrouter.link.once import LogOnce
 from gypsumrouter.link.outstanding import Outstanding
 from gypsumrouter.outcomes import Failed, Reason, Refused
 from gypsumrouter.settings import Link
@@ -53,7 +53,7 @@
 
 
 class DialerContext(Struct, frozen=True, kw_only=True):
-    """What all dialers of a pool share."""
+    """State and callbacks that all dialers of a pool share."""
 
     app: Application
     settings: Link
@@ -61,17 +61,18 @@
     tls: ssl.SSLContext | None
     counts: ByteCounts
     wrong_keys: LogOnce
-    take_number: Callable[[], int]
+    allocate_number: Callable[[], int]
     on_notice: Callable[[Peer, Frame], None]
     on_load: Callable[[str, int, int], None]
-    on_contact: Callable[[str, bool], None]
+    on_connect_attempt: Callable[[str, bool], None]
     on_connected: Callable[[Peer], None]
 
 
 class Dialer:
-    """The link to one instance; one task connects it, reads it and connects it again."""
+    """The link to one instance; one task connects, reads frames and reconnects."""
 
     __slots__ = (
+        "_connect_requested",
         "_connection",
         "_context",
         "_failures",
@@ -81,7 +82,6 @@
         "_retry_ms",
         "_task",
         "_waiters",
-        "_wanted",
         "instance",
         "last_used_ms",
         "peer",
@@ -99,7 +99,7 @@
         self._retry_ms = 0
         self._outstanding = Outstanding(clock=context.app.clock, settings=context.settings)
         self._waiters: list[asyncio.Future[None]] = []
-        self._wanted = asyncio.Event()
+        self._connect_requested = asyncio.Event()
         self._task = context.app.async_create_task(self._async_run(), f"link {instance.name}")
 
     @property
@@ -109,17 +109,17 @@
 
     @property
     def incarnation(self) -> int | None:
-        """Return the incarnation that was last at the other end."""
+        """Return the incarnation of the instance in the last handshake."""
         return self._incarnation
 
     @property
     def outstanding(self) -> int:
-        """Return the number of exchanges without an end."""
+        """Return the number of exchanges that have not ended."""
         return len(self._outstanding)
 
     @property
     def in_use(self) -> bool:
-        """Return whether the link must be looked at in each step of the timer."""
+        """Return whether `tick` must be called on each timer tick."""
         connection = self._connection
         return len(self._outstanding) > 0 or (
             connection is not None and connection.busy_since_ms is not None
@@ -127,17 +127,17 @@
 
     @property
     def unused(self) -> bool:
-        """Return whether nothing is open, outstanding or waited for."""
+        """Return whether the link is closed and no exchange or task waits for it."""
         return not (self.connected or len(self._outstanding) or self._waiters)
 
     async def async_open(self, request: Open) -> Exchange | Refused:
-        """Send a request; `Refused` means that none of its bytes were ever sent."""
+        """Send a request; `Refused` means that none of its bytes were sent."""
         connection = await self._async_get_connection()
         if connection is None:
             return _UNREACHABLE
         if not await connection.async_wait_writable():
             return _UNREACHABLE
-        request = replace(request, sequence=self._context.take_number())
+        request = replace(request, sequence=self._context.allocate_number())
         body = encode_open(request)
         if len(body) > MAX_FRAME_BYTES:
             return _TOO_LARGE
@@ -148,54 +148,54 @@
         return exchange
 
     async def async_send(self, notice: Notice) -> bool:
-        """Send a notice, over a new link if none is open."""
+        """Send a notice, opening the link if needed; return whether it was sent."""
         if await self._async_get_connection() is None or self.peer is None:
             return False
         return self.peer.send(notice)
 
     def tick(self, now_ms: int, late: bool) -> None:
-        """Keep the link alive while it is in use, and close it when it is idle."""
+        """Check the liveness of a link in use, and close an idle one."""
         connection = self._connection
         if connection is None:
             return
         busy = len(self._outstanding) > 0
         if late:
-            forgive_silence(connection, now_ms)
+            reset_silence_timer(connection, now_ms)
         keep_alive(
             connection=connection,
             busy=busy,
             now_ms=now_ms,
-            heartbeat_ms=self._context.settings.heartbeat_ms * DIALER_PATIENCE,
+            heartbeat_ms=self._context.settings.heartbeat_ms * DIALER_INTERVAL_FACTOR,
             silence_ms=self._context.settings.silence_ms,
             name=self.instance.name,
         )
-        self._check_arrival(connection, now_ms)
+        self._check_delivery(connection, now_ms)
         if busy or self._waiters:
             connection.last_used_ms = now_ms
         self.last_used_ms = connection.last_used_ms
         if now_ms - connection.last_used_ms >= self._context.settings.idle_close_ms:
             connection.close()
 
-    def _check_arrival(self, connection: Connection, now_ms: int) -> None:
+    def _check_delivery(self, connection: Connection, now_ms: int) -> None:
         settings = self._context.settings
-        ask_for_echo(
+        request_echo(
             connection=connection,
-            waiting=self._outstanding.is_waiting(since_ms=now_ms - settings.heartbeat_ms),
+            waiting=self._outstanding.has_undelivered(since_ms=now_ms - settings.heartbeat_ms),
             now_ms=now_ms,
             settings=settings,
             name=self.instance.name,
         )
 
     def stop(self) -> None:
-        """Close the link and fail what is outstanding."""
+        """Close the link and fail the outstanding exchanges."""
         self._outstanding.fail_all(_STOPPED)
         if self._connection is not None:
             self._connection.close()
-        self._answer_waiters()
+        self._wake_waiters()
         self._task.cancel()
 
     async def _async_get_connection(self) -> Connection | None:
-        """Return an open link, made now if needed; None where the last try has just failed."""
+        """Return the open link, connecting if needed; None if that fails or is in back-off."""
         if self.connected:
             return self._connection
         now_ms = self._context.app.clock.now_ms()
@@ -204,33 +204,33 @@
         self.last_used_ms = now_ms
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
-        self._wanted.set()
+        self._connect_requested.set()
         await waiter
         return self._connection if self.connected else None
 
     async def _async_run(self) -> None:
         while True:
-            await self._wanted.wait()
+            await self._connect_requested.wait()
             connection = await self._async_connect()
             if connection is not None:
                 await self._async_serve(connection)
-            self._give_up_late()
+            self._fail_expired()
             if len(self._outstanding):
                 await self._async_pause()
             elif not self._waiters:
-                self._wanted.clear()
+                self._connect_requested.clear()
 
     async def _async_connect(self) -> Connection | None:
         context = self._context
         connection: Connection | None = None
         try:
             async with asyncio.timeout(to_seconds(context.settings.connect_ms)):
-                connection = await self._async_dial()
-                greeting = await async_greet(
+                connection = await self._async_open_connection()
+                greeting = await async_dialer_handshake(
                     connection=connection,
                     greeting=make_greeting(
                         app=context.app,
-                        attempt=context.take_number(),
+                        attempt=context.allocate_number(),
                         window_bytes=context.settings.window_bytes,
                     ),
                     key=context.key,
@@ -238,18 +238,21 @@
                 )
         except WrongKey:
             if context.wrong_keys.is_first(self.instance.name):
-                _LOGGER.warning("%s does not hold our link key", self.instance.name)
+                _LOGGER.warning(
+                    "Instance %s uses another link key; refusing requests to it",
+                    self.instance.name,
+                )
         except (OSError, TimeoutError, HandshakeFailed, FrameError) as error:
-            _LOGGER.debug("No link to %s: %r", self.instance.name, error)
+            _LOGGER.debug("Failed to open a link to instance %s: %r", self.instance.name, error)
         else:
-            self._begin(connection, greeting)
+            self._activate(connection, greeting)
             return connection
         if connection is not None:
             connection.abort()
-        self._note_failure()
+        self._handle_connect_failure()
         return None
 
-    async def _async_dial(self) -> Connection:
+    async def _async_open_connection(self) -> Connection:
         address = self.instance.address
         context = self._context
         _, connection = await asyncio.get_running_loop().create_connection(
@@ -260,8 +263,8 @@
         )
         return connection
 
-    def _begin(self, connection: Connection, greeting: Greeting) -> None:
-        """Take a new link into use: settle what the last one left behind, then tell."""
+    def _activate(self, connection: Connection, greeting: Greeting) -> None:
+        """Start to use a new link: resume or fail exchanges, then notify listeners."""
         hello: Hello = greeting.hello
         if self._incarnation is not None and self._incarnation != hello.incarnation:
             self._outstanding.fail_all(_RESTARTED)
@@ -272,24 +275,28 @@
         self._outstanding.attach(connection, greeting.window_bytes)
         self._context.wrong_keys.clear(self.instance.name)
         self._retry_ms = 0
-        self._answer_waiters()
-        self._context.on_contact(self.instance.name, True)
+        self._wake_waiters()
+        self._context.on_connect_attempt(self.instance.name, True)
         self._context.on_connected(self.peer)
 
     async def _async_serve(self, connection: Connection) -> None:
         try:
             while (frame := await connection.async_read()) is not None:
                 self._on_frame(frame)
-                # Most frames come with others; a coroutine for each of them costs too much.
+                # Frames often arrive in batches; awaiting each of them is too slow.
                 while (frame := connection.read_nowait()) is not None:
                     self._on_frame(frame)
         except FrameError as error:
-            _LOGGER.warning("The link to %s is closed: %s", self.instance.name, error)
-            connection.end(str(error))
-            # The same bytes would come again over a new link.
+            _LOGGER.warning(
+                "Closing the link to instance %s and failing its exchanges: %s",
+                self.instance.name,
+                error,
+            )
+            connection.close_with_goodbye(str(error))
+            # The server would send the same bytes again over a new link.
             self._outstanding.fail_all(_BROKEN)
         connection.abort()
-        self._note_loss(connection)
+        self._handle_lost_link(connection)
 
     def _on_frame(self, frame: Frame) -> None:
         if frame.load and self._incarnation is not None:
@@ -299,7 +306,7 @@
         if self.peer is not None:
             self._context.on_notice(self.peer, frame)
 
-    def _note_loss(self, connection: Connection) -> None:
+    def _handle_lost_link(self, connection: Connection) -> None:
         now_ms = self._context.app.clock.now_ms()
         self._connection = None
         self._outstanding.detach()
@@ -307,14 +314,14 @@
         lived_ms = now_ms - connection.opened_ms
         self._failures = self._failures + 1 if lived_ms < BACKOFF_MAX_MS else 0
 
-    def _note_failure(self) -> None:
+    def _handle_connect_failure(self) -> None:
         self._failures += 1
         if not len(self._outstanding):
             self._retry_ms = self._context.app.clock.now_ms() + self._get_backoff_ms()
-        self._answer_waiters()
-        self._context.on_contact(self.instance.name, False)
+        self._wake_waiters()
+        self._context.on_connect_attempt(self.instance.name, False)
 
-    def _give_up_late(self) -> None:
+    def _fail_expired(self) -> None:
         now_ms = self._context.app.clock.now_ms()
         if now_ms - self._lost_ms >= self._context.settings.resume_ms:
             self._outstanding.fail_all(_LOST)
@@ -327,7 +334,7 @@
         ceiling = min(BACKOFF_MAX_MS, BACKOFF_FIRST_MS << min(self._failures, 8))
         return random.randint(ceiling // 2, ceiling)
 
-    def _answer_waiters(self) -> None:
+    def _wake_waiters(self) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
--- a/gypsumrouter/link/pool.py
+++ b/gypsumrouter/link/pool.py
@@ -1,4 +1,4 @@
-"""The dialing end of all links of a process, by instance."""
+"""Pool of the links that a process opens to instances."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from gypsumrouter.link.exchange import Exchange
 from gypsumrouter.link.frames import Frame
 from gypsumrouter.link.listeners import Listeners
-from gypsumrouter.link.liveness import async_tick
+from gypsumrouter.link.liveness import async_run_timer
+from gypsumrouter.link.log_once import LogOnce
 from gypsumrouter.link.models import Hello, Notice, Open, Status
 from gypsumrouter.link.notices import NoticeHub, Peer
-from gypsumrouter.link.once import LogOnce
-from gypsumrouter.link.status import StatusBook, StatusView
+from gypsumrouter.link.status import StatusCache, StatusView
 from gypsumrouter.outcomes import Refused
 from gypsumrouter.settings import Link
 
@@ -27,12 +27,12 @@
 
 
 class LinkPool:
-    """Links to other processes, opened on demand and closed when idle; each process has one."""
+    """Opens links to instances on demand and closes idle ones; each process has one pool."""
 
     __slots__ = (
         "_app",
+        "_connect_attempts",
         "_connected",
-        "_contact",
         "_context",
         "_diagnostics",
         "_dialers",
@@ -54,39 +54,39 @@
         self._next_number = 0
         self._ticking = False
         self._ticks = 0
-        self._statuses = StatusBook()
+        self._statuses = StatusCache()
         self._status: Listeners[[Hello, Status]] = Listeners()
-        self._contact: Listeners[[str, bool]] = Listeners()
+        self._connect_attempts: Listeners[[str, bool]] = Listeners()
         self._connected: Listeners[[Peer]] = Listeners()
         self._context = self._make_context(key)
         self._diagnostics.add_part("pool", self._dump, self._count_links)
         app.on_stop(self._async_stop)
 
     async def async_open(self, *, instance: Instance, request: Open) -> Exchange | Refused:
-        """Send a request; its sequence is set here.
+        """Send a request with a new sequence number.
 
-        `Refused` means that the request was never sent to the instance.
+        `Refused` means that the request was not sent to the instance.
         """
         return await self._get_dialer(instance).async_open(request)
 
     async def async_send(self, *, instance: Instance, notice: Notice) -> bool:
-        """Send a notice; return False if the instance cannot be reached or takes nothing."""
+        """Send a notice; return False if the instance is unreachable or the send buffer is full."""
         return await self._get_dialer(instance).async_send(notice)
 
     def status(self, name: str) -> StatusView | None:
-        """Return the last status that was heard of a process."""
+        """Return the last status received from a process, or None."""
         return self._statuses.get(name, self._app.clock.now_ms())
 
     def on_status(self, listener: Callable[[Hello, Status], None]) -> Remove:
-        """Call `listener` for each status that comes in."""
+        """Call `listener` for each status received."""
         return self._status.add(listener)
 
-    def on_contact(self, listener: Callable[[str, bool], None]) -> Remove:
-        """Call `listener` with a name and whether a try to link with it succeeded."""
-        return self._contact.add(listener)
+    def on_connect_attempt(self, listener: Callable[[str, bool], None]) -> Remove:
+        """Call `listener` after each attempt to connect, with the name and whether it succeeded."""
+        return self._connect_attempts.add(listener)
 
     def on_connected(self, listener: Callable[[Peer], None]) -> Remove:
-        """Call `listener` for each link that was opened."""
+        """Call `listener` for each new link."""
         return self._connected.add(listener)
 
     def _make_context(self, key: bytes) -> DialerContext:
@@ -100,10 +100,10 @@
             tls=tls,
             counts=self._diagnostics.counts,
             wrong_keys=LogOnce(),
-            take_number=self._take_number,
+            allocate_number=self._allocate_number,
             on_notice=self._on_notice,
             on_load=self._on_load,
-            on_contact=self._contact.call,
+            on_connect_attempt=self._connect_attempts.call,
             on_connected=self._connected.call,
         )
 
@@ -116,8 +116,8 @@
             self._dialers[key] = dialer
         return dialer
 
-    def _take_number(self) -> int:
-        """Return a number that grows for the life of this incarnation, for sequences and links."""
+    def _allocate_number(self) -> int:
+        """Return the next number of this incarnation, for sequences of requests and links."""
         self._next_number += 1
         return self._next_number
 
@@ -126,7 +126,7 @@
             return
         self._ticking = True
         self._app.async_create_task(
-            async_tick(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
+            async_run_timer(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
             "link pool timer",
         )
         if self._settings.tls is None or self._context.tls is None:
@@ -139,7 +139,7 @@
         self._ticks += 1
         checks_idle = self._ticks % TICKS_PER_IDLE_CHECK == 0
         for key, dialer in tuple(self._dialers.items()):
-            # Most links have nothing outstanding; at the size of two years there are 930.
+            # Skips most of the links, which may be hundreds without outstanding exchanges.
             if not (late or checks_idle or dialer.in_use):
                 continue
             dialer.tick(now_ms, late)
@@ -151,11 +151,11 @@
     def _on_notice(self, peer: Peer, frame: Frame) -> None:
         notice = self._notices.receive(peer, frame)
         if isinstance(notice, Status):
-            self._statuses.note(peer.hello, notice, self._app.clock.now_ms())
+            self._statuses.record(peer.hello, notice, self._app.clock.now_ms())
             self._status.call(peer.hello, notice)
 
     def _on_load(self, name: str, incarnation: int, load: int) -> None:
-        self._statuses.note_load(name, incarnation, load, self._app.clock.now_ms())
+        self._statuses.record_load(name, incarnation, load, self._app.clock.now_ms())
 
     async def _async_stop(self) -> None:
         for dialer in self._dialers.values():
--- a/gypsumrouter/link/status.py
+++ b/gypsumrouter/link/status.py
@@ -1,4 +1,4 @@
-"""Status notices: a server's own word at a bounded rate, and what a pool has heard."""
+"""Status notices: publishes a server's status at a bounded rate, and caches those received."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.core import Application
-from gypsumrouter.link.connection import Connection, LoadMark
+from gypsumrouter.link.connection import Connection, ReportedLoad
 from gypsumrouter.link.const import (
     STATUS_BYTES_S,
     STATUS_INTERVAL_MS,
-    STATUS_KEPT_MS,
-    STATUS_SQUARE_BYTES_S,
+    STATUS_MESH_BYTES_S,
+    STATUS_RETENTION_MS,
 )
 from gypsumrouter.link.frames import HEADER_BYTES
 from gypsumrouter.link.models import Hello, Status
@@ -22,7 +22,7 @@
 
 
 class StatusView(Struct, frozen=True, kw_only=True):
-    """The last word of another process, how old it is, and the incarnation that said it."""
+    """The last status of another process, its age, and the incarnation that sent it."""
 
     status: Status
     age_ms: int
@@ -30,24 +30,32 @@
 
 
 class StatusPublisher:
-    """Send a process's status on its open links.
+    """Sends a process's status over its open links.
 
-    All links together get no more than a set number of bytes a second, fewer where there are very
-    many, and each no more than one status in 100 ms; a change of `leaving` or `ready` goes out at
-    once. Between them the load travels on what is sent for answers anyway.
+    The total rate over all links is limited, more strictly if there are very many links, and each
+    link gets at most one status per `STATUS_INTERVAL_MS`. A change of `leaving` or `ready` is sent
+    immediately. Between two statuses the load is reported in the headers of answer frames.
     """
 
-    __slots__ = ("_app", "_connections", "_current", "_load_mark", "_pending", "_sent", "_sent_ms")
+    __slots__ = (
+        "_app",
+        "_connections",
+        "_current",
+        "_pending",
+        "_reported_load",
+        "_sent",
+        "_sent_ms",
+    )
 
     def __init__(
         self,
         *,
         app: Application,
         connections: Callable[[], Iterable[Connection]],
-        load_mark: LoadMark,
+        reported_load: ReportedLoad,
     ) -> None:
         self._app = app
-        self._load_mark = load_mark
+        self._reported_load = reported_load
         self._connections = connections
         self._current: Status | None = None
         self._sent: Status | None = None
@@ -55,10 +63,10 @@
         self._pending = False
 
     def publish(self, status: Status) -> None:
-        """Take a new status and send it now or as soon as the rate allows."""
+        """Set the status and send it as soon as the rate limit allows."""
         before = self._current
         self._current = status
-        self._load_mark.set(status.load)
+        self._reported_load.set(status.load)
         if before is None or _is_urgent(before, status):
             self._send()
             return
@@ -67,8 +75,8 @@
         self._pending = True
         self._app.async_create_task(self._async_send_later(), "link status")
 
-    def greet(self, connection: Connection) -> None:
-        """Send the status on a new link."""
+    def send_initial(self, connection: Connection) -> None:
+        """Send the current status over a new link."""
         if self._current is None:
             return
         kind, body = encode_notice(self._current)
@@ -87,7 +95,7 @@
         size = HEADER_BYTES + len(encode_notice(self._current)[1])
         links = sum(1 for _ in self._connections())
         own_ms = links * size * MS_PER_S // STATUS_BYTES_S
-        peers_ms = links * links * size * MS_PER_S // STATUS_SQUARE_BYTES_S
+        peers_ms = links * links * size * MS_PER_S // STATUS_MESH_BYTES_S
         return max(STATUS_INTERVAL_MS, own_ms, peers_ms)
 
     def _send(self) -> None:
@@ -100,36 +108,38 @@
         self._sent_ms = self._app.clock.now_ms()
 
 
-class StatusBook:
-    """What a pool has heard of each process, by name."""
+class StatusCache:
+    """The last status of each process, by name."""
 
     __slots__ = ("_entries",)
 
     def __init__(self) -> None:
         self._entries: dict[str, tuple[Status, int, int]] = {}
 
-    def note(self, hello: Hello, status: Status, now_ms: int) -> None:
-        """Take a status in."""
+    def record(self, hello: Hello, status: Status, now_ms: int) -> None:
+        """Record a status that was received."""
         self._entries[hello.name] = (status, now_ms, hello.incarnation)
 
-    def note_load(self, name: str, incarnation: int, load: int, now_ms: int) -> None:
-        """Take in the load that came with an answer; the rest of the status stays as it was."""
+    def record_load(self, name: str, incarnation: int, load: int, now_ms: int) -> None:
+        """Record a load reported in an answer frame; the other fields of the status are kept."""
         entry = self._entries.get(name)
         if entry is None or entry[2] != incarnation:
             return
         self._entries[name] = (replace(entry[0], load=load), now_ms, incarnation)
 
     def get(self, name: str, now_ms: int) -> StatusView | None:
-        """Return the last status of a process."""
+        """Return the last status of a process, or None."""
         entry = self._entries.get(name)
         if entry is None:
             return None
-        status, heard_ms, incarnation = entry
-        return StatusView(status=status, age_ms=now_ms - heard_ms, incarnation=incarnation)
+        status, received_ms, incarnation = entry
+        return StatusView(status=status, age_ms=now_ms - received_ms, incarnation=incarnation)
 
     def sweep(self, now_ms: int) -> None:
-        """Forget what is too old to say anything."""
-        old = [name for name, entry in self._entries.items() if now_ms - entry[1] > STATUS_KEPT_MS]
+        """Remove expired statuses."""
+        old = [
+            name for name, entry in self._entries.items() if now_ms - entry[1] > STATUS_RETENTION_MS
+        ]
         for name in old:
             del self._entries[name]
 
--- a/gypsumrouter/orders/table.py
+++ b/gypsumrouter/orders/table.py
@@ -1,4 +1,4 @@
-"""Holdings received from the sides of the pool."""
+"""PoolStatus received from the sides of the pool."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from gypsumrouter.link.models import Holding
+from gypsumrouter.link.models import EngineStatus
 from gypsumrouter.orders.const import REFRESH_MS, REFRESH_MS_PER_MEMBER, STALE_AFTER_REFRESHES
 from gypsumrouter.util.clock import Clock
 
@@ -15,7 +15,7 @@
 class ReceivedHolding(Struct, frozen=True, kw_only=True):
     """The newest holding of a side and the monotonic time of its receipt."""
 
-    holding: Holding
+    holding: EngineStatus
     received_ms: int
 
 
@@ -53,7 +53,7 @@
         self._listed_since_ms = {name: self._listed_since_ms.get(name, now_ms) for name in names}
         self._drop_expired()
 
-    def record(self, holding: Holding) -> bool:
+    def record(self, holding: EngineStatus) -> bool:
         """Store a holding; return False if it is not newer, or its side is unknown."""
         known = self._entries.get(holding.name)
         if known is not None and known.holding.stamp_ms >= holding.stamp_ms:
@@ -78,7 +78,7 @@
             if name not in self._entries and now_ms - since_ms <= self._get_stale_ms()
         ]
 
-    def list_available(self) -> list[Holding]:
+    def list_available(self) -> list[EngineStatus]:
         """Return the fresh holdings of available engines, sorted by the names of their sides.
 
         If several sides report the same engine, only the first by name counts.
@@ -98,13 +98,13 @@
             if item.up and owners[item.engine] == item.name
         ]
 
-    def find_conflicting_side(self, own: Holding) -> str:
+    def find_conflicting_side(self, own: EngineStatus) -> str:
         """Return the side with precedence over `own` for the same engine, or an empty string."""
         names = (item.name for item in self.list_fresh() if item.engine == own.engine)
         first = min(names, default=own.name)
         return first if first < own.name else ""
 
-    def list_fresh(self) -> list[Holding]:
+    def list_fresh(self) -> list[EngineStatus]:
         """Return every holding that is not stale."""
         names = (*self._listed_since_ms, *self._list_recently_removed())
         return [self._entries[name].holding for name in names if self._is_fresh(name)]
@@ -141,7 +141,7 @@
         return STALE_AFTER_REFRESHES * self.refresh_ms
 
 
-def _mark_removed(holding: Holding) -> Holding:
+def _mark_removed(holding: EngineStatus) -> EngineStatus:
     """Return the holding of a recently removed side with no model serving."""
     models = tuple(replace(model, serving=False) for model in holding.models)
     return replace(holding, engine="", models=models)
--- a/gypsumrouter/suspicion/crashes.py
+++ b/gypsumrouter/suspicion/crashes.py
@@ -4,7 +4,7 @@
 
 from itertools import combinations
 
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion.const import (
     CRASH_TTL_MS,
@@ -57,7 +57,7 @@
         """Return the number of digests with a strike."""
         return len(self._by_digest)
 
-    def add(self, strike: SuspectNews) -> bool:
+    def add(self, strike: SuspectAnnouncement) -> bool:
         """Add a strike of a digest; return whether it was new."""
         self._expire()
         crash = self._get_or_create(strike.strike)
@@ -89,12 +89,12 @@
             return Clear()
         return Suspect()
 
-    def list_strikes(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
+    def list_strikes(self, digest: int | None = None) -> tuple[SuspectAnnouncement, ...]:
         """Return the strikes of a digest, or of all digests, as messages to other processes."""
         self._expire()
         crashes = self._crashes.values() if digest is None else self._by_digest.get(digest, ())
         return tuple(
-            SuspectNews(digest=item, strike=crash.crash_id, alone=crash.alone)
+            SuspectAnnouncement(digest=item, strike=crash.crash_id, alone=crash.alone)
             for crash in crashes
             for item in (crash.digests if digest is None else (digest,))
         )
--- a/tests/configuration/test_configuration_replicator.py
+++ b/tests/configuration/test_configuration_replicator.py
@@ -11,7 +11,7 @@
 from gypsumrouter.configuration.neighbours import list_ring_neighbours, list_watchers
 from gypsumrouter.const import Role
 from gypsumrouter.instances import Address, Instance
-from gypsumrouter.link.models import ConfigurationNews, PartsRequest
+from gypsumrouter.link.models import ConfigurationAnnouncement, ConfigurationPartsRequest
 
 MakeFleet = Callable[[int], FakeFleet]
 REPLICATION_MS = 5_000
@@ -54,8 +54,8 @@
     fleet.sent.clear()
     fleet.platform.publish(make_document(2, workspaces=4))
     await fleet.async_advance(REPLICATION_MS)
-    assert fleet.sent["ConfigurationNews"] <= 8 * 60
-    assert fleet.sent["Parts"] <= 3 * 60
+    assert fleet.sent["ConfigurationAnnouncement"] <= 8 * 60
+    assert fleet.sent["ConfigurationParts"] <= 3 * 60
 
 
 async def test_process_started_during_an_outage_fetches_from_a_peer(
@@ -187,11 +187,11 @@
     process = await fleet.async_start("router-0")
     faulty = await fleet.async_start("router-1")
 
-    def answer(peer: object, request: PartsRequest) -> None:
-        announcement = ConfigurationNews(version=9, digest=1)
+    def answer(peer: object, request: ConfigurationPartsRequest) -> None:
+        announcement = ConfigurationAnnouncement(version=9, digest=1)
         fleet.deliver("router-1", "router-0", announcement)
 
-    faulty.listeners[PartsRequest] = answer
+    faulty.listeners[ConfigurationPartsRequest] = answer
     await fleet.async_advance(REPLICATION_MS)
     assert process.version == 0
     fleet.platform.down = False
@@ -209,13 +209,13 @@
     other = await fleet.async_start("router-1")
     fleet.platform.publish(make_document(9))
     await other.store.async_offer(fleet.platform.documents[9])
-    fleet.deliver("router-1", "router-0", ConfigurationNews(version=9, digest=1))
-    other.listeners[PartsRequest] = lambda peer, request: peer.send(
-        ConfigurationNews(version=9, digest=1)
+    fleet.deliver("router-1", "router-0", ConfigurationAnnouncement(version=9, digest=1))
+    other.listeners[ConfigurationPartsRequest] = lambda peer, request: peer.send(
+        ConfigurationAnnouncement(version=9, digest=1)
         if request.version == 0
         else answer_parts_request(other.store, request)
     )
-    other.listeners[ConfigurationNews] = lambda peer, announcement: None
+    other.listeners[ConfigurationAnnouncement] = lambda peer, announcement: None
     await fleet.async_advance(REPLICATION_MS)
     assert process.version == 0
 
--- a/tests/gateway/gateway_fakes.py
+++ b/tests/gateway/gateway_fakes.py
@@ -24,7 +24,15 @@
 from gypsumrouter.gateway import Gateway
 from gypsumrouter.instances import Address, Instance, InstanceList
 from gypsumrouter.link import LinkPool
-from gypsumrouter.link.models import AnswerEvent, Data, End, Head, Open, PoolLoad, SuspectNews
+from gypsumrouter.link.models import (
+    AnswerEvent,
+    Data,
+    End,
+    Head,
+    Open,
+    PoolLoad,
+    SuspectAnnouncement,
+)
 from gypsumrouter.outcomes import Refused
 from gypsumrouter.placement import PlacementQuery
 from gypsumrouter.suspicion import Clear, Verdict
@@ -90,7 +98,7 @@
         self.awaited = False
         return event
 
-    def hand_to(self, writer: Callable[[bytes], bool]) -> None:
+    def set_consumer(self, writer: Callable[[bytes], bool]) -> None:
         self.writer = writer
 
     def confirm(self, offset: int) -> None:
@@ -124,7 +132,7 @@
     def __init__(self) -> None:
         self.scripts: dict[str, list[Script]] = {}
         self.opened: list[tuple[str, Open]] = []
-        self.sent_notices: list[tuple[str, SuspectNews]] = []
+        self.sent_notices: list[tuple[str, SuspectAnnouncement]] = []
         self.exchanges: list[FakeExchange] = []
         self.was_opened = asyncio.Event()
 
@@ -140,7 +148,7 @@
         self.was_opened.set()
         return exchange
 
-    async def async_send(self, *, instance: Instance, notice: SuspectNews) -> bool:
+    async def async_send(self, *, instance: Instance, notice: SuspectAnnouncement) -> bool:
         self.sent_notices.append((instance.name, notice))
         return True
 
@@ -212,12 +220,12 @@
 class FakeSuspicion:
     def __init__(self) -> None:
         self.verdict: Verdict = Clear()
-        self.strikes: tuple[SuspectNews, ...] = ()
+        self.strikes: tuple[SuspectAnnouncement, ...] = ()
 
     def check(self, digest: int) -> Verdict:
         return self.verdict
 
-    def list_strikes(self, digest: int) -> tuple[SuspectNews, ...]:
+    def list_strikes(self, digest: int) -> tuple[SuspectAnnouncement, ...]:
         return self.strikes
 
 
--- a/tests/gateway/test_gateway_retries.py
+++ b/tests/gateway/test_gateway_retries.py
@@ -5,7 +5,7 @@
 import pytest
 from gateway_fakes import ENGINES, HEAD_JSON, RECORDS, RouterHarness, Script, complete_answer
 
-from gypsumrouter.link.models import Data, SuspectNews
+from gypsumrouter.link.models import Data, SuspectAnnouncement
 from gypsumrouter.outcomes import Failed, Reason, Refused
 from gypsumrouter.suspicion import Suspect, select_isolation_instances
 
@@ -83,7 +83,7 @@
     isolation_instance = select_isolation_instances("engines", router.fleet.members("engines"))[
         0
     ].name
-    strike = SuspectNews(digest=1, strike=2, alone=False)
+    strike = SuspectAnnouncement(digest=1, strike=2, alone=False)
     router.suspicion.verdict, router.suspicion.strikes = Suspect(), (strike,)
     busy = Refused(reason=Reason.SUSPECT_ISOLATED, elsewhere=True, retry_after_ms=1_000)
     router.links.script(*ENGINES, with_=busy)
--- a/tests/link/test_link_hostile_input.py
+++ b/tests/link/test_link_hostile_input.py
@@ -1,4 +1,4 @@
-"""Frames and messages that no honest peer sends: a clear close, no crash, no hang."""
+"""Malformed input must close the connection with a reason, and must not crash or block a server."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from gypsumrouter.link.const import MAX_FRAME_BYTES, Kind
 from gypsumrouter.link.counts import ByteCounts
 from gypsumrouter.link.frames import HEADER, FrameError, FrameReader, pack_frame
-from gypsumrouter.link.handshake import async_greet, make_greeting
+from gypsumrouter.link.handshake import async_dialer_handshake, make_greeting
 from gypsumrouter.util.clock import SystemClock
 
 KINDS = st.integers(0, 255) | st.sampled_from([int(kind) for kind in Kind])
@@ -43,7 +43,7 @@
 
 
 class RawConnection(Connection):
-    """A connection whose bytes a test writes itself."""
+    """A connection over which a test can write arbitrary bytes."""
 
     __slots__ = ()
 
@@ -57,20 +57,22 @@
     return await asyncio.open_connection(target.host, target.port)
 
 
-async def _async_connect_proved(pair: Pair) -> RawConnection:
-    """Return a connection that went through the handshake, for frames of the test's own."""
+async def _async_connect_authenticated(pair: Pair) -> RawConnection:
+    """Return a connection that has completed the handshake."""
     app = make_app("router-9", Role.ROUTER)
     target = pair.require_target()
     _, connection = await asyncio.get_running_loop().create_connection(
         lambda: RawConnection(clock=SystemClock(), counts=ByteCounts()), target.host, target.port
     )
     greeting = make_greeting(app=app, attempt=1, window_bytes=1_000)
-    await async_greet(connection=connection, greeting=greeting, key=KEY, expected_name="side-1")
+    await async_dialer_handshake(
+        connection=connection, greeting=greeting, key=KEY, expected_name="side-1"
+    )
     return connection
 
 
 async def _async_read_goodbye(connection: Connection) -> str | None:
-    """Read to the end and return why the server closed."""
+    """Read until the connection is closed; return the reason in the GOODBYE frame, if any."""
     text = None
     with contextlib.suppress(FrameError):
         while (frame := await connection.async_read()) is not None:
@@ -79,7 +81,7 @@
     return text
 
 
-async def _async_check_still_serves(pair: Pair) -> None:
+async def _async_check_server_works(pair: Pair) -> None:
     body, end = await async_read_answer(await pair.async_exchange())
     assert (body, isinstance(end, End)) == (b"hello {}", True)
     assert pair.server_app.fatal is None
@@ -87,7 +89,7 @@
 
 @given(data=RAW)
 @settings(derandomize=True, deadline=None, max_examples=60)
-def test_any_bytes_from_strangers_are_closed_and_others_are_served(data: bytes) -> None:
+def test_random_bytes_from_unauthenticated_peers_do_not_affect_other_links(data: bytes) -> None:
     async def async_run() -> None:
         async with linked(settings=replace(SETTINGS, connect_ms=200)) as pair:
             reader, writer = await _async_connect_raw(pair)
@@ -95,28 +97,28 @@
             with contextlib.suppress(OSError):
                 await reader.read()
             writer.close()
-            await _async_check_still_serves(pair)
+            await _async_check_server_works(pair)
 
     asyncio.run(async_run())
 
 
 @given(data=RAW)
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_any_frames_from_a_proved_peer_end_in_a_close_that_says_why(data: bytes) -> None:
+def test_random_frames_from_an_authenticated_peer_are_answered_with_goodbye(data: bytes) -> None:
     async def async_run() -> None:
         async with linked() as pair:
-            connection = await _async_connect_proved(pair)
+            connection = await _async_connect_authenticated(pair)
             connection.write_raw(data)
             connection.write_raw(pack_frame(Kind.HELLO, 0, 0, b""))
             assert await _async_read_goodbye(connection)
-            await _async_check_still_serves(pair)
+            await _async_check_server_works(pair)
 
     asyncio.run(async_run())
 
 
 @given(data=st.binary(max_size=300), cuts=st.lists(st.integers(0, 300), max_size=5))
 @settings(derandomize=True, deadline=None)
-def test_a_reader_gives_the_same_frames_however_the_bytes_are_cut(
+def test_frame_reader_returns_the_same_frames_for_any_chunking(
     data: bytes, cuts: list[int]
 ) -> None:
     frames = [pack_frame(Kind.DATA, 0, index, data[index:]) for index in range(3)]
@@ -135,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    ("frame", "words"),
+    ("frame", "expected"),
     [
         (HEADER.pack(MAX_FRAME_BYTES + 1, Kind.OPEN, 0, 0, 1), "longer than"),
         (HEADER.pack(0, 99, 0, 0, 1), "unknown kind"),
@@ -147,19 +149,17 @@
         (pack_frame(Kind.HEAD, 0, 1, b""), "no notice"),
     ],
 )
-async def test_a_malformed_frame_closes_the_link_with_a_clear_error(
-    frame: bytes, words: str
-) -> None:
+async def test_malformed_frame_closes_the_link_with_a_reason(frame: bytes, expected: str) -> None:
     async with linked() as pair:
-        connection = await _async_connect_proved(pair)
+        connection = await _async_connect_authenticated(pair)
         connection.write_raw(frame)
         text = await _async_read_goodbye(connection)
         assert text is not None
-        assert words in text
-        await _async_check_still_serves(pair)
+        assert expected in text
+        await _async_check_server_works(pair)
 
 
-async def test_a_stranger_cannot_make_the_server_keep_a_long_frame() -> None:
+async def test_long_frame_before_authentication_is_rejected() -> None:
     async with linked() as pair:
         reader, writer = await _async_connect_raw(pair)
         writer.write(HEADER.pack(MAX_FRAME_BYTES, Kind.HELLO, 0, 0, 0))
@@ -167,14 +167,14 @@
         writer.close()
 
 
-async def test_a_silent_stranger_is_closed_when_the_handshake_takes_too_long() -> None:
+async def test_connection_is_closed_on_handshake_timeout() -> None:
     async with linked(settings=replace(SETTINGS, connect_ms=50)) as pair:
         reader, writer = await _async_connect_raw(pair)
         assert await reader.read() == b""
         writer.close()
 
 
-async def test_a_wrong_key_is_logged_once_for_each_peer(
+async def test_wrong_key_is_logged_once_for_each_peer(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async with linked(pool_key=b"another key, not the fleet's") as pair:
@@ -186,7 +186,7 @@
         assert "key" in lines[0].getMessage()
 
 
-async def test_a_dialer_that_proves_nothing_is_logged_once_and_never_served(
+async def test_dialer_with_invalid_proof_is_logged_once_and_not_served(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     app = make_app("router-9", Role.ROUTER)
@@ -202,6 +202,6 @@
             writer.close()
         lines = [record for record in caplog.records if record.levelno >= logging.WARNING]
         assert [line.getMessage() for line in lines] == [
-            "A process at 127.0.0.1 tried to link with a wrong key"
+            "Rejected a link from 127.0.0.1: its proof does not match the link key"
         ]
         assert pair.server_app.dump()["link"]["server"]["routers"] == []  # type: ignore[index]
--- a/tests/suspicion/test_suspicion_strikes.py
+++ b/tests/suspicion/test_suspicion_strikes.py
@@ -7,7 +7,7 @@
 
 from gypsumrouter.const import Role
 from gypsumrouter.fleet import Address, Instance
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion import Clear, Suspect, select_isolation_instances
 from gypsumrouter.suspicion.const import CRASH_TTL_MS, MAX_CRASHES, PROOF_TTL_MS
@@ -115,7 +115,7 @@
 
 def test_repeated_strike_is_announced_once() -> None:
     process = FakeProcess()
-    strike = SuspectNews(digest=1, strike=2, alone=False)
+    strike = SuspectAnnouncement(digest=1, strike=2, alone=False)
     process.receive(strike, strike)
     assert process.announced == [strike]
     assert process.suspicion.list_strikes(1) == (strike,)
