--- a/bench/light_peers.py
+++ b/bench/light_peers.py
@@ -13,7 +13,8 @@
 from gypsumrouter.instances import Address, Instance
 from gypsumrouter.link import (
     Answer,
-    ConfigurationNews,
+    ConfigurationAnnouncement,
+    ConfigurationPartsRequest,
     Data,
     End,
     Head,
@@ -22,7 +23,6 @@
     LinkServer,
     NoticeHub,
     Open,
-    PartsRequest,
     Peer,
     Status,
 )
@@ -52,9 +52,9 @@
             answer_memory_bytes=ANSWER_MEMORY_BYTES,
         )
         self.load = 0
-        self._configuration = ConfigurationNews(version=0, digest=0)
-        self.notices.subscribe(ConfigurationNews, self._handle_announcement)
-        self.notices.subscribe(PartsRequest, self._handle_parts_request)
+        self._configuration = ConfigurationAnnouncement(version=0, digest=0)
+        self.notices.subscribe(ConfigurationAnnouncement, self._handle_announcement)
+        self.notices.subscribe(ConfigurationPartsRequest, self._handle_parts_request)
 
     async def async_start(self) -> Address:
         """Start the link listener and return its address."""
@@ -89,11 +89,11 @@
             self.load -= 1
         answer.end()
 
-    def _handle_announcement(self, _peer: Peer, announcement: ConfigurationNews) -> None:
+    def _handle_announcement(self, _peer: Peer, announcement: ConfigurationAnnouncement) -> None:
         if announcement.version > self._configuration.version:
             self._configuration = announcement
 
-    def _handle_parts_request(self, peer: Peer, _request: PartsRequest) -> None:
+    def _handle_parts_request(self, peer: Peer, _request: ConfigurationPartsRequest) -> None:
         peer.send(self._configuration)
 
 
@@ -125,7 +125,9 @@
     async def async_open_links(self) -> None:
         """Open the link of each router to the side."""
         for peer in self._peers:
-            await peer.pool.async_send(instance=self._target, notice=PartsRequest(version=0))
+            await peer.pool.async_send(
+                instance=self._target, notice=ConfigurationPartsRequest(version=0)
+            )
 
     def start_requests(self, *, count: int, tokens: int) -> None:
         """Start `count` requests at once, distributed round robin over the routers."""
--- a/gypsumrouter/bootstrap.py
+++ b/gypsumrouter/bootstrap.py
@@ -26,7 +26,7 @@
 from gypsumrouter.running_exchanges import RunningExchanges
 from gypsumrouter.running_process import RunningProcess
 from gypsumrouter.settings import Link, LinkedSettings, RouterSettings, SideSettings, read_link_key
-from gypsumrouter.suspect_gossip import ListNames, SendTo, SuspectGossip
+from gypsumrouter.suspect_news import ListNames, SendTo, SuspectGossip
 from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import EngineClient, UpstreamClient, make_client
 from gypsumrouter.util.clock import Clock
@@ -277,7 +277,7 @@
         if status.leaving:
             fleet.record_leaving(hello.name, hello.incarnation)
 
-    links.on_contact(fleet.record_contact)
+    links.on_connect_attempt(fleet.record_contact)
     links.on_status(take_status)
 
 
--- a/gypsumrouter/configuration/fetch.py
+++ b/gypsumrouter/configuration/fetch.py
@@ -15,7 +15,13 @@
 from gypsumrouter.configuration.parts import matches_manifest_digest, unpack_part
 from gypsumrouter.configuration.store import ConfigurationStore
 from gypsumrouter.configuration.waiting import async_wait
-from gypsumrouter.link.models import ConfigurationNews, Hello, Notice, Parts, PartsRequest
+from gypsumrouter.link.models import (
+    ConfigurationAnnouncement,
+    ConfigurationParts,
+    ConfigurationPartsRequest,
+    Hello,
+    Notice,
+)
 
 if TYPE_CHECKING:
     from gypsumrouter.core import Application
@@ -59,7 +65,7 @@
     def __init__(self, *, app: Application, store: ConfigurationStore) -> None:
         self._app = app
         self._store = store
-        self._target: ConfigurationNews | None = None
+        self._target: ConfigurationAnnouncement | None = None
         self._peers: dict[str, PeerLink] = {}
         self._received = asyncio.Event()
         self._manifest: tuple[int, ...] = ()
@@ -69,7 +75,7 @@
         self.fetched = 0
         self.received_bytes = 0
 
-    def handle_announcement(self, peer: PeerLink, announcement: ConfigurationNews) -> None:
+    def handle_announcement(self, peer: PeerLink, announcement: ConfigurationAnnouncement) -> None:
         """Record that a peer has a version; fetch it if it is newer than the one in force."""
         if (
             announcement.version <= self._store.current.version
@@ -88,7 +94,7 @@
             self._running = True
             self._app.async_create_task(self._async_fetch_all(), "configuration fetch")
 
-    def handle_parts(self, parts: Parts) -> None:
+    def handle_parts(self, parts: ConfigurationParts) -> None:
         """Store the manifest and the missing parts of the version that is being fetched."""
         target = self._target
         if target is None or parts.version != target.version:
@@ -114,7 +120,7 @@
         finally:
             self._running = False
 
-    async def _async_fetch(self, announcement: ConfigurationNews) -> bool:
+    async def _async_fetch(self, announcement: ConfigurationAnnouncement) -> bool:
         """Fetch one version from the peers that have it; return whether the store decided on it."""
         self._manifest = ()
         while self._target is announcement and self._peers:
@@ -126,12 +132,14 @@
                 return True
         return False
 
-    async def _async_fetch_from(self, peer: PeerLink, announcement: ConfigurationNews) -> bool:
+    async def _async_fetch_from(
+        self, peer: PeerLink, announcement: ConfigurationAnnouncement
+    ) -> bool:
         while self._target is announcement:
             missing = self._list_missing()
             if self._manifest and not missing:
                 return True
-            request = PartsRequest(
+            request = ConfigurationPartsRequest(
                 version=announcement.version, parts=missing[:MAX_PARTS_PER_REQUEST]
             )
             if not await self._async_request_parts(peer, request):
@@ -142,7 +150,9 @@
                 return False
         return False
 
-    async def _async_request_parts(self, peer: PeerLink, request: PartsRequest) -> bool:
+    async def _async_request_parts(
+        self, peer: PeerLink, request: ConfigurationPartsRequest
+    ) -> bool:
         """Request parts and wait for them; return whether a manifest or a missing part arrived."""
         before = (bool(self._manifest), len(self._bodies))
         self._received.clear()
@@ -151,7 +161,7 @@
         await async_wait(self._received, clock=self._app.clock, timeout_ms=FETCH_TIMEOUT_MS)
         return (bool(self._manifest), len(self._bodies)) != before
 
-    async def _async_apply(self, announcement: ConfigurationNews) -> bool:
+    async def _async_apply(self, announcement: ConfigurationAnnouncement) -> bool:
         outcome = await self._store.async_offer_parts(
             version=announcement.version, manifest=self._manifest, bodies=self._bodies
         )
@@ -185,8 +195,8 @@
 
 
 def answer_parts_request(
-    store: ConfigurationStore, request: PartsRequest
-) -> ConfigurationNews | Parts:
+    store: ConfigurationStore, request: ConfigurationPartsRequest
+) -> ConfigurationAnnouncement | ConfigurationParts:
     """Return the requested parts that are available, up to the size limit of one message.
 
     A request for version 0, or for a version that is not in force, is answered with the version
@@ -194,9 +204,9 @@
     """
     current = store.parts
     if request.version != current.version or current.version == 0:
-        return ConfigurationNews(version=current.version, digest=current.digest)
+        return ConfigurationAnnouncement(version=current.version, digest=current.digest)
     if not request.parts:
-        return Parts(version=current.version, manifest=current.manifest)
+        return ConfigurationParts(version=current.version, manifest=current.manifest)
     bodies: list[bytes] = []
     size = 0
     for digest in request.parts[:MAX_PARTS_PER_REQUEST]:
@@ -207,4 +217,4 @@
         if bodies and size > MAX_PARTS_MESSAGE_BYTES:
             break
         bodies.append(part.body)
-    return Parts(version=current.version, parts=tuple(bodies))
+    return ConfigurationParts(version=current.version, parts=tuple(bodies))
--- a/gypsumrouter/exchange/at_most_once.py
+++ b/gypsumrouter/exchange/at_most_once.py
@@ -19,7 +19,7 @@
 from gypsumrouter.link.models import Head, Open
 from gypsumrouter.outcomes import Failed, Failure, Reason, Refused
 
-_RETRY_REASONS = frozenset({Reason.CANCELLED, Reason.DEADLINE, Reason.TARGET_HOPELESS})
+_RETRY_REASONS = frozenset({Reason.CANCELLED, Reason.DEADLINE, Reason.TARGET_UNATTAINABLE})
 
 
 class AtMostOnceContext(Struct, frozen=True, kw_only=True):
--- a/gypsumrouter/exchange/checks.py
+++ b/gypsumrouter/exchange/checks.py
@@ -66,7 +66,7 @@
         if request.model in self._client.models:
             return None
         return Refused(
-            reason=Reason.MODEL_NOT_HELD,
+            reason=Reason.MODEL_NOT_LOADED,
             message=f"model {request.model} is not held here",
             retry_after_ms=RETRY_AFTER_MS,
             elsewhere=True,
--- a/gypsumrouter/forwarding/attempt.py
+++ b/gypsumrouter/forwarding/attempt.py
@@ -23,10 +23,10 @@
     Unreachable,
 )
 from gypsumrouter.helpers.http_connection import (
-    Answer,
     ConnectFailed,
     ConnectionBroken,
     HttpConnection,
+    HttpResponse,
 )
 
 STATUS_OK: Final = 200
@@ -102,7 +102,7 @@
             return Unreachable(reason="there is no connection")
         payload = self._dialect.write_request(request=self._request, options=self.options)
         try:
-            connection.begin(method=self._request.method, data=payload)
+            connection.send_request(method=self._request.method, data=payload)
         except ConnectionBroken as error:
             return Unreachable(reason=str(error))
         self.sent = True
@@ -121,7 +121,7 @@
         if connection is None:
             return
         if self.metadata is not None:
-            connection.keep_ms = self.metadata.keep_alive_ms
+            connection.keep_alive_ms = self.metadata.keep_alive_ms
         self._pool.release(self.entry, connection)
 
     def close(self) -> None:
@@ -160,10 +160,10 @@
             answer=answer, status=answer.status, signed=metadata.signed, body=body
         )
 
-    async def _async_read_matching(self, connection: HttpConnection) -> Answer:
+    async def _async_read_matching(self, connection: HttpConnection) -> HttpResponse:
         """Return the response to this request; responses to other requests are skipped."""
         while True:
-            answer = await connection.async_read_answer()
+            answer = await connection.async_read_response()
             metadata = self._dialect.read_response_head(answer)
             # A response to another request still describes this upstream's state. A misdirected
             # request was answered by another upstream at the same address.
@@ -178,14 +178,14 @@
                 raise ConnectionBroken("response without a request id on a reused connection")
             await answer.body.read()
 
-    def _release_or_close(self, answer: Answer) -> None:
+    def _release_or_close(self, answer: HttpResponse) -> None:
         if answer.message.should_close:
             self.close()
         else:
             self.release()
 
 
-async def _async_read_buffered(answer: Answer) -> tuple[bytes, bool]:
+async def _async_read_buffered(answer: HttpResponse) -> tuple[bytes, bool]:
     """Read a body up to the buffer limit; return the bytes and whether it is complete."""
     parts: list[bytes] = []
     size = 0
--- a/gypsumrouter/forwarding/execution.py
+++ b/gypsumrouter/forwarding/execution.py
@@ -123,7 +123,7 @@
         while True:
             if self._is_suspect():
                 message = "Upstreams broke off while they ran the same request"
-                return self._refuse(Reason.SUSPECT_BUSY, message)
+                return self._refuse(Reason.SUSPECT_ISOLATED, message)
             placement = self._context.placer.place(
                 service=self._service,
                 prompt=self._request.prompt,
--- a/gypsumrouter/gateway/dispatch.py
+++ b/gypsumrouter/gateway/dispatch.py
@@ -140,7 +140,7 @@
                         exchange.cancel()
                         return Failed(reason=Reason.UPSTREAM_PROTOCOL)
                     head_received = True
-                    exchange.hand_to(reply.write_nowait)
+                    exchange.set_consumer(reply.write_nowait)
                 case End():
                     if not head_received:
                         return Failed(reason=Reason.CORRUPTED)
--- a/gypsumrouter/helpers/http_connection.py
+++ b/gypsumrouter/helpers/http_connection.py
@@ -1,8 +1,8 @@
-"""A client's HTTP/1.1 connection that carries one exchange at a time.
+"""HTTP/1.1 client connection that carries one exchange at a time.
 
-The HTTP library parses; what is ours is knowing what was sent, whom an answer belongs to, and
-whether the connection may be used again. The library's own client sends some requests twice by
-itself and takes bytes that were left over from one answer for the beginning of the next.
+Parsing is done by aiohttp. This module tracks what was sent, which request a response belongs to,
+and whether the connection can be reused. The client of aiohttp is not used because it retries some
+requests by itself and parses surplus bytes of one response as the start of the next.
 """
 
 from __future__ import annotations
@@ -18,24 +18,23 @@
 from aiohttp.streams import StreamReader
 
 from gypsumrouter.const import MS_PER_S
-from gypsumrouter.helpers.silence import set_silence_limits
+from gypsumrouter.helpers.keepalive import set_keepalive_options
 from gypsumrouter.instances import Address
 
 READ_BUFFER_BYTES: Final = 64 * 1024
 MAX_HEAD_BYTES: Final = 32 * 1024
 METHOD_HEAD: Final = "HEAD"
-# A body without a length ends with its connection. An upstream that dies on the way also closes it
-# first and resets it a moment later: 0.1 ms in 25 of 25 observed cases, 10 ms leaves room for a
-# path between data centres.
+# A body without a length ends when the connection is closed. An upstream that crashes also closes
+# its connection and resets it shortly after; only the reset shows that the body is incomplete.
 RESET_WAIT_MS: Final = 10
 STATUS_CONTINUE: Final = 100
 STATUS_SUCCESS: Final = 200
 
 
 class ConnectFailed(Exception):
-    """No connection could be made, so nothing was sent.
+    """The connection could not be established, so nothing was sent.
 
-    `refused` says that the other machine answered that nobody listens there.
+    `refused` is set if the host refused the connection because nothing listens on the port.
     """
 
     def __init__(self, message: str, *, refused: bool = False) -> None:
@@ -44,11 +43,11 @@
 
 
 class ConnectionBroken(Exception):
-    """The connection broke off, or carried what is no answer."""
+    """The connection was lost or carried a malformed response."""
 
 
-class Answer:
-    """The head of an answer and the reader of its body."""
+class HttpResponse:
+    """Head of a response and the reader of its body."""
 
     __slots__ = ("body", "message")
 
@@ -62,23 +61,23 @@
         return int(self.message.code)
 
     def get(self, name: str) -> str | None:
-        """Return a header's value."""
+        """Return the value of a header, or None."""
         return self.message.headers.get(name)
 
 
 class HttpConnection(BaseProtocol):
-    """One connection; after `begin` the answers come from `async_read_answer` in their order."""
+    """One connection; after `send_request`, `async_read_response` returns the response."""
 
     __slots__ = (
-        "_answers",
         "_body",
         "_broken",
         "_parsing",
+        "_responses",
         "_waiter",
         "address",
         "exchanges",
         "idle_since_ms",
-        "keep_ms",
+        "keep_alive_ms",
     )
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop, address: Address) -> None:
@@ -86,9 +85,9 @@
         self.address = address
         self.exchanges = 0
         self.idle_since_ms = 0
-        # How long the peer keeps an idle connection, where it said so.
-        self.keep_ms: int | None = None
-        self._answers: deque[Answer] = deque()
+        # Idle timeout that the peer announced in its Keep-Alive header, if any.
+        self.keep_alive_ms: int | None = None
+        self._responses: deque[HttpResponse] = deque()
         self._body: StreamReader | None = None
         self._broken: str | None = None
         self._parsing = False
@@ -96,25 +95,25 @@
 
     @property
     def reusable(self) -> bool:
-        """Return whether the last exchange is over and left nothing behind."""
+        """Return whether the last exchange is complete and the connection is open and clean."""
         return (
             self._broken is None
             and self.transport is not None
             and not self.transport.is_closing()
-            and not self._answers
+            and not self._responses
             and (self._body is None or self._body.is_eof())
             and self.transport.get_write_buffer_size() == 0
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Let the kernel find a silent path by itself."""
+        """Set the keepalive options of the socket, so that the kernel detects dead peers."""
         super().connection_made(transport)
         connection = transport.get_extra_info("socket")
         if connection is not None:
-            set_silence_limits(connection)
+            set_keepalive_options(connection)
 
-    def begin(self, *, method: str, data: bytes) -> None:
-        """Write a whole request; raises ConnectionBroken when nothing can be written."""
+    def send_request(self, *, method: str, data: bytes) -> None:
+        """Write a complete request; raises ConnectionBroken if the connection is closed."""
         transport = self.transport
         if self._broken is not None or transport is None or transport.is_closing():
             raise ConnectionBroken(self._broken or "the connection is closed")
@@ -133,13 +132,13 @@
         self._body = None
         transport.write(data)
 
-    async def async_read_answer(self) -> Answer:
-        """Return the next answer; raises ConnectionBroken. Interim answers are passed over."""
+    async def async_read_response(self) -> HttpResponse:
+        """Return the next final response, skipping interim ones; raises ConnectionBroken."""
         while True:
-            while self._answers:
-                answer = self._answers.popleft()
-                if not STATUS_CONTINUE <= answer.status < STATUS_SUCCESS:
-                    return answer
+            while self._responses:
+                response = self._responses.popleft()
+                if not STATUS_CONTINUE <= response.status < STATUS_SUCCESS:
+                    return response
             if self._broken is not None:
                 raise ConnectionBroken(self._broken)
             self._waiter = self._loop.create_future()
@@ -149,41 +148,41 @@
                 self._waiter = None
 
     def finish(self) -> None:
-        """End an exchange whose answer was read whole; the connection may be reused."""
+        """End an exchange after its response was read completely."""
         self._parsing = False
         self._parser = None
 
     def close(self) -> None:
-        """Close the connection; nothing of it can be used any more."""
-        self._break("closed")
+        """Abort the connection."""
+        self._mark_broken("closed")
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrives; bytes that belong to no exchange spoil the connection."""
+        """Parse received bytes; bytes outside an exchange invalidate the connection."""
         if not self._parsing or self._parser is None:
             if data:
-                self._spoil("bytes that belong to no request")
+                self._invalidate("bytes that belong to no request")
             return
         try:
             messages, upgraded, tail = self._parser.feed_data(data)
         except HttpProcessingError as error:
-            self._spoil(f"no HTTP: {type(error).__name__}")
+            self._invalidate(f"no HTTP: {type(error).__name__}")
             return
-        except Exception as error:  # the parser reports a wrong body through its own errors
-            self._spoil(f"no HTTP: {error!r}")
+        except Exception as error:  # the parser raises various errors for a malformed body
+            self._invalidate(f"no HTTP: {error!r}")
             return
         for message, body in messages:
-            self._answers.append(Answer(message=message, body=body))
+            self._responses.append(HttpResponse(message=message, body=body))
             self._body = body
         if upgraded or tail:
-            self._spoil("bytes after the answer")
+            self._invalidate("bytes after the answer")
             return
         if messages:
             self._wake()
 
     def eof_received(self) -> bool:
-        """Wait for a reset before a body without a length counts as whole."""
+        """Wait for a possible reset before a body without a length counts as complete."""
         body = self._body
         if body is None or body.is_eof() or not self._parsing:
             return False
@@ -191,20 +190,20 @@
         return True
 
     def _close_unless_reset(self) -> None:
-        """Take the body for whole unless a reset followed; loops that stop to read don't tell."""
+        """Complete the body unless a reset followed; after EOF the loop may not report resets."""
         if self.transport is None:
             return
         connection = self.transport.get_extra_info("socket")
         if connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._spoil("reset after its end")
+            self._invalidate("reset after its end")
             return
         self.transport.close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End or break off the body that is being read."""
+        """Complete or fail the body that is being read."""
         super().connection_lost(None)
         self._end_body(exc)
-        self._break("closed by the peer" if exc is None else f"reset: {type(exc).__name__}")
+        self._mark_broken("closed by the peer" if exc is None else f"reset: {type(exc).__name__}")
 
     def _end_body(self, exc: BaseException | None) -> None:
         body = self._body
@@ -213,22 +212,22 @@
         if exc is None and self._parser is not None:
             try:
                 self._parser.feed_eof()
-            except Exception as error:  # an answer that ends before its length
+            except Exception as error:  # the body is shorter than its length
                 body.set_exception(ConnectionBroken(f"ended early: {type(error).__name__}"))
                 return
             if body.is_eof():
                 return
         body.set_exception(ConnectionBroken("broken off"))
 
-    def _spoil(self, reason: str) -> None:
+    def _invalidate(self, reason: str) -> None:
         body = self._body
         if body is not None and not body.is_eof() and body.exception() is None:
             body.set_exception(ConnectionBroken(reason))
-        self._break(reason)
+        self._mark_broken(reason)
         if self.transport is not None:
             self.transport.abort()
 
-    def _break(self, reason: str) -> None:
+    def _mark_broken(self, reason: str) -> None:
         if self._broken is None:
             self._broken = reason
         self._wake()
@@ -242,34 +241,34 @@
 async def async_connect(*, address: Address, timeout_ms: int) -> HttpConnection:
     """Return a new connection; raises ConnectFailed.
 
-    A connect that takes too long goes on alone and is closed unused: the event loop's library
-    closes a descriptor twice where a connect is cancelled half-way.
+    After a timeout or a cancellation the attempt continues in the background and its connection is
+    closed unused, because uvloop closes a file descriptor twice if an attempt is cancelled.
     """
     loop = asyncio.get_running_loop()
-    dialing = loop.create_task(_async_dial(loop, address))
+    connecting = loop.create_task(_async_open(loop, address))
     try:
-        done, _ = await asyncio.wait((dialing,), timeout=timeout_ms / MS_PER_S)
+        done, _ = await asyncio.wait((connecting,), timeout=timeout_ms / MS_PER_S)
     except asyncio.CancelledError:
-        dialing.add_done_callback(_close_unused)
+        connecting.add_done_callback(_close_unused)
         raise
     if not done:
-        dialing.add_done_callback(_close_unused)
+        connecting.add_done_callback(_close_unused)
         raise ConnectFailed(f"no connection within {timeout_ms} ms")
-    error = dialing.exception()
+    error = connecting.exception()
     if error is not None:
         refused = isinstance(error, ConnectionRefusedError)
         raise ConnectFailed(type(error).__name__, refused=refused) from error
-    return dialing.result()
+    return connecting.result()
 
 
-async def _async_dial(loop: asyncio.AbstractEventLoop, address: Address) -> HttpConnection:
+async def _async_open(loop: asyncio.AbstractEventLoop, address: Address) -> HttpConnection:
     _, connection = await loop.create_connection(
         lambda: HttpConnection(loop=loop, address=address), address.host, address.port
     )
     return connection
 
 
-def _close_unused(dialing: asyncio.Task[HttpConnection]) -> None:
-    if dialing.cancelled() or dialing.exception() is not None:
+def _close_unused(connecting: asyncio.Task[HttpConnection]) -> None:
+    if connecting.cancelled() or connecting.exception() is not None:
         return
-    dialing.result().close()
+    connecting.result().close()
--- a/gypsumrouter/helpers/logs.py
+++ b/gypsumrouter/helpers/logs.py
@@ -1,4 +1,4 @@
-"""Log lines that carry the instance and the request id, as text or as JSON."""
+"""Logging as text or JSON lines that include the instance and the request id."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 from gypsumrouter.settings import Log, LogFormat
 
-MAX_WAITING_LINES: Final = 10_000
-# What a process waits at its end for a reader of its log; 10,000 lines take 0.1 s to write.
-STOP_S: Final = 0.5
+MAX_QUEUED_LINES: Final = 10_000
+# Time limit for writing the queued lines when the process exits.
+FLUSH_TIMEOUT_S: Final = 0.5
 NO_VALUE: Final = "-"
 TEXT_FORMAT: Final = (
     "%(asctime)s %(levelname)s [%(instance)s] [%(request_id)s] %(name)s: %(message)s"
 )
-NOISY_LOGGERS: Final = ("aiohttp.access", "asyncio")
+QUIET_LOGGERS: Final = ("aiohttp.access", "asyncio")
 
 _instance: ContextVar[str] = ContextVar("instance", default=NO_VALUE)
 _request_id: ContextVar[str] = ContextVar("request_id", default=NO_VALUE)
 
 
 def set_instance(name: str) -> None:
-    """Name the instance in the lines of the current task and of all that it starts."""
+    """Set the instance for log lines of the current task and the tasks that it starts."""
     _instance.set(name)
 
 
 def set_request_id(request_id: str) -> None:
-    """Name the request in the lines of the current task and of all that it starts."""
+    """Set the request id for log lines of the current task and the tasks that it starts."""
     _request_id.set(request_id)
 
 
@@ -41,7 +41,7 @@
     """Adds the instance and the request id of the current task to each record."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Keep every record; a value that the caller gave as `extra` stays."""
+        """Accept every record; values passed as `extra` are not overwritten."""
         if not hasattr(record, "instance"):
             record.instance = _instance.get()
         if not hasattr(record, "request_id"):
@@ -74,25 +74,25 @@
         return json.dumps(line, ensure_ascii=False)
 
 
-class LossyQueueHandler(logging.handlers.QueueHandler):
-    """Hands records to the writing thread; a reader that stalls costs lines, never the loop."""
+class DroppingQueueHandler(logging.handlers.QueueHandler):
+    """Queues records for the writer thread; drops records instead of blocking the event loop."""
 
-    lost = 0
+    dropped = 0
 
     def prepare(self, record: logging.LogRecord) -> logging.LogRecord:
-        """Return the record as it is: the queue stays inside the process."""
+        """Return the record unchanged; the queue doesn't leave the process."""
         return record
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Queue the record, or count it as lost."""
+        """Queue the record, or count it as dropped."""
         try:
             self.queue.put_nowait(record)
         except queue.Full:
-            self.lost += 1
+            self.dropped += 1
 
 
 class BoundedQueueListener(logging.handlers.QueueListener):
-    """Writes the queue from a thread; a reader that stalls keeps no process from ending."""
+    """Writes queued records in a thread; a blocked output doesn't delay the exit of the process."""
 
     def __init__(
         self, records: queue.Queue[logging.LogRecord | None], output: logging.Handler
@@ -101,7 +101,7 @@
         self._records = records
 
     def enqueue_sentinel(self) -> None:
-        """Ask the thread to end, in place of the oldest line where the queue is full."""
+        """Queue the stop marker of the thread; drops the oldest records if the queue is full."""
         while True:
             try:
                 self._records.put_nowait(None)
@@ -111,16 +111,16 @@
                 return
 
     def stop(self) -> None:
-        """Write what is left within `STOP_S`; what nobody reads by then is lost."""
+        """Stop the thread; records that are not written within `FLUSH_TIMEOUT_S` are dropped."""
         thread, self._thread = self._thread, None
         if thread is None:
             return
         self.enqueue_sentinel()
-        thread.join(STOP_S)
+        thread.join(FLUSH_TIMEOUT_S)
 
 
 def make_formatter(log_format: LogFormat) -> logging.Formatter:
-    """Return the formatter for a setting."""
+    """Return the formatter of a log format."""
     match log_format:
         case LogFormat.JSON:
             return JsonFormatter()
@@ -131,15 +131,15 @@
 def configure_logging(
     *, settings: Log, instance: str, stream: TextIO | None = None
 ) -> Callable[[], None]:
-    """Send all log lines to a stream, standard error by default, from a thread of its own.
+    """Write all log lines to a stream, by default standard error, in a separate thread.
 
-    Returns the function that writes what is left and ends the thread.
+    Returns a function that flushes the queue, stops the thread and removes the handler.
     """
     set_instance(instance)
     output = logging.StreamHandler(stream or sys.stderr)
     output.setFormatter(make_formatter(settings.format))
-    records: queue.Queue[logging.LogRecord | None] = queue.Queue(MAX_WAITING_LINES)
-    handler = LossyQueueHandler(records)
+    records: queue.Queue[logging.LogRecord | None] = queue.Queue(MAX_QUEUED_LINES)
+    handler = DroppingQueueHandler(records)
     handler.addFilter(ContextFilter())
     listener = BoundedQueueListener(records, output)
     root = logging.getLogger()
@@ -147,7 +147,7 @@
         root.removeHandler(earlier)
     root.addHandler(handler)
     root.setLevel(settings.level.value.upper())
-    for name in NOISY_LOGGERS:
+    for name in QUIET_LOGGERS:
         logging.getLogger(name).setLevel(logging.WARNING)
     listener.start()
 
--- a/gypsumrouter/helpers/metrics.py
+++ b/gypsumrouter/helpers/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one process: counted in plain numbers, rendered by a library when scraped."""
+"""Metrics of a process; counters are plain numbers that are copied to aioprometheus on a scrape."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Counter:
-    """A number that only grows, for each set of labels."""
+    """Counter with one value for each set of labels."""
 
     __slots__ = ("values",)
 
@@ -33,7 +33,7 @@
 
 
 class Histogram:
-    """Counts of observed values by bucket, for each set of labels."""
+    """Histogram with one set of buckets for each set of labels."""
 
     __slots__ = ("_metric",)
 
@@ -41,51 +41,55 @@
         self._metric = metric
 
     def observe(self, value: float, labels: Labels = NO_LABELS) -> None:
-        """Count one value."""
+        """Record a value."""
         self._metric.observe(dict(labels), value)
 
 
 class MetricRegistry:
-    """Every metric of one process."""
+    """Registry of all metrics of a process."""
 
-    __slots__ = ("_counters", "_gauges", "_library", "_names")
+    __slots__ = ("_counters", "_gauges", "_names", "_registry")
 
     def __init__(self) -> None:
-        self._library = aioprometheus.Registry()
+        self._registry = aioprometheus.Registry()
         self._names: set[str] = set()
         self._counters: list[tuple[aioprometheus.Counter, Counter]] = []
         self._gauges: list[tuple[aioprometheus.Gauge, ReadGauge]] = []
 
     def counter(self, name: str, documentation: str) -> Counter:
         """Register a counter; names end in `_total`."""
-        metric = aioprometheus.Counter(self._claim(name), documentation, registry=self._library)
+        metric = aioprometheus.Counter(
+            self._reserve_name(name), documentation, registry=self._registry
+        )
         counter = Counter()
         self._counters.append((metric, counter))
         return counter
 
     def gauge(self, name: str, documentation: str, read: ReadGauge) -> None:
-        """Register a gauge that is read when the metrics are scraped."""
-        metric = aioprometheus.Gauge(self._claim(name), documentation, registry=self._library)
+        """Register a gauge; `read` returns its values when the metrics are scraped."""
+        metric = aioprometheus.Gauge(
+            self._reserve_name(name), documentation, registry=self._registry
+        )
         self._gauges.append((metric, read))
 
     def histogram(self, name: str, documentation: str, buckets: list[float]) -> Histogram:
         """Register a histogram with the upper bounds of its buckets."""
         metric = aioprometheus.Histogram(
-            self._claim(name), documentation, buckets=buckets, registry=self._library
+            self._reserve_name(name), documentation, buckets=buckets, registry=self._registry
         )
         return Histogram(metric)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         for metric, counter in self._counters:
             for labels, value in counter.values.items():
                 metric.set(dict(labels), value)
         for gauge, read in self._gauges:
             for labels, value in read().items():
                 gauge.set(dict(labels), value)
-        return bytes(text.TextFormatter().marshall(self._library))
+        return bytes(text.TextFormatter().marshall(self._registry))
 
-    def _claim(self, name: str) -> str:
+    def _reserve_name(self, name: str) -> str:
         if name in self._names:
             raise InvariantBroken(f"metric {name} registered twice")
         self._names.add(name)
--- a/gypsumrouter/link/connection.py
+++ b/gypsumrouter/link/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: frames in, and frames out in one write for each turn of the loop."""
+"""A TCP connection that carries frames; frames are written once per event loop iteration."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import Protocol, cast
 
-from gypsumrouter.helpers.silence import set_silence_limits
+from gypsumrouter.helpers.keepalive import set_keepalive_options
 from gypsumrouter.link.codec import encode_goodbye
 from gypsumrouter.link.const import (
     FLAG_NONE,
@@ -17,7 +17,7 @@
     MAX_FRAME_BYTES,
     MAX_HANDSHAKE_FRAME_BYTES,
     MAX_HANDSHAKE_FRAMES,
-    MAX_LOAD_MARK,
+    MAX_REPORTED_LOAD,
     Kind,
 )
 from gypsumrouter.link.counts import ByteCounts
@@ -36,8 +36,8 @@
 _DATA_OVERHEAD = HEADER_BYTES + OFFSET_BYTES
 
 
-class LoadMark:
-    """The load that a server's answers carry: one more than it is, 0 while it is not known."""
+class ReportedLoad:
+    """The load that a server reports in its answer frames: the load plus one, 0 if unknown."""
 
     __slots__ = ("value",)
 
@@ -46,21 +46,21 @@
 
     def set(self, load: int) -> None:
         """Set the load of the upstream, in requests."""
-        self.value = min(load + 1, MAX_LOAD_MARK)
+        self.value = min(load + 1, MAX_REPORTED_LOAD)
 
 
-class Source(Protocol):
-    """Something that has frames for a connection and makes them when there is room."""
+class FrameSource(Protocol):
+    """Produces frames for a connection when the connection can send them."""
 
     def pump(self, connection: Connection) -> None:
-        """Send what is there."""
+        """Send the frames that are ready."""
 
 
 class Connection(asyncio.Protocol):
-    """Both ends' view of one connection; exactly one task reads its frames.
+    """One end of a connection; exactly one task reads its frames.
 
-    Frames that are too long or unknown end it with a GOODBYE that says why; the reading task
-    then gets a FrameError.
+    A frame that is too long or of an unknown kind closes the connection with a GOODBYE frame that
+    states the reason, and raises FrameError in the reading task.
     """
 
     __slots__ = (
@@ -69,38 +69,38 @@
         "_error",
         "_flush_scheduled",
         "_frames",
-        "_load_mark",
         "_loop",
         "_out",
         "_out_bytes",
         "_paused",
         "_reader",
         "_ready",
+        "_reported_load",
         "_transport",
         "_waiter",
         "_writable",
         "busy_since_ms",
         "clock",
-        "echo_asked_ms",
-        "last_heard_ms",
+        "echo_requested_ms",
+        "last_received_ms",
         "last_sent_ms",
         "last_used_ms",
         "opened_ms",
     )
 
     def __init__(
-        self, *, clock: Clock, counts: ByteCounts, load_mark: LoadMark | None = None
+        self, *, clock: Clock, counts: ByteCounts, reported_load: ReportedLoad | None = None
     ) -> None:
         now_ms = clock.now_ms()
         self.clock = clock
         self.opened_ms = now_ms
-        self.last_heard_ms = now_ms
+        self.last_received_ms = now_ms
         self.last_sent_ms = now_ms
         self.last_used_ms = now_ms
         self.busy_since_ms: int | None = None
-        self.echo_asked_ms: int | None = None
+        self.echo_requested_ms: int | None = None
         self._counts = counts
-        self._load_mark = load_mark
+        self._reported_load = reported_load
         self._loop = asyncio.get_running_loop()
         self._reader = FrameReader(limit=MAX_HANDSHAKE_FRAME_BYTES)
         self._frames: deque[Frame] = deque()
@@ -110,52 +110,52 @@
         self._transport: asyncio.Transport | None = None
         self._out: list[bytes] = []
         self._out_bytes = 0
-        self._ready: dict[Source, None] = {}
+        self._ready: dict[FrameSource, None] = {}
         self._flush_scheduled = False
         self._paused = False
         self._closed = False
 
     @property
     def closed(self) -> bool:
-        """Return whether nothing can be sent any more."""
+        """Return whether the connection is closed for sending."""
         return self._closed
 
     @property
     def paused(self) -> bool:
-        """Return whether the peer takes less than there is to send."""
+        """Return whether sending is paused because the transport's buffer is full."""
         return self._paused
 
     @property
     def receiving(self) -> bool:
-        """Return whether a frame has arrived in part."""
+        """Return whether part of a frame has been received."""
         return self._reader.partial
 
     @property
     def peer_host(self) -> str:
-        """Return the peer's IP literal, for logs."""
+        """Return the peer's IP address for log messages."""
         if self._transport is None:
             return ""
         name = self._transport.get_extra_info("peername")
         return str(name[0]) if name else ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport that the loop made."""
+        """Configure the transport of the new connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=HIGH_WATER_BYTES, low=LOW_WATER_BYTES)
         connection = transport.get_extra_info("socket")
         if connection is not None:
-            set_silence_limits(connection)
+            set_keepalive_options(connection)
 
     def data_received(self, data: bytes) -> None:
-        """Cut what arrived into frames and wake the reading task."""
+        """Parse received bytes into frames and wake the reading task."""
         if self._closed:
             return
-        self.last_heard_ms = self.clock.now_ms()
+        self.last_received_ms = self.clock.now_ms()
         try:
             frames = self._reader.feed(data)
         except FrameError as error:
             self._error = error
-            self.end(str(error))
+            self.close_with_goodbye(str(error))
             return
         if not frames:
             return
@@ -165,34 +165,34 @@
         self._frames.extend(frames)
         if self._reader.limit != MAX_FRAME_BYTES and len(self._frames) > MAX_HANDSHAKE_FRAMES:
             self._error = FrameError("too many frames before the end of the handshake")
-            self.end(str(self._error))
+            self.close_with_goodbye(str(self._error))
         self._wake()
 
     def eof_received(self) -> bool | None:
-        """Close when the peer has closed."""
+        """Close the transport when the peer has closed its end."""
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake whoever waits; frames that have arrived are still read."""
-        self._shut()
+        """Wake waiting tasks; received frames can still be read."""
+        self._mark_closed()
 
     def pause_writing(self) -> None:
-        """Stop making frames while the transport's buffer is full."""
+        """Stop producing frames while the transport's buffer is full."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        """Go on with the frames that waited."""
+        """Continue to produce and send frames."""
         self._paused = False
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._schedule_flush()
 
-    def lift_limit(self) -> None:
-        """Allow frames of full length, once the peer has proved itself."""
+    def raise_frame_limit(self) -> None:
+        """Allow frames of full length, after the peer has been authenticated."""
         self._reader.limit = MAX_FRAME_BYTES
 
     async def async_read(self) -> Frame | None:
-        """Return the next frame, None after the end; raises FrameError."""
+        """Return the next frame, or None if the connection is closed; raises FrameError."""
         while not self._frames:
             if self._error is not None:
                 raise self._error
@@ -203,11 +203,11 @@
         return self._frames.popleft()
 
     def read_nowait(self) -> Frame | None:
-        """Return the next frame if one is there."""
+        """Return the next received frame without waiting, or None if there is none."""
         return self._frames.popleft() if self._frames else None
 
     async def async_wait_writable(self) -> bool:
-        """Wait until the peer takes more; return whether the connection is still open."""
+        """Wait until sending is not paused; return whether the connection is still open."""
         while self._paused and not self._closed:
             if self._writable is None or self._writable.done():
                 self._writable = self._loop.create_future()
@@ -217,12 +217,12 @@
     def send(
         self, kind: Kind, *, stream: int = 0, body: bytes = b"", flags: int = FLAG_NONE
     ) -> None:
-        """Add a frame to what is written at the end of this turn of the loop."""
+        """Queue a frame; it is written at the end of this event loop iteration."""
         if self._closed:
             return
         load = 0
-        if self._load_mark is not None and kind in LOAD_KINDS:
-            load = self._load_mark.value
+        if self._reported_load is not None and kind in LOAD_KINDS:
+            load = self._reported_load.value
         frame = pack_frame(kind, flags, stream, body, load)
         self._counts.sent[kind] += len(frame)
         self._out.append(frame)
@@ -230,45 +230,45 @@
         self._schedule_flush()
 
     def send_data(self, stream: int, offset: int, body: bytes) -> None:
-        """Add a part of an answer's body."""
+        """Queue a DATA frame with a chunk of an answer's body."""
         size = len(body)
         self._counts.sent[KIND_DATA] += _DATA_OVERHEAD + size
         self._out.append(pack_data_header(stream, offset, size))
         self._out.append(body)
         self._out_bytes += _DATA_OVERHEAD + size
 
-    def mark_ready(self, source: Source) -> None:
-        """Ask for frames from `source` at the end of this turn, or as soon as there is room."""
+    def mark_ready(self, source: FrameSource) -> None:
+        """Pump `source` at the end of this event loop iteration, or once sending is not paused."""
         if self._closed:
             return
         self._ready[source] = None
         self._schedule_flush()
 
     def flush(self) -> None:
-        """Hand everything that is ready to the transport now."""
+        """Write queued frames and those of ready sources to the transport now."""
         self._flush_scheduled = False
         while not self._closed and (self._out or (self._ready and not self._paused)):
             self._pump()
             self._write()
 
-    def end(self, message: str) -> None:
-        """Close because of what the peer sent, and tell it."""
+    def close_with_goodbye(self, message: str) -> None:
+        """Send a GOODBYE frame with the reason, and close."""
         self.send(Kind.GOODBYE, body=encode_goodbye(message))
         self.close()
 
     def close(self) -> None:
-        """Close after what was sent has been written."""
+        """Close after writing the queued frames."""
         if self._closed:
             return
         self.flush()
-        self._shut()
+        self._mark_closed()
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once; nothing more is read."""
+        """Close immediately and discard received frames."""
         self._frames.clear()
-        self._shut()
+        self._mark_closed()
         if self._transport is not None:
             self._transport.abort()
 
@@ -294,7 +294,7 @@
         self._flush_scheduled = True
         self._loop.call_soon(self.flush)
 
-    def _shut(self) -> None:
+    def _mark_closed(self) -> None:
         self._closed = True
         self._ready.clear()
         self._out.clear()
--- a/gypsumrouter/orders/gates.py
+++ b/gypsumrouter/orders/gates.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from gypsumrouter.configuration import PoolOrders
-from gypsumrouter.link.models import HeldModel, Holding
+from gypsumrouter.link.models import EngineStatus, ModelStatus
 from gypsumrouter.orders.changes import get_minimum
 from gypsumrouter.orders.const import MAX_LOAD_FAILURES
 from gypsumrouter.orders.models import Change, OrderKind
@@ -26,13 +26,13 @@
     failures: int = 0
 
 
-def find_model(holding: Holding, name: str) -> HeldModel | None:
+def find_model(holding: EngineStatus, name: str) -> ModelStatus | None:
     """Return the entry of a model in a holding, or None."""
     return next((model for model in holding.models if model.name == name), None)
 
 
 def find_block_reason(
-    *, own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
+    *, own: str, change: Change, orders: PoolOrders, holdings: Sequence[EngineStatus]
 ) -> str:
     """Return why the engine of the side `own` may not start a change now.
 
@@ -51,7 +51,7 @@
 
 
 def _find_withdraw_block_reason(
-    own: str, name: str, minimum: int, holdings: Iterable[Holding]
+    own: str, name: str, minimum: int, holdings: Iterable[EngineStatus]
 ) -> str:
     serving = sum(
         1
@@ -64,7 +64,7 @@
 
 
 def _find_replace_block_reason(
-    own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
+    own: str, change: Change, orders: PoolOrders, holdings: Sequence[EngineStatus]
 ) -> str:
     engines = [
         EngineProgress(
@@ -86,7 +86,7 @@
 
 
 def _find_role_block_reason(
-    own: str, change: Change, orders: PoolOrders, holdings: Sequence[Holding]
+    own: str, change: Change, orders: PoolOrders, holdings: Sequence[EngineStatus]
 ) -> str:
     engines = [
         EngineProgress(
@@ -129,7 +129,7 @@
 
 
 def choose_source(
-    *, own: str, name: str, version: str, avoided: Iterable[str], holdings: Iterable[Holding]
+    *, own: str, name: str, version: str, avoided: Iterable[str], holdings: Iterable[EngineStatus]
 ) -> str:
     """Return the address of another engine that holds a version, or an empty string.
 
@@ -148,7 +148,7 @@
 
 
 def find_store_block_reason(
-    *, own: str, name: str, version: str, holdings: Iterable[Holding]
+    *, own: str, name: str, version: str, holdings: Iterable[EngineStatus]
 ) -> str:
     """Return why the engine of `own` may not load a version from the weight store now.
 
@@ -163,7 +163,7 @@
     return ""
 
 
-def _is_serving(model: HeldModel) -> bool:
+def _is_serving(model: ModelStatus) -> bool:
     return model.serving and bool(model.version)
 
 
--- a/gypsumrouter/orders/gossip.py
+++ b/gypsumrouter/orders/gossip.py
@@ -13,7 +13,7 @@
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Instance
 from gypsumrouter.link import NoticeHub, Peer
-from gypsumrouter.link.models import Holding, Holdings
+from gypsumrouter.link.models import EngineStatus, PoolStatus
 from gypsumrouter.orders.const import GOSSIP_BATCH_MS, GOSSIP_MS, MAX_GOSSIP_ENTRIES
 from gypsumrouter.orders.ports import Membership, Sender
 from gypsumrouter.orders.table import HoldingTable
@@ -59,7 +59,7 @@
         self._known_stamps: dict[str, dict[str, int]] = {}
         self._incarnations: dict[str, int] = {}
         self._wake = asyncio.Event()
-        notices.subscribe(Holdings, self._handle)
+        notices.subscribe(PoolStatus, self._handle)
 
     def start(self, is_enabled: Callable[[], bool]) -> None:
         """Start to gossip while `is_enabled` returns true."""
@@ -96,12 +96,12 @@
             ][:MAX_GOSSIP_ENTRIES]
             if not entries:
                 return
-            notice = Holdings(pool=self._pool, entries=tuple(entries))
+            notice = PoolStatus(pool=self._pool, entries=tuple(entries))
             if await self._links.async_send(instance=instance, notice=notice):
                 known_stamps |= {entry.name: entry.stamp_ms for entry in entries}
                 return
 
-    def _handle(self, peer: Peer, notice: Holdings) -> None:
+    def _handle(self, peer: Peer, notice: PoolStatus) -> None:
         if notice.pool != self._pool or peer.hello.role is not Role.SIDE:
             return
         known_stamps = self._get_known_stamps(peer)
@@ -109,7 +109,7 @@
             if entry.name != self._app.name:
                 self._handle_entry(entry, known_stamps)
 
-    def _handle_entry(self, entry: Holding, known_stamps: dict[str, int]) -> None:
+    def _handle_entry(self, entry: EngineStatus, known_stamps: dict[str, int]) -> None:
         known_stamps[entry.name] = max(entry.stamp_ms, known_stamps.get(entry.name, 0))
         known = self._table.get(entry.name)
         if not self._table.record(entry):
@@ -141,11 +141,11 @@
             self._incarnations.pop(name, None)
 
 
-def has_changed(before: Holding, after: Holding) -> bool:
+def has_changed(before: EngineStatus, after: EngineStatus) -> bool:
     """Return whether two holdings of an engine differ in more than their loads and stamps."""
     return _strip(before) != _strip(after)
 
 
-def _strip(holding: Holding) -> Holding:
+def _strip(holding: EngineStatus) -> EngineStatus:
     models = tuple(replace(model, load=0.0) for model in holding.models)
     return replace(holding, stamp_ms=0, models=models)
--- a/gypsumrouter/orders/load_scheduler.py
+++ b/gypsumrouter/orders/load_scheduler.py
@@ -6,7 +6,7 @@
 
 from gypsumrouter.configuration import PoolOrders
 from gypsumrouter.core import Application
-from gypsumrouter.link.models import Holding
+from gypsumrouter.link.models import EngineStatus
 from gypsumrouter.orders.const import POLL_MS
 from gypsumrouter.orders.gates import choose_source, find_store_block_reason
 from gypsumrouter.orders.lease import OrderLease
@@ -65,7 +65,7 @@
             return Deferred(reason="the weight store has its turns", recheck_ms=wait_ms)
         return Source()
 
-    def _choose_neighbour(self, change: Change, holdings: list[Holding]) -> str:
+    def _choose_neighbour(self, change: Change, holdings: list[EngineStatus]) -> str:
         if not self._retries.may_try_neighbours(change.name, change.version):
             return ""
         return choose_source(
--- a/gypsumrouter/platform/answers.py
+++ b/gypsumrouter/platform/answers.py
@@ -7,7 +7,7 @@
 
 from gypsumrouter.const import MS_PER_S
 from gypsumrouter.forwarding.models import AttemptOptions, CallerRequest, ResponseMetadata
-from gypsumrouter.helpers.http_connection import Answer
+from gypsumrouter.helpers.http_connection import HttpResponse
 from gypsumrouter.platform import names
 from gypsumrouter.platform.requests import write_request
 
@@ -27,7 +27,7 @@
         """Encode a request for an upstream."""
         return write_request(request=request, options=options)
 
-    def read_response_head(self, answer: Answer) -> ResponseMetadata:
+    def read_response_head(self, answer: HttpResponse) -> ResponseMetadata:
         """Return the facts that a response's status and headers state."""
         encoding = answer.get("Content-Encoding")
         return ResponseMetadata(
@@ -41,7 +41,7 @@
             keep_alive_ms=_read_keep_alive_ms(answer.get("Keep-Alive")),
         )
 
-    def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
+    def select_headers(self, answer: HttpResponse) -> list[tuple[str, str]]:
         """Return the response headers that are forwarded to the caller."""
         return [
             (name, value)
@@ -54,7 +54,7 @@
         return f"{retry_after_ms / MS_PER_S:.3f}"
 
 
-def _read_retry_after_ms(answer: Answer) -> int | None:
+def _read_retry_after_ms(answer: HttpResponse) -> int | None:
     """Return the delay that an upstream requests with a status 503; None without one."""
     if answer.status != names.STATUS_UNAVAILABLE:
         return None
--- a/gypsumrouter/prefixes/prefixes.py
+++ b/gypsumrouter/prefixes/prefixes.py
@@ -7,10 +7,10 @@
 
 import xxhash
 
-from gypsumrouter.const import MS_PER_S, Role, make_engine_chat
+from gypsumrouter.const import MS_PER_S, Role, make_engine_chat_id
 from gypsumrouter.core import Application
 from gypsumrouter.fleet import Instance
-from gypsumrouter.link import Answer, ExchangeHandler, NoticeHub, Peer, PrefixNews
+from gypsumrouter.link import Answer, ExchangeHandler, NoticeHub, Peer, PrefixAnnouncement
 from gypsumrouter.link.models import Head, Headers, Hello, Open
 from gypsumrouter.prefixes import const
 from gypsumrouter.prefixes.engine import CacheClient
@@ -78,7 +78,7 @@
             client=self._client,
             list_chats=self._list_idle,
         )
-        notices.subscribe(PrefixNews, self._handle_notice)
+        notices.subscribe(PrefixAnnouncement, self._handle_notice)
         self._fetches = app.metrics.counter(
             "gypsumrouter_prefix_fetches_total", "Prefixes asked for at other engines, by result"
         )
@@ -111,7 +111,7 @@
         """Fetch the prefix of a request if enough of it is missing here."""
         if not request.chat:
             return
-        chat = make_engine_chat(request.workspace, request.chat)
+        chat = make_engine_chat_id(request.workspace, request.chat)
         self._running[chat] = self._running.get(chat, 0) + 1
         missing = request.prompt_bytes - self._held.get(chat)
         if not request.holders or missing < const.MIN_FETCH_BYTES:
@@ -127,19 +127,19 @@
         """Record that the engine ran a request; ignored unless the response was `whole`."""
         if not whole or not request.chat:
             return
-        chat = make_engine_chat(request.workspace, request.chat)
+        chat = make_engine_chat_id(request.workspace, request.chat)
         self._held.record(chat, request.prompt_bytes)
         self._moved.forget(digest_chat(chat))
         primary = self._get_other(request.holders[0]) if request.holders else None
         if primary is not None:
-            notice = PrefixNews(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
+            notice = PrefixAnnouncement(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
             self._app.async_create_task(self._async_notify(primary, notice), "prefix news")
 
     def note_ended(self, request: Open) -> None:
         """Record the end of a run that began with `async_fetch`."""
         if not request.chat:
             return
-        chat = make_engine_chat(request.workspace, request.chat)
+        chat = make_engine_chat_id(request.workspace, request.chat)
         running = self._running.pop(chat, 1) - 1
         if running > 0:
             self._running[chat] = running
@@ -180,10 +180,10 @@
     def _get_other(self, name: str) -> Instance | None:
         return None if name == self._app.name else self._fleet.get(name)
 
-    async def _async_notify(self, primary: Instance, notice: PrefixNews) -> None:
+    async def _async_notify(self, primary: Instance, notice: PrefixAnnouncement) -> None:
         await self._links.async_send(instance=primary, notice=notice)
 
-    def _handle_notice(self, peer: Peer, notice: PrefixNews) -> None:
+    def _handle_notice(self, peer: Peer, notice: PrefixAnnouncement) -> None:
         moved = ChatLocation(name=peer.hello.name, prompt_bytes=notice.prompt_bytes)
         self._moved.record(notice.chat, moved)
 
@@ -225,7 +225,7 @@
 
 
 def digest_chat(chat: str) -> int:
-    """Return the digest that identifies a chat in a `PrefixNews` notice."""
+    """Return the digest that identifies a chat in a `PrefixAnnouncement` notice."""
     return xxhash.xxh64_intdigest(chat.encode())
 
 
--- a/gypsumrouter/suspicion/gate.py
+++ b/gypsumrouter/suspicion/gate.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from gypsumrouter.core import Application
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion.const import (
     BUSY_RETRY_MS,
@@ -33,7 +33,7 @@
         *,
         run: ActiveRun,
         on_end: Callable[[ActiveRun, bool], None],
-        on_crash: Callable[[ActiveRun], tuple[SuspectNews, ...]],
+        on_crash: Callable[[ActiveRun], tuple[SuspectAnnouncement, ...]],
     ) -> None:
         self.run = run
         self._on_end = on_end
@@ -43,7 +43,7 @@
         """End the run, with whether its response was complete; idempotent."""
         self._on_end(self.run, complete)
 
-    def report_crash(self) -> tuple[SuspectNews, ...]:
+    def report_crash(self) -> tuple[SuspectAnnouncement, ...]:
         """Report that the upstream crashed; the reports of concurrent runs count as one crash."""
         return self._on_crash(self.run)
 
@@ -182,7 +182,7 @@
 
 def _make_busy() -> Refused:
     return Refused(
-        reason=Reason.SUSPECT_BUSY,
+        reason=Reason.SUSPECT_ISOLATED,
         message="a request that may crash the upstream runs alone there",
         retry_after_ms=BUSY_RETRY_MS,
         elsewhere=True,
--- a/gypsumrouter/suspicion/tracker.py
+++ b/gypsumrouter/suspicion/tracker.py
@@ -10,7 +10,7 @@
 
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.helpers.metrics import NO_LABELS
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.outcomes import Reason, Refused
 from gypsumrouter.suspicion.const import BUSY_RETRY_MS, CRASH_ID_BITS, MAX_CRASH_DIGESTS
 from gypsumrouter.suspicion.crashes import CrashStore
@@ -26,7 +26,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 DUMP_SECTION: Final = "suspicion"
-StrikeListener = Callable[[SuspectNews], None]
+StrikeListener = Callable[[SuspectAnnouncement], None]
 
 
 class SuspectTracker:
@@ -78,7 +78,7 @@
             lambda: {NO_LABELS: self._crashes.digest_count},
         )
         app.add_dump_section(DUMP_SECTION, self._dump)
-        self._unsubscribe = notices.subscribe(SuspectNews, self._handle_strike)
+        self._unsubscribe = notices.subscribe(SuspectAnnouncement, self._handle_strike)
         app.on_stop(self._async_stop)
 
     def check(self, digest: int) -> Verdict:
@@ -105,7 +105,7 @@
             del self._active[digest]
         self._end(run, complete)
 
-    def handle_upstream_crash(self) -> tuple[SuspectNews, ...]:
+    def handle_upstream_crash(self) -> tuple[SuspectAnnouncement, ...]:
         """Add a strike for each digest that was running when the upstream crashed.
 
         Further reports of the same crash have no effect, so that each run may report it.
@@ -143,7 +143,7 @@
 
         return remove
 
-    def list_strikes(self, digest: int | None = None) -> tuple[SuspectNews, ...]:
+    def list_strikes(self, digest: int | None = None) -> tuple[SuspectAnnouncement, ...]:
         """Return the strikes of one digest, or of all, to send to another process.
 
         Links preserve order, so strikes sent before a request are handled before it.
@@ -153,17 +153,17 @@
     async def _async_stop(self) -> None:
         self._unsubscribe()
 
-    def _handle_strike(self, peer: Peer, strike: SuspectNews) -> None:
+    def _handle_strike(self, peer: Peer, strike: SuspectAnnouncement) -> None:
         self._add(strike)
         self._gate.notify_waiters()
 
-    def _add(self, strike: SuspectNews) -> None:
+    def _add(self, strike: SuspectAnnouncement) -> None:
         if not self._crashes.add(strike):
             return
         for listener in tuple(self._listeners):
             listener(strike)
 
-    def _handle_run_crash(self, run: ActiveRun) -> tuple[SuspectNews, ...]:
+    def _handle_run_crash(self, run: ActiveRun) -> tuple[SuspectAnnouncement, ...]:
         return () if run.crashed else self.handle_upstream_crash()
 
     def _end(self, run: ActiveRun, complete: bool) -> None:
@@ -193,18 +193,18 @@
         }
 
 
-def _make_strikes(digests: tuple[int, ...]) -> tuple[SuspectNews, ...]:
+def _make_strikes(digests: tuple[int, ...]) -> tuple[SuspectAnnouncement, ...]:
     crash_id = secrets.randbits(CRASH_ID_BITS)
     alone = len(digests) == 1
     return tuple(
-        SuspectNews(digest=digest, strike=crash_id, alone=alone)
+        SuspectAnnouncement(digest=digest, strike=crash_id, alone=alone)
         for digest in digests[:MAX_CRASH_DIGESTS]
     )
 
 
 def _make_elsewhere() -> Refused:
     return Refused(
-        reason=Reason.SUSPECT_BUSY,
+        reason=Reason.SUSPECT_ISOLATED,
         message="a request that may crash the upstream runs at another instance",
         retry_after_ms=BUSY_RETRY_MS,
         elsewhere=True,
--- a/gypsumrouter/upstream/engine.py
+++ b/gypsumrouter/upstream/engine.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from gypsumrouter.const import HEADER_CHAT, HEADER_REQUEST_ID, MS_PER_S, make_engine_chat
+from gypsumrouter.const import HEADER_CHAT, HEADER_REQUEST_ID, MS_PER_S, make_engine_chat_id
 from gypsumrouter.outcomes import Failed, Failure, Reason
 from gypsumrouter.upstream.client import (
     Attempt,
@@ -106,7 +106,7 @@
         headers.append((HEADER_REQUEST_ID, run.stream_id))
         headers.append((HEADER_PRIORITY, str(run.priority)))
         if run.request.chat:
-            chat = make_engine_chat(run.request.workspace, run.request.chat)
+            chat = make_engine_chat_id(run.request.workspace, run.request.chat)
             headers.append((HEADER_CHAT, chat))
         return await self._transport.async_open(
             method=run.request.method,
@@ -200,7 +200,7 @@
 
 def _make_failure(was_silent: bool) -> Failed:
     if was_silent:
-        return _fail(Reason.UPSTREAM_SILENT, "the upstream is silent")
+        return _fail(Reason.UPSTREAM_TIMEOUT, "the upstream is silent")
     return _fail(Reason.UPSTREAM_LOST, "the connection to the upstream broke")
 
 
--- a/tests/forwarding/test_forwarding_next_step.py
+++ b/tests/forwarding/test_forwarding_next_step.py
@@ -16,7 +16,7 @@
     decide_next_step,
 )
 from gypsumrouter.forwarding.progress import Progress
-from gypsumrouter.helpers.http_connection import Answer
+from gypsumrouter.helpers.http_connection import HttpResponse
 from gypsumrouter.outcomes import Reason
 
 LOST = ResponseLost(reason="silent")
@@ -25,7 +25,7 @@
 
 
 def make_response(status: int) -> CompleteResponse:
-    return CompleteResponse(answer=cast(Answer, None), status=status, signed=True, body=b"")
+    return CompleteResponse(answer=cast(HttpResponse, None), status=status, signed=True, body=b"")
 
 
 def make_progress(*, ran: int = 0, unreachable: int = 0, rejections: int = 0) -> Progress:
--- a/tests/link/test_link_table.py
+++ b/tests/link/test_link_table.py
@@ -1,4 +1,4 @@
-"""What a server may forget of routers, and the rate of a status; driven by a clock."""
+"""Expiry of router records, silence detection and status rate, with a manual clock."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from gypsumrouter.core import Application
 from gypsumrouter.link import Hello, Status
 from gypsumrouter.link.codec import Greeting, Resume
-from gypsumrouter.link.connection import Connection, LoadMark
+from gypsumrouter.link.connection import Connection, ReportedLoad
 from gypsumrouter.link.const import PROTOCOL_VERSION, Kind
 from gypsumrouter.link.handshake import Accepted
-from gypsumrouter.link.liveness import forgive_silence, keep_alive
+from gypsumrouter.link.liveness import keep_alive, reset_silence_timer
 from gypsumrouter.link.status import StatusPublisher
 from gypsumrouter.link.table import ExchangeTable, RouterRecord
 from gypsumrouter.outcomes import Failed, Refused
@@ -25,15 +25,15 @@
 LATE_MS = 2 * (SETTINGS.resume_ms + SETTINGS.connect_ms)
 
 
-class Wire:
-    """A connection that only counts what is sent."""
+class FakeConnection:
+    """A connection that records the kinds of the frames sent."""
 
     def __init__(self) -> None:
         self.sent: list[Kind] = []
         self.aborted = False
         self.receiving = False
         self.busy_since_ms: int | None = None
-        self.last_heard_ms = 0
+        self.last_received_ms = 0
         self.last_sent_ms = 0
 
     def send(self, kind: Kind, **_fields: object) -> None:
@@ -65,12 +65,12 @@
     greeting = Greeting(
         version=PROTOCOL_VERSION, hello=hello, attempt=attempt, nonce=b"n", window_bytes=1_000
     )
-    connection = cast(Connection, Wire())
+    connection = cast(Connection, FakeConnection())
     accepted = Accepted(greeting=greeting, challenged_ms=clock.now_ms())
     return table.attach(connection, accepted), connection
 
 
-def test_a_full_table_turns_routers_away_until_a_record_is_old_enough_to_forget() -> None:
+def test_full_table_rejects_routers_until_a_record_expires() -> None:
     clock = ManualClock()
     table = make_table(clock)
     for incarnation in (1, 2):
@@ -83,10 +83,10 @@
     clock.advance(1)
     assert attach(table, clock, 3)[0] is not None
     clock.advance(LATE_MS + 1)
-    assert attach(table, clock, 1)[0] is None, "routers with a link are never forgotten"
+    assert attach(table, clock, 1)[0] is None, "the record of a connected router was removed"
 
 
-def test_after_forgetting_not_run_is_said_only_of_requests_that_are_surely_newer() -> None:
+def test_after_removing_a_record_only_newer_requests_are_refused() -> None:
     clock = ManualClock()
     table = make_table(clock)
     for incarnation in (1, 2):
@@ -97,16 +97,16 @@
     assert attach(table, clock, 3)[0] is not None
     record, _ = attach(table, clock, 1, attempt=2)
     assert record is not None
-    may_have_run = Resume(offset=0, has_head=False, age_ms=LATE_MS)
-    surely_newer = Resume(offset=0, has_head=False, age_ms=100)
-    assert isinstance(table.resume(record, 5, may_have_run), Failed)
-    assert isinstance(table.resume(record, 6, surely_newer), Refused)
+    maybe_run = Resume(offset=0, has_head=False, age_ms=LATE_MS)
+    never_opened = Resume(offset=0, has_head=False, age_ms=100)
+    assert isinstance(table.resume(record, 5, maybe_run), Failed)
+    assert isinstance(table.resume(record, 6, never_opened), Refused)
     assert isinstance(table.open(record, 6), Refused)
 
 
-def test_silence_is_judged_anew_after_a_pause_of_the_process() -> None:
-    wire = Wire()
-    connection = cast(Connection, wire)
+def test_silence_timer_is_reset_after_a_pause_of_the_process() -> None:
+    fake = FakeConnection()
+    connection = cast(Connection, fake)
 
     def tick(now_ms: int) -> None:
         keep_alive(
@@ -119,51 +119,55 @@
         )
 
     tick(0)
-    forgive_silence(connection, 60_000)
+    reset_silence_timer(connection, 60_000)
     tick(60_000)
-    assert not wire.aborted
+    assert not fake.aborted
     tick(60_000 + SETTINGS.silence_ms)
-    assert wire.aborted
+    assert fake.aborted
 
 
-async def test_a_status_is_sent_at_a_bounded_rate_and_at_once_when_leaving() -> None:
+async def test_status_rate_is_limited_unless_leaving_changes() -> None:
     clock = ManualClock()
     app = Application(
         name="side-1", role=Role.SIDE, data_centre="dc-1", region="region-1", clock=clock
     )
-    wire = Wire()
+    fake = FakeConnection()
     publisher = StatusPublisher(
-        app=app, connections=lambda: [cast(Connection, wire)], load_mark=LoadMark()
+        app=app, connections=lambda: [cast(Connection, fake)], reported_load=ReportedLoad()
     )
     publisher.publish(STATUS)
     for load in range(2, 50):
         publisher.publish(Status(load=load, running=1, weight=1.0, leaving=False, ready=True))
     await asyncio.sleep(0)
-    assert len(wire.sent) == 1
+    assert len(fake.sent) == 1
     clock.advance(10_000)
     await asyncio.sleep(0)
-    assert len(wire.sent) == 2
+    assert len(fake.sent) == 2
     publisher.publish(Status(load=49, running=1, weight=1.0, leaving=True, ready=True))
-    assert len(wire.sent) == 3
+    assert len(fake.sent) == 3
     await app.async_stop()
 
 
 @pytest.mark.parametrize(("links", "due_ms"), [(10, 250), (330, 40_000)])
-async def test_status_intervals_grow_with_the_square_of_many_links(links: int, due_ms: int) -> None:
+async def test_status_interval_grows_with_the_square_of_the_number_of_links(
+    links: int, due_ms: int
+) -> None:
     clock = ManualClock()
     app = Application(
         name="side-1", role=Role.SIDE, data_centre="dc-1", region="region-1", clock=clock
     )
-    wires = [Wire() for _ in range(links)]
-    connections = [cast(Connection, wire) for wire in wires]
-    publisher = StatusPublisher(app=app, connections=lambda: connections, load_mark=LoadMark())
+    fakes = [FakeConnection() for _ in range(links)]
+    connections = [cast(Connection, fake) for fake in fakes]
+    publisher = StatusPublisher(
+        app=app, connections=lambda: connections, reported_load=ReportedLoad()
+    )
     publisher.publish(STATUS)
     publisher.publish(Status(load=9, running=1, weight=1.0, leaving=False, ready=True))
     await asyncio.sleep(0)
     clock.advance(due_ms // 2)
     await asyncio.sleep(0)
-    assert len(wires[0].sent) == 1
+    assert len(fakes[0].sent) == 1
     clock.advance(due_ms)
     await asyncio.sleep(0)
-    assert len(wires[0].sent) == 2
+    assert len(fakes[0].sent) == 2
     await app.async_stop()
--- a/tests/orders/test_orders_gates.py
+++ b/tests/orders/test_orders_gates.py
@@ -6,7 +6,7 @@
 from orders_fakes import CHAT, REPORTS, make_holding, make_orders
 
 from gypsumrouter.configuration.models import OrderedAdapter, OrderedModel
-from gypsumrouter.link.models import HeldModel, Holding
+from gypsumrouter.link.models import EngineStatus, ModelStatus
 from gypsumrouter.orders.changes import choose_change
 from gypsumrouter.orders.gates import (
     EngineProgress,
@@ -48,8 +48,8 @@
     }
 
 
-def hold(name: str, version: str = "1", *, serving: bool = True) -> Holding:
-    return make_holding(name, HeldModel(name=CHAT, version=version, serving=serving))
+def hold(name: str, version: str = "1", *, serving: bool = True) -> EngineStatus:
+    return make_holding(name, ModelStatus(name=CHAT, version=version, serving=serving))
 
 
 def test_rollout_starts_with_one_engine_then_one_per_lane() -> None:
@@ -81,13 +81,13 @@
         ((hold("b"),), False),
         ((hold("b"), hold("c", serving=False)), False),
         (
-            (hold("b"), make_holding("c", HeldModel(name=CHAT, next_version="1", serving=False))),
+            (hold("b"), make_holding("c", ModelStatus(name=CHAT, next_version="1", serving=False))),
             False,
         ),
     ],
 )
 def test_withdrawal_requires_minimum_of_other_serving_engines(
-    others: tuple[Holding, ...], may: bool
+    others: tuple[EngineStatus, ...], may: bool
 ) -> None:
     orders = make_orders(models=(OrderedModel(name=CHAT, min_engines=2),))
     change = Change(kind=OrderKind.LOAD, name=REPORTS, drops=(CHAT,), withdraws=(CHAT,))
@@ -122,7 +122,7 @@
 
 def test_one_engine_loads_version_from_store_until_third_failure() -> None:
     def find(failures: int) -> str:
-        loading = HeldModel(name=CHAT, next_version="2", serving=False, failures=failures)
+        loading = ModelStatus(name=CHAT, next_version="2", serving=False, failures=failures)
         holdings = [hold("a"), make_holding("b", loading)]
         return find_store_block_reason(own="a", name=CHAT, version="2", holdings=holdings)
 
--- a/tests/peers/test_peers_watchers_machine.py
+++ b/tests/peers/test_peers_watchers_machine.py
@@ -67,14 +67,14 @@
             self._changes.append((now_ms, self._fleet.store.as_of))
             self._last_change = (now_ms, STATES[number])
 
-    @rule(number=router_numbers, runs=st.booleans())
+    @rule(number=router_numbers, running=st.booleans())
     def pause(self, number: int, running: bool) -> None:
         """Pause a router or resume it."""
         router = self._fleet.routers[number]
         router.running = running
         self._record_fault(router)
 
-    @rule(number=router_numbers, cut=st.booleans())
+    @rule(number=router_numbers, partitioned=st.booleans())
     def partition(self, number: int, partitioned: bool) -> None:
         """Partition a router from the store or reconnect it."""
         router = self._fleet.routers[number]
--- a/tests/suspicion/suspicion_world.py
+++ b/tests/suspicion/suspicion_world.py
@@ -9,11 +9,11 @@
 from gypsumrouter.const import Role
 from gypsumrouter.core import Application, Remove
 from gypsumrouter.link import NoticeHub, Peer
-from gypsumrouter.link.models import SuspectNews
+from gypsumrouter.link.models import SuspectAnnouncement
 from gypsumrouter.suspicion import RunPermit, SuspectTracker
 from gypsumrouter.util.clock import ManualClock
 
-Listener = Callable[[Peer, SuspectNews], None]
+Listener = Callable[[Peer, SuspectAnnouncement], None]
 
 
 class FakeNoticeHub:
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.listeners: list[Listener] = []
 
-    def subscribe(self, kind: type[SuspectNews], listener: Listener) -> Remove:
+    def subscribe(self, kind: type[SuspectAnnouncement], listener: Listener) -> Remove:
         self.listeners.append(listener)
         return lambda: self.listeners.remove(listener)
 
@@ -39,15 +39,15 @@
         self.suspicion = SuspectTracker(
             app=self.app, notices=cast(NoticeHub, self.hub), fleet=fleet, pool=pool
         )
-        self.announced: list[SuspectNews] = []
+        self.announced: list[SuspectAnnouncement] = []
         self.suspicion.on_new_strike(self.announced.append)
 
-    def receive(self, *strikes: SuspectNews) -> None:
+    def receive(self, *strikes: SuspectAnnouncement) -> None:
         for item in strikes:
             for listener in self.hub.listeners:
                 listener(cast(Peer, None), item)
 
-    def crash_with(self, *digests: int) -> tuple[SuspectNews, ...]:
+    def crash_with(self, *digests: int) -> tuple[SuspectAnnouncement, ...]:
         """Crash the upstream while requests with these digests run."""
         for digest in digests:
             self.suspicion.record_start(digest)
--- a/tests/upstream/test_upstream_engine.py
+++ b/tests/upstream/test_upstream_engine.py
@@ -78,7 +78,7 @@
 
 
 async def test_denied_hand_over_sends_nothing(engine_caller: Caller, engine: Engine) -> None:
-    denial = Refused(reason=Reason.HOME_UNCONFIRMED)
+    denial = Refused(reason=Reason.KEY_OWNER_UNCONFIRMED)
 
     def deny() -> None:
         raise HandOverDenied(denial)
@@ -161,7 +161,7 @@
     outcome = await run
 
     assert isinstance(outcome, Failed)
-    assert outcome.reason is Reason.UPSTREAM_SILENT
+    assert outcome.reason is Reason.UPSTREAM_TIMEOUT
 
 
 async def test_crash_during_responses_is_reported_once(
--- a/tests/upstream/test_upstream_service.py
+++ b/tests/upstream/test_upstream_service.py
@@ -91,7 +91,7 @@
     outcome = await service_caller.async_run(make_call(key="key-1"))
 
     assert isinstance(outcome, Failed)
-    assert outcome.reason is Reason.UPSTREAM_SILENT
+    assert outcome.reason is Reason.UPSTREAM_TIMEOUT
 
 
 async def test_crash_is_reported_and_returns_failure(
