--- a/gypsumrouter/exchange/ports.py
+++ b/gypsumrouter/exchange/ports.py
@@ -13,13 +13,13 @@
     async def async_fetch(self, request: Open) -> None:
         """Fetch the prefix of a request where that is cheaper than its prefill."""
 
-    def note_served(self, request: Open, *, whole: bool) -> None:
-        """Record that the engine ran a request, to completion if `whole`."""
+    def record_served(self, request: Open, *, complete: bool) -> None:
+        """Record that the engine ran a request, to completion if `complete`."""
 
-    def note_ended(self, request: Open) -> None:
+    def record_run_ended(self, request: Open) -> None:
         """Record the end of a run that began with a fetch."""
 
-    def note_engine_died(self) -> None:
+    def handle_engine_crash(self) -> None:
         """Drop the record of the engine's cache, which the crash has emptied."""
 
 
@@ -31,11 +31,11 @@
     async def async_fetch(self, request: Open) -> None:
         """Do nothing."""
 
-    def note_served(self, request: Open, *, whole: bool) -> None:
+    def record_served(self, request: Open, *, complete: bool) -> None:
         """Do nothing."""
 
-    def note_ended(self, request: Open) -> None:
+    def record_run_ended(self, request: Open) -> None:
         """Do nothing."""
 
-    def note_engine_died(self) -> None:
+    def handle_engine_crash(self) -> None:
         """Do nothing."""
--- a/gypsumrouter/exchange/repeatable.py
+++ b/gypsumrouter/exchange/repeatable.py
@@ -60,9 +60,9 @@
             try:
                 await self._prefixes.async_fetch(request)
                 failure = await self._async_attempt(request, slot, relay)
-                self._prefixes.note_served(request, whole=failure is None)
+                self._prefixes.record_served(request, complete=failure is None)
             finally:
-                self._prefixes.note_ended(request)
+                self._prefixes.record_run_ended(request)
                 slot.release()
             if failure is None:
                 relay.flush_head()
--- a/gypsumrouter/exchange/runner.py
+++ b/gypsumrouter/exchange/runner.py
@@ -199,7 +199,7 @@
     def _handle_upstream_crash(self) -> None:
         self._metrics.crashes.inc()
         self._suspicion.handle_upstream_crash()
-        self._prefixes.note_engine_died()
+        self._prefixes.handle_engine_crash()
 
     def _count_active(self, change: int) -> None:
         self._active += change
--- a/gypsumrouter/prefixes/handoff.py
+++ b/gypsumrouter/prefixes/handoff.py
@@ -64,7 +64,7 @@
     def start(self) -> None:
         """Start to wait for a planned stop."""
         self._app.on_drain(self._async_drain)
-        self._app.async_create_task(self._async_run(), "prefix hand-on")
+        self._app.async_create_task(self._async_run(), "prefix handoff")
 
     async def _async_run(self) -> None:
         await self._app.stopping.wait()
--- a/gypsumrouter/prefixes/prefixes.py
+++ b/gypsumrouter/prefixes/prefixes.py
@@ -123,9 +123,9 @@
             fetched = False
         self._fetches.inc(labels=(("result", "fetched" if fetched else "not_found"),))
 
-    def note_served(self, request: Open, *, whole: bool) -> None:
-        """Record that the engine ran a request; ignored unless the response was `whole`."""
-        if not whole or not request.chat:
+    def record_served(self, request: Open, *, complete: bool) -> None:
+        """Record that the engine ran a request; ignored unless the response was `complete`."""
+        if not complete or not request.chat:
             return
         chat = make_engine_chat_id(request.workspace, request.chat)
         self._held.record(chat, request.prompt_bytes)
@@ -133,9 +133,9 @@
         primary = self._get_other(request.holders[0]) if request.holders else None
         if primary is not None:
             notice = PrefixAnnouncement(chat=digest_chat(chat), prompt_bytes=request.prompt_bytes)
-            self._app.async_create_task(self._async_notify(primary, notice), "prefix news")
+            self._app.async_create_task(self._async_notify(primary, notice), "prefix announcement")
 
-    def note_ended(self, request: Open) -> None:
+    def record_run_ended(self, request: Open) -> None:
         """Record the end of a run that began with `async_fetch`."""
         if not request.chat:
             return
@@ -144,7 +144,7 @@
         if running > 0:
             self._running[chat] = running
 
-    def note_engine_died(self) -> None:
+    def handle_engine_crash(self) -> None:
         """Clear the estimate of what the engine held before it crashed."""
         self._held.clear()
 
--- a/tests/prefixes/prefixes_fakes.py
+++ b/tests/prefixes/prefixes_fakes.py
@@ -128,8 +128,8 @@
         """Simulate one run: fetch the prefix, fill the cache of the engine, record the run."""
         await self.prefixes.async_fetch(request)
         self.engine.cache.store(chat=make_engine_chat_id(WORKSPACE, request.chat), blocks=BLOCKS)
-        self.prefixes.note_served(request, whole=True)
-        self.prefixes.note_ended(request)
+        self.prefixes.record_served(request, complete=True)
+        self.prefixes.record_run_ended(request)
         await asyncio.sleep(0)
 
     def count_held(self) -> int:
--- a/tests/prefixes/test_prefixes.py
+++ b/tests/prefixes/test_prefixes.py
@@ -94,7 +94,7 @@
     await primary.async_serve(make_request("engine-1", "engine-2"))
     await other.async_serve(make_request("engine-1", "engine-2"))
     primary.engine.cache.clear()
-    primary.prefixes.note_engine_died()
+    primary.prefixes.handle_engine_crash()
     await primary.prefixes.async_fetch(make_request("engine-1", "engine-2"))
     assert primary.count_held() == ALL_TOKENS
 
@@ -113,8 +113,8 @@
 
     async def async_end_run() -> None:
         draining.engine.cache.store(chat=ENGINE_CHAT, blocks=BLOCKS)
-        draining.prefixes.note_served(request, whole=True)
-        draining.prefixes.note_ended(request)
+        draining.prefixes.record_served(request, complete=True)
+        draining.prefixes.record_run_ended(request)
 
     # The drain hooks of runs are called before those of prefixes.
     draining.app._drain_hooks.insert(0, async_end_run)
