--- a/gypsumrouter/platform/engines.py
+++ b/gypsumrouter/platform/engines.py
@@ -16,7 +16,7 @@
     answer = await connection.async_read_response()
     body = await answer.body.read()
     if answer.status != names.STATUS_OK:
-        raise ConnectionBroken(f"status {answer.status}")
+        raise ConnectionBroken(f"expected status {names.STATUS_OK}, got {answer.status}")
     try:
         document = json.loads(body)
         # Each entry is a list: an empty string, the part's id, its token count, its model.
@@ -30,4 +30,4 @@
             draining=names.is_leaving(answer.get(names.SERVER_LEAVING)),
         )
     except (ValueError, KeyError, TypeError, OverflowError, RecursionError) as error:
-        raise ConnectionBroken(f"no list of parts: {error!r}") from None
+        raise ConnectionBroken(f"expected a list of cached parts, got {error!r}") from None
--- a/gypsumrouter/platform/entries.py
+++ b/gypsumrouter/platform/entries.py
@@ -79,4 +79,6 @@
             return Address(host=host, port=int(port))
     except ValueError:
         pass
-    raise DocumentInvalid((FieldError(path="$.address", message="It is no IP address and port"),))
+    raise DocumentInvalid(
+        (FieldError(path="$.address", message=f"Expected `IP:PORT`, got {text!r:.60}"),)
+    )
--- a/gypsumrouter/platform/store.py
+++ b/gypsumrouter/platform/store.py
@@ -79,21 +79,21 @@
                 query["after"] = after
             document = await self._async_get(names.CALL_RANGE, query, wait_ms=0)
             if document is None:
-                raise StoreUnavailable("a list without its history")
+                raise StoreUnavailable("expected a list, got a lost-history status")
             page = read_page(document.content, "items", epoch=document.epoch)
             items.extend(page.items)
             # Pages are not a consistent snapshot; the watch from the first page's revision returns
             # what changed while the others were read.
             as_of = page.as_of if as_of is None else as_of
             if document.epoch != get_epoch(as_of):
-                raise StoreUnavailable("restored from a copy while the list was read")
+                raise StoreUnavailable("store was restored from a backup while the list was read")
             if not page.more:
                 return ItemBatch(items=tuple(items), as_of=as_of)
             if not page.last_key:
                 break
             after = page.last_key
         # Returning an incomplete list would remove the upstreams missing from it.
-        raise StoreUnavailable("a list without an end")
+        raise StoreUnavailable(f"list not complete: expected its end within {MAX_PAGES} pages")
 
     async def async_watch(self, *, after: int, wait_ms: int) -> ItemBatch | HistoryLost:
         """Return the changes after a revision; raises StoreUnavailable."""
@@ -124,19 +124,19 @@
             raise StoreUnavailable(str(error)) from error
         except TimeoutError:
             self.close()
-            raise StoreUnavailable("no answer in time") from None
+            raise StoreUnavailable(f"no response in {wait_ms + ANSWER_TIMEOUT_MS} ms") from None
         except asyncio.CancelledError:
             self.close()
             raise
         if answer.status == names.STATUS_HISTORY_LOST:
             return None
         if answer.status != names.STATUS_OK:
-            raise StoreUnavailable(f"status {answer.status}")
+            raise StoreUnavailable(f"expected status {names.STATUS_OK}, got {answer.status}")
         try:
             return Document(epoch=answer.epoch, content=json.loads(answer.body))
         except (ValueError, RecursionError):
             self.close()
-            raise StoreUnavailable("the answer is no JSON") from None
+            raise StoreUnavailable("expected JSON, got a body that does not parse") from None
 
     async def _async_exchange(self, target: str) -> StoreAnswer:
         connection = self._connection
@@ -158,10 +158,10 @@
 def read_page(document: Any, field: str, *, epoch: int = 0) -> Page:
     """Decode a page of items in an epoch; raises StoreUnavailable if it is invalid."""
     if not isinstance(document, dict) or not isinstance(document.get(field), list):
-        raise StoreUnavailable(f"a page without {field}")
+        raise StoreUnavailable(f"expected a page with a list {field}, got a page without it")
     as_of = _read_revision(document.get("as_of"), epoch)
     if as_of is None:
-        raise StoreUnavailable("a page without its revision")
+        raise StoreUnavailable("expected a page with a revision as_of, got none or an invalid one")
     entries = document[field]
     return Page(
         items=tuple(item for e in entries if (item := _read_item(e, epoch)) is not None),
@@ -177,7 +177,7 @@
         return 0
     if text.isascii() and text.isdigit() and len(text) <= MAX_ERA_DIGITS:
         return int(text) % EPOCH_MODULUS
-    raise StoreUnavailable(f"the era {text!r:.40} is no number")
+    raise StoreUnavailable(f"expected an era of 1 to {MAX_ERA_DIGITS} digits, got {text!r:.40}")
 
 
 def _read_item(entry: Any, epoch: int) -> Item | None:
@@ -185,7 +185,7 @@
     key = _read_key(entry)
     revision = _read_revision(entry.get("revision"), epoch) if key else None
     if revision is None:
-        _LOGGER.error("An item without a key or a revision: %.200r", entry)
+        _LOGGER.error("Ignoring an item: expected a key and a revision, got %.200r", entry)
         return None
     value = None if entry.get("tombstone") is True else _read_value(entry.get("value"))
     return Item(key=key, revision=revision, value=value)
