--- a/gypsumrouter/forwarding/execution.py
+++ b/gypsumrouter/forwarding/execution.py
@@ -306,7 +306,7 @@
             repeatable=route.repeatable and Mechanism.RETRIES not in self._context.without,
             max_attempts=route.max_attempts,
             remaining_ms=self._remaining_ms(),
-            take_retry=lambda: self._context.budget.try_acquire(self._service),
+            acquire_retry=lambda: self._context.budget.try_acquire(self._service),
         )
 
     def _is_suspect(self) -> bool:
--- a/gypsumrouter/forwarding/inventory.py
+++ b/gypsumrouter/forwarding/inventory.py
@@ -147,7 +147,7 @@
             self._peers.publish_inventory()
 
     async def _async_run(self) -> None:
-        reported = self._app.async_create_task(self._async_query_peers(), "ask peers")
+        reported = self._app.async_create_task(self._async_query_peers(), "query peers")
         await self._routing.ready.wait()
         await self._directory.loaded.wait()
         if self._peers is None:
--- a/gypsumrouter/forwarding/next_step.py
+++ b/gypsumrouter/forwarding/next_step.py
@@ -43,13 +43,13 @@
 class RetryLimits(Struct, frozen=True, kw_only=True):
     """Limits on retries from the route, the deadline and the retry budget.
 
-    `take_retry` consumes one retry of the budget and returns whether one was available.
+    `acquire_retry` consumes one retry of the budget and returns whether one was available.
     """
 
     repeatable: bool
     max_attempts: int
     remaining_ms: int
-    take_retry: Callable[[], bool]
+    acquire_retry: Callable[[], bool]
 
 
 def decide_next_step(
@@ -91,7 +91,7 @@
     """Return whether a request that may have run can be retried; consumes a retry if so."""
     if not limits.repeatable or len(progress.possibly_ran_on) >= limits.max_attempts:
         return False
-    return limits.remaining_ms > 0 and limits.take_retry()
+    return limits.remaining_ms > 0 and limits.acquire_retry()
 
 
 def _decide_unreachable(progress: Progress) -> Decision:
@@ -105,7 +105,7 @@
     if progress.rejections > MAX_REJECTIONS:
         message = "The upstreams are full"
         return Decision(step=NextStep.REFUSE, reason=Reason.QUEUE_FULL, message=message)
-    if not limits.take_retry():
+    if not limits.acquire_retry():
         message = "The retry budget is spent"
         return Decision(step=NextStep.REFUSE, reason=Reason.RETRY_BUDGET, message=message)
     return Decision(step=NextStep.SEND_ELSEWHERE)
--- a/gypsumrouter/forwarding/slow_start.py
+++ b/gypsumrouter/forwarding/slow_start.py
@@ -30,7 +30,7 @@
 # A router sends nothing to warming upstreams until its view of the fleet has not grown for this
 # long: with an incomplete view its share would be too large.
 SETTLE_MS: Final = 1_200
-# A router that has heard from no other router assumes after this time that it is the only one.
+# A router that has received nothing from other routers assumes after this time that it is alone.
 NO_PEERS_MS: Final = 5_000
 # Added to the warm-up of an upstream that refused a connection: if it restarted within its lease,
 # the directory shows the restart up to this much later.
--- a/gypsumrouter/link/answer.py
+++ b/gypsumrouter/link/answer.py
@@ -20,7 +20,7 @@
 class Answer:
     """An answer that one task writes; it is sent over the router's link and resent after a loss.
 
-    `cancelled` is set when the answer is not wanted any more; the handler should then stop.
+    `cancelled` is set when the router cancels the exchange; the handler should then stop.
     """
 
     __slots__ = (
--- a/gypsumrouter/link/exchange.py
+++ b/gypsumrouter/link/exchange.py
@@ -29,13 +29,13 @@
         """Let the server discard an exchange that has ended."""
 
     def cancel(self, exchange: Exchange) -> None:
-        """Tell the server that the answer is not wanted any more."""
+        """Cancel an exchange at the server."""
 
 
 class Exchange:
     """A request that was sent, and its answer, which one task reads.
 
-    `arrived` says that the server is known to have received the request.
+    `arrived` is set once an answer or an echo shows that the server received the request.
     """
 
     __slots__ = (
--- a/gypsumrouter/link/outstanding.py
+++ b/gypsumrouter/link/outstanding.py
@@ -144,7 +144,7 @@
             self._connection.send(Kind.CONFIRM, stream=exchange.sequence, flags=FLAG_FINAL)
 
     def cancel(self, exchange: Exchange) -> None:
-        """Tell the server that an answer is not wanted any more, now or over the next link."""
+        """Cancel an exchange at the server, over this link or else the next one."""
         if self._exchanges.pop(exchange.sequence, None) is None:
             return
         if self._connection is None or self._connection.closed:
--- a/gypsumrouter/peers/catch_up.py
+++ b/gypsumrouter/peers/catch_up.py
@@ -131,8 +131,8 @@
     def _should_request(self, announcement: StoreUpdate) -> bool:
         """Return whether to request an announced change from this watcher.
 
-        Every watcher announces the same change; another one is asked only if the first has not
-        answered within `WATCHER_CATCH_UP_INTERVAL_MS`.
+        Every watcher announces the same change; it is requested from another one only if the
+        first has not answered within `WATCHER_CATCH_UP_INTERVAL_MS`.
         """
         now_ms = self._app.clock.now_ms()
         announced = (announcement.routing_version, announcement.list_newest)
--- a/gypsumrouter/peers/const.py
+++ b/gypsumrouter/peers/const.py
@@ -13,11 +13,11 @@
 # A router that is not a seed is removed from the registry when nothing was received from it or
 # reported about it for this long.
 ROUTER_EXPIRY_MS: Final = 30_000
-# Time that a change may take to arrive from the platform's store before a peer is asked for it.
+# Time that a change may take to arrive from the platform's store before a peer is queried.
 CATCH_UP_DELAY_MS: Final = 250
 # Minimum time between two catch-up requests.
 CATCH_UP_INTERVAL_MS: Final = 500
-# Time that a watcher has to answer a catch-up request before another watcher is asked.
+# Time that a watcher has to answer a catch-up request before the request goes to another one.
 WATCHER_CATCH_UP_INTERVAL_MS: Final = 150
 # Placed prompt parts that are queued for peers that cannot be reached, and the most of them that
 # one update carries, which bounds the work of a router that restarts.
--- a/gypsumrouter/peers/held.py
+++ b/gypsumrouter/peers/held.py
@@ -26,7 +26,7 @@
 
 # Interval at which a router that is not a seed retries a seed that is not listening yet.
 RETRY_INTERVAL_MS: Final = 30
-# Delay before the next seed is asked as well, so that normally only one seed sends its inventory.
+# Delay before the request to the next seed, so that normally only one seed sends its inventory.
 NEXT_SEED_DELAY_MS: Final = 40
 # Time that a seed waits for the other seeds before it queries engines itself.
 SEED_TIMEOUT_MS: Final = 100
@@ -57,8 +57,8 @@
         "_incomplete_seeds",
         "_inventory_known",
         "_journal",
-        "_known_engines",
         "_list_seeds",
+        "_listed_engines",
         "_listener",
         "_send",
         "_waiting_peers",
@@ -87,8 +87,8 @@
         self._incomplete_seeds: set[str] = set()
         self._all_incomplete = asyncio.Event()
         self._waiting_peers: list[Peer] = []
-        # Engines whose listing is known.
-        self._known_engines: set[str] = set()
+        # Engines whose listing was received from a peer or shared by this router.
+        self._listed_engines: set[str] = set()
         self._listener: InventoryListener = lambda upstream: None
         notices.subscribe(InventoryRequest, self._handle_request)
         notices.subscribe(InventoryUpdate, self._handle_inventory)
@@ -108,13 +108,13 @@
         if not others:
             return False
         if len(others) < len(self._list_seeds()):
-            return await self._async_ask_as_seed(others)
-        return await self._async_ask_as_non_seed(others)
+            return await self._async_request_as_seed(others)
+        return await self._async_request_as_non_seed(others)
 
-    async def _async_ask_as_seed(self, others: list[str]) -> bool:
-        """Ask all seeds at once; wait until one is complete, all are incomplete, or the timeout."""
-        asking = [
-            self._app.async_create_task(self._async_ask_seed(s), "request inventory")
+    async def _async_request_as_seed(self, others: list[str]) -> bool:
+        """Request it from all seeds; wait for a complete one, all incomplete, or the timeout."""
+        requests = [
+            self._app.async_create_task(self._async_request_from_seed(s), "request inventory")
             for s in others
         ]
         ended = [
@@ -123,20 +123,21 @@
         await asyncio.wait(
             ended, timeout=SEED_TIMEOUT_MS / MS_PER_S, return_when=asyncio.FIRST_COMPLETED
         )
-        for task in (*asking, *ended):
+        for task in (*requests, *ended):
             task.cancel()
         return self._complete.is_set()
 
-    async def _async_ask_seed(self, seed: str) -> None:
+    async def _async_request_from_seed(self, seed: str) -> None:
         if not await self._send(seed, InventoryRequest()):
             self._note_incomplete(seed)
 
-    async def _async_ask_as_non_seed(self, others: list[str]) -> bool:
-        """Ask the seeds one after the other; wait for a complete inventory or the timeout."""
+    async def _async_request_as_non_seed(self, others: list[str]) -> bool:
+        """Request it from the seeds in turn; wait for a complete inventory or the timeout."""
         others.sort(key=lambda seed: _hash(self._get_own_address(), seed))
-        asking = [
+        requests = [
             self._app.async_create_task(
-                self._async_ask_until_sent(seed, index * NEXT_SEED_DELAY_MS), "request inventory"
+                self._async_request_until_sent(seed, index * NEXT_SEED_DELAY_MS),
+                "request inventory",
             )
             for index, seed in enumerate(others)
         ]
@@ -146,7 +147,7 @@
         except TimeoutError:
             return False
         finally:
-            for task in asking:
+            for task in requests:
                 task.cancel()
         return True
 
@@ -160,7 +161,7 @@
 
     async def async_share_listing(self, upstream: str, parts: tuple[int, ...]) -> None:
         """Send an engine's listing to the other seeds and to all waiting peers."""
-        self._known_engines.add(upstream)
+        self._listed_engines.add(upstream)
         inventory = InventoryUpdate(
             complete=False, engines=(EngineListing(upstream=upstream, parts=parts),)
         )
@@ -179,7 +180,7 @@
         own = self._get_own_address()
         return [seed for seed in self._list_seeds() if seed != own]
 
-    async def _async_ask_until_sent(self, seed: str, delay_ms: int) -> None:
+    async def _async_request_until_sent(self, seed: str, delay_ms: int) -> None:
         await self._app.clock.async_sleep(delay_ms)
         while not await self._send(seed, InventoryRequest()):
             await self._app.clock.async_sleep(RETRY_INTERVAL_MS)
@@ -188,7 +189,7 @@
         if self._inventory_known:
             peer.send(self._make_inventory())
             return
-        peer.send(self._make_inventory(only=self._known_engines))
+        peer.send(self._make_inventory(only=self._listed_engines))
         if len(self._waiting_peers) < MAX_WAITING_PEERS:
             self._waiting_peers.append(peer)
 
@@ -212,7 +213,7 @@
         for engine in inventory.engines:
             for part in engine.parts:
                 self._cache_index.note_cached(part=part, upstream=engine.upstream, now_ms=now_ms)
-            self._known_engines.add(engine.upstream)
+            self._listed_engines.add(engine.upstream)
             self._listener(engine.upstream)
         self._journal.record(
             HeldPartsTold(
--- a/gypsumrouter/peers/routers.py
+++ b/gypsumrouter/peers/routers.py
@@ -1,4 +1,4 @@
-"""Registry of the other routers and data centres that this router knows."""
+"""Registry of the other routers and data centres that this router has learned of."""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_forwarding_next_step.py
+++ b/tests/forwarding/test_forwarding_next_step.py
@@ -60,7 +60,7 @@
         repeatable=repeatable,
         max_attempts=max_attempts,
         remaining_ms=remaining_ms,
-        take_retry=budget.take,
+        acquire_retry=budget.take,
     )
 
 
