--- a/gypsumrouter/link/router_codec.py
+++ b/gypsumrouter/link/router_codec.py
@@ -26,9 +26,8 @@
 )
 from gypsumrouter.link.schema import SCHEMA, open_message, open_packed_message, to_bytes, to_packed
 
-# Enough for 930 upstreams in each of eight data centres, 20 bytes each, and the placed parts.
+# Limits on the unpacked size of an update and of a configuration document.
 MAX_UPDATE_BYTES: Final = 256 * 1024
-# A document with 9,500 workspaces has about 2 MB.
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
 # The fastest level of zlib.
 COMPRESSION: Final = 1
--- a/gypsumrouter/prefixes/const.py
+++ b/gypsumrouter/prefixes/const.py
@@ -13,7 +13,7 @@
 
 # Maximum number of chats whose cached prefix is tracked.
 MAX_HELD_CHATS: Final = 65_536
-# A smaller missing part is prefilled again, which costs less than a transfer (decision 0011).
+# A smaller missing part is prefilled again, which costs less than a transfer.
 MIN_FETCH_BYTES: Final = 1_024
 # Maximum number of chats whose location at another side is tracked.
 MAX_MOVED_CHATS: Final = 65_536
