--- a/gypsumrouter/admission/queue.py
+++ b/gypsumrouter/admission/queue.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterator
 
 from gypsumrouter.admission.const import (
-    BATCH_GRANT_INTERVAL,
     COMPACT_RATIO,
     COMPACT_SPARE,
+    GRANTS_PER_BATCH_GRANT,
+    GRANTS_PER_LATE_GRANT,
     GUARANTEE_RELEASES,
-    LATE_GRANT_INTERVAL,
     LOOKAHEAD_RELEASES,
     MIN_PENALTY,
 )
@@ -95,14 +95,14 @@
         `release_interval_ms` is the expected time between two slot releases. `batch_allowed` says
         whether a batch request may start now.
         """
-        if self._grants_since_batch >= BATCH_GRANT_INTERVAL:
+        if self._grants_since_batch >= GRANTS_PER_BATCH_GRANT:
             overdue = self._select_batch()
             if overdue is not None:
                 return overdue
         best, late = self._select_interactive(now_ms, slots, release_interval_ms)
         self._late_waiting = late is not None
         if late is not None and (
-            best is None or self._grants_since_late >= LATE_GRANT_INTERVAL - 1
+            best is None or self._grants_since_late >= GRANTS_PER_LATE_GRANT - 1
         ):
             return late
         if best is not None:
@@ -112,7 +112,7 @@
     def record_grant(self, waiter: Waiter, *, now_ms: int) -> bool:
         """Count a grant; return whether it was a batch request's anti-starvation grant."""
         if waiter.caller_class.batch:
-            overdue = self._grants_since_batch >= BATCH_GRANT_INTERVAL
+            overdue = self._grants_since_batch >= GRANTS_PER_BATCH_GRANT
             self._grants_since_batch = 0
             return overdue
         if self.batch:
--- a/gypsumrouter/orders/dispatcher.py
+++ b/gypsumrouter/orders/dispatcher.py
@@ -10,7 +10,7 @@
 from msgspec.structs import asdict
 
 from gypsumrouter.core import Application
-from gypsumrouter.orders.const import JOURNAL_SIZE, MAX_DECISION_AGE_MS
+from gypsumrouter.orders.const import JOURNAL_ENTRIES, MAX_DECISION_AGE_MS
 from gypsumrouter.orders.engine import OrderClient
 from gypsumrouter.orders.lease import OrderLease
 from gypsumrouter.orders.models import (
@@ -71,7 +71,7 @@
         self._client = client
         self._lease = lease
         self._is_draining = is_draining
-        self.journal: deque[JournalEntry] = deque(maxlen=JOURNAL_SIZE)
+        self.journal: deque[JournalEntry] = deque(maxlen=JOURNAL_ENTRIES)
         self._orders_total = app.metrics.counter(
             "gypsumrouter_orders_total", "Orders to the engine by kind and result"
         )
--- a/gypsumrouter/orders/gossip.py
+++ b/gypsumrouter/orders/gossip.py
@@ -31,9 +31,9 @@
         "_app",
         "_fleet",
         "_incarnations",
-        "_known_stamps",
         "_links",
         "_on_change",
+        "_peer_stamps",
         "_pool",
         "_table",
         "_wake",
@@ -56,7 +56,7 @@
         self._pool = pool
         self._table = table
         self._on_change = on_change
-        self._known_stamps: dict[str, dict[str, int]] = {}
+        self._peer_stamps: dict[str, dict[str, int]] = {}
         self._incarnations: dict[str, int] = {}
         self._wake = asyncio.Event()
         notices.subscribe(PoolStatus, self._handle)
@@ -88,29 +88,29 @@
     async def _async_send(self, route: tuple[Instance, ...]) -> None:
         """Send new entries to the first reachable instance of a route."""
         for instance in route:
-            known_stamps = self._known_stamps.setdefault(instance.name, {})
+            peer_stamps = self._peer_stamps.setdefault(instance.name, {})
             entries = [
                 entry
                 for entry in self._table.list_fresh()
-                if known_stamps.get(entry.name, 0) < entry.stamp_ms
+                if peer_stamps.get(entry.name, 0) < entry.stamp_ms
             ][:MAX_GOSSIP_ENTRIES]
             if not entries:
                 return
             notice = PoolStatus(pool=self._pool, entries=tuple(entries))
             if await self._links.async_send(instance=instance, notice=notice):
-                known_stamps |= {entry.name: entry.stamp_ms for entry in entries}
+                peer_stamps |= {entry.name: entry.stamp_ms for entry in entries}
                 return
 
     def _handle(self, peer: Peer, notice: PoolStatus) -> None:
         if notice.pool != self._pool or peer.hello.role is not Role.SIDE:
             return
-        known_stamps = self._get_known_stamps(peer)
+        peer_stamps = self._get_peer_stamps(peer)
         for entry in notice.entries:
             if entry.name != self._app.name:
-                self._handle_entry(entry, known_stamps)
+                self._handle_entry(entry, peer_stamps)
 
-    def _handle_entry(self, entry: EngineStatus, known_stamps: dict[str, int]) -> None:
-        known_stamps[entry.name] = max(entry.stamp_ms, known_stamps.get(entry.name, 0))
+    def _handle_entry(self, entry: EngineStatus, peer_stamps: dict[str, int]) -> None:
+        peer_stamps[entry.name] = max(entry.stamp_ms, peer_stamps.get(entry.name, 0))
         known = self._table.get(entry.name)
         if not self._table.record(entry):
             return
@@ -118,13 +118,13 @@
             self.announce()
             self._on_change()
 
-    def _get_known_stamps(self, peer: Peer) -> dict[str, int]:
+    def _get_peer_stamps(self, peer: Peer) -> dict[str, int]:
         """Return the stamps that a neighbour has; they are cleared when its process restarts."""
         name, incarnation = peer.hello.name, peer.hello.incarnation
         if self._incarnations.get(name) != incarnation:
             self._incarnations[name] = incarnation
-            self._known_stamps[name] = {}
-        return self._known_stamps.setdefault(name, {})
+            self._peer_stamps[name] = {}
+        return self._peer_stamps.setdefault(name, {})
 
     def _list_sides(self) -> list[Instance]:
         return [
@@ -136,8 +136,8 @@
     def _drop_former_neighbours(self, routes: Iterable[tuple[Instance, ...]]) -> None:
         """Drop the state of sides that are no longer neighbours."""
         kept = {instance.name for route in routes for instance in route}
-        for name in self._known_stamps.keys() - kept:
-            del self._known_stamps[name]
+        for name in self._peer_stamps.keys() - kept:
+            del self._peer_stamps[name]
             self._incarnations.pop(name, None)
 
 
--- a/gypsumrouter/orders/runner.py
+++ b/gypsumrouter/orders/runner.py
@@ -91,7 +91,7 @@
                 Order(kind=OrderKind.UNLOAD, name=name), reason=change.reason
             )
             if not isinstance(submission, Done):
-                return _abandon(submission)
+                return _make_abandoned(submission)
         match change.kind:
             case OrderKind.UNLOAD:
                 return ChangeOutcome(result=Result.DONE)
@@ -149,7 +149,7 @@
         return (
             ChangeOutcome(result=Result.DONE)
             if isinstance(submission, Done)
-            else _abandon(submission)
+            else _make_abandoned(submission)
         )
 
     async def _async_load(self, change: Change, source: str, load_ms: int) -> ChangeOutcome:
@@ -174,7 +174,7 @@
                 # An order without a response may have been accepted; the engine's state shows it.
                 await self._observe()
                 return None
-        return _abandon(submission)
+        return _make_abandoned(submission)
 
     async def _async_wait_for_store(self, change: Change) -> ChangeOutcome | None:
         while (wait_ms := self._acquire_store_slot()) > 0:
@@ -212,6 +212,6 @@
         return ChangeOutcome(result=result, reason=reason)
 
 
-def _abandon(submission: Submission) -> ChangeOutcome:
+def _make_abandoned(submission: Submission) -> ChangeOutcome:
     result, detail = describe_submission(submission)
     return ChangeOutcome(result=Result.ABANDONED, reason=detail or result)
--- a/gypsumrouter/upstream/client.py
+++ b/gypsumrouter/upstream/client.py
@@ -57,8 +57,8 @@
     __slots__ = (
         "_app",
         "_health",
-        "_numbers",
         "_settings",
+        "_stream_numbers",
         "_transport",
         "_watchdog",
         "_withdrawn",
@@ -73,7 +73,7 @@
         self._transport = Transport(app=app, settings=settings)
         self._health = Health(app=app, settings=settings, transport=self._transport)
         self._watchdog = Watchdog(app=app, silence_ms=settings.silence_ms)
-        self._numbers = itertools.count(1)
+        self._stream_numbers = itertools.count(1)
         self._withdrawn: frozenset[str] = frozenset()
         counter = app.metrics.counter
         self.silent_runs = counter("upstream_silent_total", "Connections found silent")
@@ -204,7 +204,7 @@
     def _make_stream_id(self, request: Open) -> str:
         """Return an id that is unique even if callers reuse a request id."""
         incarnation = self._app.incarnation & _INCARNATION_MASK
-        return f"{request.request_id}.{incarnation:08x}.{next(self._numbers):x}"
+        return f"{request.request_id}.{incarnation:08x}.{next(self._stream_numbers):x}"
 
     def _dump(self) -> dict[str, object]:
         report = self._health.report
