--- a/gypsumrouter/admission/const.py
+++ b/gypsumrouter/admission/const.py
@@ -19,13 +19,16 @@
 HISTORY_STEP_MS: Final = 20
 HISTORY_STEPS: Final = 128
 
-# Queue order.
+# Queue order. Slack is measured in slot releases: LOOKAHEAD_RELEASES scales it in the ATC rule, and
+# guaranteed shares have priority below GUARANTEE_RELEASES.
 LOOKAHEAD_RELEASES: Final = 3
 GUARANTEE_RELEASES: Final = 8
+# Number of interactive grants per grant to a waiting late request, and to a waiting batch request.
 GRANTS_PER_LATE_GRANT: Final = 32
 GRANTS_PER_BATCH_GRANT: Final = 256
 MIN_RELEASE_INTERVAL_MS: Final = 1.0
 MIN_PENALTY: Final = 1e-6
+# The expiry heap is compacted from COMPACT_RATIO * (queue size + COMPACT_SPARE) entries on.
 COMPACT_RATIO: Final = 2
 COMPACT_SPARE: Final = 64
 
--- a/gypsumrouter/configuration/elements.py
+++ b/gypsumrouter/configuration/elements.py
@@ -49,7 +49,10 @@
 
 
 def read_elements(document: bytes) -> Sliced[ParsedDocument]:
-    """Parse and validate all elements in slices; raises DocumentInvalid if it is no JSON object."""
+    """Parse and validate all elements in slices.
+
+    Raises DocumentInvalid unless the document is a JSON object.
+    """
     parsed = ParsedDocument()
     for count, item in enumerate(scan_document(document), start=1):
         match item:
--- a/gypsumrouter/gateway/const.py
+++ b/gypsumrouter/gateway/const.py
@@ -26,7 +26,8 @@
 
 # A request is redirected to another instance after up to this number of refusals.
 MAX_REDIRECTS: Final = 16
-# The owner of an idempotency key, and the owner if that instance is missing from the list.
+# Candidates for the owner of an idempotency key: the owner by the latest list, and the one that
+# follows if that instance is removed from the list.
 MAX_KEY_OWNERS: Final = 2
 # A request is not retried after this number of upstreams were lost while running it.
 MAX_LOST_UPSTREAMS: Final = 2
--- a/gypsumrouter/gateway/key_owners.py
+++ b/gypsumrouter/gateway/key_owners.py
@@ -9,7 +9,7 @@
 
 
 class KeyOwners:
-    """Keeps the latest published list, since sides decide by it and not by the state of links."""
+    """Selects key owners from the latest published list, by which sides check ownership too."""
 
     __slots__ = ("_fleet", "_listed")
 
--- a/gypsumrouter/idempotency/const.py
+++ b/gypsumrouter/idempotency/const.py
@@ -9,7 +9,7 @@
 # Longest time a request may take from the router that received it to the owner of its key.
 MAX_TRANSIT_MS: Final = 120_000
 
-# Comparing the clocks of two processes can be off by the permitted skew of each.
+# Margin for a comparison of the clocks of two processes, as a multiple of `clock_skew_ms`.
 SKEW_FACTOR: Final = 2
 
 DIGEST_BYTES: Final = 16
--- a/gypsumrouter/idempotency/ownership_checks.py
+++ b/gypsumrouter/idempotency/ownership_checks.py
@@ -59,7 +59,7 @@
         return self._policy.window_ms + MAX_TRANSIT_MS
 
     def set_listen_address(self, address: Address) -> None:
-        """Set the listen address; calls of an earlier process at it began before now."""
+        """Set the listen address; an earlier process at this address began its calls before now."""
         self._listening_since_ms = self._app.clock.wall_ms()
         self._ownership.set_address(address)
 
--- a/gypsumrouter/orders/table.py
+++ b/gypsumrouter/orders/table.py
@@ -1,4 +1,4 @@
-"""PoolStatus received from the sides of the pool."""
+"""Table of the newest engine status (holding) received from each side of a pool."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 class HoldingTable:
     """The newest holding of each side; it becomes stale unless its side refreshes it.
 
+    A holding is the status of a side's engine with the models that it holds (`EngineStatus`).
     A side that was removed from the list still counts as holding its models for `hold_ms`, but not
     as serving them, so a flapping entry does not change the plan. A listed side that has not
     reported yet is awaited for the time after which a holding becomes stale.
--- a/gypsumrouter/service.py
+++ b/gypsumrouter/service.py
@@ -97,7 +97,11 @@
             return
         running = process.list_running()
         self._exit_code = EXIT_FAILED
-        _LOGGER.error("Cut %d requests: %s", len(running), ", ".join(running))
+        _LOGGER.error(
+            "Drain did not finish; aborting %d running requests: %s",
+            len(running),
+            ", ".join(running),
+        )
 
     def _handle_stop_signal(self, number: int) -> None:
         if self._stop_requested.is_set():
--- a/gypsumrouter/settings.py
+++ b/gypsumrouter/settings.py
@@ -52,7 +52,7 @@
 class Tls(DocumentStruct, frozen=True, kw_only=True):
     """TLS files of a listener or link, as PEM; they are reloaded when they change.
 
-    With `client_ca_file`, a listener requires client certificates of that authority.
+    With `client_ca_file`, a listener requires client certificates issued by that authority.
     """
 
     certificate_file: str
--- a/gypsumrouter/suspicion/const.py
+++ b/gypsumrouter/suspicion/const.py
@@ -11,7 +11,8 @@
 MAX_CRASH_DIGESTS: Final = 256
 CRASH_ID_BITS: Final = 63
 
-# Suspects run on one instance of a pool per this many, and on at least one.
+# A pool has one isolation instance, which runs suspects, per this number of instances, rounded
+# down, and at least one.
 INSTANCES_PER_ISOLATION_INSTANCE: Final = 8
 
 ISOLATED_WAIT_MS: Final = 30_000
--- a/gypsumrouter/suspicion/gate.py
+++ b/gypsumrouter/suspicion/gate.py
@@ -40,7 +40,7 @@
         self._on_crash = on_crash
 
     def end(self, *, complete: bool) -> None:
-        """End the run, with whether its response was complete; idempotent."""
+        """End the run and record whether its response was complete; idempotent."""
         self._on_end(self.run, complete)
 
     def report_crash(self) -> tuple[SuspectAnnouncement, ...]:
