--- a/gypsumrouter/admission/admission.py
+++ b/gypsumrouter/admission/admission.py
@@ -195,7 +195,7 @@
         if self._checking_queue:
             return
         self._checking_queue = True
-        self._app.async_create_task(self._async_check_queue(), "admission watch")
+        self._app.async_create_task(self._async_check_queue(), "admission queue check")
 
     async def _async_check_queue(self) -> None:
         """Refuse requests that can no longer meet their deadline, until the queue is empty."""
--- a/gypsumrouter/configuration/parts.py
+++ b/gypsumrouter/configuration/parts.py
@@ -35,7 +35,7 @@
 from gypsumrouter.configuration.slices import Sliced
 
 _NUMBER_BYTES: Final = 8
-_COMPRESSION: Final = 6
+_COMPRESSION_LEVEL: Final = 6
 
 
 class Part(Struct, frozen=True, kw_only=True):
@@ -72,7 +72,7 @@
         manifest.append(digest)
         parts[digest] = existing.parts.get(digest) or Part(
             section=section,
-            body=zlib.compress(content, _COMPRESSION),
+            body=zlib.compress(content, _COMPRESSION_LEVEL),
             values=tuple(entry.value for entry in entries),
         )
         if count % SLICE_PARTS == 0:
--- a/gypsumrouter/configuration/replicator.py
+++ b/gypsumrouter/configuration/replicator.py
@@ -137,7 +137,7 @@
         )
 
     def _announce(self, configuration: Configuration) -> None:
-        self._app.async_create_task(self._async_announce(), "configuration news")
+        self._app.async_create_task(self._async_announce(), "configuration announcement")
 
     async def _async_announce(self) -> None:
         sends = [
--- a/gypsumrouter/gateway/request_monitor.py
+++ b/gypsumrouter/gateway/request_monitor.py
@@ -83,7 +83,7 @@
 
     def async_start(self) -> None:
         """Start the periodic checks."""
-        self._app.async_create_task(self._async_run(), "gateway watch")
+        self._app.async_create_task(self._async_run(), "gateway request monitor")
 
     def add(self, monitored: MonitoredRequest) -> None:
         """Monitor a request until it is removed."""
--- a/gypsumrouter/orders/gossip.py
+++ b/gypsumrouter/orders/gossip.py
@@ -63,7 +63,7 @@
 
     def start(self, is_enabled: Callable[[], bool]) -> None:
         """Start to gossip while `is_enabled` returns true."""
-        self._app.async_create_task(self._async_run(is_enabled), "order news")
+        self._app.async_create_task(self._async_run(is_enabled), "order gossip")
 
     def announce(self) -> None:
         """Send new entries without waiting for the next interval."""
