--- a/gypsumrouter/gateway/key_owners.py
+++ b/gypsumrouter/gateway/key_owners.py
@@ -16,7 +16,7 @@
     def __init__(self, *, fleet: Fleet) -> None:
         self._fleet = fleet
         self._listed: tuple[Instance, ...] = ()
-        fleet.on_list(self._handle_list)
+        fleet.on_list(self._note_list)
 
     def list_owners(self, *, pool: str, workspace: str, key: str) -> tuple[Instance, ...]:
         """Return the owner of a key, and the owner it has in a list without that instance."""
@@ -29,5 +29,5 @@
             owners.append(remaining.pop(name))
         return tuple(owners)
 
-    def _handle_list(self, listed: InstanceList) -> None:
+    def _note_list(self, listed: InstanceList) -> None:
         self._listed = listed.instances
