--- a/bench/faults_callers.py
+++ b/bench/faults_callers.py
@@ -29,7 +29,12 @@
 MAX_TRIES: Final = 12
 # Outcomes that a retry cannot change; callers still retry a few times.
 FINAL_CODES: Final = frozenset(
-    {Reason.EARLIER_RUN_UNKNOWN, Reason.KEY_EXPIRED, Reason.ANSWER_EVICTED, Reason.HOME_TOO_YOUNG}
+    {
+        Reason.EARLIER_RUN_UNKNOWN,
+        Reason.KEY_EXPIRED,
+        Reason.ANSWER_EVICTED,
+        Reason.KEY_OWNER_TOO_RECENT,
+    }
 )
 MAX_FINAL_TRIES: Final = 3
 FINAL_PAUSE_MS: Final = 100
--- a/bench/faults_report.py
+++ b/bench/faults_report.py
@@ -37,7 +37,7 @@
     def doubled(self) -> int:
         """Return the number of calls that ran twice, or of answers with surplus data."""
         seen_by_callers = sum(tally.doubled for tally in self.tallies)
-        return max(self.stage.rig.platform.count_doubled(), seen_by_callers)
+        return max(self.stage.rig.platform.count_repeated_calls(), seen_by_callers)
 
     def list_false_not_run(self) -> list[str]:
         """Return the ids of requests that were reported as not run, but did run."""
--- a/bench/faults_rig.py
+++ b/bench/faults_rig.py
@@ -109,7 +109,7 @@
     def mark_draining(self, name: str) -> None:
         """Mark an instance as draining on both lists."""
         for service in self.lists.values():
-            service.leave(name)
+            service.mark_leaving(name)
 
     def _choose_list(self, settings: dict[str, Any], data_centre: str) -> dict[str, Any]:
         address = self.lists[self.get_group(data_centre)].address
@@ -175,7 +175,7 @@
         """Add a running side to the lists again, at its previous addresses."""
         plan = self.platform.get_plan(name)
         addresses = self._listed[plan.name]
-        self.platform.list_side(name, addresses[Group.LEFT])
+        self.platform.register_side(name, addresses[Group.LEFT])
         self.platform.copy_listing(name, addresses[Group.RIGHT])
 
     async def async_wait_until_ready(self, process: DaemonProcess, *, limit_ms: int) -> bool:
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -342,7 +342,7 @@
             "weight_store_fetches": {
                 name: len(store.fetched_ms) for name, store in run.stores.items()
             },
-            "weight_store_refused": sum(store.refused for store in run.stores.values()),
+            "weight_store_refused": sum(store.rejected for store in run.stores.values()),
             "target_met": {phase.name: round(phase.traffic.target_met, 4) for phase in run.phases},
             "target_met_quiet": round(run.steady.target_met, 4),
             "lost_or_wrong": sum(count_lost_or_wrong(traffic) for traffic in all_traffic),
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -117,7 +117,7 @@
 def check_cold_starts(runners: Iterable[PlatformRunner]) -> Iterator[Violation]:
     """Check that no runner received more requests than its cold-start limit allows."""
     for runner in runners:
-        most_arrivals = runner.count_densest_cold()
+        most_arrivals = runner.get_peak_slow_start_rate()
         if most_arrivals > MAX_IN_COLD_START:
             yield Violation(
                 guarantee="cold-start limit exceeded", detail=f"{runner.name} {most_arrivals}"
--- a/bench/soak_drain_checks.py
+++ b/bench/soak_drain_checks.py
@@ -60,7 +60,7 @@
     """Check that a forwarder sends nothing to a runner for the back-off time that it asked for."""
     by_id = {record.request_id: record for record in records}
     for runner in runners:
-        for backoff in runner.rests:
+        for backoff in runner.back_offs:
             refused = by_id.get(backoff.request_id)
             if refused is None:
                 continue
--- a/bench/soak_rig.py
+++ b/bench/soak_rig.py
@@ -16,7 +16,7 @@
 from gypsumrouter.instances import Address
 from gypsumrouter.platform import names
 from gypsumrouter.standins import FaultProxy, PlatformRunner, PublishedStoreStandin
-from gypsumrouter.standins.listener import PortHolder
+from gypsumrouter.standins.listener import PortReservation
 from gypsumrouter.standins.platform_runner import Arrival
 
 ENV_KEY: Final = "GYPSUMROUTER_LINK_KEY"
@@ -64,7 +64,7 @@
         # Ports stay bound for the whole run, so that no concurrent run can bind the port of a
         # stopped forwarder.
         self._port_holders = [
-            (PortHolder(host="127.0.0.1", port=0), PortHolder(host="127.0.0.1", port=0))
+            (PortReservation(host="127.0.0.1", port=0), PortReservation(host="127.0.0.1", port=0))
             for _ in range(FORWARDERS)
         ]
         self._ports = [(c.address.port, link.address.port) for c, link in self._port_holders]
@@ -102,7 +102,7 @@
     async def async_list_runner(self, service: str, runner: PlatformRunner, *, state: str) -> None:
         """Write the store entry of a runner."""
         address = self._runner_addresses[runner.name]
-        cold_ms = max(0, round((runner.cold_until_s - time.monotonic()) * MS_PER_S))
+        cold_ms = max(0, round((runner.slow_start_until_s - time.monotonic()) * MS_PER_S))
         await self.store.async_put_runner(
             runner.name,
             service=service,
@@ -146,9 +146,9 @@
         self.retired.append(replaced)
         self._assign_data_centre(replacement, index)
         if self._evacuations and service == "models":
-            replacement.cold_until_s = time.monotonic() + COLD_START_S
+            replacement.slow_start_until_s = time.monotonic() + COLD_START_S
         await self.async_add_runner(service, replacement)
-        replaced.leaving = announces
+        replaced.draining = announces
         await asyncio.sleep(listing_delay_s)
         await self.async_list_runner(service, replaced, state="draining")
 
--- a/gypsumrouter/configuration/replicator.py
+++ b/gypsumrouter/configuration/replicator.py
@@ -19,7 +19,11 @@
 from gypsumrouter.configuration.reader import PlatformReader
 from gypsumrouter.configuration.source import ConfigurationSource, HttpConfigurationSource
 from gypsumrouter.configuration.store import ConfigurationStore
-from gypsumrouter.link.models import ConfigurationNews, Parts, PartsRequest
+from gypsumrouter.link.models import (
+    ConfigurationAnnouncement,
+    ConfigurationParts,
+    ConfigurationPartsRequest,
+)
 
 if TYPE_CHECKING:
     from gypsumrouter.core import Application
@@ -30,7 +34,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 DUMP_SECTION: Final = "configuration_spread"
-VERSION_QUERY: Final = PartsRequest(version=0)
+VERSION_QUERY: Final = ConfigurationPartsRequest(version=0)
 
 
 class ConfigurationReplicator:
@@ -92,9 +96,9 @@
 
     async def async_start(self) -> None:
         """Start replication; the `ready` event of the store is set with the first configuration."""
-        self._notices.subscribe(ConfigurationNews, self._handle_announcement)
-        self._notices.subscribe(PartsRequest, self._handle_parts_request)
-        self._notices.subscribe(Parts, self._handle_parts)
+        self._notices.subscribe(ConfigurationAnnouncement, self._handle_announcement)
+        self._notices.subscribe(ConfigurationPartsRequest, self._handle_parts_request)
+        self._notices.subscribe(ConfigurationParts, self._handle_parts)
         self._store.on_change(self._announce)
         self._fleet.on_change(self._invalidate_neighbours)
         self._app.add_dump_section(DUMP_SECTION, self._dump)
@@ -102,7 +106,7 @@
         self._app.async_create_task(self._async_run_anti_entropy(), "configuration anti-entropy")
         self._reader.async_start()
 
-    def _handle_announcement(self, peer: PeerLink, announcement: ConfigurationNews) -> None:
+    def _handle_announcement(self, peer: PeerLink, announcement: ConfigurationAnnouncement) -> None:
         self._reader.record_contact()
         own = self._store.parts
         self._known_versions[peer.hello.name] = max(announcement.version, own.version)
@@ -113,15 +117,15 @@
         elif announcement.digest != own.digest:
             self._record_conflict(peer, announcement)
 
-    def _handle_parts_request(self, peer: PeerLink, request: PartsRequest) -> None:
+    def _handle_parts_request(self, peer: PeerLink, request: ConfigurationPartsRequest) -> None:
         self._reader.record_contact()
         peer.send(answer_parts_request(self._store, request))
 
-    def _handle_parts(self, peer: PeerLink, parts: Parts) -> None:
+    def _handle_parts(self, peer: PeerLink, parts: ConfigurationParts) -> None:
         self._reader.record_contact()
         self._fetcher.handle_parts(parts)
 
-    def _record_conflict(self, peer: PeerLink, announcement: ConfigurationNews) -> None:
+    def _record_conflict(self, peer: PeerLink, announcement: ConfigurationAnnouncement) -> None:
         self._conflicts += 1
         if announcement.version == self._conflict_version:
             return
@@ -143,7 +147,7 @@
         await asyncio.gather(*sends)
 
     async def _async_announce_to(
-        self, candidates: RingNeighbours, announcement: ConfigurationNews
+        self, candidates: RingNeighbours, announcement: ConfigurationAnnouncement
     ) -> None:
         """Announce a version to the first reachable candidate, unless it already has it."""
         for instance in candidates:
@@ -197,8 +201,10 @@
             if await self._pool.async_send(instance=instance, notice=VERSION_QUERY):
                 return
 
-    def _build_announcement(self) -> ConfigurationNews:
-        return ConfigurationNews(version=self._store.parts.version, digest=self._store.parts.digest)
+    def _build_announcement(self) -> ConfigurationAnnouncement:
+        return ConfigurationAnnouncement(
+            version=self._store.parts.version, digest=self._store.parts.digest
+        )
 
     def _get_neighbours(self) -> tuple[RingNeighbours, ...]:
         if self._neighbours is None:
--- a/gypsumrouter/exchange/execution.py
+++ b/gypsumrouter/exchange/execution.py
@@ -17,7 +17,7 @@
 from gypsumrouter.suspicion import SuspectTracker
 from gypsumrouter.upstream import HandOverDenied, UpstreamClient
 
-_INTERRUPTED_REASONS = frozenset({Reason.CANCELLED, Reason.SUSPECT_BUSY})
+_INTERRUPTED_REASONS = frozenset({Reason.CANCELLED, Reason.SUSPECT_ISOLATED})
 
 
 class Attempt(Struct, frozen=True, kw_only=True):
--- a/gypsumrouter/exchange/runner.py
+++ b/gypsumrouter/exchange/runner.py
@@ -103,7 +103,7 @@
         """Subscribe to configuration and upstream changes, and register the drain hook."""
         self._configure(self._store.current)
         self._store.on_change(self._configure)
-        self._client.on_died(self._handle_upstream_crash)
+        self._client.on_crash(self._handle_upstream_crash)
         self._client.on_up(lambda _up: self._notify())
         self._client.on_models(self._notify)
         self._admission.on_change(self._notify)
--- a/gypsumrouter/forwarding/models.py
+++ b/gypsumrouter/forwarding/models.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from gypsumrouter.helpers.http_connection import Answer
+from gypsumrouter.helpers.http_connection import HttpResponse
 from gypsumrouter.instances import Address
 
 Headers = tuple[tuple[str, str], ...]
@@ -105,10 +105,10 @@
     def write_request(self, *, request: CallerRequest, options: AttemptOptions) -> bytes:
         """Return the serialized request for an upstream."""
 
-    def read_response_head(self, answer: Answer) -> ResponseMetadata:
+    def read_response_head(self, answer: HttpResponse) -> ResponseMetadata:
         """Return the metadata from a response's headers."""
 
-    def select_headers(self, answer: Answer) -> list[tuple[str, str]]:
+    def select_headers(self, answer: HttpResponse) -> list[tuple[str, str]]:
         """Return the headers of a response that are passed to the caller."""
 
     def format_retry_after(self, retry_after_ms: int) -> str:
@@ -138,7 +138,7 @@
 class CompleteResponse(Struct, frozen=True, kw_only=True):
     """A response whose body was read completely."""
 
-    answer: Answer
+    answer: HttpResponse
     status: int
     signed: bool
     body: bytes
@@ -151,7 +151,7 @@
     body consists of server-sent events.
     """
 
-    answer: Answer
+    answer: HttpResponse
     status: int
     is_event_stream: bool
     initial_bytes: bytes = b""
--- a/gypsumrouter/helpers/settings_watch.py
+++ b/gypsumrouter/helpers/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Takes over what changes in the settings file of a running process, with a signal or without."""
+"""Reloads the settings file of a running process after a signal or when the file changes."""
 
 from __future__ import annotations
 
@@ -14,21 +14,20 @@
 from gypsumrouter.journal import Journal, SettingsReloaded
 from gypsumrouter.settings import ForwarderSettings
 
-# One look at the file's times, some ten microseconds; a change holds as soon as a configuration.
-LOOK_MS: Final = 1_000
+POLL_INTERVAL_MS: Final = 1_000
 
 Check = Callable[[bytes], ForwarderSettings]
 Apply = Callable[[ForwarderSettings], tuple[str, ...]]
 
 
-class SettingsWatch:
-    """Reads the file again after a change and hands the settings to `apply`.
+class SettingsWatcher:
+    """Reads the file after a change and passes the settings to `apply`.
 
-    `apply` returns the sections that hold at once; the others hold from the next start on. A file
-    that is unreadable or wrong changes nothing.
+    `apply` returns the names of the sections that it applied; changes of other sections take effect
+    at the next start. An unreadable or invalid file changes nothing.
     """
 
-    __slots__ = ("_app", "_apply", "_check", "_journal", "_path", "_seen", "_settings")
+    __slots__ = ("_app", "_apply", "_check", "_file_state", "_journal", "_path", "_settings")
 
     def __init__(
         self,
@@ -46,15 +45,15 @@
         self._settings = settings
         self._check = check
         self._apply = apply
-        self._seen = self._look()
+        self._file_state = self._read_file_state()
 
     def async_start(self) -> None:
-        """Begin to look for changes that no signal tells of."""
+        """Start to poll the file for changes."""
         self._app.async_create_task(self._async_watch(), "settings")
 
     def reload(self) -> None:
-        """Read the file now and journal what differs."""
-        self._seen = self._look()
+        """Read the file, apply the changed settings and record the reload in the journal."""
+        self._file_state = self._read_file_state()
         try:
             settings = self._check(read_settings_file(self._path))
         except SettingsInvalid as invalid:
@@ -75,17 +74,17 @@
         names = (field.name for field in fields(settings))
         return tuple(n for n in names if getattr(settings, n) != getattr(self._settings, n))
 
-    def _look(self) -> tuple[int, int, int] | None:
-        """Return what changes with the file; None while it cannot be seen."""
+    def _read_file_state(self) -> tuple[int, int, int] | None:
+        """Return the modification time, size and inode of the file, or None if it is missing."""
         try:
             status = self._path.stat()
         except OSError:
-            # A file that is being replaced; `reload` tells what stays wrong with it.
+            # The file may be in the middle of a replacement; `reload` reports lasting errors.
             return None
         return status.st_mtime_ns, status.st_size, status.st_ino
 
     async def _async_watch(self) -> None:
         while True:
-            await self._app.clock.async_sleep(LOOK_MS)
-            if self._look() != self._seen:
+            await self._app.clock.async_sleep(POLL_INTERVAL_MS)
+            if self._read_file_state() != self._file_state:
                 self.reload()
--- a/gypsumrouter/helpers/tls.py
+++ b/gypsumrouter/helpers/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings, whose key files are read again when they change."""
+"""TLS contexts that reload their certificate files when these change."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 DEFAULT_RELOAD_MS: Final = 5_000
 _FIELD_TLS: Final = "$.tls"
 
-Stamp = tuple[tuple[int, int], ...]
+FilesState = tuple[tuple[int, int], ...]
 
 
 def make_server_context(tls: Tls) -> ssl.SSLContext:
-    """Return the context of a listener; raises SettingsInvalid when a file is wrong."""
+    """Return the TLS context of a listener; raises SettingsInvalid if a file is unusable."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     _load(context, tls, tls.client_ca_file)
@@ -31,11 +31,11 @@
 
 
 def make_client_context(tls: Tls, *, check_hostname: bool = False) -> ssl.SSLContext:
-    """Return the context of a client, which shows its own certificate when asked.
+    """Return the TLS context of a client, which presents its own certificate on request.
 
-    The server's certificate must be of `ca_file`, or of the system's authorities without it.
-    Instances are replaced at other addresses, so that names are checked only on request. Raises
-    SettingsInvalid when a file is wrong.
+    Server certificates are verified against `ca_file`, or by default against the system's
+    authorities. Host names are checked only with `check_hostname`, because instances are replaced
+    at other addresses. Raises SettingsInvalid if a file is unusable.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -48,13 +48,13 @@
 
 
 class TlsFiles:
-    """Load a certificate chain again into its context when a file changes.
+    """Reloads the certificate chain of a context when one of its files changes.
 
-    Connections made after that use it. Authorities are only added: one that was removed stays
-    trusted until the process is replaced.
+    New connections use the reloaded chain. Authorities are only added: a removed one stays trusted
+    until the process is restarted.
     """
 
-    __slots__ = ("_app", "_context", "_reload_ms", "_stamp", "_tls")
+    __slots__ = ("_app", "_context", "_files_state", "_reload_ms", "_tls")
 
     def __init__(
         self,
@@ -68,29 +68,31 @@
         self._tls = tls
         self._context = context
         self._reload_ms = reload_ms
-        self._stamp = read_stamp(tls)
+        self._files_state = read_files_state(tls)
 
     def async_start(self) -> None:
-        """Look at the files from time to time until the application stops."""
+        """Start to poll the files for changes until the application stops."""
         self._app.async_create_task(self._async_watch(), "TLS files")
 
     def refresh(self) -> bool:
-        """Read the files again if they changed; return whether they were taken.
+        """Reload the files if they changed; return whether a new chain was loaded.
 
-        Files that are wrong, such as half of a pair, leave the old chain in force.
+        Unusable files, such as a certificate without its key, leave the loaded chain in use.
         """
-        stamp = read_stamp(self._tls)
-        if stamp == self._stamp:
+        files_state = read_files_state(self._tls)
+        if files_state == self._files_state:
             return False
         try:
-            # A wrong pair would leave the context half changed, so it is tried on another one.
+            # A mismatched pair could change part of the context, so it is tested on another one.
             _load(ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER), self._tls, None)
             _load(self._context, self._tls, self._get_authority())
         except SettingsInvalid as error:
-            _LOGGER.warning("Changed TLS files are not taken: %s", error)
+            _LOGGER.warning(
+                "Changed TLS files are unusable (%s); keeping the loaded certificate", error
+            )
             return False
-        self._stamp = stamp
-        _LOGGER.info("TLS files were read again")
+        self._files_state = files_state
+        _LOGGER.info("Reloaded the changed TLS files")
         return True
 
     def _get_authority(self) -> str | None:
@@ -104,13 +106,13 @@
             await asyncio.to_thread(self.refresh)
 
 
-def read_stamp(tls: Tls) -> Stamp:
-    """Return what changes when one of the files is written; blocks for a moment."""
+def read_files_state(tls: Tls) -> FilesState:
+    """Return the modification times and inodes of the files; does blocking file access."""
     paths = (tls.certificate_file, tls.key_file, tls.ca_file, tls.client_ca_file)
-    return tuple(_read_file_stamp(path) for path in paths if path is not None)
+    return tuple(_read_file_state(path) for path in paths if path is not None)
 
 
-def _read_file_stamp(path: str) -> tuple[int, int]:
+def _read_file_state(path: str) -> tuple[int, int]:
     try:
         stat = Path(path).stat()
     except OSError:
--- a/gypsumrouter/idempotency/ownership_checks.py
+++ b/gypsumrouter/idempotency/ownership_checks.py
@@ -138,7 +138,7 @@
         if wait_ms < 0:
             return None
         return Failed(
-            reason=Reason.HOME_TOO_YOUNG,
+            reason=Reason.KEY_OWNER_TOO_RECENT,
             message="an earlier instance may have run this call; a UUIDv7 as key waits less",
             retry_after_ms=wait_ms + 1,
         )
@@ -157,12 +157,12 @@
 
     def _make_not_owner(self) -> Refused:
         retry_after_ms = self._settings.list_poll_ms
-        return Refused(reason=Reason.NOT_HOME, retry_after_ms=retry_after_ms, elsewhere=True)
+        return Refused(reason=Reason.NOT_KEY_OWNER, retry_after_ms=retry_after_ms, elsewhere=True)
 
     def _make_unconfirmed(self, *, never_run: bool = False) -> Failure:
         kind = Refused if never_run else Failed
         return kind(
-            reason=Reason.HOME_UNCONFIRMED,
+            reason=Reason.KEY_OWNER_UNCONFIRMED,
             message="the instance list is too old to confirm the home of this call",
             retry_after_ms=self._settings.list_poll_ms,
         )
--- a/gypsumrouter/link/router_codec.py
+++ b/gypsumrouter/link/router_codec.py
@@ -1,4 +1,4 @@
-"""Bodies of the notices between routers that reach upstreams themselves."""
+"""Encodes and decodes the notices between routers that connect to upstreams directly."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 from gypsumrouter.link.frames import FrameError
 from gypsumrouter.link.models import (
-    CatchUp,
+    CatchUpRequest,
     DataCentreLoads,
-    DataCentreNews,
-    EvacuationTold,
-    HeldAt,
-    HeldNews,
+    DataCentreUpdate,
+    EngineListing,
+    EvacuationState,
+    InventoryUpdate,
     ListedUpstream,
     ListedUpstreams,
     PlacedPart,
-    RelayedNews,
-    RouterAt,
+    RelayedUpdate,
+    RouterAddress,
     RouterLoad,
-    RouterNews,
+    RouterUpdate,
     RoutingDocument,
-    StoreWatched,
+    StoreUpdate,
     Strike,
 )
-from gypsumrouter.link.schema import SCHEMA, reading, reading_packed, to_bytes, to_packed
+from gypsumrouter.link.schema import SCHEMA, open_message, open_packed_message, to_bytes, to_packed
 
-# Loads at 930 upstreams from each of eight data centres, 20 bytes each, and what was placed.
-MAX_NEWS_BYTES: Final = 256 * 1024
-# A document of 9,500 workspaces takes about 2 MB.
+# Enough for 930 upstreams in each of eight data centres, 20 bytes each, and the placed parts.
+MAX_UPDATE_BYTES: Final = 256 * 1024
+# A document with 9,500 workspaces has about 2 MB.
 MAX_DOCUMENT_BYTES: Final = 16 * 1024 * 1024
-# Fast rather than small: a document of 40 KB takes 0.4 ms.
+# The fastest level of zlib.
 COMPRESSION: Final = 1
 
 
-def encode_router_news(notice: RouterNews) -> bytes:
-    """Return the body of a notice's frame."""
+def encode_router_update(notice: RouterUpdate) -> bytes:
+    """Encode the body of a ROUTER_NEWS frame."""
     message = SCHEMA.RouterNews.new_message(
         address=notice.address,
         routingVersion=notice.routing_version,
@@ -54,13 +54,13 @@
     return to_packed(message)
 
 
-def decode_router_news(body: bytes) -> RouterNews:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.RouterNews, body, max_bytes=MAX_NEWS_BYTES) as message:
-        return RouterNews(
+def decode_router_update(body: bytes) -> RouterUpdate:
+    """Decode the body of a ROUTER_NEWS frame; raises FrameError."""
+    with open_packed_message(SCHEMA.RouterNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
+        return RouterUpdate(
             address=message.address,
             routers=tuple(
-                RouterAt(address=router.address, data_centre=router.dataCentre)
+                RouterAddress(address=router.address, data_centre=router.dataCentre)
                 for router in message.known
             ),
             routing_version=message.routingVersion,
@@ -74,8 +74,8 @@
         )
 
 
-def encode_data_centre_news(notice: DataCentreNews) -> bytes:
-    """Return the body of a notice's frame."""
+def encode_data_centre_update(notice: DataCentreUpdate) -> bytes:
+    """Encode the body of a DATA_CENTRE_NEWS frame."""
     message = SCHEMA.DataCentreNews.new_message(
         address=notice.address,
         routingVersion=notice.routing_version,
@@ -89,10 +89,10 @@
     return to_packed(message)
 
 
-def decode_data_centre_news(body: bytes) -> DataCentreNews:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.DataCentreNews, body, max_bytes=MAX_NEWS_BYTES) as message:
-        return DataCentreNews(
+def decode_data_centre_update(body: bytes) -> DataCentreUpdate:
+    """Decode the body of a DATA_CENTRE_NEWS frame; raises FrameError."""
+    with open_packed_message(SCHEMA.DataCentreNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
+        return DataCentreUpdate(
             address=message.address,
             loads=_read_data_centre(message.loads),
             routing_version=message.routingVersion,
@@ -104,8 +104,8 @@
         )
 
 
-def encode_relayed_news(notice: RelayedNews) -> bytes:
-    """Return the body of a notice's frame."""
+def encode_relayed_update(notice: RelayedUpdate) -> bytes:
+    """Encode the body of a RELAYED_NEWS frame."""
     message = SCHEMA.RelayedNews.new_message(refused=list(notice.refused))
     loads = message.init("loads", len(notice.loads))
     for target, data_centre in zip(loads, notice.loads, strict=True):
@@ -115,10 +115,10 @@
     return to_packed(message)
 
 
-def decode_relayed_news(body: bytes) -> RelayedNews:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.RelayedNews, body, max_bytes=MAX_NEWS_BYTES) as message:
-        return RelayedNews(
+def decode_relayed_update(body: bytes) -> RelayedUpdate:
+    """Decode the body of a RELAYED_NEWS frame; raises FrameError."""
+    with open_packed_message(SCHEMA.RelayedNews, body, max_bytes=MAX_UPDATE_BYTES) as message:
+        return RelayedUpdate(
             loads=tuple(_read_data_centre(data_centre) for data_centre in message.loads),
             placed=_read_placed(message),
             strikes=_read_strikes(message),
@@ -178,7 +178,7 @@
     )
 
 
-def _set_evacuations(message: Any, evacuations: tuple[EvacuationTold, ...]) -> None:
+def _set_evacuations(message: Any, evacuations: tuple[EvacuationState, ...]) -> None:
     targets = message.init("evacuations", len(evacuations))
     for target, evacuation in zip(targets, evacuations, strict=True):
         target.dataCentre = evacuation.data_centre
@@ -186,9 +186,9 @@
         target.active = evacuation.active
 
 
-def _read_evacuations(message: Any) -> tuple[EvacuationTold, ...]:
+def _read_evacuations(message: Any) -> tuple[EvacuationState, ...]:
     return tuple(
-        EvacuationTold(
+        EvacuationState(
             data_centre=evacuation.dataCentre,
             revision=evacuation.revision,
             active=evacuation.active,
@@ -197,8 +197,8 @@
     )
 
 
-def encode_store_watched(notice: StoreWatched) -> bytes:
-    """Return the body of a notice's frame."""
+def encode_store_update(notice: StoreUpdate) -> bytes:
+    """Encode the body of a STORE_WATCHED frame."""
     message = SCHEMA.StoreWatched.new_message(
         routingVersion=notice.routing_version,
         routingAsOf=notice.routing_as_of,
@@ -209,10 +209,10 @@
     return to_packed(message)
 
 
-def decode_store_watched(body: bytes) -> StoreWatched:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading_packed(SCHEMA.StoreWatched, body) as message:
-        return StoreWatched(
+def decode_store_update(body: bytes) -> StoreUpdate:
+    """Decode the body of a STORE_WATCHED frame; raises FrameError."""
+    with open_packed_message(SCHEMA.StoreWatched, body) as message:
+        return StoreUpdate(
             routing_version=message.routingVersion,
             routing_as_of=message.routingAsOf,
             list_newest=message.listNewest,
@@ -221,22 +221,24 @@
         )
 
 
-def encode_catch_up(notice: CatchUp) -> bytes:
-    """Return the body of a notice's frame."""
+def encode_catch_up_request(notice: CatchUpRequest) -> bytes:
+    """Encode the body of a CATCH_UP frame."""
     message = SCHEMA.CatchUp.new_message(
         routing=notice.routing, upstreams=notice.upstreams, since=notice.since
     )
     return to_bytes(message)
 
 
-def decode_catch_up(body: bytes) -> CatchUp:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.CatchUp, body) as message:
-        return CatchUp(routing=message.routing, upstreams=message.upstreams, since=message.since)
+def decode_catch_up_request(body: bytes) -> CatchUpRequest:
+    """Decode the body of a CATCH_UP frame; raises FrameError."""
+    with open_message(SCHEMA.CatchUp, body) as message:
+        return CatchUpRequest(
+            routing=message.routing, upstreams=message.upstreams, since=message.since
+        )
 
 
 def encode_routing_document(notice: RoutingDocument) -> bytes:
-    """Return the body of a notice's frame, with the document compressed."""
+    """Encode the body of a ROUTING_DOCUMENT frame, with the document compressed."""
     packed = zlib.compress(notice.document, COMPRESSION)
     message = SCHEMA.RoutingDocument.new_message(version=notice.version, document=packed)
     _set_evacuations(message, notice.evacuations)
@@ -244,8 +246,8 @@
 
 
 def decode_routing_document(body: bytes) -> RoutingDocument:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.RoutingDocument, body) as message:
+    """Decode the body of a ROUTING_DOCUMENT frame; raises FrameError."""
+    with open_message(SCHEMA.RoutingDocument, body) as message:
         version, packed = message.version, bytes(message.document)
         evacuations = _read_evacuations(message)
     unpacker = zlib.decompressobj()
@@ -259,7 +261,7 @@
 
 
 def encode_listed_upstreams(notice: ListedUpstreams) -> bytes:
-    """Return the body of a notice's frame."""
+    """Encode the body of a LISTED_UPSTREAMS frame."""
     message = SCHEMA.ListedUpstreams.new_message(asOf=notice.as_of)
     entries = message.init("entries", len(notice.entries))
     for target, entry in zip(entries, notice.entries, strict=True):
@@ -276,8 +278,8 @@
 
 
 def decode_listed_upstreams(body: bytes) -> ListedUpstreams:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.ListedUpstreams, body) as message:
+    """Decode the body of a LISTED_UPSTREAMS frame; raises FrameError."""
+    with open_message(SCHEMA.ListedUpstreams, body) as message:
         return ListedUpstreams(
             entries=tuple(
                 ListedUpstream(
@@ -297,24 +299,24 @@
         )
 
 
-def encode_held_news(notice: HeldNews) -> bytes:
-    """Return the body of a notice's frame."""
+def encode_inventory_update(notice: InventoryUpdate) -> bytes:
+    """Encode the body of a HELD_NEWS frame."""
     message = SCHEMA.HeldNews.new_message(complete=notice.complete)
     engines = message.init("engines", len(notice.engines))
     for target, engine in zip(engines, notice.engines, strict=True):
         target.upstream = engine.upstream
         target.parts = list(engine.parts)
-    # Ids are hashes, which packing would make longer, and there are thousands of them.
+    # Not packed: part ids are hashes with few zero bytes, which packing would enlarge.
     return to_bytes(message)
 
 
-def decode_held_news(body: bytes) -> HeldNews:
-    """Return a notice from the body of its frame; raises FrameError."""
-    with reading(SCHEMA.HeldNews, body) as message:
-        return HeldNews(
+def decode_inventory_update(body: bytes) -> InventoryUpdate:
+    """Decode the body of a HELD_NEWS frame; raises FrameError."""
+    with open_message(SCHEMA.HeldNews, body) as message:
+        return InventoryUpdate(
             complete=message.complete,
             engines=tuple(
-                HeldAt(upstream=engine.upstream, parts=tuple(engine.parts))
+                EngineListing(upstream=engine.upstream, parts=tuple(engine.parts))
                 for engine in message.engines
             ),
         )
--- a/gypsumrouter/link/server.py
+++ b/gypsumrouter/link/server.py
@@ -1,4 +1,4 @@
-"""The listening end of links: accepts dialers, runs their requests, publishes the status."""
+"""The listening end of links: accepts links, runs their requests and publishes the status."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from gypsumrouter.instances import Address
 from gypsumrouter.link.answer import Answer
 from gypsumrouter.link.codec import decode_goodbye
-from gypsumrouter.link.connection import Connection, LoadMark
+from gypsumrouter.link.connection import Connection, ReportedLoad
 from gypsumrouter.link.const import (
-    DIALER_PATIENCE,
-    FLAG_ECHO,
-    FLAG_ECHO_ASKED,
+    DIALER_INTERVAL_FACTOR,
+    FLAG_ECHO_REPLY,
+    FLAG_ECHO_REQUEST,
     IDLE_FACTOR,
     MAX_HANDSHAKES,
     Kind,
@@ -27,14 +27,14 @@
     Accepted,
     HandshakeFailed,
     WrongKey,
-    async_accept,
+    async_server_handshake,
     make_greeting,
     to_seconds,
 )
-from gypsumrouter.link.liveness import async_tick, forgive_silence, keep_alive
+from gypsumrouter.link.liveness import async_run_timer, keep_alive, reset_silence_timer
+from gypsumrouter.link.log_once import LogOnce
 from gypsumrouter.link.models import Hello, Notice, Open, Status
 from gypsumrouter.link.notices import NoticeHub, Peer
-from gypsumrouter.link.once import LogOnce
 from gypsumrouter.link.served import ServedLink
 from gypsumrouter.link.status import StatusPublisher
 from gypsumrouter.link.table import ExchangeTable, RouterRecord
@@ -52,7 +52,7 @@
 
 
 class LinkServer:
-    """Accept links from other processes; each process has one."""
+    """Accepts links from other processes; each process has one server."""
 
     __slots__ = (
         "_app",
@@ -62,10 +62,10 @@
         "_handshakes",
         "_key",
         "_listener",
-        "_load_mark",
         "_notices",
         "_peers",
         "_released",
+        "_reported_load",
         "_settings",
         "_status",
         "_table",
@@ -94,9 +94,9 @@
         self._listener: asyncio.Server | None = None
         self._released = asyncio.Event()
         self._wrong_keys = LogOnce()
-        self._load_mark = LoadMark()
+        self._reported_load = ReportedLoad()
         self._status = StatusPublisher(
-            app=app, connections=self._list_open, load_mark=self._load_mark
+            app=app, connections=self._list_open, reported_load=self._reported_load
         )
         self._table = ExchangeTable(
             clock=app.clock,
@@ -108,7 +108,7 @@
         )
 
     async def async_start(self) -> Address:
-        """Listen, and return the address that was bound; raises OSError."""
+        """Start to listen and return the bound address; raises OSError."""
         loop = asyncio.get_running_loop()
         context = None
         if self._settings.tls is not None:
@@ -122,25 +122,27 @@
         self._app.on_stop(self._async_stop)
         self._diagnostics.add_part("server", self._dump, lambda: len(self._peers))
         self._app.async_create_task(
-            async_tick(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
+            async_run_timer(clock=self._app.clock, settings=self._settings, on_tick=self._tick),
             "link server timer",
         )
         host, port = self._listener.sockets[0].getsockname()[:2]
         return Address(host=host, port=port)
 
     def publish_status(self, status: Status) -> None:
-        """Send the status on open links, at a bounded rate, but `leaving` and `ready` at once."""
+        """Send the status over open links at a bounded rate; `leaving` and `ready` at once."""
         self._status.publish(status)
 
     def send_to(self, names: Collection[str], notice: Notice) -> None:
-        """Send a notice over the open links of some processes, before all that is sent later."""
+        """Send a notice over the open links of the named processes, ahead of later frames."""
         for peer, _ in tuple(self._peers.values()):
             if peer.hello.name in names:
                 peer.send(notice)
 
     def _make_connection(self) -> Connection:
         connection = Connection(
-            clock=self._app.clock, counts=self._diagnostics.counts, load_mark=self._load_mark
+            clock=self._app.clock,
+            counts=self._diagnostics.counts,
+            reported_load=self._reported_load,
         )
         self._connections.add(connection)
         self._app.async_create_task(self._async_serve(connection), "link server connection")
@@ -166,22 +168,26 @@
         self._handshakes += 1
         try:
             async with asyncio.timeout(to_seconds(self._settings.connect_ms)):
-                accepted = await async_accept(
+                accepted = await async_server_handshake(
                     connection=connection, greeting=greeting, key=self._key
                 )
         except WrongKey:
             host = connection.peer_host
             if self._wrong_keys.is_first(host):
-                _LOGGER.warning("A process at %s tried to link with a wrong key", host)
+                _LOGGER.warning(
+                    "Rejected a link from %s: its proof does not match the link key", host
+                )
             return None
         except (HandshakeFailed, FrameError, TimeoutError) as error:
-            _LOGGER.debug("A handshake from %s failed: %s", connection.peer_host, error)
+            _LOGGER.debug(
+                "Handshake with %s failed, closing the connection: %s", connection.peer_host, error
+            )
             if isinstance(error, FrameError):
-                connection.end(str(error))
+                connection.close_with_goodbye(str(error))
             return None
         finally:
             self._handshakes -= 1
-        # A paused process reads late: the table's floors rest on this bound.
+        # A paused process may read the proof late; the exchange table relies on this limit.
         if self._app.clock.now_ms() - connection.opened_ms > self._settings.connect_ms:
             return None
         return accepted
@@ -189,17 +195,17 @@
     async def _async_serve_router(self, connection: Connection, record: RouterRecord) -> None:
         peer = Peer(hello=record.hello, connection=connection, dialed=False)
         self._peers[connection] = (peer, record)
-        connection.lift_limit()
+        connection.raise_frame_limit()
         connection.send(Kind.WELCOME)
-        self._status.greet(connection)
-        _LOGGER.debug("%s opened a link", record.hello.name)
+        self._status.send_initial(connection)
+        _LOGGER.debug("Accepted a link from %s", record.hello.name)
         served = ServedLink(table=self._table, record=record, connection=connection, run=self._run)
         try:
             while (frame := await connection.async_read()) is not None:
                 self._on_frame(peer, connection, served, frame)
         except FrameError as error:
-            _LOGGER.warning("The link with %s is closed: %s", record.hello.name, error)
-            connection.end(str(error))
+            _LOGGER.warning("Closing the link from %s: %s", record.hello.name, error)
+            connection.close_with_goodbye(str(error))
         finally:
             del self._peers[connection]
             self._table.detach(record, connection)
@@ -211,8 +217,8 @@
             return
         match frame.kind:
             case Kind.HEARTBEAT:
-                if frame.flags & FLAG_ECHO_ASKED:
-                    connection.send(Kind.HEARTBEAT, flags=FLAG_ECHO)
+                if frame.flags & FLAG_ECHO_REQUEST:
+                    connection.send(Kind.HEARTBEAT, flags=FLAG_ECHO_REPLY)
             case Kind.GOODBYE:
                 raise FrameError(f"the dialer closed it: {decode_goodbye(frame.body)}")
             case _:
@@ -235,7 +241,9 @@
         except InvariantBroken:
             raise
         except Exception:
-            _LOGGER.exception("Request %s broke its handler", request.request_id)
+            _LOGGER.exception(
+                "Unexpected exception in the handler of request %s", request.request_id
+            )
         if not answer.ended:
             answer.fail(_NO_END)
 
@@ -247,21 +255,21 @@
         self._diagnostics.publish()
         for connection, (peer, record) in tuple(self._peers.items()):
             if late:
-                forgive_silence(connection, now_ms)
+                reset_silence_timer(connection, now_ms)
             keep_alive(
                 connection=connection,
                 busy=record.busy,
                 now_ms=now_ms,
                 heartbeat_ms=self._settings.heartbeat_ms,
-                silence_ms=self._settings.silence_ms * DIALER_PATIENCE,
+                silence_ms=self._settings.silence_ms * DIALER_INTERVAL_FACTOR,
                 name=peer.hello.name,
             )
-            idle_ms = now_ms - connection.last_heard_ms
+            idle_ms = now_ms - connection.last_received_ms
             if idle_ms > IDLE_FACTOR * self._settings.idle_close_ms:
                 connection.abort()
 
     async def _async_drain(self) -> None:
-        """Wait until every answer of this moment has been taken or given up."""
+        """Wait until all current answers have been confirmed or discarded."""
         answers = [answer for record in self._table.routers() for answer in record.answers.values()]
         while any(not answer.dropped for answer in answers):
             self._released.clear()
@@ -276,7 +284,7 @@
     def _dump(self) -> object:
         return {
             "answer_memory_bytes": self._table.memory.used_bytes,
-            "forgotten_before_ms": self._table.horizon_ms,
+            "forgotten_before_ms": self._table.forgotten_before_ms,
             "routers": [
                 {
                     "name": record.hello.name,
--- a/gypsumrouter/orders/diagnostics.py
+++ b/gypsumrouter/orders/diagnostics.py
@@ -1,16 +1,16 @@
-"""What orders add to the state dump."""
+"""Sections of the state dump about orders."""
 
 from __future__ import annotations
 
 from msgspec.structs import asdict
 
-from gypsumrouter.link.models import HeldModel
+from gypsumrouter.link.models import ModelStatus
 from gypsumrouter.orders.models import Change, EngineState
-from gypsumrouter.orders.table import Heard, HoldingTable
+from gypsumrouter.orders.table import HoldingTable, ReceivedHolding
 
 
 def dump_state(state: EngineState | None) -> dict[str, object] | None:
-    """Return what the engine holds as plain JSON data."""
+    """Return the engine's state as JSON data."""
     if state is None:
         return None
     return {
@@ -23,7 +23,7 @@
 def dump_change(
     change: Change | None, *, confirmed: bool, source: str, since_ms: int
 ) -> dict[str, object] | None:
-    """Return the change under way as plain JSON data; it is announced before it is confirmed."""
+    """Return the change in progress as JSON data."""
     if change is None:
         return None
     return {
@@ -40,18 +40,18 @@
 
 
 def dump_table(table: HoldingTable, now_ms: int) -> list[dict[str, object]]:
-    """Return what was heard of each engine of the pool."""
-    return [_dump_entry(name, heard, now_ms) for name, heard in table.list_heard()]
+    """Return the last holding received from each side of the pool as JSON data."""
+    return [_dump_entry(name, received, now_ms) for name, received in table.list_received()]
 
 
-def _dump_entry(name: str, heard: Heard | None, now_ms: int) -> dict[str, object]:
-    if heard is None:
+def _dump_entry(name: str, received: ReceivedHolding | None, now_ms: int) -> dict[str, object]:
+    if received is None:
         return {"name": name, "heard": False}
-    holding = heard.holding
+    holding = received.holding
     return {
         "name": name,
         "heard": True,
-        "age_ms": now_ms - heard.at_ms,
+        "age_ms": now_ms - received.received_ms,
         "up": holding.up,
         "engine": holding.engine,
         "role": holding.role,
@@ -59,5 +59,5 @@
     }
 
 
-def _dump_model(model: HeldModel) -> dict[str, object]:
+def _dump_model(model: ModelStatus) -> dict[str, object]:
     return asdict(model)
--- a/gypsumrouter/standins/__init__.py
+++ b/gypsumrouter/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform and the upstreams, and a proxy that injects faults."""
+"""Test doubles of the platform services and upstreams, and a TCP proxy that injects faults."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from gypsumrouter.standins.engine import Engine
 from gypsumrouter.standins.fault_proxy import FaultProxy
 from gypsumrouter.standins.faults import OutageKind
-from gypsumrouter.standins.fleet import SidePlan, StandinPlatform
 from gypsumrouter.standins.instance_list import InstanceListService
 from gypsumrouter.standins.models import EngineSettings
 from gypsumrouter.standins.partition import Partition
-from gypsumrouter.standins.pipes import BOTH_WAYS, Way
-from gypsumrouter.standins.platform_runner import PlatformRunner, RunnerTrouble
-from gypsumrouter.standins.published_store import PublishedStoreStandin, StoreCopy, StoreTrouble
+from gypsumrouter.standins.pipes import BOTH_DIRECTIONS, Direction
+from gypsumrouter.standins.platform import SidePlan, StandinPlatform
+from gypsumrouter.standins.platform_runner import PlatformRunner, RunnerFault
+from gypsumrouter.standins.published_store import PublishedStoreStandin, StoreFault, StoreSnapshot
 from gypsumrouter.standins.service import Service
 from gypsumrouter.standins.weight_store import WeightStore
 
 __all__ = [
-    "BOTH_WAYS",
+    "BOTH_DIRECTIONS",
     "ConfigurationService",
     "Deployment",
+    "Direction",
     "Engine",
     "EngineSettings",
     "FaultProxy",
@@ -35,13 +36,12 @@
     "Partition",
     "PlatformRunner",
     "PublishedStoreStandin",
-    "RunnerTrouble",
+    "RunnerFault",
     "Service",
     "SidePlan",
     "StandinPlatform",
-    "StoreCopy",
-    "StoreTrouble",
-    "Way",
+    "StoreFault",
+    "StoreSnapshot",
     "WeightStore",
     "WorkspacePlan",
     "chapin",
--- a/gypsumrouter/standins/batch.py
+++ b/gypsumrouter/standins/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching of the stand-in engine: one token a step for each running sequence."""
+"""Continuous batching of the stand-in engine: each running sequence gets one token per step."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from gypsumrouter.standins.cache import PrefixCache
 from gypsumrouter.standins.chat import ChatEncoder, ChatRequest
 from gypsumrouter.standins.models import EngineSettings
-from gypsumrouter.standins.streams import AnswerStream, StreamState
+from gypsumrouter.standins.streams import ResponseStream, StreamState
 from gypsumrouter.util.clock import Clock
 
-ROUNDING_MS: Final = 1
+# A step that ends late by up to this much shortens the next one; sleeps take whole milliseconds.
+MAX_ROUNDING_MS: Final = 1
 
 
 class Sequence:
-    """One request in the engine: what is computed of it and where its answer goes."""
+    """A request in the batch, its progress and the response that it writes."""
 
     __slots__ = (
         "blocks",
@@ -26,7 +27,7 @@
         "chat",
         "crashes",
         "encoder",
-        "prefill_left",
+        "prefill_remaining",
         "priority",
         "produced",
         "request",
@@ -38,7 +39,7 @@
         *,
         request: ChatRequest,
         encoder: ChatEncoder,
-        stream: AnswerStream,
+        stream: ResponseStream,
         chat: str,
         priority: int,
         crashes: bool,
@@ -51,16 +52,16 @@
         self.crashes = crashes
         self.blocks = request.hash_prompt()
         self.cached_tokens = 0
-        self.prefill_left = 0
+        self.prefill_remaining = 0
         self.produced = 0
 
     @property
     def ended(self) -> bool:
-        """Return whether nothing is left to compute."""
-        return self.stream.state is not StreamState.GROWING
+        """Return whether the response is complete or cancelled."""
+        return self.stream.state is not StreamState.ACTIVE
 
     def produce(self) -> None:
-        """Add one token to the answer, and its end after the last one."""
+        """Generate one token, and end the response after the last one."""
         if self.request.stream:
             self.stream.append(self.encoder.make_event(self.produced))
         self.produced += 1
@@ -69,30 +70,30 @@
         if self.request.stream:
             self.stream.append(self.encoder.make_last_events(cached_tokens=self.cached_tokens))
         else:
-            self.stream.append(self.encoder.make_whole(cached_tokens=self.cached_tokens))
-        self.stream.end(StreamState.WHOLE)
+            self.stream.append(self.encoder.make_body(cached_tokens=self.cached_tokens))
+        self.stream.end(StreamState.COMPLETE)
 
 
 class Batch:
-    """Run up to `slots` sequences in steps; the others wait by priority, then by arrival.
+    """Runs up to `slots` sequences in steps and queues the others by priority, then by arrival.
 
-    A running sequence keeps its slot to its end. `on_change` is told of each change of the load,
-    `on_end` of each end, `on_crash` of the first step of a sequence that crashes the engine.
+    Running sequences are not preempted. `on_change` is called when the load changes, `on_end` when
+    a sequence ends, and `on_crash` when a sequence that crashes the engine is admitted.
     """
 
     __slots__ = (
         "_cache",
         "_clock",
-        "_due_ms",
         "_on_change",
         "_on_crash",
         "_on_end",
-        "_order",
         "_resumed",
         "_running",
         "_settings",
+        "_step_end_ms",
+        "_submitted",
         "_waiting",
-        "_work",
+        "_work_available",
         "cached_tokens",
         "produced_tokens",
         "prompt_tokens",
@@ -117,9 +118,9 @@
         self._on_crash = on_crash
         self._running: list[Sequence] = []
         self._waiting: list[tuple[int, int, Sequence]] = []
-        self._order = 0
-        self._due_ms = 0.0
-        self._work = asyncio.Event()
+        self._submitted = 0
+        self._step_end_ms = 0.0
+        self._work_available = asyncio.Event()
         self._resumed = asyncio.Event()
         self._resumed.set()
         self.steps = 0
@@ -129,115 +130,115 @@
 
     @property
     def running(self) -> int:
-        """Return how many sequences run."""
+        """Return the number of running sequences."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Return how many sequences wait for a slot."""
+        """Return the number of sequences that wait for a slot."""
         return len(self._waiting)
 
     def submit(self, sequence: Sequence) -> None:
-        """Take in a sequence."""
-        self._order += 1
-        heapq.heappush(self._waiting, (-sequence.priority, self._order, sequence))
-        self._work.set()
+        """Add a sequence to the queue."""
+        self._submitted += 1
+        heapq.heappush(self._waiting, (-sequence.priority, self._submitted, sequence))
+        self._work_available.set()
         self._on_change()
 
-    def drop_ended(self) -> None:
-        """Forget the sequences whose answers have ended or were cancelled."""
+    def remove_ended(self) -> None:
+        """Remove the sequences whose responses are complete or cancelled."""
         for _, _, sequence in self._waiting:
             if sequence.ended:
                 self._on_end(sequence.stream.state)
         self._waiting = [entry for entry in self._waiting if not entry[2].ended]
         heapq.heapify(self._waiting)
-        self._drop_ended_running()
+        self._remove_ended_running()
 
     def pause(self) -> None:
-        """Stop before the next step."""
+        """Pause before the next step."""
         self._resumed.clear()
 
     def resume(self) -> None:
-        """Go on with the steps."""
+        """Resume the steps."""
         self._resumed.set()
 
     def clear(self) -> None:
-        """Forget every sequence, as a restart does."""
+        """Remove all sequences, as a restart does."""
         self._running.clear()
         self._waiting.clear()
         self._on_change()
 
     async def async_run(self) -> None:
-        """Run steps for as long as there is work, then wait for more."""
+        """Run steps while there are sequences, otherwise wait for one."""
         while True:
             if not self._running and not self._waiting:
-                self._work.clear()
-                await self._work.wait()
-                self._due_ms = self._clock.now_ms()
+                self._work_available.clear()
+                await self._work_available.wait()
+                self._step_end_ms = self._clock.now_ms()
             await self._resumed.wait()
             self._cancel_abandoned()
             self._admit()
-            length_ms = self._settings.step_ms + self._prefill()
-            length_ms += self._settings.step_ms_per_sequence * len(self._running)
-            await self._async_wait_step(length_ms)
+            duration_ms = self._settings.step_ms + self._prefill()
+            duration_ms += self._settings.step_ms_per_sequence * len(self._running)
+            await self._async_wait_step(duration_ms)
             self._produce()
 
     def _cancel_abandoned(self) -> None:
         limit_ms = self._clock.now_ms() - self._settings.abandon_ms
         for sequence in self._running:
-            unread_since_ms = sequence.stream.unread_since_ms
-            if unread_since_ms is not None and unread_since_ms <= limit_ms:
+            no_reader_since_ms = sequence.stream.no_reader_since_ms
+            if no_reader_since_ms is not None and no_reader_since_ms <= limit_ms:
                 sequence.stream.end(StreamState.CANCELLED)
-        self._drop_ended_running()
+        self._remove_ended_running()
 
     def _admit(self) -> None:
         while self._waiting and len(self._running) < self._settings.slots:
             _, _, sequence = heapq.heappop(self._waiting)
             self._running.append(sequence)
-            self._look_up(sequence)
+            self._look_up_prefix(sequence)
             if sequence.crashes:
                 self._on_crash()
                 return
 
-    def _look_up(self, sequence: Sequence) -> None:
+    def _look_up_prefix(self, sequence: Sequence) -> None:
         prompt_tokens = sequence.request.prompt_tokens
-        held = self._cache.find_prefix(sequence.blocks)
-        sequence.cached_tokens = min(held, prompt_tokens - 1)
-        sequence.prefill_left = prompt_tokens - sequence.cached_tokens
+        cached = self._cache.find_prefix(sequence.blocks)
+        sequence.cached_tokens = min(cached, prompt_tokens - 1)
+        sequence.prefill_remaining = prompt_tokens - sequence.cached_tokens
         self.prompt_tokens += prompt_tokens
         self.cached_tokens += sequence.cached_tokens
 
     def _prefill(self) -> float:
-        """Compute prompt tokens up to the chunk, and return the milliseconds that it takes."""
-        left = self._settings.prefill_chunk_tokens
+        """Prefill up to one chunk of prompt tokens and return its duration in milliseconds."""
+        budget = self._settings.prefill_chunk_tokens
         for sequence in self._running:
-            if sequence.prefill_left == 0:
+            if sequence.prefill_remaining == 0:
                 continue
-            taken = min(left, sequence.prefill_left)
-            sequence.prefill_left -= taken
-            left -= taken
-            if sequence.prefill_left == 0:
+            taken = min(budget, sequence.prefill_remaining)
+            sequence.prefill_remaining -= taken
+            budget -= taken
+            if sequence.prefill_remaining == 0:
                 self._cache.store(chat=sequence.chat, blocks=sequence.blocks)
-        computed = self._settings.prefill_chunk_tokens - left
+        computed = self._settings.prefill_chunk_tokens - budget
         return computed * self._settings.prefill_ms_per_token
 
-    async def _async_wait_step(self, length_ms: float) -> None:
+    async def _async_wait_step(self, duration_ms: float) -> None:
         now_ms = self._clock.now_ms()
-        self._due_ms = max(self._due_ms, now_ms - ROUNDING_MS) + length_ms
-        await self._clock.async_sleep(max(0, math.ceil(self._due_ms - now_ms)))
+        self._step_end_ms = max(self._step_end_ms, now_ms - MAX_ROUNDING_MS) + duration_ms
+        await self._clock.async_sleep(max(0, math.ceil(self._step_end_ms - now_ms)))
 
     def _produce(self) -> None:
         self.steps += 1
         for sequence in self._running:
-            if sequence.prefill_left > 0 or sequence.ended:
+            if sequence.prefill_remaining > 0 or sequence.ended:
                 continue
             sequence.produce()
             self.produced_tokens += 1
             if sequence.ended:
-                self._cache.store(chat=sequence.chat, blocks=sequence.request.hash_whole())
-        self._drop_ended_running()
+                self._cache.store(chat=sequence.chat, blocks=sequence.request.hash_conversation())
+        self._remove_ended_running()
 
-    def _drop_ended_running(self) -> None:
+    def _remove_ended_running(self) -> None:
         for sequence in self._running:
             if sequence.ended:
                 self._on_end(sequence.stream.state)
--- a/gypsumrouter/standins/cache.py
+++ b/gypsumrouter/standins/cache.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's prefix cache: blocks in limited memory, the least recently used go."""
+"""The stand-in engine's prefix cache: a bounded LRU cache of prompt blocks."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from gypsumrouter.standins.tokens import TOKENS_PER_BLOCK
 from gypsumrouter.util.clock import Clock
 
-EVENTS_KEPT: Final = 4_096
-EVENTS_PER_ANSWER: Final = 1_024
-CHATS_KEPT: Final = 65_536
+MAX_EVENTS: Final = 4_096
+MAX_EVENTS_PER_RESPONSE: Final = 1_024
+MAX_CHATS: Final = 65_536
 
 
 class CacheEventKind(StrEnum):
-    """What happened to cached tokens of a chat."""
+    """The kind of a change of the cached tokens of a chat."""
 
     STORED = "stored"
     EVICTED = "evicted"
 
 
 class CacheEvent(Struct, frozen=True, kw_only=True):
-    """One change of the cache; readers see it from `visible_ms` (monotonic) on."""
+    """One change of the cache, reported from `visible_ms` (monotonic) on."""
 
     seq: int
     kind: CacheEventKind
@@ -35,7 +35,7 @@
 
 
 class CacheEventLog:
-    """Events of the cache, told late and with gaps: a lost one only uses up its number."""
+    """Cache events, reported with a delay; lost events leave gaps in the sequence numbers."""
 
     __slots__ = ("_clock", "_events", "_lag_ms", "_loss", "_random", "_seq")
 
@@ -44,11 +44,11 @@
         self._lag_ms = lag_ms
         self._loss = loss
         self._random = random.Random(seed)
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
         self._seq = 0
 
-    def note(self, *, kind: CacheEventKind, chat: str, tokens: int) -> None:
-        """Add an event, or lose it."""
+    def record(self, *, kind: CacheEventKind, chat: str, tokens: int) -> None:
+        """Add an event, or drop it at the configured loss rate."""
         self._seq += 1
         if self._random.random() < self._loss:
             return
@@ -59,14 +59,14 @@
         self._events.append(event)
 
     def list_after(self, seq: int) -> tuple[CacheEvent, ...]:
-        """Return the visible events above a number, oldest first."""
+        """Return the reportable events after a sequence number, oldest first."""
         now_ms = self._clock.now_ms()
         found = [event for event in self._events if event.seq > seq and event.visible_ms <= now_ms]
-        return tuple(found[:EVENTS_PER_ANSWER])
+        return tuple(found[:MAX_EVENTS_PER_RESPONSE])
 
 
 class PrefixCache:
-    """Which blocks of prompts the engine holds, and for which chat."""
+    """Cached prompt blocks, each with the chat that used it last."""
 
     __slots__ = ("_blocks", "_capacity", "_chats", "events")
 
@@ -78,50 +78,50 @@
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens are held."""
+        """Return the number of cached tokens."""
         return len(self._blocks) * TOKENS_PER_BLOCK
 
     def find_prefix(self, blocks: tuple[int, ...]) -> int:
-        """Return how many tokens of a prompt are held, and mark them as used."""
-        held = self._count_held(blocks)
-        for block in reversed(blocks[:held]):
+        """Return the length of the longest cached prefix in tokens and mark it as used."""
+        cached = self._count_cached(blocks)
+        for block in reversed(blocks[:cached]):
             self._blocks.move_to_end(block)
-        return held * TOKENS_PER_BLOCK
+        return cached * TOKENS_PER_BLOCK
 
     def store(self, *, chat: str, blocks: tuple[int, ...]) -> None:
-        """Take in the blocks of a chat's prompt; a prefix beyond the memory is cut."""
+        """Cache the blocks of a chat's prompt, at most as many as fit into the cache."""
         kept = blocks[: self._capacity]
         added = 0
         for block in reversed(kept):
             added += block not in self._blocks
             self._blocks[block] = chat
             self._blocks.move_to_end(block)
-        self._note_chat(chat, kept)
+        self._record_chat(chat, kept)
         if added:
             tokens = len(kept) * TOKENS_PER_BLOCK
-            self.events.note(kind=CacheEventKind.STORED, chat=chat, tokens=tokens)
+            self.events.record(kind=CacheEventKind.STORED, chat=chat, tokens=tokens)
         self._evict()
 
     def export(self, chat: str) -> tuple[int, ...]:
-        """Return the blocks that are held of a chat, from its beginning on."""
+        """Return the longest cached prefix of a chat."""
         blocks = self._chats.get(chat, ())
-        return blocks[: self._count_held(blocks)]
+        return blocks[: self._count_cached(blocks)]
 
     def clear(self) -> None:
-        """Forget everything, as a restart does."""
+        """Remove all blocks, as a restart does."""
         self._blocks.clear()
         self._chats.clear()
 
-    def _count_held(self, blocks: tuple[int, ...]) -> int:
+    def _count_cached(self, blocks: tuple[int, ...]) -> int:
         for index, block in enumerate(blocks):
             if block not in self._blocks:
                 return index
         return len(blocks)
 
-    def _note_chat(self, chat: str, blocks: tuple[int, ...]) -> None:
+    def _record_chat(self, chat: str, blocks: tuple[int, ...]) -> None:
         self._chats[chat] = blocks
         self._chats.move_to_end(chat)
-        if len(self._chats) > CHATS_KEPT:
+        if len(self._chats) > MAX_CHATS:
             self._chats.popitem(last=False)
 
     def _evict(self) -> None:
@@ -130,4 +130,4 @@
             _, chat = self._blocks.popitem(last=False)
             evicted[chat] += TOKENS_PER_BLOCK
         for chat, tokens in evicted.items():
-            self.events.note(kind=CacheEventKind.EVICTED, chat=chat, tokens=tokens)
+            self.events.record(kind=CacheEventKind.EVICTED, chat=chat, tokens=tokens)
--- a/gypsumrouter/standins/engine.py
+++ b/gypsumrouter/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: its life, its faults and what it counts."""
+"""Stand-in of a model engine: lifecycle, faults and counters."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from gypsumrouter.standins.listener import StandinListener
 from gypsumrouter.standins.load_history import LoadHistory
 from gypsumrouter.standins.models import EngineSettings
-from gypsumrouter.standins.orders import OrderBook
-from gypsumrouter.standins.streams import AnswerStream, StreamState, StreamTable
+from gypsumrouter.standins.orders import OrderHandler
+from gypsumrouter.standins.streams import ResponseStream, StreamState, StreamTable
 from gypsumrouter.util.clock import Clock
 
-EXECUTIONS_KEPT: Final = 200_000
+MAX_EXECUTIONS: Final = 200_000
 
 
 class EngineCounts(Struct, frozen=True, kw_only=True):
-    """What an engine has done since it was made, over all of its restarts."""
+    """Counters of an engine, kept across its restarts."""
 
     requests: int
     whole: int
@@ -40,10 +40,10 @@
 
 
 class Engine:
-    """Serve chat-completions in continuous batches; see docs/PROTOCOLS.md.
+    """Serves chat completions with continuous batching; see docs/PROTOCOLS.md.
 
-    Counts and `executions` (runs by request id) outlive crashes; the cache, the answers and the
-    models that were loaded do not.
+    Counters and `executions` (by request id) are kept across crashes; the cache, the responses and
+    the loaded models are not.
     """
 
     __slots__ = (
@@ -51,21 +51,21 @@
         "_clock",
         "_gate",
         "_listener",
-        "_restart",
+        "_restart_task",
         "batch",
         "cache",
         "cancelled",
+        "completed",
         "crashes",
         "events",
         "executions",
         "history",
         "orders",
-        "refused",
+        "rejected",
         "requests",
         "settings",
         "start_id",
         "streams",
-        "whole",
     )
 
     def __init__(
@@ -79,12 +79,12 @@
         self._clock = clock
         self.settings = settings or EngineSettings()
         self._batch_task: asyncio.Task[None] | None = None
-        self._restart: asyncio.Task[None] | None = None
+        self._restart_task: asyncio.Task[None] | None = None
         self.start_id = 1
         self.requests = 0
-        self.whole = 0
+        self.completed = 0
         self.cancelled = 0
-        self.refused = 0
+        self.rejected = 0
         self.crashes = 0
         self.executions: OrderedDict[str, int] = OrderedDict()
         self.history = LoadHistory(clock=clock)
@@ -96,39 +96,41 @@
         )
         self.cache = PrefixCache(capacity_tokens=self.settings.cache_tokens, events=self.events)
         self.streams = StreamTable(
-            clock=clock, keep_ms=self.settings.stream_keep_ms, kept=self.settings.streams_kept
+            clock=clock,
+            retention_ms=self.settings.stream_keep_ms,
+            max_ended=self.settings.streams_kept,
         )
         self.batch = Batch(
             clock=clock,
             settings=self.settings,
             cache=self.cache,
-            on_change=self._note_load,
-            on_end=self._note_end,
+            on_change=self._record_load,
+            on_end=self._record_end,
             on_crash=self.crash,
         )
-        self.orders = OrderBook(clock=clock, settings=self.settings)
+        self.orders = OrderHandler(clock=clock, settings=self.settings)
         self._gate = Gate()
         api = EngineApi(engine=self, clock=clock)
         self._listener = StandinListener(app=api.make_app(self._gate), host=host, port=port)
 
     @property
     def address(self) -> Address:
-        """Return where it listens."""
+        """Return the address of the listener."""
         return self._listener.address
 
     @property
     def load(self) -> int:
-        """Return how many requests run or wait now."""
+        """Return the number of running and waiting requests."""
         return self.batch.running + self.batch.waiting
 
     @property
     def counts(self) -> EngineCounts:
-        """Return what it has done so far."""
+        """Return a snapshot of the counters."""
         return EngineCounts(
             requests=self.requests,
-            whole=self.whole,
+            whole=self.completed,
             cancelled=self.cancelled,
-            refused=self.refused,
+            refused=self.rejected,
             crashes=self.crashes,
             prompt_tokens=self.batch.prompt_tokens,
             cached_tokens=self.batch.cached_tokens,
@@ -138,15 +140,15 @@
         )
 
     async def async_start(self) -> Address:
-        """Start to listen and to compute, and return the address."""
+        """Start listening and batching, and return the address."""
         address = await self._listener.async_start()
         self._start_batch()
         return address
 
     async def async_stop(self) -> None:
-        """Release everything; what runs is cut off."""
-        if self._restart is not None:
-            self._restart.cancel()
+        """Stop the engine; running responses are cancelled and connections reset."""
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         self._stop_batch()
         self.orders.cancel_all()
         self.streams.clear()
@@ -154,11 +156,11 @@
 
     def submit(
         self, *, request: ChatRequest, request_id: str, chat: str, priority: int, crashes: bool
-    ) -> AnswerStream:
-        """Take in a request; from here on it counts as executed."""
+    ) -> ResponseStream:
+        """Queue a request and count it as executed."""
         self.requests += 1
         self._count_execution(request_id)
-        stream = AnswerStream(
+        stream = ResponseStream(
             clock=self._clock,
             request_id=request_id,
             content_type=TYPE_EVENTS if request.stream else TYPE_JSON,
@@ -177,16 +179,16 @@
         return stream
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request; returns whether it was there and had not ended."""
+        """Cancel a request; returns whether it was active."""
         stream = self.streams.get(request_id)
-        if stream is None or stream.state is not StreamState.GROWING:
+        if stream is None or stream.state is not StreamState.ACTIVE:
             return False
         stream.end(StreamState.CANCELLED)
-        self.batch.drop_ended()
+        self.batch.remove_ended()
         return True
 
     def crash(self) -> None:
-        """Die at once, and come back on the same port after the restart time, knowing nothing."""
+        """Reset all connections, drop all state but the counters, and restart on the same port."""
         self.crashes += 1
         self._listener.close()
         self._stop_batch()
@@ -194,16 +196,16 @@
         self.streams.clear()
         self.cache.clear()
         self.orders.restart()
-        if self._restart is None or self._restart.done():
-            self._restart = asyncio.get_running_loop().create_task(self._async_restart())
+        if self._restart_task is None or self._restart_task.done():
+            self._restart_task = asyncio.get_running_loop().create_task(self._async_restart())
 
     def freeze(self) -> None:
-        """Accept connections, and neither answer nor compute."""
+        """Keep accepting connections, but neither handle requests nor run steps."""
         self._gate.close()
         self.batch.pause()
 
     def thaw(self) -> None:
-        """Answer and compute again."""
+        """Handle requests and run steps again."""
         self._gate.open()
         self.batch.resume()
 
@@ -224,14 +226,14 @@
 
     def _count_execution(self, request_id: str) -> None:
         self.executions[request_id] = self.executions.get(request_id, 0) + 1
-        if len(self.executions) > EXECUTIONS_KEPT:
+        if len(self.executions) > MAX_EXECUTIONS:
             self.executions.popitem(last=False)
 
-    def _note_load(self) -> None:
-        self.history.note(running=self.batch.running, waiting=self.batch.waiting)
+    def _record_load(self) -> None:
+        self.history.record(running=self.batch.running, waiting=self.batch.waiting)
 
-    def _note_end(self, state: StreamState) -> None:
-        if state is StreamState.WHOLE:
-            self.whole += 1
+    def _record_end(self, state: StreamState) -> None:
+        if state is StreamState.COMPLETE:
+            self.completed += 1
         else:
             self.cancelled += 1
--- a/gypsumrouter/standins/orders.py
+++ b/gypsumrouter/standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the stand-in engine: which models it holds, in which role, by whose word."""
+"""Orders to the stand-in engine: model loads and unloads and role changes, with fencing."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from gypsumrouter.standins.models import DEFAULT_VERSION, EngineSettings
 from gypsumrouter.util.clock import Clock
 
-RECORDS_KEPT: Final = 4_096
-SOURCE_STORE: Final = ""
+MAX_RECORDS: Final = 4_096
+SOURCE_WEIGHT_STORE: Final = ""
 FETCH_TIMEOUT_S: Final = 60.0
 
 
 class OrderKind(StrEnum):
-    """What an order asks for."""
+    """The action of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -27,7 +27,7 @@
 
 
 class OrderState(StrEnum):
-    """What has become of an order."""
+    """The state of an order."""
 
     PENDING = "pending"
     APPLIED = "applied"
@@ -37,18 +37,18 @@
 
 
 class Order(Struct, frozen=True, kw_only=True):
-    """One order; `source` names a neighbour to load from, in place of the weight store."""
+    """One order; `source` is another engine to load from instead of the weight store."""
 
     kind: OrderKind
     model: str = ""
     version: str = DEFAULT_VERSION
     role: str = ""
     fence: int = 0
-    source: str = SOURCE_STORE
+    source: str = SOURCE_WEIGHT_STORE
 
 
 class OrderRecord(Struct, kw_only=True):
-    """An order that came in, and what became of it; `highest_fence` was known when it came."""
+    """A received order and its state; `highest_fence` is the highest fencing token before it."""
 
     order: Order
     state: OrderState
@@ -57,8 +57,8 @@
     reason: str = ""
 
 
-class OrderBook:
-    """Carry out orders; loads run on beside the engine's steps."""
+class OrderHandler:
+    """Executes orders; loads run in the background."""
 
     __slots__ = (
         "_clock",
@@ -76,14 +76,14 @@
         self._settings = settings
         self._loads: dict[str, OrderRecord] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self.records: deque[OrderRecord] = deque(maxlen=RECORDS_KEPT)
+        self.records: deque[OrderRecord] = deque(maxlen=MAX_RECORDS)
         self.highest_fence = 0
         self.models: dict[str, str] = {}
         self.role = ""
         self.restart()
 
     def restart(self) -> None:
-        """Begin with the models of the settings, as a new process does."""
+        """Reset to the models and role of the settings, as a restart of the engine does."""
         self.cancel_all()
         self.models = dict.fromkeys(self._settings.models, DEFAULT_VERSION)
         self.role = self._settings.role
@@ -91,12 +91,12 @@
             self.highest_fence = 0
 
     def cancel_all(self) -> None:
-        """Cancel every load that is pending."""
+        """Cancel all pending loads."""
         for model in tuple(self._tasks):
             self.cancel(model)
 
-    def take(self, order: Order) -> OrderRecord:
-        """Refuse an order with an old fencing number, or carry it out or begin to."""
+    def handle(self, order: Order) -> OrderRecord:
+        """Refuse an order with an outdated fencing token, otherwise execute it."""
         record = OrderRecord(
             order=order,
             state=OrderState.PENDING,
@@ -109,11 +109,11 @@
             record.reason = "old_fence"
             return record
         self.highest_fence = max(self.highest_fence, order.fence)
-        self._carry_out(record)
+        self._execute(record)
         return record
 
     def cancel(self, model: str) -> bool:
-        """Cancel the pending load of a model; returns whether there was one."""
+        """Cancel the pending load of a model and return whether there was one."""
         task = self._tasks.pop(model, None)
         record = self._loads.pop(model, None)
         if task is None or record is None:
@@ -122,15 +122,15 @@
         record.state = OrderState.CANCELLED
         return True
 
-    def holds(self, model: str, version: str) -> bool:
-        """Return whether a version of a model is held; an empty version means any."""
+    def has_model(self, model: str, version: str) -> bool:
+        """Return whether a model is loaded in this version; an empty version matches any."""
         return model in self.models and version in ("", self.models[model])
 
-    def _carry_out(self, record: OrderRecord) -> None:
+    def _execute(self, record: OrderRecord) -> None:
         order = record.order
         match order.kind:
             case OrderKind.LOAD:
-                self._begin_load(record)
+                self._start_load(record)
             case OrderKind.UNLOAD:
                 self.cancel(order.model)
                 self.models.pop(order.model, None)
@@ -139,9 +139,9 @@
                 self.role = order.role
                 record.state = OrderState.APPLIED
 
-    def _begin_load(self, record: OrderRecord) -> None:
+    def _start_load(self, record: OrderRecord) -> None:
         order = record.order
-        if self.holds(order.model, order.version):
+        if self.has_model(order.model, order.version):
             self.cancel(order.model)
             record.state = OrderState.APPLIED
             return
@@ -169,7 +169,7 @@
         record.state = OrderState.APPLIED
 
     async def _async_fetch(self, order: Order) -> str:
-        """Fetch the weights; returns what went wrong, or nothing."""
+        """Fetch the weights and return the reason of a failure, empty on success."""
         store = self._settings.weight_store
         if order.source:
             origin = order.source
@@ -189,7 +189,7 @@
 
 
 def parse_order(payload: dict[str, Any]) -> Order | None:
-    """Return the order of a JSON object, or None where it is wrong."""
+    """Parse an order from a JSON object; returns None if it is invalid."""
     try:
         order = Order(
             kind=OrderKind(payload["order"]),
@@ -197,16 +197,16 @@
             version=str(payload.get("version") or DEFAULT_VERSION),
             role=str(payload.get("role") or ""),
             fence=int(payload.get("fence") or 0),
-            source=str(payload.get("source") or SOURCE_STORE),
+            source=str(payload.get("source") or SOURCE_WEIGHT_STORE),
         )
     except (KeyError, ValueError, TypeError):
         return None
-    needed = order.role if order.kind is OrderKind.SET_ROLE else order.model
-    return order if needed else None
+    required = order.role if order.kind is OrderKind.SET_ROLE else order.model
+    return order if required else None
 
 
 def format_record(record: OrderRecord) -> dict[str, object]:
-    """Return a record as plain JSON data."""
+    """Return a record as JSON-serializable data."""
     order = record.order
     return {
         "order": order.kind,
--- a/gypsumrouter/standins/streams.py
+++ b/gypsumrouter/standins/streams.py
@@ -1,4 +1,4 @@
-"""Answers of the stand-in engine: kept while they grow and a while longer, to be resumed."""
+"""Response bodies of the stand-in engine, kept for a time so that they can be resumed."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class StreamState(StrEnum):
-    """Where an answer stands."""
+    """The state of a response."""
 
-    GROWING = "growing"
-    WHOLE = "whole"
+    ACTIVE = "growing"
+    COMPLETE = "whole"
     CANCELLED = "cancelled"
 
 
-class AnswerStream:
-    """The body of one answer; any number of readers follow it from any byte on."""
+class ResponseStream:
+    """A response body that any number of readers can read from any offset."""
 
     __slots__ = (
         "_clock",
@@ -26,10 +26,10 @@
         "body",
         "content_type",
         "ended_ms",
+        "no_reader_since_ms",
         "readers",
         "request_id",
         "state",
-        "unread_since_ms",
     )
 
     def __init__(self, *, clock: Clock, request_id: str, content_type: str) -> None:
@@ -38,46 +38,46 @@
         self.request_id = request_id
         self.content_type = content_type
         self.body = bytearray()
-        self.state = StreamState.GROWING
+        self.state = StreamState.ACTIVE
         self.readers = 0
-        self.unread_since_ms: int | None = None
+        self.no_reader_since_ms: int | None = None
         self.ended_ms = 0
 
     def append(self, part: bytes) -> None:
-        """Add to the body."""
+        """Append bytes to the body and wake the readers."""
         self.body += part
         self._wake()
 
     def end(self, state: StreamState) -> None:
-        """End the answer, whole or cancelled; only the first end counts."""
-        if self.state is not StreamState.GROWING:
+        """End the response as complete or cancelled; later calls have no effect."""
+        if self.state is not StreamState.ACTIVE:
             return
         self.state = state
         self.ended_ms = self._clock.now_ms()
         self._wake()
 
     def attach(self) -> None:
-        """Note that a reader follows."""
+        """Register a reader."""
         self.readers += 1
-        self.unread_since_ms = None
+        self.no_reader_since_ms = None
 
     def detach(self) -> None:
-        """Note that a reader has gone."""
+        """Unregister a reader."""
         self.readers -= 1
         if self.readers == 0:
-            self.unread_since_ms = self._clock.now_ms()
+            self.no_reader_since_ms = self._clock.now_ms()
 
-    async def async_wait_beyond(self, offset: int) -> None:
-        """Wait until the body is longer than `offset` or has ended."""
-        while len(self.body) <= offset and self.state is StreamState.GROWING:
+    async def async_wait_for_data(self, offset: int) -> None:
+        """Wait until there is data after `offset` or the response has ended."""
+        while len(self.body) <= offset and self.state is StreamState.ACTIVE:
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
             await waiter
 
     async def async_wait_end(self) -> None:
-        """Wait until the answer has ended."""
-        while self.state is StreamState.GROWING:
-            await self.async_wait_beyond(len(self.body))
+        """Wait until the response has ended."""
+        while self.state is StreamState.ACTIVE:
+            await self.async_wait_for_data(len(self.body))
 
     def _wake(self) -> None:
         waiters, self._waiters = self._waiters, []
@@ -87,39 +87,39 @@
 
 
 class StreamTable:
-    """Answers by request id; ended ones are dropped after a time or beyond a number."""
+    """Responses by request id; ended ones are evicted by age and by number."""
 
-    __slots__ = ("_clock", "_keep_ms", "_kept", "_streams")
+    __slots__ = ("_clock", "_max_ended", "_retention_ms", "_streams")
 
-    def __init__(self, *, clock: Clock, keep_ms: int, kept: int) -> None:
+    def __init__(self, *, clock: Clock, retention_ms: int, max_ended: int) -> None:
         self._clock = clock
-        self._keep_ms = keep_ms
-        self._kept = kept
-        self._streams: OrderedDict[str, AnswerStream] = OrderedDict()
+        self._retention_ms = retention_ms
+        self._max_ended = max_ended
+        self._streams: OrderedDict[str, ResponseStream] = OrderedDict()
 
-    def add(self, stream: AnswerStream) -> None:
-        """Keep an answer; one with the same request id is replaced."""
-        self._drop_old()
+    def add(self, stream: ResponseStream) -> None:
+        """Add a response, replacing one with the same request id."""
+        self._evict_ended()
         self._streams[stream.request_id] = stream
         self._streams.move_to_end(stream.request_id)
 
-    def get(self, request_id: str) -> AnswerStream | None:
-        """Return an answer that is still kept."""
-        self._drop_old()
+    def get(self, request_id: str) -> ResponseStream | None:
+        """Return a response, or None if it is unknown or evicted."""
+        self._evict_ended()
         return self._streams.get(request_id)
 
     def clear(self) -> None:
-        """Cancel and forget everything, as a restart does."""
+        """Cancel and remove all responses, as a restart does."""
         for stream in self._streams.values():
             stream.end(StreamState.CANCELLED)
         self._streams.clear()
 
-    def _drop_old(self) -> None:
-        expired_ms = self._clock.now_ms() - self._keep_ms
+    def _evict_ended(self) -> None:
+        expired_ms = self._clock.now_ms() - self._retention_ms
         ended = [
-            stream for stream in self._streams.values() if stream.state is not StreamState.GROWING
+            stream for stream in self._streams.values() if stream.state is not StreamState.ACTIVE
         ]
-        surplus = len(ended) - self._kept
+        excess = len(ended) - self._max_ended
         for index, stream in enumerate(ended):
-            if index < surplus or stream.ended_ms <= expired_ms:
+            if index < excess or stream.ended_ms <= expired_ms:
                 del self._streams[stream.request_id]
--- a/gypsumrouter/upstream/__init__.py
+++ b/gypsumrouter/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards the upstream beside a side: an engine or a service."""
+"""HTTP clients for the local upstream of a side, an engine or a service."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
     UpstreamClient,
 )
 from gypsumrouter.upstream.service import ServiceClient
-from gypsumrouter.upstream.transport import Transport, Unreached
+from gypsumrouter.upstream.transport import ConnectFailed, Transport
 
 __all__ = [
+    "ConnectFailed",
     "ConnectionBroken",
     "EngineClient",
     "HandOverDenied",
@@ -24,14 +25,13 @@
     "ServiceClient",
     "Sink",
     "Transport",
-    "Unreached",
     "UpstreamClient",
     "make_client",
 ]
 
 
 def make_client(*, app: Application, settings: Upstream) -> UpstreamClient:
-    """Return the client for the kind of upstream that the settings name."""
+    """Return the client for the configured kind of upstream."""
     match settings.kind:
         case UpstreamKind.ENGINE:
             return EngineClient(app=app, settings=settings)
--- a/tests/bench/test_bench_soak.py
+++ b/tests/bench/test_bench_soak.py
@@ -20,7 +20,7 @@
 )
 from bench.soak_rig import ENV_KEY, KEY, MAX_IN_COLD_START, WORKSPACE
 from gypsumrouter.standins import PlatformRunner
-from gypsumrouter.standins.platform_runner import Arrival, Rest
+from gypsumrouter.standins.platform_runner import Arrival, BackOff
 
 
 def make_record(kind: str = "reserve", **more: object) -> CallRecord:
@@ -131,14 +131,14 @@
 
 def test_exceeded_cold_start_limit_is_violation() -> None:
     runner = PlatformRunner(name="i-1")
-    runner.cold_until_s = 10.0
+    runner.slow_start_until_s = 10.0
     limit = int(MAX_IN_COLD_START)
     runner.arrivals = [make_arrival(at_s=8 + number / 100) for number in range(limit)]
     runner.arrivals.append(make_arrival(at_s=9.5))
     assert not list(check_cold_starts([runner]))
     runner.arrivals.append(make_arrival(at_s=8.9))
     assert len(list(check_cold_starts([runner]))) == 1
-    runner.cold_until_s = 8.05
+    runner.slow_start_until_s = 8.05
     assert not list(check_cold_starts([runner]))
 
 
@@ -160,7 +160,7 @@
 
 def test_requests_during_backoff_are_violation() -> None:
     runner = PlatformRunner(name="i-1")
-    runner.rests = [Rest(request_id="r0", begins_s=10.0, ends_s=12.0)]
+    runner.back_offs = [BackOff(request_id="r0", begins_s=10.0, ends_s=12.0)]
     records = [make_record(request_id=f"r{number}") for number in range(9)]
     runner.arrivals = [
         make_arrival(request_id="r1", at_s=10.4),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The shared fixture: a whole running product on port 0, with stand-ins, in the test's process."""
+"""Shared fixtures: routers and sides with stand-in upstreams, running in the test's process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from small_deployment import QUICK, StartProduct, make_small_deployment
+from small_deployment import FAST_SETTINGS, StartLocalFleet, make_small_deployment
 
 from gypsumrouter.demo.local_fleet import LocalFleet
 from gypsumrouter.standins import Deployment, EngineSettings, StandinPlatform
@@ -18,7 +18,7 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    parser.addoption("--write-golden", action="store_true", help="Write the golden files anew.")
+    parser.addoption("--write-golden", action="store_true", help="Rewrite the golden files.")
 
 
 @pytest.fixture
@@ -27,8 +27,8 @@
 
 
 @pytest.fixture
-async def start_product() -> AsyncIterator[StartProduct]:
-    """Start a whole product with the deployment, engines and settings that a test wants."""
+async def start_local_fleet() -> AsyncIterator[StartLocalFleet]:
+    """Return a function that starts a fleet with the given deployment, engines and settings."""
     fleets: list[LocalFleet] = []
 
     async def async_start(
@@ -44,7 +44,7 @@
             deployments=(deployment or make_small_deployment(),),
             engine_settings=engine_settings,
         )
-        fleet = LocalFleet(platform=platform, clock=clock, extra=extra or QUICK)
+        fleet = LocalFleet(platform=platform, clock=clock, extra=extra or FAST_SETTINGS)
         fleets.append(fleet)
         await fleet.async_start(routers=routers)
         return fleet
@@ -55,6 +55,6 @@
 
 
 @pytest.fixture
-async def product(start_product: StartProduct) -> LocalFleet:
-    """One router, two engines and two services with their sides, all of them ready."""
-    return await start_product()
+async def local_fleet(start_local_fleet: StartLocalFleet) -> LocalFleet:
+    """One router, two engines and two services with their sides; all are ready."""
+    return await start_local_fleet()
--- a/tests/exchange/test_exchange_at_most_once.py
+++ b/tests/exchange/test_exchange_at_most_once.py
@@ -125,7 +125,7 @@
 
     assert not run.sent
     assert isinstance(answer.failure, Refused | Failed)
-    assert answer.failure.reason is Reason.HOME_UNCONFIRMED
+    assert answer.failure.reason is Reason.KEY_OWNER_UNCONFIRMED
 
 
 async def test_call_is_not_sent_after_caller_disconnects(service_side: Side) -> None:
--- a/tests/exchange/test_exchange_repeatable.py
+++ b/tests/exchange/test_exchange_repeatable.py
@@ -48,7 +48,7 @@
     [
         (replace(CHAT, pool="other"), Reason.WRONG_UPSTREAM),
         (replace(CHAT, kind=UpstreamKind.SERVICE), Reason.WRONG_UPSTREAM),
-        (replace(CHAT, model="chat-small"), Reason.MODEL_NOT_HELD),
+        (replace(CHAT, model="chat-small"), Reason.MODEL_NOT_LOADED),
     ],
 )
 async def test_request_for_another_upstream_is_refused(
--- a/tests/forwarding/test_forwarding_inventory.py
+++ b/tests/forwarding/test_forwarding_inventory.py
@@ -19,10 +19,10 @@
 from gypsumrouter.forwarding.cache_index import CacheIndex
 from gypsumrouter.forwarding.inventory import CacheInventory, CacheListing
 from gypsumrouter.journal import Journal
-from gypsumrouter.link import HeldAt, HeldNews, Notice, NoticeHub, Peer
+from gypsumrouter.link import EngineListing, InventoryUpdate, Notice, NoticeHub, Peer
 from gypsumrouter.link.notice_codec import decode_notice, encode_notice
-from gypsumrouter.peers import inventory as peer_inventory
-from gypsumrouter.peers.inventory import InventoryCoordinator
+from gypsumrouter.peers import held as peer_inventory
+from gypsumrouter.peers.held import InventoryCoordinator
 
 SEEDS = ("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7")
 ENGINES = 23
@@ -171,7 +171,9 @@
 
 
 def test_listing_survives_encoding_and_decoding() -> None:
-    message = HeldNews(complete=True, engines=(HeldAt(upstream="i-1~0abcd", parts=(1, 2**64 - 1)),))
+    message = InventoryUpdate(
+        complete=True, engines=(EngineListing(upstream="i-1~0abcd", parts=(1, 2**64 - 1)),)
+    )
     kind, body = encode_notice(message)
     assert decode_notice(kind, body) == message
 
@@ -180,10 +182,12 @@
     """39 engines with 500 parts each: hashes do not compress, so the message is large."""
     random = Random(1)
     engines = tuple(
-        HeldAt(upstream=f"i-{n}~0abcd", parts=tuple(random.getrandbits(64) for _ in range(500)))
+        EngineListing(
+            upstream=f"i-{n}~0abcd", parts=tuple(random.getrandbits(64) for _ in range(500))
+        )
         for n in range(39)
     )
-    message = HeldNews(complete=True, engines=engines)
+    message = InventoryUpdate(complete=True, engines=engines)
     kind, body = encode_notice(message)
     assert decode_notice(kind, body) == message
 
@@ -226,7 +230,7 @@
         session, "POST", "/quote/a", "r1", product=second, extra=PROMPT, body=b"{}"
     )
     assert _list_missing(caplog) == [1_200, 0]
-    assert [runner.listed for runner in world.models] == [0, 0]
+    assert [runner.inventory_calls for runner in world.models] == [0, 0]
 
 
 async def test_router_without_peers_queries_each_engine_once(
@@ -234,14 +238,14 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     for runner in world.models:
-        runner.held = [("", "a1", 800, "m"), ("", "b2", 400, "m")]
+        runner.inventory = [("", "a1", 800, "m"), ("", "b2", 400, "m")]
     second = await world.async_start_forwarder("entry-2", first_start=False)
     await world.async_until(second.is_ready)
     await world.async_call(
         session, "POST", "/quote/a", "r1", product=second, extra=PROMPT, body=b"{}"
     )
     assert _list_missing(caplog) == [0]
-    assert [runner.listed for runner in world.models] == [1, 1]
+    assert [runner.inventory_calls for runner in world.models] == [1, 1]
 
 
 def _list_missing(caplog: pytest.LogCaptureFixture) -> list[int]:
--- a/tests/forwarding/test_forwarding_requests.py
+++ b/tests/forwarding/test_forwarding_requests.py
@@ -8,7 +8,7 @@
 import pytest
 from forwarding_world import PROMPT, ForwardingWorld
 
-from gypsumrouter.standins import RunnerTrouble
+from gypsumrouter.standins import RunnerFault
 
 Session = aiohttp.ClientSession
 
@@ -79,7 +79,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.RESET
+        runner.default_fault = RunnerFault.RESET
     status, body, headers = await world.async_call(session, "POST", "/reserve/a", "r1", body=b"x")
     assert status == 502
     assert b'"executed": "unknown"' in body
@@ -90,7 +90,7 @@
 async def test_rejected_request_runs_on_another_runner(
     world: ForwardingWorld, session: Session
 ) -> None:
-    world.records[0].always = RunnerTrouble.SHED
+    world.records[0].default_fault = RunnerFault.SHED
     for number in range(4):
         request_id = f"r{number}"
         status, _, _ = await world.async_call(session, "POST", "/reserve/a", request_id, body=b"x")
@@ -102,7 +102,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.SHED
+        runner.default_fault = RunnerFault.SHED
     status, body, headers = await world.async_call(session, "POST", "/reserve/a", "r1", body=b"x")
     assert status == 503
     assert b'"executed": "not_run"' in body
@@ -114,7 +114,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.FALSE_PROMISE
+        runner.default_fault = RunnerFault.UNMARKED_REJECTION
     status, _, _ = await world.async_call(session, "POST", "/reserve/a", "r1", body=b"x")
     assert status == 502
     assert len(world.arrivals("r1")) == 1
@@ -122,12 +122,12 @@
 
 @pytest.mark.parametrize(
     "trouble",
-    [RunnerTrouble.RESET, RunnerTrouble.ERROR, RunnerTrouble.UNSIGNED, RunnerTrouble.ENCODED],
+    [RunnerFault.RESET, RunnerFault.ERROR, RunnerFault.NO_STAMP, RunnerFault.ENCODED],
 )
 async def test_repeatable_request_is_retried_on_another_runner(
-    world: ForwardingWorld, session: Session, trouble: RunnerTrouble
+    world: ForwardingWorld, session: Session, trouble: RunnerFault
 ) -> None:
-    world.records[0].always = trouble
+    world.records[0].default_fault = trouble
     for number in range(4):
         status, _, _ = await world.async_call(session, "GET", "/lookup/a", f"r{number}")
         assert status == 200
@@ -136,7 +136,7 @@
 async def test_repeatable_request_is_retried_after_the_response_timeout(
     world: ForwardingWorld, session: Session
 ) -> None:
-    world.records[0].always = RunnerTrouble.HANG
+    world.records[0].default_fault = RunnerFault.HANG
     for number in range(3):
         status, _, _ = await world.async_call(session, "GET", "/lookup/a", f"r{number}")
         assert status == 200
@@ -146,7 +146,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.ERROR
+        runner.default_fault = RunnerFault.ERROR
     status, body, headers = await world.async_call(session, "GET", "/lookup/a", "r1")
     assert (status, body) == (500, b"broken")
     assert headers["X-Server-Stamp"]
@@ -157,7 +157,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.STRANGER_FIRST
+        runner.default_fault = RunnerFault.FOREIGN_RESPONSE_FIRST
     status, body, _ = await world.async_call(session, "POST", "/reserve/mine", "r1", body=b"x")
     assert status == 200
     assert body.endswith(b"/reserve/mine")
@@ -177,7 +177,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always = RunnerTrouble.HANG
+        runner.default_fault = RunnerFault.HANG
     status, body, _ = await world.async_call(
         session, "POST", "/reserve/a", "r1", body=b"x", extra={"X-Deadline-Ms": "300"}
     )
@@ -206,8 +206,8 @@
     # Only the engine that the router chooses first breaks the stream.
     for runner, other in zip(world.models, reversed(world.models), strict=True):
         runner.events = 6
-        runner.troubles.append(RunnerTrouble.BREAK_STREAM)
-        runner.on_run = other.troubles.clear
+        runner.next_faults.append(RunnerFault.RESET_STREAM)
+        runner.on_run = other.next_faults.clear
     status, body, _ = await world.async_call(
         session, "POST", "/quote/a", "r1", body=b"p", extra=_prompt()
     )
@@ -221,7 +221,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.models:
-        runner.always = RunnerTrouble.BREAK_STREAM
+        runner.default_fault = RunnerFault.RESET_STREAM
     with pytest.raises(aiohttp.ClientError):
         await world.async_call(session, "POST", "/draft/a", "r1", body=b"p", extra=_prompt())
     assert len(world.arrivals("r1")) == 1
@@ -235,7 +235,7 @@
     call = asyncio.create_task(world.async_call(session, "POST", "/reserve/a", "r1", body=b"x"))
     await world.async_until(lambda: world.arrivals("r1"))
     call.cancel()
-    await world.async_until(lambda: world.arrivals("r1")[0].left)
+    await world.async_until(lambda: world.arrivals("r1")[0].cancelled)
 
 
 async def test_prompts_with_shared_parts_go_to_the_engine_that_caches_them(
--- a/tests/forwarding/test_forwarding_response_headers.py
+++ b/tests/forwarding/test_forwarding_response_headers.py
@@ -12,7 +12,7 @@
 import pytest
 from forwarding_world import PROMPT, ForwardingWorld
 
-from gypsumrouter.standins import PlatformRunner, RunnerTrouble, StoreTrouble
+from gypsumrouter.standins import PlatformRunner, RunnerFault, StoreFault
 
 Session = aiohttp.ClientSession
 CALLS = 12
@@ -27,7 +27,7 @@
 
 def announce_draining(runner: PlatformRunner, runners: list[PlatformRunner]) -> None:
     """Make a runner announce that it is draining, unless another one does."""
-    runner.leaving = not any(other.leaving for other in runners if other is not runner)
+    runner.draining = not any(other.draining for other in runners if other is not runner)
 
 
 def get_state(world: ForwardingWorld, upstream: str) -> str:
@@ -67,25 +67,25 @@
 async def test_upstream_that_announces_draining_gets_no_new_requests(
     world: ForwardingWorld, session: Session, method: str, path: str
 ) -> None:
-    await world.store.async_fail(StoreTrouble.SILENT)
+    await world.store.async_set_fault(StoreFault.SILENT)
     runners = world.models if path.startswith(("/draft", "/quote")) else world.records
     # The router always sends a prompt to the same engine; which one is not known here.
     for runner in runners:
         runner.on_run = partial(announce_draining, runner, runners)
     extra = PROMPT if runners is world.models else None
     await world.async_call(session, method, path, "first", extra=extra)
-    draining = next(runner for runner in runners if runner.leaving)
+    draining = next(runner for runner in runners if runner.draining)
     before = len(draining.arrivals)
     assert set(await async_call_more(world, session, method, path)) == {200}
     assert len(draining.arrivals) == before
 
 
-@pytest.mark.parametrize("trouble", [RunnerTrouble.ERROR, RunnerTrouble.SHED])
+@pytest.mark.parametrize("trouble", [RunnerFault.ERROR, RunnerFault.SHED])
 async def test_draining_is_read_from_error_responses(
-    world: ForwardingWorld, session: Session, trouble: RunnerTrouble
+    world: ForwardingWorld, session: Session, trouble: RunnerFault
 ) -> None:
     for runner in world.records:
-        runner.leaving, runner.always = True, trouble
+        runner.draining, runner.default_fault = True, trouble
     for runner in world.records:
         await async_call_until_response_of(world, session, runner.name, "POST", "/reserve/a")
     before = [len(runner.arrivals) for runner in world.records]
@@ -98,10 +98,10 @@
 ) -> None:
     """A restarted router requests the inventory of each engine before sending other requests."""
     for runner in world.models:
-        runner.leaving = True
+        runner.draining = True
     second = await world.async_start_forwarder("entry-2", first_start=False)
     await world.async_until(second.is_ready)
-    await world.async_until(lambda: all(runner.listed for runner in world.models))
+    await world.async_until(lambda: all(runner.inventory_calls for runner in world.models))
     status, _, _ = await world.async_call(
         session, "POST", "/draft/a", "r1", product=second, extra=PROMPT
     )
@@ -113,7 +113,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     draining = world.records[0]
-    draining.leaving = True
+    draining.draining = True
     await async_call_until_response_of(world, session, draining.name, "GET", "/lookup/a")
     before = len(draining.arrivals)
     address = world.addresses[draining.name]
@@ -134,11 +134,11 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     paused, other = world.records
-    paused.troubles.append(RunnerTrouble.SHED)
-    paused.rest_s = RETRY_AFTER_S
+    paused.next_faults.append(RunnerFault.SHED)
+    paused.retry_after_s = RETRY_AFTER_S
     await async_call_until_response_of(world, session, paused.name, "GET", "/lookup/a")
     assert set(await async_call_more(world, session, "GET", "/lookup/a")) == {200}
-    other.always = RunnerTrouble.ERROR
+    other.default_fault = RunnerFault.ERROR
     await async_call_more(world, session, "GET", "/lookup/a")
     assert len(paused.arrivals) == 1
 
@@ -147,7 +147,7 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     for runner in world.records:
-        runner.always, runner.rest_s = RunnerTrouble.SHED, 0.6
+        runner.default_fault, runner.retry_after_s = RunnerFault.SHED, 0.6
     for runner in world.records:
         await async_call_until_response_of(world, session, runner.name, "GET", "/lookup/a")
     before = [len(runner.arrivals) for runner in world.records]
@@ -165,11 +165,11 @@
     """On a reused connection, such a response is not taken as that of the pending request."""
     announcing, other = world.records
     await async_call_until_response_of(world, session, announcing.name, "GET", "/lookup/a")
-    announcing.leaving, announcing.rest_s = draining, None if draining else RETRY_AFTER_S
-    announcing.always = RunnerTrouble.SHED
+    announcing.draining, announcing.retry_after_s = draining, None if draining else RETRY_AFTER_S
+    announcing.default_fault = RunnerFault.SHED
     before = len(announcing.arrivals)
     while len(announcing.arrivals) == before:
         await world.async_call(session, "GET", "/lookup/a", "second")
-    other.always = RunnerTrouble.ERROR
+    other.default_fault = RunnerFault.ERROR
     await async_call_more(world, session, "GET", "/lookup/a")
     assert len(announcing.arrivals) == before + 1
--- a/tests/forwarding/test_forwarding_restored_store.py
+++ b/tests/forwarding/test_forwarding_restored_store.py
@@ -5,7 +5,7 @@
 import aiohttp
 from forwarding_world import ForwardingWorld, make_configuration
 
-from gypsumrouter.standins import StoreTrouble
+from gypsumrouter.standins import StoreFault
 
 Session = aiohttp.ClientSession
 
@@ -34,15 +34,15 @@
     world: ForwardingWorld, session: Session
 ) -> None:
     """A watch that resumes from the last seen revision would miss it."""
-    snapshot = world.store.make_copy()
+    snapshot = world.store.make_snapshot()
     await world.store.async_put_configuration(make_configuration(3))
     await world.async_until(lambda: get_version(world) == 3)
-    await world.store.async_fail(StoreTrouble.RESET)
+    await world.store.async_set_fault(StoreFault.RESET)
     await world.store.async_restore(snapshot)
     await async_publish_draining(world, "i-records-1")
     for version in (3, 4, 5):
         await world.store.async_put_configuration(make_configuration(version))
-    await world.store.async_fail(StoreTrouble.NONE)
+    await world.store.async_set_fault(StoreFault.NONE)
     await world.async_until(lambda: get_state(world, "i-records-1") == "leaving")
     await world.async_until(lambda: get_version(world) == 5)
 
@@ -50,7 +50,7 @@
 async def test_state_is_reloaded_after_a_restore_without_an_outage(
     world: ForwardingWorld, session: Session
 ) -> None:
-    snapshot = world.store.make_copy()
+    snapshot = world.store.make_snapshot()
     await world.store.async_put_configuration(make_configuration(3))
     await world.async_until(lambda: get_version(world) == 3)
     await world.store.async_restore(snapshot)
@@ -62,7 +62,7 @@
 async def test_upstream_that_is_gone_gets_no_requests_after_a_restore_lists_it_again(
     world: ForwardingWorld, session: Session
 ) -> None:
-    snapshot = world.store.make_copy()
+    snapshot = world.store.make_snapshot()
     await async_publish_draining(world, "i-records-1")
     await world.async_until(lambda: get_state(world, "i-records-1") == "leaving")
     await world.store.async_remove("servers/i-records-1")
--- a/tests/idempotency/test_idempotency_reasons.py
+++ b/tests/idempotency/test_idempotency_reasons.py
@@ -130,7 +130,7 @@
 
 def test_nothing_runs_before_first_list(side: Side) -> None:
     fresh = Side(name="a", address=side.address)
-    assert get_failure(begin_now(fresh)) == (Failed, Reason.HOME_UNCONFIRMED)
+    assert get_failure(begin_now(fresh)) == (Failed, Reason.KEY_OWNER_UNCONFIRMED)
 
 
 def test_key_of_another_owner_is_refused_with_elsewhere(side: Side) -> None:
@@ -145,7 +145,7 @@
         result = side.idempotency.begin(make_call(key))
         assert isinstance(result, Run if owner == "a" else Refused)
         if isinstance(result, Refused):
-            assert result.reason is Reason.NOT_HOME
+            assert result.reason is Reason.NOT_KEY_OWNER
             assert result.elsewhere
 
 
@@ -158,7 +158,7 @@
 )
 def test_list_with_another_address_or_pool_ends_ownership(side: Side, listed: Instance) -> None:
     side.read(2, listed)
-    assert get_failure(begin_now(side)) == (Refused, Reason.NOT_HOME)
+    assert get_failure(begin_now(side)) == (Refused, Reason.NOT_KEY_OWNER)
     side.read(3, get_own(side))
     assert get_failure(begin_now(side)) == (Failed, Reason.EARLIER_RUN_UNKNOWN)
 
@@ -167,9 +167,9 @@
     key = make_uuid7(side.clock.wall_ms())
     side.clock.advance(LEASE_MS)
     early = side.idempotency.begin(make_call(key))
-    assert get_failure(early) == (Refused, Reason.HOME_UNCONFIRMED)
+    assert get_failure(early) == (Refused, Reason.KEY_OWNER_UNCONFIRMED)
     side.clock.advance(2 * SKEW_MS + 1)
-    assert get_failure(begin_now(side)) == (Failed, Reason.HOME_UNCONFIRMED)
+    assert get_failure(begin_now(side)) == (Failed, Reason.KEY_OWNER_UNCONFIRMED)
 
 
 def test_lease_is_checked_again_before_sending(side: Side) -> None:
@@ -179,9 +179,9 @@
     side.clock.advance(LEASE_MS + 2 * SKEW_MS + 1)
     denied = run.authorize()
     assert denied is not None
-    assert denied.reason is Reason.HOME_UNCONFIRMED
+    assert denied.reason is Reason.KEY_OWNER_UNCONFIRMED
     side.read(2)
-    assert refused.cancel(Refused(reason=Reason.OVER_CAP)).reason is Reason.NOT_HOME
+    assert refused.cancel(Refused(reason=Reason.OVER_CAP)).reason is Reason.NOT_KEY_OWNER
 
 
 def test_key_created_before_ownership_fails_and_later_key_runs(side: Side) -> None:
@@ -244,7 +244,7 @@
     call = make_call("order-4711")
     refused = side.idempotency.begin(call)
     assert isinstance(refused, Failed)
-    assert refused.reason is Reason.HOME_TOO_YOUNG
+    assert refused.reason is Reason.KEY_OWNER_TOO_RECENT
     assert refused.retry_after_ms == NEW_OWNER_DELAY_MS + WINDOW_MS + MAX_TRANSIT_MS + 1
     side.clock.advance(refused.retry_after_ms)
     side.read(3, get_own(side))
@@ -260,7 +260,7 @@
 def test_extended_window_applies_to_new_opaque_keys_only(side: Side) -> None:
     side.idempotency.configure(make_pool(window_ms=2 * WINDOW_MS))
     result = side.idempotency.begin(make_call("order-4711"))
-    assert get_failure(result) == (Failed, Reason.HOME_TOO_YOUNG)
+    assert get_failure(result) == (Failed, Reason.KEY_OWNER_TOO_RECENT)
 
 
 def test_delayed_request_with_opaque_key_is_not_run(side: Side) -> None:
@@ -290,7 +290,7 @@
         assert run.authorize() is None
         run.finish(HEAD, b"")
     full = begin_now(side, number=2)
-    assert get_failure(full) == (Refused, Reason.MEMORY_FULL)
+    assert get_failure(full) == (Refused, Reason.CALL_RECORDS_FULL)
     assert isinstance(full, Refused)
     assert full.retry_after_ms
     assert isinstance(begin_now(side, number=0), Replay)
@@ -323,7 +323,7 @@
 
 def test_only_owner_reports_call_as_not_run() -> None:
     here = Refused(reason=Reason.OVER_CAP, retry_after_ms=5)
-    elsewhere = Refused(reason=Reason.NOT_HOME, elsewhere=True)
+    elsewhere = Refused(reason=Reason.NOT_KEY_OWNER, elsewhere=True)
     assert get_call_outcome(here, from_side=True) == here
     assert isinstance(get_call_outcome(here, from_side=False), Failed)
     assert isinstance(get_call_outcome(elsewhere, from_side=True), Failed)
--- a/tests/link/test_link_lying_server.py
+++ b/tests/link/test_link_protocol_violations.py
@@ -1,4 +1,4 @@
-"""Servers that prove themselves and then break the protocol: the answer is never taken as whole."""
+"""Answers of authenticated servers that violate the protocol must not count as complete."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from gypsumrouter.link.const import Kind
 from gypsumrouter.link.counts import ByteCounts
 from gypsumrouter.link.frames import OFFSET
-from gypsumrouter.link.handshake import async_accept, make_greeting
+from gypsumrouter.link.handshake import async_server_handshake, make_greeting
 from gypsumrouter.link.notice_codec import encode_notice
 from gypsumrouter.outcomes import Failed, Reason, Refused
 from gypsumrouter.util.clock import SystemClock
@@ -25,13 +25,13 @@
 
 HEAD_FRAME = (Kind.HEAD, encode_head(HEAD))
 DATA_FRAME = (Kind.DATA, OFFSET.pack(0) + b"whole answer")
-WRONG_SUM = (Kind.END, encode_end(End(length=12, checksum=1)))
+WRONG_CHECKSUM = (Kind.END, encode_end(End(length=12, checksum=1)))
 WRONG_LENGTH = (Kind.END, encode_end(End(length=11, checksum=0)))
 REFUSED_FRAME = encode_failure(Refused(reason=Reason.OVER_CAP, elsewhere=True))
 
 
-class LyingServer:
-    """Answer each OPEN with frames of the test's own."""
+class MisbehavingServer:
+    """Answers each OPEN frame with the frames of a script."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -51,8 +51,8 @@
     async def _async_serve(self, connection: Connection) -> None:
         app = make_app("side-1", Role.SIDE)
         greeting = make_greeting(app=app, attempt=0, window_bytes=1_000)
-        await async_accept(connection=connection, greeting=greeting, key=KEY)
-        connection.lift_limit()
+        await async_server_handshake(connection=connection, greeting=greeting, key=KEY)
+        connection.raise_frame_limit()
         connection.send(Kind.WELCOME)
         while (frame := await connection.async_read()) is not None:
             if frame.kind != Kind.OPEN:
@@ -64,9 +64,9 @@
 @pytest.mark.parametrize(
     "script",
     [
-        [HEAD_FRAME, DATA_FRAME, WRONG_SUM],
+        [HEAD_FRAME, DATA_FRAME, WRONG_CHECKSUM],
         [HEAD_FRAME, DATA_FRAME, WRONG_LENGTH],
-        [HEAD_FRAME, WRONG_SUM],
+        [HEAD_FRAME, WRONG_CHECKSUM],
         [HEAD_FRAME, DATA_FRAME, DATA_FRAME],
         [HEAD_FRAME, (Kind.DATA, OFFSET.pack(5) + b"a gap")],
         [DATA_FRAME],
@@ -76,11 +76,11 @@
         [(Kind.OPEN, b"")],
     ],
 )
-async def test_an_answer_that_breaks_the_protocol_is_corrupted_never_whole_or_refused(
+async def test_protocol_violation_fails_the_exchange_as_corrupted(
     script: Script,
 ) -> None:
     async with linked() as pair:
-        address = await LyingServer(script).async_start()
+        address = await MisbehavingServer(script).async_start()
         instance = replace(pair.instance, address=address)
         exchange = await pair.pool.async_open(instance=instance, request=REQUEST)
         assert not isinstance(exchange, Refused)
@@ -90,30 +90,30 @@
         assert event.reason is Reason.CORRUPTED
 
 
-async def test_frames_that_come_late_for_finished_exchanges_are_dropped() -> None:
+async def test_late_frames_of_ended_exchanges_are_dropped() -> None:
     status = Status(load=1, running=1, weight=1.0, leaving=False, ready=True)
-    arrived = asyncio.Event()
+    received = asyncio.Event()
     cancelled = (Kind.FAILED, encode_failure(Failed(reason=Reason.UPSTREAM_LOST))[1])
-    late: Script = [cancelled, HEAD_FRAME, DATA_FRAME, WRONG_SUM, REFUSED_FRAME]
+    late: Script = [cancelled, HEAD_FRAME, DATA_FRAME, WRONG_CHECKSUM, REFUSED_FRAME]
     async with linked() as pair:
-        address = await LyingServer([*late, encode_notice(status)]).async_start()
-        pair.pool.on_status(lambda _hello, _status: arrived.set())
+        address = await MisbehavingServer([*late, encode_notice(status)]).async_start()
+        pair.pool.on_status(lambda _hello, _status: received.set())
         instance = replace(pair.instance, address=address)
         exchange = await pair.pool.async_open(instance=instance, request=REQUEST)
         assert not isinstance(exchange, Refused)
         _, event = await async_read_answer(exchange)
         assert event == Failed(reason=Reason.UPSTREAM_LOST)
-        await arrived.wait()
-        assert not exchange.waiting
+        await received.wait()
+        assert not exchange.has_events
 
 
-async def test_a_server_that_answers_nothing_is_found_and_the_outcome_stays_unknown() -> None:
+async def test_server_that_sends_no_answer_is_detected() -> None:
     async with linked() as pair:
-        address = await LyingServer([]).async_start()
+        address = await MisbehavingServer([]).async_start()
         instance = replace(pair.instance, address=address)
         exchange = await pair.pool.async_open(instance=instance, request=REQUEST)
         assert not isinstance(exchange, Refused)
         event = await exchange.async_next()
         assert isinstance(event, Failed)
-        # Each connection of this server is another incarnation.
+        # The server has a new incarnation on each connection.
         assert event.reason is Reason.SIDE_RESTARTED
--- a/tests/small_deployment.py
+++ b/tests/small_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment for tests, and settings that make its processes ready soon."""
+"""Small deployment for tests, and settings with which its processes become ready quickly."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from gypsumrouter.demo.local_fleet import LocalFleet
 from gypsumrouter.standins import Deployment, WorkspacePlan
 
-StartProduct = Callable[..., Awaitable[LocalFleet]]
+StartLocalFleet = Callable[..., Awaitable[LocalFleet]]
 
-# One machine, one clock: new sides may run keyed calls after this lease.
+# New sides accept calls with idempotency keys after this lease, as all clocks are the same.
 LIST_LEASE_MS = 500
-QUICK: dict[str, Any] = {
+FAST_SETTINGS: dict[str, Any] = {
     "platform": {"list_lease_ms": LIST_LEASE_MS, "clock_skew_ms": 0, "list_poll_ms": 50},
 }
 
@@ -23,8 +23,8 @@
         name="small",
         region="here",
         data_centres=("here-a", "here-b"),
-        between_ms=0.0,
-        client_ms=0.0,
+        data_centre_latency_ms=0.0,
+        client_latency_ms=0.0,
         model=model,
         engine_pool="models",
         engines=2,
--- a/tests/standins/test_standins_instance_list.py
+++ b/tests/standins/test_standins_instance_list.py
@@ -1,4 +1,4 @@
-"""The instance list: revisions, the time of a state, lag, stale replicas, long polls."""
+"""Instance list: revisions, as-of times, lag, stale replicas and long polls."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from gypsumrouter.util.clock import ManualClock
 
 
-class Told(Struct, frozen=True, kw_only=True):
-    """What one call was answered."""
+class ListResponse(Struct, frozen=True, kw_only=True):
+    """The response to one call."""
 
     status: int
     revision: int | None = None
@@ -39,35 +39,37 @@
 
 @pytest.fixture
 async def service(clock: ManualClock) -> AsyncIterator[InstanceListService]:
-    made = InstanceListService(clock=clock)
-    await made.async_start()
-    yield made
-    await made.async_stop()
+    service = InstanceListService(clock=clock)
+    await service.async_start()
+    yield service
+    await service.async_stop()
 
 
 class Reader:
-    """Reads one list."""
+    """A client that reads and polls the list."""
 
     def __init__(self, session: aiohttp.ClientSession, service: InstanceListService) -> None:
         self.session = session
         self.origin = f"http://{service.address}"
 
-    async def async_read(self) -> Told:
+    async def async_read(self) -> ListResponse:
         return await self._async_get({})
 
-    def poll(self, after: int, timeout_ms: int = 1_000) -> asyncio.Future[Told]:
+    def poll(self, after: int, timeout_ms: int = 1_000) -> asyncio.Future[ListResponse]:
         query = {"after": str(after), "timeout_ms": str(timeout_ms)}
         return asyncio.ensure_future(self._async_get(query))
 
-    async def _async_get(self, query: dict[str, str]) -> Told:
+    async def _async_get(self, query: dict[str, str]) -> ListResponse:
         async with self.session.get(f"{self.origin}/v1/instances", params=query) as response:
             if response.status == 204:
-                return Told(status=204, as_of_ms=int(response.headers["X-As-Of-Ms"]))
+                return ListResponse(status=204, as_of_ms=int(response.headers["X-As-Of-Ms"]))
             if response.status != 200:
-                return Told(status=response.status)
+                return ListResponse(status=response.status)
             body: dict[str, Any] = await response.json()
         names = tuple(instance["name"] for instance in body["instances"])
-        return Told(status=200, revision=body["revision"], as_of_ms=body["as_of_ms"], names=names)
+        return ListResponse(
+            status=200, revision=body["revision"], as_of_ms=body["as_of_ms"], names=names
+        )
 
 
 @pytest.fixture
@@ -75,31 +77,33 @@
     return Reader(session, service)
 
 
-async def test_each_change_raises_the_revision_by_one_and_no_change_does_not(
+async def test_only_actual_changes_increment_the_revision(
     service: InstanceListService,
 ) -> None:
     service.set(make_instance("a"), make_instance("b"))
     service.set(make_instance("a"))
-    service.leave("a")
-    service.leave("unknown")
+    service.mark_leaving("a")
+    service.mark_leaving("unknown")
     service.remove("b")
     assert service.revision == 3
-    left = service.get("a")
-    assert left is not None
-    assert left.state is InstanceState.LEAVING
+    leaving = service.get("a")
+    assert leaving is not None
+    assert leaving.state is InstanceState.LEAVING
 
 
-async def test_the_newest_state_is_told_as_of_now(
+async def test_newest_revision_is_served_as_of_now(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("b"))
     service.set(make_instance("a"))
     clock.advance(700)
-    told = await reader.async_read()
-    assert told == Told(status=200, revision=2, as_of_ms=clock.wall_ms(), names=("a", "b"))
+    response = await reader.async_read()
+    assert response == ListResponse(
+        status=200, revision=2, as_of_ms=clock.wall_ms(), names=("a", "b")
+    )
 
 
-async def test_a_poll_gives_every_state_in_turn_with_the_last_time_it_held(
+async def test_polls_return_each_revision_with_the_last_time_it_was_current(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     for name in "abc":
@@ -111,7 +115,7 @@
     assert (second.revision, second.as_of_ms) == (3, clock.wall_ms())
 
 
-async def test_a_poll_wakes_with_the_next_change(
+async def test_poll_returns_on_the_next_change(
     reader: Reader, service: InstanceListService
 ) -> None:
     service.set(make_instance("a"))
@@ -121,35 +125,35 @@
     assert (await poll).names == ()
 
 
-async def test_a_poll_without_a_change_ends_with_the_time_up_to_which_there_was_none(
+async def test_poll_without_change_ends_at_its_timeout_with_an_as_of_time(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("a"))
     began_ms = clock.wall_ms()
-    told = await async_drive(clock, reader.poll(1, timeout_ms=500))
-    assert told.status == 204
-    assert told.as_of_ms is not None
-    assert began_ms + 500 <= told.as_of_ms <= clock.wall_ms()
+    response = await async_drive(clock, reader.poll(1, timeout_ms=500))
+    assert response.status == 204
+    assert response.as_of_ms is not None
+    assert began_ms + 500 <= response.as_of_ms <= clock.wall_ms()
 
 
-async def test_a_lagging_list_tells_the_past_and_says_so(
+async def test_lagging_list_serves_an_earlier_revision_with_its_as_of_time(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("a"))
     clock.advance(2_000)
     service.set_lag(1_500)
     service.set(make_instance("b"))
-    told = await reader.async_read()
-    assert (told.names, told.as_of_ms) == (("a",), clock.wall_ms() - 1_500)
+    response = await reader.async_read()
+    assert (response.names, response.as_of_ms) == (("a",), clock.wall_ms() - 1_500)
     changed_ms = clock.wall_ms()
-    told = await async_drive(clock, reader.poll(1, timeout_ms=60_000))
-    assert told.names == ("a", "b")
+    response = await async_drive(clock, reader.poll(1, timeout_ms=60_000))
+    assert response.names == ("a", "b")
     assert clock.wall_ms() >= changed_ms + 1_500
-    assert told.as_of_ms is not None
-    assert changed_ms <= told.as_of_ms <= clock.wall_ms() - 1_500
+    assert response.as_of_ms is not None
+    assert changed_ms <= response.as_of_ms <= clock.wall_ms() - 1_500
 
 
-async def test_a_stale_replica_stays_at_its_time(
+async def test_stale_replica_stays_at_its_revision(
     reader: Reader, service: InstanceListService, clock: ManualClock
 ) -> None:
     service.set(make_instance("a"))
@@ -157,16 +161,16 @@
     service.serve_stale(stale_ms)
     clock.advance(5_000)
     service.remove("a")
-    assert await reader.async_read() == Told(
+    assert await reader.async_read() == ListResponse(
         status=200, revision=1, as_of_ms=stale_ms, names=("a",)
     )
-    told = await async_drive(clock, reader.poll(1, timeout_ms=100))
-    assert (told.status, told.as_of_ms) == (204, stale_ms)
+    response = await async_drive(clock, reader.poll(1, timeout_ms=100))
+    assert (response.status, response.as_of_ms) == (204, stale_ms)
     service.serve_stale(None)
     assert (await reader.async_read()).revision == 2
 
 
-async def test_outages_answer_errors_or_refuse(
+async def test_outages_return_errors_or_refuse_connections(
     reader: Reader, service: InstanceListService
 ) -> None:
     poll = reader.poll(0)
@@ -180,7 +184,7 @@
     assert (await reader.async_read()).revision == 0
 
 
-async def test_the_list_is_driven_over_http_too(
+async def test_instance_list_control_endpoints(
     reader: Reader, session: aiohttp.ClientSession, service: InstanceListService
 ) -> None:
     url = f"{reader.origin}/standin/instances/a"
--- a/tests/standins/test_standins_platform.py
+++ b/tests/standins/test_standins_platform.py
@@ -1,4 +1,4 @@
-"""The whole platform of stand-ins, and the callers that check what they are answered."""
+"""Stand-in platform as a whole, and the load generators that check its responses."""
 
 from __future__ import annotations
 
@@ -42,13 +42,15 @@
 
 @pytest.fixture
 async def platform() -> AsyncIterator[StandinPlatform]:
-    made = StandinPlatform(clock=SystemClock(), deployments=(kotlovnica(),))
-    await made.async_start()
-    yield made
-    await made.async_stop()
+    platform = StandinPlatform(clock=SystemClock(), deployments=(kotlovnica(),))
+    await platform.async_start()
+    yield platform
+    await platform.async_stop()
 
 
-def make_chat(context: CallerContext, *, seed: int = 1, shape: ChatShape = SHAPE) -> ChatCaller:
+def make_chat_caller(
+    context: CallerContext, *, seed: int = 1, shape: ChatShape = SHAPE
+) -> ChatCaller:
     return ChatCaller(
         context=context,
         account=ACCOUNT,
@@ -60,7 +62,7 @@
 
 
 @pytest.mark.parametrize("deployment", [chapin(), kotlovnica()])
-def test_the_configuration_of_each_deployment_is_accepted(deployment: Deployment) -> None:
+def test_configuration_of_each_deployment_is_valid(deployment: Deployment) -> None:
     document = msgspec.json.encode(make_configuration(deployment, version=4))
     configuration = check_configuration(document)
     assert configuration.version == 4
@@ -72,13 +74,13 @@
     assert configuration.pools[1].at_most_once is not None
 
 
-def test_both_deployments_fit_into_one_configuration() -> None:
+def test_configuration_of_both_deployments_is_valid() -> None:
     configuration = make_configuration(chapin(), kotlovnica(), version=1)
     document = msgspec.json.encode(configuration)
     assert len(check_configuration(document).pools) == 4
 
 
-async def test_the_platform_has_the_sizes_of_the_deployment(platform: StandinPlatform) -> None:
+async def test_platform_matches_the_deployment(platform: StandinPlatform) -> None:
     assert (len(platform.engines), len(platform.services)) == (9, 3)
     assert {plan.data_centre for plan in platform.plans} == set(kotlovnica().data_centres)
     link = {"key_env": "LINK_KEY"}
@@ -91,10 +93,12 @@
     assert check_router_settings(json.dumps(router)).instance.name == "router-1"
 
 
-async def test_sides_and_routers_are_listed_by_their_links(platform: StandinPlatform) -> None:
+async def test_sides_and_routers_are_registered_with_their_link_addresses(
+    platform: StandinPlatform,
+) -> None:
     address = Address(host="127.0.0.1", port=7_000)
-    platform.list_side("records-2", address)
-    platform.list_router("router-1", address, data_centre="hr-zagreb-b", region="hr-zagreb")
+    platform.register_side("records-2", address)
+    platform.register_router("router-1", address, data_centre="hr-zagreb-b", region="hr-zagreb")
     side, router = platform.instances.get("records-2"), platform.instances.get("router-1")
     assert side is not None
     assert router is not None
@@ -103,7 +107,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-async def test_a_returning_chat_gets_whole_answers_and_reuses_the_cache(
+async def test_chat_gets_complete_responses_and_reuses_the_cache(
     platform: StandinPlatform, session: aiohttp.ClientSession, stream: bool
 ) -> None:
     tally = Tally()
@@ -112,7 +116,7 @@
         session=session, routers=[engine.address], tally=tally, clock=SystemClock()
     )
     shape = ChatShape(turns=3, think_ms=0, max_tokens=16, stream=stream)
-    chats = [make_chat(context, seed=seed, shape=shape) for seed in range(4)]
+    chats = [make_chat_caller(context, seed=seed, shape=shape) for seed in range(4)]
     await asyncio.gather(*(chat.async_run() for chat in chats))
     assert (tally.requests, tally.tries, tally.whole) == (12, 12, 12)
     assert (tally.lost, tally.doubled, tally.crossed, tally.truncated) == (0, 0, 0, 0)
@@ -120,8 +124,8 @@
     assert len(tally.first_token_ms["inspector"]) == 12
 
 
-class FalseEngine:
-    """Answers each chat with a given status and body."""
+class ScriptedEngine:
+    """Responds to chats with the given statuses and bodies, in order."""
 
     def __init__(self, *bodies: tuple[int, bytes]) -> None:
         self.bodies = list(bodies)
@@ -135,15 +139,15 @@
         return web.Response(status=status, body=body)
 
 
-async def async_play_against(session: aiohttp.ClientSession, *bodies: tuple[int, bytes]) -> Tally:
+async def async_run_against(session: aiohttp.ClientSession, *bodies: tuple[int, bytes]) -> Tally:
     clock = ManualClock()
     tally = Tally()
-    engine = FalseEngine(*bodies)
+    engine = ScriptedEngine(*bodies)
     routers = [await engine.listener.async_start()]
     context = CallerContext(
         session=session, routers=routers, tally=tally, clock=clock, tries=len(bodies)
     )
-    await async_drive(clock, make_chat(context).async_turn(), step_ms=50)
+    await async_drive(clock, make_chat_caller(context).async_turn(), step_ms=50)
     await engine.listener.async_stop()
     return tally
 
@@ -156,72 +160,72 @@
     return b"data: " + json.dumps(event).encode() + (b"\n\ndata: [DONE]\n\n" if done else b"\n\n")
 
 
-async def async_get_right_answer(session: aiohttp.ClientSession) -> tuple[str, int]:
-    """Return what the first turn of the test's chat must be answered, and its tokens."""
+async def async_get_expected_answer(session: aiohttp.ClientSession) -> tuple[str, int]:
+    """Return the expected response text of the first turn of `make_chat_caller`, and its tokens."""
     context = CallerContext(
         session=session, routers=[], tally=Tally(), clock=ManualClock(), tries=0
     )
-    chat = make_chat(context)
+    chat = make_chat_caller(context)
     await chat.async_turn()
-    twin = make_chat(context)
+    twin = make_chat_caller(context)
     twin._make_words(SHAPE.first_bytes)
     tokens = twin.random.randint(SHAPE.min_tokens, SHAPE.max_tokens)
     prompt = render_prompt([Message(role="user", content=chat.messages[0].content)])
     return make_text(digest_prompt(prompt, model=chat.model), tokens), tokens
 
 
-async def test_the_right_answer_counts_as_whole(session: aiohttp.ClientSession) -> None:
-    text, tokens = await async_get_right_answer(session)
-    tally = await async_play_against(session, (200, make_stream(text, tokens=tokens)))
+async def test_expected_response_counts_as_whole(session: aiohttp.ClientSession) -> None:
+    text, tokens = await async_get_expected_answer(session)
+    tally = await async_run_against(session, (200, make_stream(text, tokens=tokens)))
     assert tally.whole == 1
 
 
-async def test_the_answer_to_another_request_counts_as_crossed(
+async def test_response_to_another_request_counts_as_crossed(
     session: aiohttp.ClientSession,
 ) -> None:
-    _, tokens = await async_get_right_answer(session)
+    _, tokens = await async_get_expected_answer(session)
     other = make_text("0" * 16, tokens)
-    tally = await async_play_against(session, (200, make_stream(other, tokens=tokens)))
+    tally = await async_run_against(session, (200, make_stream(other, tokens=tokens)))
     assert (tally.crossed, tally.whole) == (1, 0)
 
 
-async def test_surplus_counts_as_doubled_and_missing_parts_as_truncated(
+async def test_extra_text_counts_as_doubled_and_missing_text_as_truncated(
     session: aiohttp.ClientSession,
 ) -> None:
-    text, tokens = await async_get_right_answer(session)
-    doubled = await async_play_against(session, (200, make_stream(text + " w1", tokens=tokens)))
-    cut = await async_play_against(session, (200, make_stream(text[:-1], tokens=tokens)))
+    text, tokens = await async_get_expected_answer(session)
+    doubled = await async_run_against(session, (200, make_stream(text + " w1", tokens=tokens)))
+    cut = await async_run_against(session, (200, make_stream(text[:-1], tokens=tokens)))
     assert (doubled.doubled, cut.truncated) == (1, 1)
     assert (doubled.whole, cut.whole) == (0, 0)
 
 
-async def test_a_stream_without_its_end_is_tried_again_and_then_counts_as_lost(
+async def test_incomplete_stream_is_retried_and_then_counts_as_lost(
     session: aiohttp.ClientSession,
 ) -> None:
-    text, tokens = await async_get_right_answer(session)
+    text, tokens = await async_get_expected_answer(session)
     open_end = (200, make_stream(text, tokens=tokens, done=False))
-    tally = await async_play_against(session, open_end, open_end)
+    tally = await async_run_against(session, open_end, open_end)
     assert (tally.tries, tally.lost, tally.not_run) == (2, 1, 0)
 
 
-async def test_refusals_are_counted_by_their_code_and_tried_again(
+async def test_refusals_are_counted_by_code_and_retried(
     session: aiohttp.ClientSession,
 ) -> None:
     error = {"code": "over_cap", "executed": "not_run", "retry_after_ms": 100}
     refusal = (429, json.dumps({"error": error}).encode())
-    text, tokens = await async_get_right_answer(session)
-    tally = await async_play_against(session, refusal, (200, make_stream(text, tokens=tokens)))
+    text, tokens = await async_get_expected_answer(session)
+    tally = await async_run_against(session, refusal, (200, make_stream(text, tokens=tokens)))
     assert (tally.refused, tally.whole, tally.requests) == ({"over_cap": 1}, 1, 1)
-    tally = await async_play_against(session, refusal, refusal)
+    tally = await async_run_against(session, refusal, refusal)
     assert (tally.not_run, tally.lost) == (1, 0)
 
 
-def test_an_error_without_the_known_form_has_an_unknown_outcome() -> None:
+def test_malformed_error_has_an_unknown_outcome() -> None:
     assert parse_error(b"oops", status=502).executed is Executed.UNKNOWN
     assert parse_error(b'{"error": {"code": "x"}}', status=500).code == "status_500"
 
 
-async def test_service_calls_are_checked_against_their_own_key_and_body(
+async def test_service_responses_are_checked_against_key_and_body(
     platform: StandinPlatform, session: aiohttp.ClientSession
 ) -> None:
     tally = Tally()
@@ -237,7 +241,7 @@
     assert set(service.executions_by_key) == set(caller.keys)
 
 
-async def test_a_call_that_ran_twice_is_found_by_the_platform(
+async def test_platform_counts_calls_that_were_executed_twice(
     platform: StandinPlatform, session: aiohttp.ClientSession
 ) -> None:
     for name, path in (("records-1", "/signoffs"), ("records-2", "/signoffs?x=1")):
@@ -246,18 +250,18 @@
     url = f"http://{platform.services['records-1'].address}/reports"
     for _ in range(2):
         await session.post(url, headers={"Idempotency-Key": "may-repeat"})
-    assert platform.count_doubled() == 1
-    assert platform.count_runs() == {"twice": 2}
+    assert platform.count_repeated_calls() == 1
+    assert platform.count_executions() == {"twice": 2}
 
 
-def test_accounts_follow_the_traffic_of_the_workspaces_the_same_for_the_same_seed() -> None:
+def test_accounts_follow_workspace_traffic_and_depend_only_on_the_seed() -> None:
     accounts = choose_accounts(kotlovnica(), count=1_000, seed=3)
     largest = sum(account.workspace == "utility-1" for account in accounts)
     assert 400 < largest < 650
     assert accounts == choose_accounts(kotlovnica(), count=1_000, seed=3)
 
 
-def test_keys_are_uuids_of_version_seven_with_their_time() -> None:
+def test_idempotency_keys_are_uuid7_with_their_time() -> None:
     key = uuid.UUID(make_uuid7(wall_ms=1_700_000_000_123, randomness=random.Random(1)))
     assert (key.version, key.variant) == (7, uuid.RFC_4122)
     assert key.int >> 80 == 1_700_000_000_123
--- a/tests/suspicion/test_suspicion_gate.py
+++ b/tests/suspicion/test_suspicion_gate.py
@@ -33,7 +33,7 @@
     process.clock.advance(SHARED_WAIT_MS)
     refused = await other
     assert isinstance(refused, Refused)
-    assert (refused.reason, refused.elsewhere) == (Reason.SUSPECT_BUSY, True)
+    assert (refused.reason, refused.elsewhere) == (Reason.SUSPECT_ISOLATED, True)
 
 
 async def test_complete_isolated_run_clears_suspect_and_opens_gate() -> None:
@@ -89,7 +89,7 @@
     process.clock.advance(ISOLATED_WAIT_MS)
     refused = await waiting
     assert isinstance(refused, Refused)
-    assert refused.reason is Reason.SUSPECT_BUSY
+    assert refused.reason is Reason.SUSPECT_ISOLATED
     assert isinstance(await process.async_enter(6), RunPermit)
 
 
--- a/tests/upstream/test_upstream_engine.py
+++ b/tests/upstream/test_upstream_engine.py
@@ -1,4 +1,4 @@
-"""Requests at an engine under faults."""
+"""Engine client under connection faults, crashes and cancellations."""
 
 from __future__ import annotations
 
@@ -27,18 +27,20 @@
     return [content for content in contents if content]
 
 
-def list_contents(body: bytes) -> str:
+def join_contents(body: bytes) -> str:
     return "".join(list_tokens(body))
 
 
 async def async_get_contents(engine_caller: Caller) -> str:
-    """Return what the engine answers when nothing fails."""
+    """Return the engine's response contents without faults."""
     undisturbed = Caller(client=engine_caller.client)
     assert await undisturbed.async_run(make_chat()) is None
-    return list_contents(undisturbed.answer.body)
+    return join_contents(undisturbed.answer.body)
 
 
-async def test_streamed_answer_is_passed_on_whole(engine_caller: Caller, engine: Engine) -> None:
+async def test_streamed_response_is_relayed_completely(
+    engine_caller: Caller, engine: Engine
+) -> None:
     outcome = await engine_caller.async_run(make_chat(tokens=12))
 
     assert outcome is None
@@ -49,7 +51,7 @@
     assert engine_caller.client.models == ("gypsum-chat",)
 
 
-async def test_whole_answer_keeps_its_head_without_hop_by_hop_headers(
+async def test_unstreamed_response_has_no_hop_by_hop_headers(
     engine_caller: Caller,
 ) -> None:
     outcome = await engine_caller.async_run(make_chat(stream=False))
@@ -61,10 +63,10 @@
     assert json.loads(engine_caller.answer.body)["usage"]["completion_tokens"] == 40
 
 
-async def test_refused_connection_is_refused_as_not_run(
+async def test_refused_connection_returns_refusal(
     engine_caller: Caller, engine_proxy: FaultProxy
 ) -> None:
-    engine_proxy.refuse()
+    engine_proxy.refuse_connections()
 
     outcome = await engine_caller.async_run(make_chat())
 
@@ -76,7 +78,7 @@
 
 
 async def test_denied_hand_over_sends_nothing(engine_caller: Caller, engine: Engine) -> None:
-    denial = Refused(reason=Reason.HOME_UNCONFIRMED)
+    denial = Refused(reason=Reason.KEY_OWNER_UNCONFIRMED)
 
     def deny() -> None:
         raise HandOverDenied(denial)
@@ -90,60 +92,60 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-async def test_stream_whose_connection_fails_is_resumed_exactly(
+async def test_stream_is_resumed_at_offset_after_connection_failure(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine, silent: bool
 ) -> None:
     expected = await async_get_contents(engine_caller)
     run = asyncio.ensure_future(engine_caller.async_run(make_chat()))
     await engine_caller.answer.async_wait_body(400)
     if silent:
-        engine_proxy.silence()
+        engine_proxy.blackhole()
     else:
-        engine_proxy.cut()
+        engine_proxy.reset_connections()
 
     assert await run is None
     assert len(engine_caller.answer.heads) == 1
-    assert list_contents(engine_caller.answer.body) == expected
+    assert join_contents(engine_caller.answer.body) == expected
     assert engine_caller.answer.body.count(DONE) == 1
     assert engine.requests == 2
 
 
-async def test_whole_answer_whose_connection_is_cut_is_resumed(
+async def test_unstreamed_response_is_resumed_after_cut(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine
 ) -> None:
     expected = await async_get_contents(engine_caller)
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(stream=False)))
     await async_until(lambda: engine.requests == 2)
-    engine_proxy.cut()
+    engine_proxy.reset_connections()
 
     assert await run is None
     message = json.loads(engine_caller.answer.body)["choices"][0]["message"]
     assert message["content"] == expected
 
 
-async def test_connection_that_falls_silent_before_the_head_is_taken_over(
+async def test_idle_connection_before_head_is_resumed(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine
 ) -> None:
     expected = await async_get_contents(engine_caller)
     engine.batch.pause()
     run = asyncio.ensure_future(engine_caller.async_run(make_chat()))
     await async_until(lambda: engine.requests == 2)
-    engine_proxy.silence()
+    engine_proxy.blackhole()
     engine.batch.resume()
 
     assert await run is None
-    assert list_contents(engine_caller.answer.body) == expected
+    assert join_contents(engine_caller.answer.body) == expected
     assert engine.requests == 2
 
 
-async def test_request_that_never_arrived_is_sent_again_on_another_connection(
+async def test_request_that_did_not_arrive_is_sent_again(
     engine_caller: Caller, engine_proxy: FaultProxy, engine: Engine
 ) -> None:
     outcome = await engine_caller.client.async_run(
         request=make_chat(),
         answer=engine_caller.answer,
         priority=0,
-        handed_over=engine_proxy.silence,
+        handed_over=engine_proxy.blackhole,
     )
 
     assert outcome is None
@@ -151,7 +153,7 @@
     assert engine_caller.answer.body.endswith(DONE)
 
 
-async def test_silent_engine_ends_as_unknown(engine_caller: Caller, engine: Engine) -> None:
+async def test_silent_engine_returns_failure(engine_caller: Caller, engine: Engine) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
     await engine_caller.answer.async_wait_body()
     engine.freeze()
@@ -159,14 +161,14 @@
     outcome = await run
 
     assert isinstance(outcome, Failed)
-    assert outcome.reason is Reason.UPSTREAM_SILENT
+    assert outcome.reason is Reason.UPSTREAM_TIMEOUT
 
 
-async def test_crash_in_the_answer_is_told_once_and_ends_as_unknown(
+async def test_crash_during_responses_is_reported_once(
     engine_caller: Caller, engine: Engine
 ) -> None:
-    deaths: list[bool] = []
-    engine_caller.client.on_died(lambda: deaths.append(engine_caller.client.up))
+    crashes: list[bool] = []
+    engine_caller.client.on_crash(lambda: crashes.append(engine_caller.client.up))
     other = Caller(client=engine_caller.client)
     runs = asyncio.gather(
         engine_caller.async_run(make_chat(tokens=500)),
@@ -179,17 +181,17 @@
     outcomes = await runs
 
     assert [type(outcome) for outcome in outcomes] == [Failed, Failed]
-    assert deaths == [False]
+    assert crashes == [False]
 
 
-async def test_request_that_comes_after_a_crash_is_not_run_and_counts_as_no_second_one(
+async def test_request_after_crash_is_refused_and_reports_no_crash(
     engine_caller: Caller, engine: Engine
 ) -> None:
-    deaths: list[bool] = []
-    engine_caller.client.on_died(lambda: deaths.append(True))
+    crashes: list[bool] = []
+    engine_caller.client.on_crash(lambda: crashes.append(True))
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
     await engine_caller.answer.async_wait_body()
-    # The proxy before the engine still takes connections, and resets them.
+    # The proxy in front of the engine still accepts connections and resets them.
     engine.crash()
     await run
     late = Caller(client=engine_caller.client)
@@ -198,16 +200,16 @@
 
     assert isinstance(outcome, Refused)
     assert outcome.elsewhere
-    assert len(deaths) == 1
+    assert len(crashes) == 1
 
 
-async def test_engine_that_forgot_the_answer_ends_as_unknown(
+async def test_engine_that_lost_stream_returns_failure(
     engine_caller: Caller, engine: Engine, engine_proxy: FaultProxy
 ) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=500)))
     await engine_caller.answer.async_wait_body()
     engine.streams.clear()
-    engine_proxy.cut()
+    engine_proxy.reset_connections()
 
     outcome = await run
 
@@ -215,7 +217,7 @@
     assert outcome.reason is Reason.UPSTREAM_LOST
 
 
-async def test_stream_without_its_last_event_is_not_whole(serve: Serve) -> None:
+async def test_stream_without_end_event_is_incomplete(serve: Serve) -> None:
     events = b'data: {"choices": []}\n\n'
     head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: "
     caller = await serve(head + b"%d\r\n\r\n" % len(events) + events, UpstreamKind.ENGINE)
@@ -226,14 +228,16 @@
     assert outcome.reason is Reason.UPSTREAM_PROTOCOL
 
 
-async def test_error_of_the_engine_is_passed_on(engine_caller: Caller) -> None:
+async def test_error_status_of_engine_is_relayed(engine_caller: Caller) -> None:
     outcome = await engine_caller.async_run(replace(make_chat(), body=b"{}"))
 
     assert outcome is None
     assert engine_caller.answer.heads[0].status == 400
 
 
-async def test_cancel_reaches_the_engine(engine_caller: Caller, engine: Engine) -> None:
+async def test_cancelled_request_is_cancelled_at_engine(
+    engine_caller: Caller, engine: Engine
+) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=5000)))
     await engine_caller.answer.async_wait_body()
     engine_caller.answer.cancelled.set()
@@ -245,7 +249,7 @@
     await async_until(lambda: engine.cancelled == 1 and engine.load == 0)
 
 
-async def test_cancelled_task_reaches_the_engine(engine_caller: Caller, engine: Engine) -> None:
+async def test_cancelled_task_is_cancelled_at_engine(engine_caller: Caller, engine: Engine) -> None:
     run = asyncio.ensure_future(engine_caller.async_run(make_chat(tokens=5000)))
     await engine_caller.answer.async_wait_body()
     run.cancel()
@@ -255,7 +259,7 @@
     await async_until(lambda: engine.cancelled == 1)
 
 
-async def test_same_request_id_of_two_callers_does_not_cross_answers(
+async def test_same_request_id_of_two_callers_does_not_mix_responses(
     engine_caller: Caller, engine: Engine, engine_proxy: FaultProxy
 ) -> None:
     other = Caller(client=engine_caller.client)
@@ -266,7 +270,7 @@
     )
     await engine_caller.answer.async_wait_body(400)
     await other.answer.async_wait_body(400)
-    engine_proxy.cut()
+    engine_proxy.reset_connections()
 
     assert [outcome for outcome in await runs if outcome is not None] == []
     assert engine_caller.answer.body.endswith(DONE)
@@ -289,7 +293,7 @@
         ("request_id", "a\nb"),
     ],
 )
-async def test_request_that_is_no_http_is_refused_as_not_run(
+async def test_request_that_is_invalid_http_is_refused(
     engine_caller: Caller, engine: Engine, field: str, value: object
 ) -> None:
     outcome = await engine_caller.async_run(replace(make_chat(), **{field: value}))
